--- a/include/daisyledge/pool.h
+++ b/include/daisyledge/pool.h
@@ -245,7 +245,7 @@
  * grant, no queue is past its bounds, sums match their parts.  Returns NULL,
  * or what is broken.
  */
-const char *dl_pool_broken(const struct dl_pool *pool);
+const char *dl_pool_check_invariants(const struct dl_pool *pool);
 
 /*
  * Which pool of a service takes a request: the one of the caller's own failure
--- a/src/coordination/pool_check.c
+++ b/src/coordination/pool_check.c
@@ -211,7 +211,7 @@
 }
 
 /* NULL, or which invariant is broken. */
-const char *dl_pool_broken(const struct dl_pool *pool)
+const char *dl_pool_check_invariants(const struct dl_pool *pool)
 {
 	const char *broken = endpoints_broken(pool);
 
--- a/test/fake/load.c
+++ b/test/fake/load.c
@@ -168,7 +168,7 @@
 static void checked(struct load *load, uint32_t pool)
 {
 	if (load->check && !load->broken)
-		load->broken = dl_pool_broken(load->pool[pool]);
+		load->broken = dl_pool_check_invariants(load->pool[pool]);
 }
 
 static void ask_of(const struct load *load, uint32_t i, struct dl_ask *out,
--- a/test/fake/play.c
+++ b/test/fake/play.c
@@ -324,7 +324,7 @@
 		pass_engine_init(&engines[i], &place->engine);
 	for (now = 0; now < ends_at(load) + (int64_t)DRAIN_S * MS; now++)
 		step(load);
-	g_assert(!dl_pool_broken(pool));
+	g_assert(!dl_pool_check_invariants(pool));
 	for (uint32_t k = 0; k < PLAY_KINDS; k++)
 		count(load, k, &out->kind[k], &got, &asked);
 	out->worth = asked > 0 ? (uint32_t)(got / asked * 1000) : 1000;
--- a/test/test_backoff.c
+++ b/test/test_backoff.c
@@ -62,7 +62,7 @@
 
 static void end(void)
 {
-	ck_assert_ptr_null(dl_pool_broken(pool));
+	ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	dl_pool_free(pool);
 }
 
--- a/test/test_placing.c
+++ b/test/test_placing.c
@@ -67,7 +67,7 @@
 
 static void end(void)
 {
-	ck_assert_ptr_null(dl_pool_broken(pool));
+	ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	dl_pool_free(pool);
 }
 
@@ -88,7 +88,7 @@
 	if (entry_domain)
 		dl_name_set(&a.failure_domain, dl_str_of(entry_domain));
 	dl_pool_ask(pool, &a, now, &out);
-	ck_assert_ptr_null(dl_pool_broken(pool));
+	ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	return out;
 }
 
--- a/test/test_pool.c
+++ b/test/test_pool.c
@@ -41,7 +41,7 @@
 
 static void end(void)
 {
-	ck_assert_ptr_null(dl_pool_broken(pool));
+	ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	dl_pool_free(pool);
 }
 
@@ -91,7 +91,7 @@
 	struct dl_answer out;
 
 	dl_pool_ask(pool, &a, now, &out);
-	ck_assert_ptr_null(dl_pool_broken(pool));
+	ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	return out;
 }
 
@@ -103,7 +103,7 @@
 				  .total_ms = ttft };
 
 	ck_assert_int_eq(dl_pool_release(pool, a->grant, &usage, now), 0);
-	ck_assert_ptr_null(dl_pool_broken(pool));
+	ck_assert_ptr_null(dl_pool_check_invariants(pool));
 }
 
 static uint64_t held(const char *id)
--- a/test/test_pool_random.c
+++ b/test/test_pool_random.c
@@ -276,7 +276,7 @@
 		ck_assert_uint_eq(a.request, r->ask.request);
 		ck_assert_int_ne(a.verdict, DL_QUEUED);
 		check_answer(r, &a);
-		ck_assert_ptr_null(dl_pool_broken(pool));
+		ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	}
 }
 
@@ -325,7 +325,7 @@
 		const char *broken;
 
 		one_event();
-		broken = dl_pool_broken(pool);
+		broken = dl_pool_check_invariants(pool);
 		ck_assert_msg(!broken, "seed %u event %d: %s", seeds[_i], i,
 			      broken);
 		drain();
--- a/test/test_pool_reach.c
+++ b/test/test_pool_reach.c
@@ -73,7 +73,7 @@
 		}
 		ck_assert_int_eq(dl_pool_release(pool, a.grant, &usage, *now),
 				 0);
-		ck_assert_ptr_null(dl_pool_broken(pool));
+		ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	}
 	return refused;
 }
--- a/test/test_throttle.c
+++ b/test/test_throttle.c
@@ -81,7 +81,7 @@
 
 static void end(void)
 {
-	ck_assert_ptr_null(dl_pool_broken(pool));
+	ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	dl_pool_free(pool);
 }
 
@@ -136,7 +136,7 @@
 			ask();
 		while (dl_pool_next(pool, now, &out))
 			take(&out);
-		ck_assert_ptr_null(dl_pool_broken(pool));
+		ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	}
 }
 
