--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -490,7 +490,7 @@
 
 			snprintf(name, sizeof(name), "workspace-%05u", k);
 			dl_name_set(&ws.name, dl_str_of(name));
-			dl_pool_workspace(l->pools[0], &ws);
+			dl_pool_set_workspace(l->pools[0], &ws);
 		}
 		point("workspace_state", workspaces[i], heap() - before);
 		load_free(l);
--- a/include/daisyledge/pool.h
+++ b/include/daisyledge/pool.h
@@ -182,8 +182,8 @@
 
 /* Put a new configuration in force; what is queued or granted stays. */
 void dl_pool_configure(struct dl_pool *pool, const struct dl_pool_conf *conf);
-void dl_pool_workspace(struct dl_pool *pool,
-		       const struct dl_workspace_conf *ws);
+void dl_pool_set_workspace(struct dl_pool *pool,
+			   const struct dl_workspace_conf *ws);
 
 int dl_pool_report(struct dl_pool *pool, const struct dl_endpoint_report *r,
 		   int64_t now);
@@ -194,11 +194,12 @@
  * An answer of an endpoint named the requests that it takes in 1,000 s from all
  * VMs together, or none (DL_UNLIMITED).  True where another limit is known now.
  */
-bool dl_pool_limit(struct dl_pool *pool, struct dl_str id, uint32_t limit,
-		   int64_t now);
+bool dl_pool_set_endpoint_limit(struct dl_pool *pool, struct dl_str id,
+				uint32_t limit, int64_t now);
 /* Walk the limits named since a time, from index 0; false past the last. */
-bool dl_pool_limit_next(const struct dl_pool *pool, uint32_t *index,
-			int64_t since, struct dl_name *id, uint32_t *limit);
+bool dl_pool_endpoint_limit_next(const struct dl_pool *pool, uint32_t *index,
+				 int64_t since, struct dl_name *id,
+				 uint32_t *limit);
 void dl_pool_endpoint_gone(struct dl_pool *pool, struct dl_str id, int64_t now);
 /* The operators' drain: no new work until lifted, whatever it reports. */
 void dl_pool_endpoint_drain(struct dl_pool *pool, struct dl_str id, bool drain,
@@ -208,8 +209,8 @@
  * An engine's cache event: it holds this many tokens of a prompt's start, or,
  * with 0, no longer does.  May be late, repeated or missing.
  */
-void dl_pool_cached(struct dl_pool *pool, struct dl_str id, uint64_t prefix,
-		    uint32_t tokens, int64_t now);
+void dl_pool_cache_event(struct dl_pool *pool, struct dl_str id,
+			 uint64_t prefix, uint32_t tokens, int64_t now);
 
 /* Always answers: granted, queued (a second answer follows) or refused. */
 void dl_pool_ask(struct dl_pool *pool, const struct dl_ask *ask, int64_t now,
@@ -219,9 +220,9 @@
 /* -ENOENT where the grant is not (or no longer) one of this pool. */
 int dl_pool_renew(struct dl_pool *pool, uint64_t grant, int64_t now);
 /* This VM dispatches from now on: grants of an earlier one may be adopted. */
-void dl_pool_lead(struct dl_pool *pool, int64_t now);
+void dl_pool_start_dispatching(struct dl_pool *pool, int64_t now);
 /* The first event of its answer came. */
-int dl_pool_first(struct dl_pool *pool, uint64_t grant, int64_t now);
+int dl_pool_first_event(struct dl_pool *pool, uint64_t grant, int64_t now);
 int dl_pool_release(struct dl_pool *pool, uint64_t grant,
 		    const struct dl_usage *usage, int64_t now);
 /* A grant of an earlier dispatcher, told by its entry after a hand-over. */
--- a/src/coordination/pool.c
+++ b/src/coordination/pool.c
@@ -211,7 +211,8 @@
 }
 
 /* Weight and limits of a workspace; a weight of 0 is the default one. */
-void dl_pool_workspace(struct dl_pool *pool, const struct dl_workspace_conf *c)
+void dl_pool_set_workspace(struct dl_pool *pool,
+			   const struct dl_workspace_conf *c)
 {
 	struct pool_workspace *ws =
 		pool_workspace_get(pool, dl_name_str(&c->name));
--- a/src/coordination/pool_endpoint.c
+++ b/src/coordination/pool_endpoint.c
@@ -279,8 +279,8 @@
  * An engine's cache event: that it holds the start of a prompt, or no longer.
  * These come late and with gaps; they only better an estimate.
  */
-void dl_pool_cached(struct dl_pool *pool, struct dl_str id, uint64_t prefix,
-		    uint32_t tokens, int64_t now)
+void dl_pool_cache_event(struct dl_pool *pool, struct dl_str id,
+			 uint64_t prefix, uint32_t tokens, int64_t now)
 {
 	struct pool_endpoint *e = pool_endpoint_find(pool, id);
 
--- a/src/coordination/pool_grant.c
+++ b/src/coordination/pool_grant.c
@@ -346,14 +346,14 @@
 }
 
 /* Dispatching begins here. */
-void dl_pool_lead(struct dl_pool *pool, int64_t now)
+void dl_pool_start_dispatching(struct dl_pool *pool, int64_t now)
 {
 	if (pool->policy->lead)
 		pool->policy->lead(pool, now);
 }
 
 /* The first event of a grant's answer came; -ENOENT as for renew. */
-int dl_pool_first(struct dl_pool *pool, uint64_t grant, int64_t now)
+int dl_pool_first_event(struct dl_pool *pool, uint64_t grant, int64_t now)
 {
 	struct pool_grant *g = pool_grant_find(pool, grant);
 
--- a/src/coordination/pool_throttle.c
+++ b/src/coordination/pool_throttle.c
@@ -88,8 +88,8 @@
 }
 
 /* Note what an answer of an endpoint named. */
-bool dl_pool_limit(struct dl_pool *pool, struct dl_str id, uint32_t limit,
-		   int64_t now)
+bool dl_pool_set_endpoint_limit(struct dl_pool *pool, struct dl_str id,
+				uint32_t limit, int64_t now)
 {
 	struct pool_endpoint *e = pool_endpoint_find(pool, id);
 
@@ -111,8 +111,9 @@
 }
 
 /* Walk the limits that were named since a time; false past the last. */
-bool dl_pool_limit_next(const struct dl_pool *pool, uint32_t *index,
-			int64_t since, struct dl_name *id, uint32_t *limit)
+bool dl_pool_endpoint_limit_next(const struct dl_pool *pool, uint32_t *index,
+				 int64_t since, struct dl_name *id,
+				 uint32_t *limit)
 {
 	while (*index < pool->endpoints_n) {
 		const struct pool_endpoint *e = pool->endpoints[(*index)++];
--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -75,9 +75,9 @@
 		       a->report.id.s, p->service.s, a->report.leaving,
 		       a->report.slots, rc);
 	for (uint32_t i = 0; i < a->events_count; i++)
-		dl_pool_cached(p->pool, dl_name_str(&a->report.id),
-			       a->events[i].prefix, a->events[i].tokens,
-			       entry_now(e));
+		dl_pool_cache_event(p->pool, dl_name_str(&a->report.id),
+				    a->events[i].prefix, a->events[i].tokens,
+				    entry_now(e));
 	entry_pool_drain(e, p, &a->report.id);
 }
 
--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -181,7 +181,7 @@
 	}
 	p = entry_pool_find(c->e, service_of(c));
 	if (p)
-		dl_pool_first(p->pool, c->grant.grant, entry_now(c->e));
+		dl_pool_first_event(p->pool, c->grant.grant, entry_now(c->e));
 }
 
 /* Take back an ask that has not been granted. */
--- a/src/main/entry_limit.c
+++ b/src/main/entry_limit.c
@@ -24,7 +24,8 @@
 		return;
 	if (f->limit != DL_UNLIMITED)
 		p->limit_named = entry_now(e);
-	if (!dl_pool_limit(p->pool, address, f->limit, entry_now(e)))
+	if (!dl_pool_set_endpoint_limit(p->pool, address, f->limit,
+					entry_now(e)))
 		return;
 	if (f->limit == DL_UNLIMITED)
 		dl_msg(DL_MSG_LIMIT_OVER, "endpoint=%s from=%lx leading=%d",
@@ -102,8 +103,8 @@
 		return;
 	p->limits_told = owner;
 	while (owner != e->node.self &&
-	       dl_pool_limit_next(p->pool, &at, now - RECENT_MS, &f.endpoint,
-				  &f.limit)) {
+	       dl_pool_endpoint_limit_next(p->pool, &at, now - RECENT_MS,
+					   &f.endpoint, &f.limit)) {
 		f.start = entry_endpoint_start(e, service,
 					       dl_name_str(&f.endpoint));
 		tell(e, owner, &f);
--- a/src/main/entry_pool.c
+++ b/src/main/entry_pool.c
@@ -113,7 +113,7 @@
 	if (leading && !p->leading) {
 		p->led_since = entry_now(e);
 		dl_msg(DL_MSG_POOL_LEAD, "service=%s", p->service.s);
-		dl_pool_lead(p->pool, entry_now(e));
+		dl_pool_start_dispatching(p->pool, entry_now(e));
 	}
 	if (leading == p->leading)
 		return;
@@ -221,7 +221,8 @@
 			continue;
 		put_conf(e, p);
 		for (uint32_t k = 0; k < conf->workspaces_count; k++)
-			dl_pool_workspace(p->pool, &conf->workspaces[k].limits);
+			dl_pool_set_workspace(p->pool,
+					      &conf->workspaces[k].limits);
 		drain_endpoints(e, p);
 		update_leading(e, p);
 	}
@@ -461,7 +462,7 @@
 		return;
 	p = entry_pool_find(e, dl_name_str(&service));
 	if (p)
-		dl_pool_first(p->pool, grant, entry_now(e));
+		dl_pool_first_event(p->pool, grant, entry_now(e));
 }
 
 static void on_adopt(struct entry *e, uint64_t from, const struct dl_frame *f)
--- a/src/protocol/pool_codec.h
+++ b/src/protocol/pool_codec.h
@@ -55,7 +55,7 @@
 	struct dl_name service;
 	struct dl_name endpoint;
 	uint64_t start; /* number of the start that named it */
-	uint32_t limit; /* as dl_pool_limit() takes it */
+	uint32_t limit; /* as dl_pool_set_endpoint_limit() takes it */
 };
 
 void dl_limit_pack(struct dl_packer *p, const struct dl_limit_frame *f);
--- a/test/test_placing.c
+++ b/test/test_placing.c
@@ -161,7 +161,7 @@
 {
 	struct dl_answer a, granted;
 
-	dl_pool_lead(pool, now);
+	dl_pool_start_dispatching(pool, now);
 	a = ask_long(154000);
 	ck_assert_int_eq(a.verdict, DL_QUEUED);
 	a = ask_short();
--- a/test/test_pool.c
+++ b/test/test_pool.c
@@ -497,7 +497,7 @@
 	struct dl_answer a, b;
 
 	dl_name_set(&ws.name, DL_STR("sweeps"));
-	dl_pool_workspace(pool, &ws);
+	dl_pool_set_workspace(pool, &ws);
 	report("a:1");
 	a = ask(10, 0, FAR);
 	b = ask(10, 0, FAR);
@@ -628,7 +628,7 @@
 		ck_assert_uint_lt(out.predicted_ttft_ms, 100);
 		release(&out, 50);
 	}
-	dl_pool_cached(pool, dl_name_str(&first.endpoint[0]), 99, 0, now);
+	dl_pool_cache_event(pool, dl_name_str(&first.endpoint[0]), 99, 0, now);
 	a.request = next_request++;
 	dl_pool_ask(pool, &a, now, &out);
 	ck_assert_uint_gt(out.predicted_ttft_ms, 200);
--- a/test/test_pool_random.c
+++ b/test/test_pool_random.c
@@ -255,14 +255,14 @@
 
 	snprintf(name, sizeof(name), "w%u", below(WORKSPACES));
 	dl_name_set(&ws.name, dl_str_of(name));
-	dl_pool_workspace(pool, &ws);
+	dl_pool_set_workspace(pool, &ws);
 	dl_pool_configure(pool, &conf);
 }
 
 static void do_cached(void)
 {
-	dl_pool_cached(pool, dl_str_of(names[below(ENDPOINTS)]), below(8),
-		       below(2) * 3000, now);
+	dl_pool_cache_event(pool, dl_str_of(names[below(ENDPOINTS)]), below(8),
+			    below(2) * 3000, now);
 }
 
 static void drain(void)
--- a/test/test_throttle.c
+++ b/test/test_throttle.c
@@ -142,7 +142,7 @@
 
 static bool name_limit(uint32_t limit)
 {
-	return dl_pool_limit(pool, DL_STR(LIMITED), limit, now);
+	return dl_pool_set_endpoint_limit(pool, DL_STR(LIMITED), limit, now);
 }
 
 static bool is_at(const struct granted *g, const char *endpoint)
@@ -205,7 +205,7 @@
 
 	open_pool(_i);
 	for (int i = 0; i < ENDPOINTS; i++)
-		dl_pool_limit(pool, dl_str_of(id[i]), 2000, now);
+		dl_pool_set_endpoint_limit(pool, dl_str_of(id[i]), 2000, now);
 	since = now;
 	play(12000, 20);
 	for (int i = 0; i < ENDPOINTS; i++) {
@@ -312,12 +312,13 @@
 
 	open_pool(true);
 	name_limit(2500);
-	ck_assert(dl_pool_limit_next(pool, &at, now, &id, &limit));
+	ck_assert(dl_pool_endpoint_limit_next(pool, &at, now, &id, &limit));
 	ck_assert(dl_name_eq(&id, DL_STR(LIMITED)));
 	ck_assert_uint_eq(limit, 2500);
-	ck_assert(!dl_pool_limit_next(pool, &at, now, &id, &limit));
+	ck_assert(!dl_pool_endpoint_limit_next(pool, &at, now, &id, &limit));
 	at = 0;
-	ck_assert(!dl_pool_limit_next(pool, &at, now + 1, &id, &limit));
+	ck_assert(
+		!dl_pool_endpoint_limit_next(pool, &at, now + 1, &id, &limit));
 }
 END_TEST
 
