--- a/include/daisyledge/pool.h
+++ b/include/daisyledge/pool.h
@@ -41,7 +41,7 @@
 	uint32_t out_share_permille;  /* of the pool that may be put out */
 	uint32_t grant_lease_ms;      /* unrenewed grants are reclaimed */
 	uint32_t report_gone_ms;      /* an unreported endpoint is gone */
-	bool reports_together; /* all by one way: if all stop, it is cut */
+	bool shared_report_path; /* all by one way: if all stop, it is cut */
 	uint32_t weight_default;
 	struct dl_engine_model engine; /* dl_policy_engine places by it */
 };
@@ -84,11 +84,12 @@
 	int64_t deadline;	/* on the caller's clock of this pool */
 	uint32_t target_ms;	/* to the first event; 0: not said */
 	uint32_t gap_ms;	/* the longest pause that is on time; 0: any */
-	int64_t first_by; /* the caller leaves without an event; 0: deadline */
-	uint8_t tried;	  /* endpoints in tried_ids not to be used again */
+	int64_t first_event_deadline; /* the caller leaves without an event; 0:
+					 deadline */
+	uint8_t tried; /* endpoints in tried_ids not to be used again */
 	struct dl_name tried_ids[3];
-	bool alone;   /* placed by its entry, for want of a dispatcher */
-	bool standby; /* of a dispatcher that others may still reach */
+	bool self_placed; /* placed by its entry, for want of a dispatcher */
+	bool standby;	  /* of a dispatcher that others may still reach */
 };
 
 enum dl_verdict {
@@ -148,11 +149,11 @@
 	bool unreachable;	/* no connection to it could be made */
 	uint64_t prompt_tokens; /* as the endpoint counted, 0 unknown */
 	uint64_t output_tokens;
-	uint32_t ttft_ms;	      /* since the grant; 0 where none came */
-	uint32_t total_ms;	      /* likewise */
-	struct dl_name at_fault;      /* unreachable for the first; n 0: none */
-	struct dl_name asked_to_wait; /* that asked the VM to; n 0: none */
-	uint32_t wait_ms;	      /* for so long from now */
+	uint32_t ttft_ms;	 /* since the grant; 0 where none came */
+	uint32_t total_ms;	 /* likewise */
+	struct dl_name at_fault; /* unreachable for the first; n 0: none */
+	struct dl_name backoff_endpoint; /* that asked the VM to; n 0: none */
+	uint32_t backoff_ms;		 /* for so long from now */
 };
 
 /* The pool in one line, for other pools, other domains and operators. */
--- a/src/coordination/pool.c
+++ b/src/coordination/pool.c
@@ -286,10 +286,11 @@
 				   .domain = pool_domain(&ask->failure_domain),
 				   .deadline = ask->deadline,
 				   .asked = pool->now,
-				   .first_by = ask->first_by,
+				   .first_event_deadline =
+					   ask->first_event_deadline,
 				   .target_ms = ask->target_ms,
 				   .gap_ms = ask->gap_ms,
-				   .alone = ask->alone,
+				   .self_placed = ask->self_placed,
 				   .standby = ask->standby };
 	if (out->class >= DL_CLASS_COUNT)
 		out->class = DL_CLASS_BATCH;
--- a/src/coordination/pool_endpoint.c
+++ b/src/coordination/pool_endpoint.c
@@ -202,7 +202,7 @@
 {
 	int64_t silent = now - pool->heard;
 
-	return pool->conf.reports_together && pool->endpoints_n &&
+	return pool->conf.shared_report_path && pool->endpoints_n &&
 	       silent > pool->conf.report_gone_ms / SILENT_PART &&
 	       silent < SILENT_MAX_MS;
 }
--- a/src/coordination/pool_engine.c
+++ b/src/coordination/pool_engine.c
@@ -151,7 +151,8 @@
 	pool_engine_end(&s, &place);
 	*out = place;
 	if (!pool_place_in_time(out, want, now) ||
-	    (want->first_by && now + out->ttft_ms > want->first_by))
+	    (want->first_event_deadline &&
+	     now + out->ttft_ms > want->first_event_deadline))
 		return (double)s.waited < s.target ? POOL_WAIT : POOL_LATE;
 	return POOL_CHOSEN;
 }
@@ -210,7 +211,7 @@
 			.weight = (float)pool_engine_weight(&g->want),
 			.read_ms = (float)read_ms,
 			.due = pool_engine_due(&g->want),
-			.last = g->want.first_by,
+			.last = g->want.first_event_deadline,
 			.writes = i == 0,
 		};
 
--- a/src/coordination/pool_grant.c
+++ b/src/coordination/pool_grant.c
@@ -377,9 +377,9 @@
 		pool_endpoint_unreachable(pool, g->parts[0].endpoint, now);
 	if (usage && usage->at_fault.n)
 		blame(pool, g, &usage->at_fault, now);
-	if (usage && usage->wait_ms)
-		pool_backoff_note(pool, g, &usage->asked_to_wait,
-				  usage->wait_ms, now);
+	if (usage && usage->backoff_ms)
+		pool_backoff_note(pool, g, &usage->backoff_endpoint,
+				  usage->backoff_ms, now);
 	if (usage)
 		pool_shift_learn(pool, g, usage, now);
 	pool_grant_drop(pool, g, now);
--- a/src/coordination/pool_int.h
+++ b/src/coordination/pool_int.h
@@ -107,12 +107,13 @@
 	uint8_t tried_n;
 	uint64_t tried[3]; /* hashes of endpoint names */
 	int64_t deadline;
-	int64_t asked;	    /* when the pool heard of it */
-	int64_t first_by;   /* the caller leaves without an event; 0: never */
-	uint32_t target_ms; /* to the first event; 0: not said */
-	uint32_t gap_ms;    /* the longest pause that is on time; 0: any */
-	bool alone;	    /* its entry places it without the dispatcher */
-	bool standby;	    /* others may still reach the dispatcher */
+	int64_t asked;		      /* when the pool heard of it */
+	int64_t first_event_deadline; /* the caller leaves without an event; 0:
+					 never */
+	uint32_t target_ms;	      /* to the first event; 0: not said */
+	uint32_t gap_ms;  /* the longest pause that is on time; 0: any */
+	bool self_placed; /* its entry places it without the dispatcher */
+	bool standby;	  /* others may still reach the dispatcher */
 };
 
 /* Lowest of the last reports of something the pool cannot account for. */
--- a/src/coordination/pool_throttle.c
+++ b/src/coordination/pool_throttle.c
@@ -46,7 +46,7 @@
 	if (e->limit == DL_UNLIMITED)
 		return true;
 	/* What other VMs send there by themselves is not known here. */
-	if (want->alone)
+	if (want->self_placed)
 		return false;
 	return credit(e, now) >= 1;
 }
--- a/src/main/entry_backoff.c
+++ b/src/main/entry_backoff.c
@@ -92,8 +92,8 @@
 
 	if (!address)
 		return;
-	c->usage.asked_to_wait = *address;
-	c->usage.wait_ms = left_ms;
+	c->usage.backoff_endpoint = *address;
+	c->usage.backoff_ms = left_ms;
 }
 
 /* Whether a grant cannot be used now, as this VM backs off from its endpoint.
@@ -112,11 +112,11 @@
 	dl_count(DL_METRIC_grants_unused, 1);
 	dl_msg(DL_MSG_GRANT_UNUSED,
 	       "request=%s endpoint=%s left_ms=%u dispatcher=%lx unused=%u",
-	       c->id_text, c->usage.asked_to_wait.s, c->usage.wait_ms,
+	       c->id_text, c->usage.backoff_endpoint.s, c->usage.backoff_ms,
 	       (unsigned long)c->dispatcher, c->unused);
 	if (++c->unused > UNUSED_MAX) {
 		entry_call_refuse(c, DL_REASON_BACKOFF, DL_STEP_PLACE,
-				  c->e->node.self, c->usage.wait_ms);
+				  c->e->node.self, c->usage.backoff_ms);
 		return;
 	}
 	entry_ticket_release(c);
--- a/src/main/entry_pool.c
+++ b/src/main/entry_pool.c
@@ -96,7 +96,7 @@
 	if (!s)
 		return;
 	conf = s->pool;
-	conf.reports_together = e->node.settings.foreign;
+	conf.shared_report_path = e->node.settings.foreign;
 	if (!p->leading && !e->node.settings.foreign &&
 	    conf.report_gone_ms > KEPT_REPORT_MS)
 		conf.report_gone_ms = KEPT_REPORT_MS;
@@ -358,7 +358,7 @@
 	struct dl_answer answer;
 
 	update_leading(e, p);
-	asked.alone = local && !p->leading;
+	asked.self_placed = local && !p->leading;
 	asked.standby = f->standby && !p->leading;
 	if (f->standby && !p->leading)
 		local = local || knows_endpoints(e, p);
--- a/src/protocol/pool_codec.c
+++ b/src/protocol/pool_codec.c
@@ -76,7 +76,9 @@
 	dl_pack_i64(p, ask->deadline - now);
 	dl_pack_u64(p, ask->target_ms);
 	dl_pack_u64(p, ask->gap_ms);
-	dl_pack_i64(p, ask->first_by ? ask->first_by - now : NEVER_MS);
+	dl_pack_i64(p, ask->first_event_deadline ?
+			       ask->first_event_deadline - now :
+			       NEVER_MS);
 	put_names(p, ask->tried_ids, ask->tried);
 }
 
@@ -97,8 +99,10 @@
 	out->deadline = now + dl_read_i64(r);
 	out->target_ms = (uint32_t)dl_read_u64(r);
 	out->gap_ms = (uint32_t)dl_read_u64(r);
-	out->first_by = dl_read_i64(r);
-	out->first_by = out->first_by == NEVER_MS ? 0 : now + out->first_by;
+	out->first_event_deadline = dl_read_i64(r);
+	out->first_event_deadline = out->first_event_deadline == NEVER_MS ?
+					    0 :
+					    now + out->first_event_deadline;
 	out->tried = (uint8_t)take_names(r, out->tried_ids, 3);
 	if (class >= DL_CLASS_COUNT || out->workspace.n > DL_NAME_MAX)
 		r->bad = true;
@@ -232,8 +236,8 @@
 	dl_pack_u64(p, usage->ttft_ms);
 	dl_pack_u64(p, usage->total_ms);
 	dl_pack_str(p, dl_name_str(&usage->at_fault));
-	dl_pack_str(p, dl_name_str(&usage->asked_to_wait));
-	dl_pack_u64(p, usage->wait_ms);
+	dl_pack_str(p, dl_name_str(&usage->backoff_endpoint));
+	dl_pack_u64(p, usage->backoff_ms);
 }
 
 /* Read it. */
@@ -253,8 +257,8 @@
 	out->ttft_ms = (uint32_t)dl_read_u64(&r);
 	out->total_ms = (uint32_t)dl_read_u64(&r);
 	dl_read_name(&r, &out->at_fault);
-	dl_read_name(&r, &out->asked_to_wait);
-	out->wait_ms = (uint32_t)dl_read_u64(&r);
+	dl_read_name(&r, &out->backoff_endpoint);
+	out->backoff_ms = (uint32_t)dl_read_u64(&r);
 	return finish(&r);
 }
 
--- a/test/fake/play.c
+++ b/test/fake/play.c
@@ -135,7 +135,7 @@
 		.deadline = c->begun + k->patience_ms,
 		.target_ms = k->target_ms,
 		.gap_ms = k->gap_ms,
-		.first_by = now + MAX(2000, k->target_ms * 4),
+		.first_event_deadline = now + MAX(2000, k->target_ms * 4),
 	};
 	struct dl_answer a;
 
--- a/test/test_backoff.c
+++ b/test/test_backoff.c
@@ -97,9 +97,9 @@
 static void turned_away(const struct dl_answer *a, const char *endpoint,
 			uint32_t ms)
 {
-	struct dl_usage usage = { .wait_ms = ms };
+	struct dl_usage usage = { .backoff_ms = ms };
 
-	dl_name_set(&usage.asked_to_wait, dl_str_of(endpoint));
+	dl_name_set(&usage.backoff_endpoint, dl_str_of(endpoint));
 	ck_assert_int_eq(dl_pool_release(pool, a->grant, &usage, now), 0);
 }
 
--- a/test/test_codec.c
+++ b/test/test_codec.c
@@ -187,15 +187,15 @@
 	ck_assert_uint_eq(a2.events[0].prefix, UINT64_MAX);
 	dl_packer_close(&p);
 	dl_name_set(&u.at_fault, DL_STR("127.0.0.1:9001"));
-	dl_name_set(&u.asked_to_wait, DL_STR("127.0.0.1:9002"));
-	u.wait_ms = 3000;
+	dl_name_set(&u.backoff_endpoint, DL_STR("127.0.0.1:9002"));
+	u.backoff_ms = 3000;
 	dl_release_pack(&p, DL_STR("s"), 99, &u);
 	ck_assert_int_eq(
 		dl_release_read(dl_packer_bytes(&p), &service, &grant, &u2), 0);
 	ck_assert(grant == 99 && u2.ran && !u2.failed && u2.ttft_ms == 12);
 	ck_assert(dl_name_eq(&u2.at_fault, DL_STR("127.0.0.1:9001")));
-	ck_assert(dl_name_eq(&u2.asked_to_wait, DL_STR("127.0.0.1:9002")));
-	ck_assert_uint_eq(u2.wait_ms, 3000);
+	ck_assert(dl_name_eq(&u2.backoff_endpoint, DL_STR("127.0.0.1:9002")));
+	ck_assert_uint_eq(u2.backoff_ms, 3000);
 	dl_packer_close(&p);
 	dl_summary_pack(&p, DL_STR("s"), DL_STR("d"), &s);
 	ck_assert_int_eq(dl_summary_read(dl_packer_bytes(&p), &service, &domain,
--- a/test/test_pool.c
+++ b/test/test_pool.c
@@ -70,7 +70,7 @@
 {
 	struct dl_pool_conf together = conf;
 
-	together.reports_together = true;
+	together.shared_report_path = true;
 	dl_pool_configure(pool, &together);
 }
 
--- a/test/test_throttle.c
+++ b/test/test_throttle.c
@@ -30,7 +30,7 @@
 static struct dl_pool *pool;
 static int64_t now;
 static uint64_t next_request;
-static bool alone, standby;
+static bool self_placed, standby;
 static uint64_t prompt;
 static struct granted grants[GRANTS_MAX];
 static uint32_t grants_n, first_open;
@@ -66,7 +66,7 @@
 
 	now = 1000;
 	next_request = 1;
-	alone = standby = false;
+	self_placed = standby = false;
 	prompt = 5000;
 	grants_n = first_open = refused = 0;
 	if (!model) {
@@ -106,7 +106,7 @@
 			    .deadline = now + 3000,
 			    .target_ms = TARGET_MS,
 			    .gap_ms = 250,
-			    .alone = alone,
+			    .self_placed = self_placed,
 			    .standby = standby };
 	struct dl_answer out;
 
@@ -258,7 +258,7 @@
 {
 	open_pool(_i);
 	name_limit(5000);
-	alone = true;
+	self_placed = true;
 	play(6000, 40);
 	ck_assert_uint_eq(granted_at(LIMITED, 0, now), 0);
 	ck_assert_uint_ge(grants_n, 6 * 40 * 95 / 100);
