--- a/src/coordination/pool.c
+++ b/src/coordination/pool.c
@@ -3,14 +3,14 @@
  * event is dealt with.  What is decided stands in the files beside this one:
  *
  *	pool_endpoint.c	which endpoints there are
- *	pool_limit.c	may this workspace ask now
+ *	pool_workspace.c	may this workspace ask now
  *	pool_admit.c	can this request make it
  *	pool_queue.c	who waits, who is next, who makes room
  *	pool_place.c	which endpoint takes it (pool_prefix.c: whose cache)
  *	pool_backlog.c	what each endpoint still has to do
  *	pool_group.c	which endpoints take one that fits on none
  *	pool_grant.c	who holds what, and until when
- *	pool_shift.c	which endpoints lose their share
+ *	pool_outlier.c	which endpoints lose their share
  *	pool_throttle.c	how much an endpoint takes of all VMs
  *	pool_backoff.c	which endpoints a VM backs off from
  *	pool_serve.c	the late answers, in which order
@@ -25,9 +25,9 @@
  * A class's rate is its grants over about this long: more than one long
  * prompt's grant, less than a wave of load lasts.
  */
-#define RATE_FADE_MS 3000.0
+#define RATE_DECAY_MS 3000.0
 /* Where no endpoint takes work: a few of their announcements later. */
-#define RETRY_FLAT_MS 1000
+#define RETRY_NO_ENDPOINT_MS 1000
 
 /* Below this a prompt is short: about what an engine reads in one step. */
 #define SHORT_TOKENS 4096
@@ -53,8 +53,8 @@
 
 static uint8_t band_of(const struct dl_pool *pool, uint64_t prompt,
 		       uint64_t need);
-static bool answer_again(struct dl_pool *pool, const struct dl_ask *ask,
-			 struct dl_answer *out);
+static bool repeat_answer(struct dl_pool *pool, const struct dl_ask *ask,
+			  struct dl_answer *out);
 static enum dl_reason admit(struct dl_pool *pool, const struct pool_want *want,
 			    struct pool_workspace *ws, int64_t now,
 			    uint32_t *retry_after_ms, int64_t *wait);
@@ -100,14 +100,15 @@
 
 	if (rate->per_ms <= 0)
 		return 0;
-	return passed <= 0 ? rate->per_ms :
-			     rate->per_ms * exp(-(double)passed / RATE_FADE_MS);
+	return passed <= 0 ?
+		       rate->per_ms :
+		       rate->per_ms * exp(-(double)passed / RATE_DECAY_MS);
 }
 
 /* Count an amount into a fading rate. */
 void pool_rate_add(struct pool_rate *rate, double amount, int64_t now)
 {
-	rate->per_ms = pool_rate_read(rate, now) + amount / RATE_FADE_MS;
+	rate->per_ms = pool_rate_read(rate, now) + amount / RATE_DECAY_MS;
 	rate->at = now;
 }
 
@@ -155,10 +156,12 @@
 		free(req);
 	while ((top = pool_heap_top(&pool->request_last_start)))
 		pool_queue_drop(pool,
-				POOL_OF(top, struct pool_request, last_start));
+				POOL_CONTAINER_OF(top, struct pool_request,
+						  last_start));
 	while ((top = pool_heap_top(&pool->grant_lease)))
-		pool_grant_drop(pool, POOL_OF(top, struct pool_grant, lease),
-				pool->now);
+		pool_grant_drop(
+			pool, POOL_CONTAINER_OF(top, struct pool_grant, lease),
+			pool->now);
 	while (pool->endpoints_n)
 		pool_endpoint_forget(pool, pool->endpoints[0]);
 	map = &pool->workspaces;
@@ -168,8 +171,8 @@
 		while (node) {
 			struct pool_map_node *next = node->next;
 
-			pool_workspace_free(
-				POOL_OF(node, struct pool_workspace, by_name));
+			pool_workspace_free(POOL_CONTAINER_OF(
+				node, struct pool_workspace, by_name));
 			node = next;
 		}
 	}
@@ -177,7 +180,7 @@
 		pool_heap_free(&pool->lane[i].by_start);
 		pool_heap_free(&pool->lane[i].by_backlog);
 	}
-	pool_heap_free(&pool->endpoint_gone);
+	pool_heap_free(&pool->endpoint_expiry);
 	pool_heap_free(&pool->grant_lease);
 	pool_heap_free(&pool->request_last_start);
 	pool_map_free(&pool->endpoint_by_name);
@@ -207,7 +210,7 @@
 		pool->tokens_allowed = pool->queued_tokens;
 	for (uint32_t i = 0; i < pool->endpoints_n; i++)
 		pool_place_refresh(pool, pool->endpoints[i], pool->now);
-	pool_queue_weigh(pool);
+	pool_queue_sum_weights(pool);
 }
 
 /* Weight and limits of a workspace; a weight of 0 is the default one. */
@@ -246,7 +249,7 @@
 	if (pool->conf.kind == DL_POOL_PLAIN)
 		return POOL_SHORT;
 	if (pool->memory_max && need > pool->memory_max)
-		return POOL_GIANT;
+		return POOL_OVERSIZED;
 	if (pool->conf.long_tokens && prompt >= pool->conf.long_tokens)
 		return POOL_LONG;
 	/*
@@ -272,7 +275,8 @@
 }
 
 /* Whether an endpoint is in another failure domain than a request's VM. */
-bool pool_is_away(const struct pool_want *want, const struct pool_endpoint *e)
+bool pool_in_other_domain(const struct pool_want *want,
+			  const struct pool_endpoint *e)
 {
 	return want->domain && e->domain && want->domain != e->domain;
 }
@@ -285,7 +289,7 @@
 				   .entry = ask->entry,
 				   .domain = pool_domain(&ask->failure_domain),
 				   .deadline = ask->deadline,
-				   .asked = pool->now,
+				   .asked_at = pool->now,
 				   .first_event_deadline =
 					   ask->first_event_deadline,
 				   .target_ms = ask->target_ms,
@@ -321,8 +325,8 @@
 }
 
 /* An ask that was sent twice gets the answer that it already has. */
-static bool answer_again(struct dl_pool *pool, const struct dl_ask *ask,
-			 struct dl_answer *out)
+static bool repeat_answer(struct dl_pool *pool, const struct dl_ask *ask,
+			  struct dl_answer *out)
 {
 	struct pool_grant *g =
 		pool_grant_of_request(pool, ask->entry, ask->request);
@@ -345,12 +349,13 @@
 	struct pool_request *victim;
 	uint32_t after;
 
-	if (pool_queue_room(pool, 1, want->prompt, 0))
+	if (pool_queue_has_room(pool, 1, want->prompt, 0))
 		return DL_REASON_NONE;
-	victim = pool_queue_victim(pool, want,
-				   pool_strain(pool, want, NULL, ws, now), now);
+	victim = pool_queue_victim(
+		pool, want, pool_deadline_ratio(pool, want, NULL, ws, now),
+		now);
 	if (victim &&
-	    pool_queue_room(pool, 0, want->prompt, victim->want.prompt)) {
+	    pool_queue_has_room(pool, 0, want->prompt, victim->want.prompt)) {
 		after = pool_retry_after(pool, &victim->want,
 					 pool_wait_ms(pool, &victim->want,
 						      victim, victim->workspace,
@@ -401,23 +406,23 @@
 	out->entry = ask->entry;
 	pool_endpoint_expire(pool, now);
 	pool_grant_expire(pool, now);
-	if (answer_again(pool, ask, out))
+	if (repeat_answer(pool, ask, out))
 		return;
-	if (pool->open == 0 && pool->out)
-		pool_shift_recall(pool, now);
+	if (pool->open_endpoints == 0 && pool->ejected)
+		pool_outlier_readmit_all(pool, now);
 	pool_want_of(pool, ask, &want);
-	reason = pool_admit_ever(pool, &want, now);
+	reason = pool_admit_feasible(pool, &want, now);
 	if (reason != DL_REASON_NONE) {
 		if (reason == DL_REASON_NO_ENDPOINT ||
 		    reason == DL_REASON_DRAINING)
-			after = RETRY_FLAT_MS;
+			after = RETRY_NO_ENDPOINT_MS;
 		else if (reason == DL_REASON_BACKOFF)
 			after = pool_backoff_wait_ms(pool, &want, now);
 		pool_answer_refused(out, reason, after);
 		return;
 	}
 	ws = pool_workspace_get(pool, ask->workspace);
-	reason = pool_limit_check(pool, ws, now, &after);
+	reason = pool_workspace_check_limits(pool, ws, now, &after);
 	if (reason != DL_REASON_NONE) {
 		pool_answer_refused(out, reason, after);
 		return;
@@ -433,7 +438,7 @@
 		}
 		if (!pool->policy->queues) {
 			pool_answer_refused(out, DL_REASON_NO_ENDPOINT,
-					    RETRY_FLAT_MS);
+					    RETRY_NO_ENDPOINT_MS);
 			return;
 		}
 		if (found == POOL_LATE) {
@@ -475,7 +480,7 @@
 	double tokens = 0;
 
 	memset(out, 0, sizeof(*out));
-	out->endpoints = pool->open;
+	out->endpoints = pool->open_endpoints;
 	out->queued = pool->queued;
 	out->queued_tokens = pool->queued_tokens;
 	out->grants = pool->grant_by_id.n;
--- a/src/coordination/pool_admit.c
+++ b/src/coordination/pool_admit.c
@@ -45,14 +45,15 @@
 static double best_ms_per_token(const struct dl_pool *pool);
 static double capacity(const struct dl_pool *pool,
 		       const struct pool_want *want);
-static double ahead_of(const struct dl_pool *pool, const struct pool_want *want,
-		       uint32_t *entries);
-static double own_ahead(const struct dl_pool *pool,
-			const struct pool_want *want,
-			const struct pool_request *req,
-			const struct pool_workspace *ws, double *entries);
-static int64_t residual(const struct dl_pool *pool,
-			const struct pool_want *want, int64_t now);
+static double tokens_ahead(const struct dl_pool *pool,
+			   const struct pool_want *want, uint32_t *entries);
+static double lane_tokens_ahead(const struct dl_pool *pool,
+				const struct pool_want *want,
+				const struct pool_request *req,
+				const struct pool_workspace *ws,
+				double *entries);
+static int64_t residual_ms(const struct dl_pool *pool,
+			   const struct pool_want *want, int64_t now);
 static bool any_untried(const struct dl_pool *pool,
 			const struct pool_want *want);
 static bool recheck(struct dl_pool *pool, struct pool_request *req,
@@ -62,13 +63,13 @@
 {
 	const struct pool_index_node *root = pool_index_root(&pool->index);
 
-	if (pool->open == 0 || pool->rate <= 0)
+	if (pool->open_endpoints == 0 || pool->rate <= 0)
 		return 0;
 	if (root->ms_per_token < DBL_MAX)
 		return root->ms_per_token;
 	if (pool->conf.kind == DL_POOL_PLAIN)
 		return (double)pool->slots / pool->rate;
-	return pool->open / pool->rate;
+	return pool->open_endpoints / pool->rate;
 }
 
 /* The whole time a request needs once it starts, on the best endpoint. */
@@ -82,9 +83,10 @@
 
 	if (pool->policy->service_ms)
 		return pool->policy->service_ms(pool, want);
-	if (pool->open)
-		decode = (double)want->output * pool->decode_sum / pool->open;
-	if (want->band == POOL_GIANT) {
+	if (pool->open_endpoints)
+		decode = (double)want->output * pool->decode_sum /
+			 pool->open_endpoints;
+	if (want->band == POOL_OVERSIZED) {
 		n = pool_group_size(pool, want, &share);
 		prefill *= (1 + GROUP_OVERHEAD) / (n ? n : 1);
 	}
@@ -108,13 +110,13 @@
 
 static double capacity(const struct dl_pool *pool, const struct pool_want *want)
 {
-	if (want->band < POOL_LONG || pool->open == 0)
+	if (want->band < POOL_LONG || pool->open_endpoints == 0)
 		return pool->rate;
-	return pool->rate * pool_place_long_max(pool) / pool->open;
+	return pool->rate * pool_place_long_max(pool) / pool->open_endpoints;
 }
 
-static double ahead_of(const struct dl_pool *pool, const struct pool_want *want,
-		       uint32_t *entries)
+static double tokens_ahead(const struct dl_pool *pool,
+			   const struct pool_want *want, uint32_t *entries)
 {
 	double tokens = 0;
 
@@ -138,10 +140,11 @@
  * workspace has before it over the workspace's share, whichever is less.  The
  * second is the bound of fair queueing, (sigma + I) / g.
  */
-static double own_ahead(const struct dl_pool *pool,
-			const struct pool_want *want,
-			const struct pool_request *req,
-			const struct pool_workspace *ws, double *entries)
+static double lane_tokens_ahead(const struct dl_pool *pool,
+				const struct pool_want *want,
+				const struct pool_request *req,
+				const struct pool_workspace *ws,
+				double *entries)
 {
 	uint8_t at = pool_lane_of(want);
 	const struct pool_lane *lane = &pool->lane[at];
@@ -166,8 +169,8 @@
 	return share < (double)lane->tokens ? share : (double)lane->tokens;
 }
 
-static int64_t residual(const struct dl_pool *pool,
-			const struct pool_want *want, int64_t now)
+static int64_t residual_ms(const struct dl_pool *pool,
+			   const struct pool_want *want, int64_t now)
 {
 	const struct pool_index_node *root = pool_index_root(&pool->index);
 	uint8_t level = pool_level(want);
@@ -179,8 +182,8 @@
 		for (uint32_t i = 0; i < pool->endpoints_n; i++) {
 			const struct pool_endpoint *e = pool->endpoints[i];
 
-			if (e->counted_long && e->until[level] < first)
-				first = e->until[level];
+			if (e->counted_long && e->busy_until[level] < first)
+				first = e->busy_until[level];
 		}
 	}
 	if (first == INT64_MAX || first <= now)
@@ -208,12 +211,12 @@
 
 	if (rate <= 0)
 		return INT32_MAX;
-	tokens = ahead_of(pool, want, &entries);
-	tokens += own_ahead(pool, want, req, ws, &own_entries);
+	tokens = tokens_ahead(pool, want, &entries);
+	tokens += lane_tokens_ahead(pool, want, req, ws, &own_entries);
 	left = 1 - pool_load(pool, want->class, now);
 	if (left < LOWER_CLASS_SHARE)
 		left = LOWER_CLASS_SHARE;
-	wait = (double)residual(pool, want, now) + tokens / (rate * left);
+	wait = (double)residual_ms(pool, want, now) + tokens / (rate * left);
 	if (root->ready[0] == INT64_MAX || root->free < want->need) {
 		by_slots = (entries + own_entries + 1) * pool->release_gap_ms;
 		if (by_slots > wait)
@@ -226,7 +229,7 @@
 static bool any_untried(const struct dl_pool *pool,
 			const struct pool_want *want)
 {
-	if (pool->open > want->tried_n)
+	if (pool->open_endpoints > want->tried_n)
 		return true;
 	for (uint32_t i = 0; i < pool->endpoints_n; i++) {
 		const struct pool_endpoint *e = pool->endpoints[i];
@@ -245,12 +248,12 @@
  * does not wait here: another VM may be served now, and it would stand before
  * the requests of others that can be.
  */
-enum dl_reason pool_admit_ever(const struct dl_pool *pool,
-			       const struct pool_want *want, int64_t now)
+enum dl_reason pool_admit_feasible(const struct dl_pool *pool,
+				   const struct pool_want *want, int64_t now)
 {
 	uint64_t share;
 
-	if (pool->open == 0) {
+	if (pool->open_endpoints == 0) {
 		for (uint32_t i = 0; i < pool->endpoints_n; i++)
 			if (pool->endpoints[i]->state == POOL_EP_LIVE)
 				return DL_REASON_DRAINING;
@@ -260,14 +263,15 @@
 		return DL_REASON_NO_ENDPOINT;
 	if (pool_backoff_wait_ms(pool, want, now))
 		return DL_REASON_BACKOFF;
-	if (want->band == POOL_GIANT && !pool_group_size(pool, want, &share))
+	if (want->band == POOL_OVERSIZED &&
+	    !pool_group_size(pool, want, &share))
 		return DL_REASON_TOO_LONG;
 	if (now + pool_service_ms(pool, want) > want->deadline)
 		return DL_REASON_DEADLINE;
 	return DL_REASON_NONE;
 }
 
-static int64_t short_at_least(int64_t a, int64_t b)
+static int64_t max_ms(int64_t a, int64_t b)
 {
 	return a > b ? a : b;
 }
@@ -288,25 +292,27 @@
 	double rate = capacity(pool, want);
 	int64_t after;
 
-	if (pool->policy->back_ms)
-		short_ms = short_at_least(
-			short_ms, pool->policy->back_ms(pool, want, now));
-	if (pool->returns < now)
-		pool->returns = now;
-	after = pool->returns - now;
+	if (pool->policy->retry_ms)
+		short_ms = max_ms(short_ms,
+				  pool->policy->retry_ms(pool, want, now));
+	if (pool->retry_booked_until < now)
+		pool->retry_booked_until = now;
+	after = pool->retry_booked_until - now;
 	if (short_ms > 0)
 		after += short_ms;
 	if (rate > 0 && after < RETRY_MAX_MS)
-		pool->returns += (int64_t)ceil((double)want->prompt / rate);
+		pool->retry_booked_until +=
+			(int64_t)ceil((double)want->prompt / rate);
 	if (after < RETRY_MIN_MS)
 		after = RETRY_MIN_MS;
 	return after < RETRY_MAX_MS ? (uint32_t)after : RETRY_MAX_MS;
 }
 
 /* How much of the time it has left a request is expected to need. */
-double pool_strain(const struct dl_pool *pool, const struct pool_want *want,
-		   const struct pool_request *req,
-		   const struct pool_workspace *ws, int64_t now)
+double pool_deadline_ratio(const struct dl_pool *pool,
+			   const struct pool_want *want,
+			   const struct pool_request *req,
+			   const struct pool_workspace *ws, int64_t now)
 {
 	int64_t left = want->deadline - now;
 	int64_t needed = pool_wait_ms(pool, want, req, ws, now) +
@@ -321,9 +327,9 @@
 {
 	int64_t wait = pool_wait_ms(pool, &req->want, req, req->workspace, now);
 	int64_t service = pool_service_ms(pool, &req->want);
-	int64_t sure = (int64_t)((double)wait * RECHECK_SHARE) + service;
-	enum dl_reason reason = pool_admit_ever(pool, &req->want, now);
-	int64_t late = now + sure - req->want.deadline;
+	int64_t expected = (int64_t)((double)wait * RECHECK_SHARE) + service;
+	enum dl_reason reason = pool_admit_feasible(pool, &req->want, now);
+	int64_t late = now + expected - req->want.deadline;
 	uint32_t after = 0;
 
 	if (reason == DL_REASON_NONE && late <= 0) {
@@ -361,8 +367,8 @@
 	if (!list)
 		abort();
 	for (uint32_t i = 0; i < n; i++)
-		list[i] = POOL_OF(heap->at[i + 1], struct pool_request,
-				  last_start);
+		list[i] = POOL_CONTAINER_OF(heap->at[i + 1],
+					    struct pool_request, last_start);
 	for (uint32_t i = 0; i < n; i++)
 		recheck(pool, list[i], now);
 	free(list);
--- a/src/coordination/pool_backlog.c
+++ b/src/coordination/pool_backlog.c
@@ -6,13 +6,13 @@
 #include "pool_int.h"
 
 /* Less than this is not corrected: it is within what a grant may be early. */
-#define CORRECT_FROM_MS 20
-#define SLACK_NONE	(INT64_MAX / 4)
+#define CORRECTION_MIN_MS 20
+#define SLACK_NONE	  (INT64_MAX / 4)
 
 static int64_t max_time(int64_t a, int64_t b);
-static uint64_t excess_high(const struct pool_excess *excess);
-static uint64_t excess_middle(const struct pool_excess *excess);
-static void excess_note(struct pool_excess *excess, uint64_t seen, bool first);
+static uint64_t excess_max(const struct pool_excess *excess);
+static uint64_t excess_median(const struct pool_excess *excess);
+static void excess_add(struct pool_excess *excess, uint64_t seen, bool first);
 static void correct_backlog(struct dl_pool *pool, struct pool_endpoint *e,
 			    bool first, int64_t now);
 
@@ -40,11 +40,11 @@
 	if (e->last.memory_tokens == 0)
 		return;
 	for (int i = level; i < POOL_LEVELS; i++) {
-		if (e->until[i] <= now) {
-			e->until[i] = now;
+		if (e->busy_until[i] <= now) {
+			e->busy_until[i] = now;
 			e->slack[i] = SLACK_NONE;
 		}
-		e->until[i] += prefill_ms;
+		e->busy_until[i] += prefill_ms;
 		if (i > level)
 			e->slack[i] -= prefill_ms;
 	}
@@ -54,52 +54,53 @@
 }
 
 /* Take back what is left of a prefill that ended before its time. */
-void pool_backlog_undo(struct pool_endpoint *e, uint8_t level, int64_t rest_ms,
-		       int64_t now)
+void pool_backlog_release(struct pool_endpoint *e, uint8_t level,
+			  int64_t rest_ms, int64_t now)
 {
 	for (int i = level; i < POOL_LEVELS; i++) {
-		e->until[i] = max_time(now, e->until[i] - rest_ms);
+		e->busy_until[i] = max_time(now, e->busy_until[i] - rest_ms);
 		if (i > 0)
-			e->until[i] = max_time(e->until[i], e->until[i - 1]);
+			e->busy_until[i] = max_time(e->busy_until[i],
+						    e->busy_until[i - 1]);
 	}
 }
 
 /* The lowest of the last reports: what all of them show. */
-uint64_t pool_excess_low(const struct pool_excess *excess)
+uint64_t pool_excess_min(const struct pool_excess *excess)
 {
-	uint64_t low = excess->seen[0];
+	uint64_t low = excess->samples[0];
 
 	for (int i = 1; i < POOL_EXCESS_REPORTS; i++)
-		if (excess->seen[i] < low)
-			low = excess->seen[i];
+		if (excess->samples[i] < low)
+			low = excess->samples[i];
 	return low;
 }
 
-static uint64_t excess_high(const struct pool_excess *excess)
+static uint64_t excess_max(const struct pool_excess *excess)
 {
-	uint64_t high = excess->seen[0];
+	uint64_t high = excess->samples[0];
 
 	for (int i = 1; i < POOL_EXCESS_REPORTS; i++)
-		if (excess->seen[i] > high)
-			high = excess->seen[i];
+		if (excess->samples[i] > high)
+			high = excess->samples[i];
 	return high;
 }
 
-static uint64_t excess_middle(const struct pool_excess *excess)
+static uint64_t excess_median(const struct pool_excess *excess)
 {
 	uint64_t sum = 0;
 
 	for (int i = 0; i < POOL_EXCESS_REPORTS; i++)
-		sum += excess->seen[i];
-	return sum - pool_excess_low(excess) - excess_high(excess);
+		sum += excess->samples[i];
+	return sum - pool_excess_min(excess) - excess_max(excess);
 }
 
-static void excess_note(struct pool_excess *excess, uint64_t seen, bool first)
+static void excess_add(struct pool_excess *excess, uint64_t seen, bool first)
 {
 	for (int i = 0; first && i < POOL_EXCESS_REPORTS; i++)
-		excess->seen[i] = seen;
-	excess->seen[excess->at] = seen;
-	excess->at = (uint8_t)((excess->at + 1) % POOL_EXCESS_REPORTS);
+		excess->samples[i] = seen;
+	excess->samples[excess->next] = seen;
+	excess->next = (uint8_t)((excess->next + 1) % POOL_EXCESS_REPORTS);
 }
 
 /*
@@ -112,24 +113,24 @@
 			    bool first, int64_t now)
 {
 	double per_token = pool_ms_per_token(pool, e);
-	int64_t own = max_time(0, e->until[POOL_LEVELS - 1] - now);
+	int64_t own = max_time(0, e->busy_until[POOL_LEVELS - 1] - now);
 	int64_t reported =
 		(int64_t)((double)e->last.prefill_backlog * per_token);
 	int64_t more;
 
-	excess_note(&e->backlog_own, (uint64_t)own, first);
-	own = (int64_t)excess_high(&e->backlog_own);
-	excess_note(&e->backlog_excess,
-		    reported > own ? (uint64_t)(reported - own) : 0, first);
-	more = (int64_t)excess_middle(&e->backlog_excess);
-	if (more <= CORRECT_FROM_MS)
+	excess_add(&e->backlog_own, (uint64_t)own, first);
+	own = (int64_t)excess_max(&e->backlog_own);
+	excess_add(&e->backlog_excess,
+		   reported > own ? (uint64_t)(reported - own) : 0, first);
+	more = (int64_t)excess_median(&e->backlog_excess);
+	if (more <= CORRECTION_MIN_MS)
 		return;
 	for (int i = 0; i < POOL_LEVELS; i++) {
 		if (e->long_grants > 0 && i < POOL_LEVELS - 1)
 			continue;
-		e->until[i] = max_time(now, e->until[i]) + more;
+		e->busy_until[i] = max_time(now, e->busy_until[i]) + more;
 	}
-	excess_note(&e->backlog_excess, 0, true);
+	excess_add(&e->backlog_excess, 0, true);
 }
 
 /*
@@ -147,10 +148,10 @@
 	uint64_t used = e->last.used_tokens;
 	uint32_t running = e->last.running;
 
-	excess_note(&e->memory_excess, used > e->held ? used - e->held : 0,
-		    first);
-	excess_note(&e->running_excess,
-		    running > e->grants ? running - e->grants : 0, first);
+	excess_add(&e->memory_excess, used > e->held ? used - e->held : 0,
+		   first);
+	excess_add(&e->running_excess,
+		   running > e->grants ? running - e->grants : 0, first);
 	if (pool->conf.kind == DL_POOL_MODEL)
 		correct_backlog(pool, e, first, now);
 }
--- a/src/coordination/pool_backoff.c
+++ b/src/coordination/pool_backoff.c
@@ -11,27 +11,28 @@
 #include "pool_int.h"
 
 /* A start of an endpoint and the VM that it asked. */
-static uint64_t key_of(const struct pool_endpoint *e, uint64_t vm)
+static uint64_t backoff_key(const struct pool_endpoint *e, uint64_t vm)
 {
 	return pool_mix(
 		pool_mix(e->by_name.hash ^ pool_mix(e->last.incarnation)) ^ vm);
 }
 
 /* How much longer a request's VM backs off from an endpoint, ms. */
-static uint32_t left_ms(const struct dl_pool *pool,
-			const struct pool_want *want,
-			const struct pool_endpoint *e, int64_t now)
+static uint32_t remaining_ms(const struct dl_pool *pool,
+			     const struct pool_want *want,
+			     const struct pool_endpoint *e, int64_t now)
 {
-	return dl_backoff_left_ms(pool->backoff, key_of(e, want->entry), now);
+	return dl_backoff_left_ms(pool->backoff, backoff_key(e, want->entry),
+				  now);
 }
 
 /* Whether an endpoint has asked a request's VM to wait. */
-bool pool_backoff_holds(const struct dl_pool *pool,
-			const struct pool_want *want,
-			const struct pool_endpoint *e, int64_t now)
+bool pool_backoff_active(const struct dl_pool *pool,
+			 const struct pool_want *want,
+			 const struct pool_endpoint *e, int64_t now)
 {
 	return dl_backoff_any(pool->backoff, now) &&
-	       left_ms(pool, want, e, now) > 0;
+	       remaining_ms(pool, want, e, now) > 0;
 }
 
 /* The VM of a grant was asked to wait by one of its endpoints. */
@@ -43,8 +44,8 @@
 
 		if (!e || !dl_name_eq(&e->last.id, dl_name_str(id)))
 			continue;
-		dl_backoff_note(pool->backoff, key_of(e, g->entry), now + ms,
-				now);
+		dl_backoff_note(pool->backoff, backoff_key(e, g->entry),
+				now + ms, now);
 		pool->recheck_all = true;
 	}
 }
@@ -66,7 +67,7 @@
 
 		if (!e->counted_open || pool_place_tried(want, e))
 			continue;
-		left = left_ms(pool, want, e, now);
+		left = remaining_ms(pool, want, e, now);
 		if (!left)
 			return 0;
 		if (!first || left < first)
--- a/src/coordination/pool_baseline.c
+++ b/src/coordination/pool_baseline.c
@@ -16,18 +16,18 @@
 static bool could_hold(const struct pool_want *want,
 		       const struct pool_endpoint *e, uint64_t share,
 		       uint32_t n);
-static uint32_t size_of(const struct dl_pool *pool,
-			const struct pool_want *want, uint64_t *share);
-static bool already_in(const struct pool_choice *choice,
-		       const struct pool_endpoint *e);
-static void add(struct dl_pool *pool, const struct pool_want *want,
-		struct pool_endpoint *e, uint32_t n, int64_t now,
-		struct pool_choice *out);
+static uint32_t endpoints_needed(const struct dl_pool *pool,
+				 const struct pool_want *want, uint64_t *share);
+static bool is_chosen(const struct pool_choice *choice,
+		      const struct pool_endpoint *e);
+static void add_endpoint(struct dl_pool *pool, const struct pool_want *want,
+			 struct pool_endpoint *e, uint32_t n, int64_t now,
+			 struct pool_choice *out);
 
 const struct dl_pool_policy dl_policy_late_binding = {
 	.name = "late-binding",
 	.queues = true,
-	.gathers = true,
+	.reserves_memory = true,
 	.choose = pool_place_choose,
 };
 const struct dl_pool_policy dl_policy_round_robin = {
@@ -39,11 +39,11 @@
 	.choose = choose_least_load,
 };
 
-static uint32_t size_of(const struct dl_pool *pool,
-			const struct pool_want *want, uint64_t *share)
+static uint32_t endpoints_needed(const struct dl_pool *pool,
+				 const struct pool_want *want, uint64_t *share)
 {
 	*share = want->need;
-	if (want->band != POOL_GIANT)
+	if (want->band != POOL_OVERSIZED)
 		return 1;
 	return pool_group_size(pool, want, share);
 }
@@ -59,8 +59,8 @@
 	return share <= e->last.memory_tokens || want->need == 0;
 }
 
-static bool already_in(const struct pool_choice *choice,
-		       const struct pool_endpoint *e)
+static bool is_chosen(const struct pool_choice *choice,
+		      const struct pool_endpoint *e)
 {
 	for (uint8_t i = 0; i < choice->n; i++)
 		if (choice->endpoint[i] == e)
@@ -68,9 +68,9 @@
 	return false;
 }
 
-static void add(struct dl_pool *pool, const struct pool_want *want,
-		struct pool_endpoint *e, uint32_t n, int64_t now,
-		struct pool_choice *out)
+static void add_endpoint(struct dl_pool *pool, const struct pool_want *want,
+			 struct pool_endpoint *e, uint32_t n, int64_t now,
+			 struct pool_choice *out)
 {
 	struct pool_choice part = { 0 };
 
@@ -94,13 +94,14 @@
 	uint32_t n;
 
 	*out = (struct pool_choice){ 0 };
-	n = size_of(pool, want, &out->share);
+	n = endpoints_needed(pool, want, &out->share);
 	for (uint32_t i = 0; n && i < pool->endpoints_n && out->n < n; i++) {
 		struct pool_endpoint *e =
-			pool->endpoints[pool->turn++ % pool->endpoints_n];
+			pool->endpoints[pool->next_round_robin++ %
+					pool->endpoints_n];
 
-		if (could_hold(want, e, out->share, n) && !already_in(out, e))
-			add(pool, want, e, n, now, out);
+		if (could_hold(want, e, out->share, n) && !is_chosen(out, e))
+			add_endpoint(pool, want, e, n, now, out);
 	}
 	return n && out->n == n ? POOL_CHOSEN : POOL_WAIT;
 }
@@ -113,7 +114,7 @@
 	uint32_t n;
 
 	*out = (struct pool_choice){ 0 };
-	n = size_of(pool, want, &out->share);
+	n = endpoints_needed(pool, want, &out->share);
 	while (n && out->n < n) {
 		struct pool_endpoint *best = NULL;
 		double least = DBL_MAX;
@@ -125,14 +126,14 @@
 
 			if (load < least &&
 			    could_hold(want, e, out->share, n) &&
-			    !already_in(out, e)) {
+			    !is_chosen(out, e)) {
 				best = e;
 				least = load;
 			}
 		}
 		if (!best)
 			return POOL_WAIT;
-		add(pool, want, best, n, now, out);
+		add_endpoint(pool, want, best, n, now, out);
 	}
 	return n ? POOL_CHOSEN : POOL_WAIT;
 }
--- a/src/coordination/pool_check.c
+++ b/src/coordination/pool_check.c
@@ -1,18 +1,18 @@
 /* The invariants of a pool, asserted after every event of randomised runs. */
 #include "pool_int.h"
 
-static const char *endpoint_broken(const struct pool_endpoint *e);
+static const char *check_endpoint(const struct pool_endpoint *e);
 static bool is_held_long(const struct pool_endpoint *e);
-static const char *endpoints_broken(const struct dl_pool *pool);
-static const char *index_broken(const struct dl_pool *pool);
-static const char *lane_broken(const struct pool_lane *lane, uint8_t at,
-			       const struct dl_pool *pool);
-static const char *queue_broken(const struct dl_pool *pool);
-static const char *grants_broken(const struct dl_pool *pool);
-static const char *workspaces_broken(const struct dl_pool *pool);
-static const char *hold_broken(const struct dl_pool *pool);
-
-static const char *endpoint_broken(const struct pool_endpoint *e)
+static const char *check_endpoints(const struct dl_pool *pool);
+static const char *check_index(const struct dl_pool *pool);
+static const char *check_lane(const struct pool_lane *lane, uint8_t at,
+			      const struct dl_pool *pool);
+static const char *check_queue(const struct dl_pool *pool);
+static const char *check_grants(const struct dl_pool *pool);
+static const char *check_workspaces(const struct dl_pool *pool);
+static const char *check_holds(const struct dl_pool *pool);
+
+static const char *check_endpoint(const struct pool_endpoint *e)
 {
 	uint64_t held = 0;
 	uint32_t grants = 0, longs = 0;
@@ -31,7 +31,7 @@
 	if (!e->hold != !e->reserved)
 		return "memory gathered for nobody";
 	for (int i = 1; i < POOL_LEVELS; i++)
-		if (e->until[i] < e->until[i - 1])
+		if (e->busy_until[i] < e->busy_until[i - 1])
 			return "a lower level's work ends before a higher's";
 	return NULL;
 }
@@ -41,31 +41,31 @@
 	return e->hold && e->hold->request->want.band >= POOL_LONG;
 }
 
-static const char *endpoints_broken(const struct dl_pool *pool)
+static const char *check_endpoints(const struct dl_pool *pool)
 {
 	uint32_t open = 0, longs = 0, out = 0;
 	uint64_t memory = 0;
 
 	for (uint32_t i = 0; i < pool->endpoints_n; i++) {
 		const struct pool_endpoint *e = pool->endpoints[i];
-		const char *broken = endpoint_broken(e);
+		const char *violation = check_endpoint(e);
 
-		if (broken)
-			return broken;
-		if (e->slot != i)
+		if (violation)
+			return violation;
+		if (e->index != i)
 			return "an endpoint is not where it says";
 		if (e->counted_open != pool_endpoint_open(pool, e))
 			return "an endpoint is counted as what it is not";
 		open += e->counted_open;
 		longs += e->counted_open &&
 			 (e->long_grants > 0 || is_held_long(e));
-		out += e->shift == POOL_OUT;
+		out += e->ejection == POOL_EJECTED;
 		if (e->counted_open && e->last.memory_tokens > memory)
 			memory = e->last.memory_tokens;
 	}
-	if (open != pool->open || longs != pool->long_endpoints)
+	if (open != pool->open_endpoints || longs != pool->long_endpoints)
 		return "open endpoints are miscounted";
-	if (out != pool->out)
+	if (out != pool->ejected)
 		return "endpoints put out are miscounted";
 	if (memory != pool->memory_max)
 		return "the largest memory is not the largest";
@@ -74,7 +74,7 @@
 	return NULL;
 }
 
-static const char *index_broken(const struct dl_pool *pool)
+static const char *check_index(const struct dl_pool *pool)
 {
 	const struct pool_index *index = &pool->index;
 
@@ -88,21 +88,21 @@
 		if (!pool_endpoint_open(pool, e))
 			return "a closed endpoint is in the index";
 		if (leaf->free != pool_place_free(e) ||
-		    leaf->ready[0] != e->until[0])
+		    leaf->ready[0] != e->busy_until[0])
 			return "the index lags its endpoint";
 	}
 	return NULL;
 }
 
-static const char *lane_broken(const struct pool_lane *lane, uint8_t at,
-			       const struct dl_pool *pool)
+static const char *check_lane(const struct pool_lane *lane, uint8_t at,
+			      const struct dl_pool *pool)
 {
 	uint64_t tokens = 0, weights = 0;
 	uint32_t n = 0;
 
 	for (uint32_t i = 1; i <= lane->by_start.n; i++) {
-		const struct pool_flow *flow =
-			POOL_OF(lane->by_start.at[i], struct pool_flow, start);
+		const struct pool_flow *flow = POOL_CONTAINER_OF(
+			lane->by_start.at[i], struct pool_flow, start);
 
 		if (flow->lane != at || flow->n == 0 || !flow->root)
 			return "an empty flow waits";
@@ -122,17 +122,17 @@
 	return NULL;
 }
 
-static const char *queue_broken(const struct dl_pool *pool)
+static const char *check_queue(const struct dl_pool *pool)
 {
 	uint64_t tokens = 0;
 	uint32_t n = 0, refused = 0;
 
 	for (unsigned i = 0; i < POOL_LANES; i++) {
-		const char *broken =
-			lane_broken(&pool->lane[i], (uint8_t)i, pool);
+		const char *violation =
+			check_lane(&pool->lane[i], (uint8_t)i, pool);
 
-		if (broken)
-			return broken;
+		if (violation)
+			return violation;
 		n += pool->lane[i].n;
 		tokens += pool->lane[i].tokens;
 	}
@@ -150,7 +150,7 @@
 	return NULL;
 }
 
-static const char *grants_broken(const struct dl_pool *pool)
+static const char *check_grants(const struct dl_pool *pool)
 {
 	uint32_t parts = 0, listed = 0;
 
@@ -158,8 +158,8 @@
 	    pool->grant_lease.n != pool->grant_by_request.n)
 		return "a grant has no lease";
 	for (uint32_t i = 1; i <= pool->grant_lease.n; i++) {
-		const struct pool_grant *g = POOL_OF(pool->grant_lease.at[i],
-						     struct pool_grant, lease);
+		const struct pool_grant *g = POOL_CONTAINER_OF(
+			pool->grant_lease.at[i], struct pool_grant, lease);
 
 		for (uint8_t k = 0; k < g->parts_n; k++)
 			parts += g->parts[k].endpoint != NULL;
@@ -169,7 +169,7 @@
 	return parts == listed ? NULL : "a part of a grant is on no list";
 }
 
-static const char *workspaces_broken(const struct dl_pool *pool)
+static const char *check_workspaces(const struct dl_pool *pool)
 {
 	const struct pool_map *map = &pool->workspaces;
 	uint32_t running = 0, queued = 0;
@@ -177,8 +177,8 @@
 	for (uint32_t i = 0; i <= map->mask; i++) {
 		for (const struct pool_map_node *node = map->bucket[i]; node;
 		     node = node->next) {
-			const struct pool_workspace *ws =
-				POOL_OF(node, struct pool_workspace, by_name);
+			const struct pool_workspace *ws = POOL_CONTAINER_OF(
+				node, struct pool_workspace, by_name);
 
 			running += ws->running;
 			queued += ws->queued;
@@ -189,7 +189,7 @@
 	return NULL;
 }
 
-static const char *hold_broken(const struct dl_pool *pool)
+static const char *check_holds(const struct dl_pool *pool)
 {
 	uint32_t held = 0, wanted = 0;
 
@@ -210,20 +210,20 @@
 	return held == wanted ? NULL : "an endpoint is held for nobody";
 }
 
-/* NULL, or which invariant is broken. */
+/* NULL, or which invariant is violated. */
 const char *dl_pool_check_invariants(const struct dl_pool *pool)
 {
-	const char *broken = endpoints_broken(pool);
-
-	if (!broken)
-		broken = index_broken(pool);
-	if (!broken)
-		broken = queue_broken(pool);
-	if (!broken)
-		broken = grants_broken(pool);
-	if (!broken)
-		broken = workspaces_broken(pool);
-	if (!broken)
-		broken = hold_broken(pool);
-	return broken;
+	const char *violation = check_endpoints(pool);
+
+	if (!violation)
+		violation = check_index(pool);
+	if (!violation)
+		violation = check_queue(pool);
+	if (!violation)
+		violation = check_grants(pool);
+	if (!violation)
+		violation = check_workspaces(pool);
+	if (!violation)
+		violation = check_holds(pool);
+	return violation;
 }
--- a/src/coordination/pool_endpoint.c
+++ b/src/coordination/pool_endpoint.c
@@ -15,14 +15,14 @@
  * Reports of a whole pool that fail to come for this part of the time after
  * which one endpoint counts as gone have stopped on their way.
  */
-#define SILENT_PART 2
+#define SILENT_DIVISOR 2
 /* An endpoint that nobody speaks of is not kept for longer. */
 #define SILENT_MAX_MS 30000
 
 static int check_report(const struct dl_pool *pool,
 			const struct dl_endpoint_report *r);
-static void complete_leave(const struct pool_endpoint *e,
-			   struct dl_endpoint_report *r);
+static void complete_leaving_report(const struct pool_endpoint *e,
+				    struct dl_endpoint_report *r);
 static void close_endpoint(struct dl_pool *pool, struct pool_endpoint *e,
 			   int64_t now);
 
@@ -33,7 +33,8 @@
 	struct pool_map_node *node =
 		pool_map_first(&pool->endpoint_by_name, dl_hash(id, 0));
 
-	return node ? POOL_OF(node, struct pool_endpoint, by_name) : NULL;
+	return node ? POOL_CONTAINER_OF(node, struct pool_endpoint, by_name) :
+		      NULL;
 }
 
 /* The endpoint of this name; one not heard of yet where there is none. */
@@ -56,11 +57,11 @@
 	}
 	dl_name_set(&e->last.id, id);
 	pool_throttle_reset(e);
-	e->slot = pool->endpoints_n;
+	e->index = pool->endpoints_n;
 	pool->endpoints[pool->endpoints_n++] = e;
 	pool_index_resize(&pool->index, pool->endpoints_n);
 	pool_map_add(&pool->endpoint_by_name, &e->by_name, dl_hash(id, 0));
-	pool_shift_reset(pool, e);
+	pool_outlier_reset(pool, e);
 	return e;
 }
 
@@ -70,16 +71,16 @@
 	struct pool_endpoint *last = pool->endpoints[pool->endpoints_n - 1];
 
 	pool_hold_lost(pool, e);
-	pool_shift_gone(pool, e);
+	pool_outlier_clear(pool, e);
 	e->state = POOL_EP_GONE;
 	pool_place_refresh(pool, e, pool->now);
-	pool_heap_remove(&pool->endpoint_gone, &e->gone);
+	pool_heap_remove(&pool->endpoint_expiry, &e->expiry);
 	pool_map_remove(&pool->endpoint_by_name, &e->by_name);
-	pool_index_set(&pool->index, last->slot, NULL);
+	pool_index_set(&pool->index, last->index, NULL);
 	pool->endpoints_n--;
 	if (last != e) {
-		last->slot = e->slot;
-		pool->endpoints[last->slot] = last;
+		last->index = e->index;
+		pool->endpoints[last->index] = last;
 		pool_place_refresh(pool, last, pool->now);
 	}
 	free(e);
@@ -101,8 +102,8 @@
  * the pool until its reports were missed, for seconds, and an engine that
  * empties looks the best place there is.
  */
-static void complete_leave(const struct pool_endpoint *e,
-			   struct dl_endpoint_report *r)
+static void complete_leaving_report(const struct pool_endpoint *e,
+				    struct dl_endpoint_report *r)
 {
 	if (!r->leaving || r->slots > 0 ||
 	    e->last.incarnation != r->incarnation)
@@ -116,19 +117,19 @@
  * pool has too many already.  A new incarnation has lost what the old one held.
  * One that was gone and is back gets its share back over some seconds.
  */
-int dl_pool_report(struct dl_pool *pool, const struct dl_endpoint_report *said,
+int dl_pool_report(struct dl_pool *pool, const struct dl_endpoint_report *sent,
 		   int64_t now)
 {
 	struct pool_endpoint *e =
-		pool_endpoint_find(pool, dl_name_str(&said->id));
-	struct dl_endpoint_report report = *said, *r = &report;
+		pool_endpoint_find(pool, dl_name_str(&sent->id));
+	struct dl_endpoint_report report = *sent, *r = &report;
 	enum pool_ep_state was;
 	bool first, was_open;
 	int rc;
 
 	pool->now = now;
 	if (e)
-		complete_leave(e, r);
+		complete_leaving_report(e, r);
 	rc = check_report(pool, r);
 	if (rc)
 		return rc;
@@ -142,8 +143,8 @@
 	if (was != POOL_EP_UNKNOWN && first) {
 		pool_hold_lost(pool, e);
 		pool_grant_detach(pool, e);
-		pool_shift_reset(pool, e);
-		memset(e->until, 0, sizeof(e->until));
+		pool_outlier_reset(pool, e);
+		memset(e->busy_until, 0, sizeof(e->busy_until));
 		pool_throttle_reset(e);
 	}
 	e->last = *r;
@@ -158,17 +159,17 @@
 	}
 	e->state = POOL_EP_LIVE;
 	e->unreachable = false;
-	pool->heard = now;
-	pool_heap_set(&pool->endpoint_gone, &e->gone,
+	pool->last_report_at = now;
+	pool_heap_set(&pool->endpoint_expiry, &e->expiry,
 		      now + pool->conf.report_gone_ms);
 	pool_backlog_report(pool, e, first, now);
 	if (r->leaving)
 		pool_hold_lost(pool, e);
 	if (was == POOL_EP_GONE)
-		pool_shift_back(pool, e, now);
-	pool_shift_tick(pool, e, now);
+		pool_outlier_readmit(pool, e, now);
+	pool_outlier_tick(pool, e, now);
 	pool_place_refresh(pool, e, now);
-	pool_shift_overdue(pool, e, now);
+	pool_outlier_check_overdue(pool, e, now);
 	if (was_open && !e->counted_open)
 		pool->recheck_all = true;
 	return 0;
@@ -178,8 +179,8 @@
 			   int64_t now)
 {
 	pool_hold_lost(pool, e);
-	pool_shift_gone(pool, e);
-	pool_heap_remove(&pool->endpoint_gone, &e->gone);
+	pool_outlier_clear(pool, e);
+	pool_heap_remove(&pool->endpoint_expiry, &e->expiry);
 	e->state = POOL_EP_GONE;
 	pool_place_refresh(pool, e, now);
 	pool->recheck_all = true;
@@ -200,10 +201,10 @@
  */
 bool dl_pool_is_silent(const struct dl_pool *pool, int64_t now)
 {
-	int64_t silent = now - pool->heard;
+	int64_t silent = now - pool->last_report_at;
 
 	return pool->conf.shared_report_path && pool->endpoints_n &&
-	       silent > pool->conf.report_gone_ms / SILENT_PART &&
+	       silent > pool->conf.report_gone_ms / SILENT_DIVISOR &&
 	       silent < SILENT_MAX_MS;
 }
 
@@ -216,13 +217,16 @@
 	bool wait = dl_pool_is_silent(pool, now);
 	struct pool_heap_node *top;
 
-	while ((top = pool_heap_top(&pool->endpoint_gone)) && top->key <= now) {
+	while ((top = pool_heap_top(&pool->endpoint_expiry)) &&
+	       top->key <= now) {
 		if (wait)
-			pool_heap_set(&pool->endpoint_gone, top,
+			pool_heap_set(&pool->endpoint_expiry, top,
 				      now + pool->conf.report_gone_ms);
 		else
 			close_endpoint(pool,
-				       POOL_OF(top, struct pool_endpoint, gone),
+				       POOL_CONTAINER_OF(top,
+							 struct pool_endpoint,
+							 expiry),
 				       now);
 	}
 }
@@ -305,6 +309,6 @@
 	e = pool->endpoints[index];
 	*out = e->last;
 	*held_tokens = e->held;
-	*put_out = e->shift == POOL_OUT;
+	*put_out = e->ejection == POOL_EJECTED;
 	return true;
 }
--- a/src/coordination/pool_engine.c
+++ b/src/coordination/pool_engine.c
@@ -120,7 +120,7 @@
 				   .model = &pool->conf.engine,
 				   .want = want,
 				   .now = now,
-				   .waited = now - want->asked,
+				   .waited = now - want->asked_at,
 				   .gap_share = GAP_SHARE };
 	struct pool_choice place = { 0 };
 	bool found;
@@ -132,7 +132,7 @@
 	pool_engine_look(&s);
 	if (is_too_much(&s))
 		return POOL_LATE;
-	if (s.read_ms > PART_MS && now < pool->strange_until)
+	if (s.read_ms > PART_MS && now < pool->unknown_grants_until)
 		return POOL_WAIT;
 	found = pool_engine_place(&s, 0, &place);
 	if (!found || (double)(s.waited + place.ttft_ms) > s.target) {
@@ -162,7 +162,9 @@
 				      const struct pool_want *want)
 {
 	const struct dl_engine_model *m = &pool->conf.engine;
-	uint32_t n = pool->open < DL_GROUP_MAX ? pool->open : DL_GROUP_MAX;
+	uint32_t n = pool->open_endpoints < DL_GROUP_MAX ?
+			     pool->open_endpoints :
+			     DL_GROUP_MAX;
 	double passes = (double)want->output / (m->stride ? m->stride : 1);
 
 	return (int64_t)ceil(dl_engine_read_ms(m, want->prompt) / (n ? n : 1) +
@@ -224,7 +226,7 @@
 /* Long prompts wait until the engines are known. */
 static void pool_engine_lead(struct dl_pool *pool, int64_t now)
 {
-	pool->strange_until = now + STRANGE_MS;
+	pool->unknown_grants_until = now + STRANGE_MS;
 }
 
 /* Of a prompt that others read as well it shows the last of them only. */
@@ -249,7 +251,7 @@
 {
 	if (!usage->ttft_ms || !g->predicted_ttft_ms)
 		return;
-	e->slow = fmin(fmax(e->slow, 1), PACE_MAX);
+	e->prefill_slowdown = fmin(fmax(e->prefill_slowdown, 1), PACE_MAX);
 }
 
 const struct dl_pool_policy dl_policy_engine = {
@@ -257,9 +259,9 @@
 	.queues = true,
 	.choose = pool_engine_choose,
 	.service_ms = pool_engine_service_ms,
-	.back_ms = pool_engine_back_ms,
+	.retry_ms = pool_engine_back_ms,
 	.granted = pool_engine_granted,
-	.lead = pool_engine_lead,
-	.first = pool_engine_first,
+	.start_dispatching = pool_engine_lead,
+	.first_event = pool_engine_first,
 	.learn = pool_engine_learn,
 };
--- a/src/coordination/pool_engine_place.c
+++ b/src/coordination/pool_engine_place.c
@@ -61,7 +61,7 @@
 /* Until when a first event is on time; 0: at any time. */
 int64_t pool_engine_due(const struct pool_want *want)
 {
-	return want->target_ms ? want->asked + want->target_ms : 0;
+	return want->target_ms ? want->asked_at + want->target_ms : 0;
 }
 
 /* Requests that write on an engine, or will. */
@@ -125,12 +125,12 @@
 		if (!pool_endpoint_open(s->pool, e) ||
 		    !pool_place_lets(s->pool, s->want, e, s->now))
 			continue;
-		e->engine.pace = e->slow;
+		e->engine.pace = e->prefill_slowdown;
 		dl_engine_advance(&e->engine, s->model, s->now);
 		c->endpoint = e;
 		dl_engine_forecast(&e->engine, s->model, 0, s->now,
 				   &c->forecast);
-		c->leads = leaders_of(e) < pool_shift_slots(e, s->now) &&
+		c->leads = leaders_of(e) < pool_outlier_slots(e, s->now) &&
 			   e->engine.count < DL_ENGINE_ITEMS_MAX;
 		s->count++;
 	}
@@ -183,7 +183,8 @@
  */
 static int64_t away_ms(const struct engine_search *s, const struct candidate *c)
 {
-	return pool_is_away(s->want, c->endpoint) ? (int64_t)s->target : 0;
+	return pool_in_other_domain(s->want, c->endpoint) ? (int64_t)s->target :
+							    0;
 }
 
 /*
@@ -322,7 +323,7 @@
 	double passes = (double)s->want->output / (m->stride ? m->stride : 1);
 	double pass = dl_engine_write_ms(m, 1, 0);
 
-	out->lead_holds = s->least == 1;
+	out->memory_on_leader = s->least == 1;
 	out->total_ms = out->ttft_ms + (int64_t)(passes * pass);
 }
 
--- a/src/coordination/pool_grant.c
+++ b/src/coordination/pool_grant.c
@@ -9,8 +9,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MEAN_GAIN     0.1
-#define CROWD_LOOK_AT 8
+#define MEAN_GAIN	 0.1
+#define REORDER_SCAN_MAX 8
 /*
  * The gap between two releases is a mean over as many as the pool runs at once,
  * and over these at the least: what began together ends together, after a long
@@ -18,20 +18,22 @@
  */
 #define RELEASES_MIN 10
 
-static void attach(struct pool_grant *g, uint8_t at, struct pool_endpoint *e,
-		   uint64_t share);
-static void detach(struct dl_pool *pool, struct pool_part *part, int64_t now);
+static void attach_part(struct pool_grant *g, uint8_t at,
+			struct pool_endpoint *e, uint64_t share);
+static void detach_part(struct dl_pool *pool, struct pool_part *part,
+			int64_t now);
 static struct pool_grant *grant_new(struct dl_pool *pool, uint64_t id,
 				    uint64_t entry, uint64_t request,
 				    struct pool_workspace *ws,
 				    const struct pool_want *want, uint8_t n);
-static void mark_crowded(struct pool_grant *g, struct pool_endpoint *e,
-			 int64_t now);
-static uint64_t new_id(struct dl_pool *pool);
-static void note_release(struct dl_pool *pool, struct pool_grant *g,
-			 int64_t now);
-static void blame(struct dl_pool *pool, const struct pool_grant *g,
-		  const struct dl_name *id, int64_t now);
+static void mark_reordered(struct pool_grant *g, struct pool_endpoint *e,
+			   int64_t now);
+static uint64_t new_grant_id(struct dl_pool *pool);
+static void record_release(struct dl_pool *pool, struct pool_grant *g,
+			   int64_t now);
+static void mark_helper_unreachable(struct dl_pool *pool,
+				    const struct pool_grant *g,
+				    const struct dl_name *id, int64_t now);
 
 /* The hash of a request's name: its id is unique only with its entry. */
 uint64_t pool_request_hash(uint64_t entry, uint64_t request)
@@ -45,7 +47,7 @@
 	struct pool_map_node *node =
 		pool_map_first(&pool->grant_by_id, pool_mix(id));
 
-	return node ? POOL_OF(node, struct pool_grant, by_id) : NULL;
+	return node ? POOL_CONTAINER_OF(node, struct pool_grant, by_id) : NULL;
 }
 
 /* The grant that an entry has for a request, or NULL. */
@@ -58,7 +60,7 @@
 
 	for (; node; node = pool_map_next(node)) {
 		struct pool_grant *g =
-			POOL_OF(node, struct pool_grant, by_request);
+			POOL_CONTAINER_OF(node, struct pool_grant, by_request);
 
 		if (g->entry == entry && g->request == request)
 			return g;
@@ -71,7 +73,7 @@
  * of a dispatcher do not give the same one and a late release of an old grant
  * finds nothing.
  */
-static uint64_t new_id(struct dl_pool *pool)
+static uint64_t new_grant_id(struct dl_pool *pool)
 {
 	uint64_t id = 0;
 
@@ -103,8 +105,8 @@
 	return g;
 }
 
-static void attach(struct pool_grant *g, uint8_t at, struct pool_endpoint *e,
-		   uint64_t share)
+static void attach_part(struct pool_grant *g, uint8_t at,
+			struct pool_endpoint *e, uint64_t share)
 {
 	struct pool_part *part = &g->parts[at];
 
@@ -120,14 +122,15 @@
 	e->parts_last = part;
 	e->held += share;
 	e->grants++;
-	e->order++;
+	e->grant_seq++;
 	if (at == 0)
-		g->order = e->order;
+		g->seq = e->grant_seq;
 	if (g->want.band >= POOL_LONG)
 		e->long_grants++;
 }
 
-static void detach(struct dl_pool *pool, struct pool_part *part, int64_t now)
+static void detach_part(struct dl_pool *pool, struct pool_part *part,
+			int64_t now)
 {
 	struct pool_endpoint *e = part->endpoint;
 
@@ -151,7 +154,8 @@
 	part->endpoint = NULL;
 	if (e->grants == 0)
 		for (int i = 0; i < POOL_LEVELS; i++)
-			e->until[i] = now < e->until[i] ? now : e->until[i];
+			e->busy_until[i] =
+				now < e->busy_until[i] ? now : e->busy_until[i];
 	pool_place_refresh(pool, e, now);
 	if (e->grants == 0 && e->state != POOL_EP_LIVE && !e->drained)
 		pool_endpoint_forget(pool, e);
@@ -162,20 +166,20 @@
  * itself: what either takes is not what was predicted, and says nothing about
  * the engine.  Only the latest few can still be waiting for their prefill.
  */
-static void mark_crowded(struct pool_grant *g, struct pool_endpoint *e,
-			 int64_t now)
+static void mark_reordered(struct pool_grant *g, struct pool_endpoint *e,
+			   int64_t now)
 {
 	struct pool_part *part = e->parts_last;
 
-	for (int i = 0; part && i < CROWD_LOOK_AT; i++, part = part->prev) {
+	for (int i = 0; part && i < REORDER_SCAN_MAX; i++, part = part->prev) {
 		struct pool_grant *other = part->grant;
 
 		if (other == g || other->priority <= g->priority ||
 		    pool_level(&other->want) != pool_level(&g->want) ||
 		    other->since + other->predicted_ttft_ms < now)
 			continue;
-		other->crowded = true;
-		g->crowded = true;
+		other->reordered = true;
+		g->reordered = true;
 	}
 }
 
@@ -185,8 +189,8 @@
 		     const struct pool_choice *choice, int64_t now,
 		     struct dl_answer *out)
 {
-	struct pool_grant *g = grant_new(pool, new_id(pool), entry, request, ws,
-					 want, choice->n);
+	struct pool_grant *g = grant_new(pool, new_grant_id(pool), entry,
+					 request, ws, want, choice->n);
 	int64_t slack = want->deadline - now - choice->total_ms;
 	int64_t prefill = choice->ttft_ms - (choice->start - now);
 
@@ -195,7 +199,7 @@
 	pool_heap_set(&pool->grant_lease, &g->lease, g->valid_until);
 	g->predicted_ttft_ms = (uint32_t)choice->ttft_ms;
 	g->predicted_total_ms = (uint32_t)choice->total_ms;
-	g->saved = choice->saved;
+	g->cached_tokens = choice->cached_tokens;
 	g->interference_ms = choice->endpoint[0]->interference_ms;
 	g->behind_lower = choice->behind_lower;
 	g->priority = pool_place_priority(want, choice, now);
@@ -207,11 +211,12 @@
 		if (choice->behind_lower)
 			prefill -= (int64_t)e->interference_ms;
 		g->parts[i].prefill_ms = prefill > 0 ? prefill : 1;
-		mark_crowded(g, e, now);
+		mark_reordered(g, e, now);
 		pool_backlog_commit(e, want, g->parts[i].prefill_ms, slack,
 				    now);
-		attach(g, i, e, i && choice->lead_holds ? 0 : choice->share);
-		pool_throttle_take(e, want, now);
+		attach_part(g, i, e,
+			    i && choice->memory_on_leader ? 0 : choice->share);
+		pool_throttle_charge(e, want, now);
 		if (choice->probe) {
 			e->probe = g->id;
 			e->probe_at = now + e->probe_gap_ms;
@@ -245,14 +250,15 @@
 	for (uint8_t i = 0; i < g->parts_n; i++) {
 		if (!g->parts[i].endpoint)
 			continue;
-		out->away += pool_is_away(&g->want, g->parts[i].endpoint);
+		out->away +=
+			pool_in_other_domain(&g->want, g->parts[i].endpoint);
 		out->endpoint[out->endpoints] = g->parts[i].endpoint->last.id;
 		out->share_tokens[out->endpoints++] = g->parts[i].share;
 	}
 }
 
-static void note_release(struct dl_pool *pool, struct pool_grant *g,
-			 int64_t now)
+static void record_release(struct dl_pool *pool, struct pool_grant *g,
+			   int64_t now)
 {
 	struct pool_workspace *ws = g->workspace;
 	int64_t since = pool->released_at > pool->waited_since ?
@@ -274,7 +280,7 @@
 {
 	int64_t ends = g->since + g->predicted_ttft_ms;
 
-	note_release(pool, g, now);
+	record_release(pool, g, now);
 	for (uint8_t i = 0; i < g->parts_n; i++) {
 		struct pool_part *part = &g->parts[i];
 		int64_t rest = ends - now;
@@ -282,9 +288,9 @@
 		if (rest > part->prefill_ms)
 			rest = part->prefill_ms;
 		if (part->endpoint && rest > 0)
-			pool_backlog_undo(part->endpoint, pool_level(&g->want),
-					  rest, now);
-		detach(pool, part, now);
+			pool_backlog_release(part->endpoint,
+					     pool_level(&g->want), rest, now);
+		detach_part(pool, part, now);
 	}
 	g->workspace->running--;
 	pool_heap_remove(&pool->grant_lease, &g->lease);
@@ -299,8 +305,9 @@
 	struct pool_heap_node *top;
 
 	while ((top = pool_heap_top(&pool->grant_lease)) && top->key <= now)
-		pool_grant_drop(pool, POOL_OF(top, struct pool_grant, lease),
-				now);
+		pool_grant_drop(
+			pool, POOL_CONTAINER_OF(top, struct pool_grant, lease),
+			now);
 }
 
 /* An endpoint's memory is lost: its grants hold nothing there any more. */
@@ -310,7 +317,7 @@
 
 	e->drained = true; /* the caller still needs it */
 	while (e->parts)
-		detach(pool, e->parts, pool->now);
+		detach_part(pool, e->parts, pool->now);
 	e->drained = drained;
 }
 
@@ -334,8 +341,9 @@
  * failure domain that is cut off: a group fails after a stall (1.5 s) in which
  * the whole engine that leads stands still, and the same helpers look free.
  */
-static void blame(struct dl_pool *pool, const struct pool_grant *g,
-		  const struct dl_name *id, int64_t now)
+static void mark_helper_unreachable(struct dl_pool *pool,
+				    const struct pool_grant *g,
+				    const struct dl_name *id, int64_t now)
 {
 	for (uint8_t i = 1; i < g->parts_n; i++) {
 		struct pool_endpoint *e = g->parts[i].endpoint;
@@ -348,8 +356,8 @@
 /* Dispatching begins here. */
 void dl_pool_start_dispatching(struct dl_pool *pool, int64_t now)
 {
-	if (pool->policy->lead)
-		pool->policy->lead(pool, now);
+	if (pool->policy->start_dispatching)
+		pool->policy->start_dispatching(pool, now);
 }
 
 /* The first event of a grant's answer came; -ENOENT as for renew. */
@@ -359,8 +367,8 @@
 
 	if (!g)
 		return -ENOENT;
-	if (pool->policy->first)
-		pool->policy->first(pool, g, now);
+	if (pool->policy->first_event)
+		pool->policy->first_event(pool, g, now);
 	return 0;
 }
 
@@ -376,12 +384,12 @@
 	if (usage && usage->unreachable && g->parts[0].endpoint)
 		pool_endpoint_unreachable(pool, g->parts[0].endpoint, now);
 	if (usage && usage->at_fault.n)
-		blame(pool, g, &usage->at_fault, now);
+		mark_helper_unreachable(pool, g, &usage->at_fault, now);
 	if (usage && usage->backoff_ms)
 		pool_backoff_note(pool, g, &usage->backoff_endpoint,
 				  usage->backoff_ms, now);
 	if (usage)
-		pool_shift_learn(pool, g, usage, now);
+		pool_outlier_learn(pool, g, usage, now);
 	pool_grant_drop(pool, g, now);
 	return 0;
 }
@@ -411,7 +419,7 @@
 		pool_queue_drop(pool, queued);
 	pool_want_of(pool, ask, &want);
 	if (grant->endpoints > 1)
-		want.band = POOL_GIANT;
+		want.band = POOL_OVERSIZED;
 	ws = pool_workspace_get(pool, ask->workspace);
 	g = grant_new(pool, grant->grant, ask->entry, ask->request, ws, &want,
 		      grant->endpoints);
@@ -424,7 +432,7 @@
 		struct pool_endpoint *e = pool_endpoint_get(
 			pool, dl_name_str(&grant->endpoint[i]));
 
-		attach(g, i, e, grant->share_tokens[i]);
+		attach_part(g, i, e, grant->share_tokens[i]);
 		pool_place_refresh(pool, e, now);
 	}
 	if (pool->policy->granted)
@@ -441,8 +449,8 @@
 	pool->now = now;
 	for (uint32_t i = 0; i <= map->mask; i++) {
 		for (node = map->bucket[i]; node; node = next) {
-			struct pool_grant *g =
-				POOL_OF(node, struct pool_grant, by_id);
+			struct pool_grant *g = POOL_CONTAINER_OF(
+				node, struct pool_grant, by_id);
 
 			next = node->next;
 			if (g->entry == entry)
@@ -452,8 +460,8 @@
 	map = &pool->request_by_id;
 	for (uint32_t i = 0; i <= map->mask; i++) {
 		for (node = map->bucket[i]; node; node = next) {
-			struct pool_request *req =
-				POOL_OF(node, struct pool_request, by_request);
+			struct pool_request *req = POOL_CONTAINER_OF(
+				node, struct pool_request, by_request);
 
 			next = node->next;
 			if (req->entry == entry)
--- a/src/coordination/pool_group.c
+++ b/src/coordination/pool_group.c
@@ -70,7 +70,8 @@
  */
 static uint32_t group_max(const struct dl_pool *pool)
 {
-	uint32_t max = pool->open > 1 ? pool->open - 1 : pool->open;
+	uint32_t max = pool->open_endpoints > 1 ? pool->open_endpoints - 1 :
+						  pool->open_endpoints;
 
 	return max < DL_GROUP_MAX ? max : DL_GROUP_MAX;
 }
@@ -156,7 +157,7 @@
 			int64_t now)
 {
 	uint64_t free = pool_place_free(e);
-	int64_t at = e->until[POOL_LEVELS - 1];
+	int64_t at = e->busy_until[POOL_LEVELS - 1];
 
 	if (at < now)
 		at = now;
@@ -187,7 +188,7 @@
 
 		if (!may_join(want, e, n) || e->hold ||
 		    e->last.memory_tokens < part.need ||
-		    pool_backoff_holds(pool, want, e, now))
+		    pool_backoff_active(pool, want, e, now))
 			continue;
 		if (at_once && !fits_now(pool, &part, e, now))
 			continue;
@@ -357,7 +358,7 @@
 	if (!hold || now < pool->hold_at || pool_hold_of(pool, want))
 		return false;
 	pool->hold_at = now + HOLD_RETRY_MS;
-	if (want->band == POOL_GIANT)
+	if (want->band == POOL_OVERSIZED)
 		n = pool_group_size(pool, want, &share);
 	if (n == 0 || !select_within(pool, want, n, false, now, best))
 		return false;
--- a/src/coordination/pool_int.h
+++ b/src/coordination/pool_int.h
@@ -9,7 +9,7 @@
 #include "daisyledge/pool.h"
 
 /* The member of a structure back to the structure. */
-#define POOL_OF(node, type, member)                                            \
+#define POOL_CONTAINER_OF(node, type, member)                                  \
 	((type *)(void *)((char *)(node)-offsetof(type, member)))
 
 /* A place in a heap, inside what is ordered; pos is 0 while outside. */
@@ -79,7 +79,7 @@
 	POOL_SHORT,
 	POOL_MEDIUM,
 	POOL_LONG,
-	POOL_GIANT, /* longer than any one engine's memory */
+	POOL_OVERSIZED, /* longer than any one engine's memory */
 };
 #define POOL_BANDS 4
 
@@ -107,7 +107,7 @@
 	uint8_t tried_n;
 	uint64_t tried[3]; /* hashes of endpoint names */
 	int64_t deadline;
-	int64_t asked;		      /* when the pool heard of it */
+	int64_t asked_at;	      /* when the pool heard of it */
 	int64_t first_event_deadline; /* the caller leaves without an event; 0:
 					 never */
 	uint32_t target_ms;	      /* to the first event; 0: not said */
@@ -119,8 +119,8 @@
 /* Lowest of the last reports of something the pool cannot account for. */
 #define POOL_EXCESS_REPORTS 3
 struct pool_excess {
-	uint64_t seen[POOL_EXCESS_REPORTS];
-	uint8_t at;
+	uint64_t samples[POOL_EXCESS_REPORTS];
+	uint8_t next;
 };
 
 enum pool_ep_state {
@@ -129,18 +129,18 @@
 	POOL_EP_GONE,
 };
 
-enum pool_shift {
-	POOL_IN,
-	POOL_OUT,	 /* an outlier: probes only */
+enum pool_ejection {
+	POOL_IN_SERVICE,
+	POOL_EJECTED,	 /* an outlier: probes only */
 	POOL_SLOW_START, /* on its way back */
 };
 
 struct pool_part;
 
 /* When the grants of an endpoint, in their order, gave their first token. */
-#define POOL_FIRSTS 32
-struct pool_first {
-	uint64_t order;
+#define POOL_FIRST_TOKENS 32
+struct pool_first_token {
+	uint64_t seq;
 	int64_t at;
 };
 
@@ -161,8 +161,8 @@
 	double counted_rate;
 	double counted_decode;
 
-	uint32_t slot;
-	struct pool_heap_node gone;
+	uint32_t index;
+	struct pool_heap_node expiry;
 
 	/* What its live grants hold. */
 	struct pool_part *parts; /* oldest first */
@@ -173,7 +173,7 @@
 	uint32_t long_grants;
 
 	/* When its prefill work of each level and above ends. */
-	int64_t until[POOL_LEVELS];
+	int64_t busy_until[POOL_LEVELS];
 	/* All the work of each level so far. */
 	int64_t committed_ms[POOL_LEVELS];
 	/* How much later that may become for the grants under way. */
@@ -186,14 +186,14 @@
 	struct pool_excess backlog_own; /* as reckoned at those reports */
 
 	/* What its answers taught. */
-	double slow;		 /* measured over reported prefill time */
-	double decode_slow;	 /* measured over reported decode time */
+	double prefill_slowdown; /* measured over reported prefill time */
+	double decode_slowdown;	 /* measured over reported decode time */
 	double deviation;	 /* of measured from predicted, a share */
 	double decode_deviation; /* likewise, of decoding */
 	double interference_ms;	 /* a lower level's work before a higher's */
 	double service_ms;	 /* of a plain service's request */
-	uint64_t order;		 /* of its latest grant */
-	struct pool_first first[POOL_FIRSTS];
+	uint64_t grant_seq;	 /* of its latest grant */
+	struct pool_first_token first_tokens[POOL_FIRST_TOKENS];
 	uint32_t samples;
 	int64_t learnt_at;
 
@@ -205,9 +205,9 @@
 	int64_t limit_credit_at; /* at that time */
 
 	/* Whether it is an outlier. */
-	enum pool_shift shift;
+	enum pool_ejection ejection;
 	uint32_t failures; /* in a row */
-	int64_t shifted_at;
+	int64_t ejection_changed_at;
 	int64_t probe_at;
 	uint32_t probe_gap_ms;
 	uint64_t probe; /* the grant that probes, 0 for none */
@@ -240,12 +240,12 @@
 	int64_t valid_until;
 	uint32_t predicted_ttft_ms;
 	uint32_t predicted_total_ms;
-	uint64_t order;		/* among its endpoint's grants */
+	uint64_t seq;		/* among its endpoint's grants */
 	double interference_ms; /* expected when it was granted */
-	uint32_t saved;		/* tokens expected in the endpoint's cache */
+	uint32_t cached_tokens; /* tokens expected in the endpoint's cache */
 	int64_t higher_ms;	/* committed before it, of higher levels */
 	bool adopted;		/* of an earlier dispatcher */
-	bool crowded;	      /* an equal of its level overtook it, or it one */
+	bool reordered;	      /* an equal of its level overtook it, or it one */
 	bool behind_lower;    /* lower work was under way on the endpoint */
 	bool overdue_counted; /* its lateness was learnt before its end */
 	uint8_t priority;
@@ -366,20 +366,20 @@
 	uint64_t seed;
 	uint64_t counter;
 	uint64_t random;
-	int64_t strange_until; /* others' grants may not be known yet */
-	int64_t now;	       /* of the event under way */
-	int64_t heard;	       /* when any endpoint last reported */
+	int64_t unknown_grants_until; /* others' grants may not be known yet */
+	int64_t now;		      /* of the event under way */
+	int64_t last_report_at;	      /* when any endpoint last reported */
 
 	struct pool_endpoint **endpoints;
 	uint32_t endpoints_n;
 	uint32_t endpoints_room;
 	struct pool_map endpoint_by_name;
-	struct pool_heap endpoint_gone;
+	struct pool_heap endpoint_expiry;
 	struct pool_index index;
-	uint32_t turn; /* of the round robin baseline */
+	uint32_t next_round_robin; /* of the round robin baseline */
 
 	/* Sums over the endpoints that take work, kept by pool_place. */
-	uint32_t open;
+	uint32_t open_endpoints;
 	uint32_t long_endpoints;
 	uint64_t memory_max; /* of one engine */
 	uint64_t slots;
@@ -413,18 +413,19 @@
 	double release_gap_ms; /* between two releases, while work waits */
 	int64_t released_at;
 	int64_t waited_since; /* when the queue was last no longer empty */
-	int64_t returns;      /* up to when refused work was told to return */
+	int64_t retry_booked_until; /* up to when refused work was told to
+				       return */
 	int64_t serve_at;
 	int64_t bind_at; /* when a request that waits for an endpoint gets it */
 	int64_t recheck_at;
 	bool recheck_all;
 
-	uint32_t out;
+	uint32_t ejected;
 	int64_t probe_at;	/* no probe is due before */
 	double interference_ms; /* the mean of the endpoints' */
 	double decode_deviation;
 	double deviation; /* of all answers from their predictions */
-	double median;	  /* latency of the endpoints, see pool_shift.c */
+	double median;	  /* latency of the endpoints, see pool_outlier.c */
 	int64_t median_at;
 };
 
@@ -437,11 +438,11 @@
 	int64_t ttft_ms;
 	int64_t cost_ms; /* ttft_ms, and what an engine kept free is worth */
 	int64_t total_ms;
-	uint32_t saved;
+	uint32_t cached_tokens;
 	bool behind_lower;
 	bool probe;
-	bool lead_holds; /* the first engine alone holds the memory */
-	double read_ms;	 /* of the part that each engine reads */
+	bool memory_on_leader; /* the first engine alone holds the memory */
+	double read_ms;	       /* of the part that each engine reads */
 };
 
 /* What came of looking for an endpoint. */
@@ -454,8 +455,8 @@
 /* The ways to dispatch. */
 struct dl_pool_policy {
 	const char *name;
-	bool queues;  /* late binding: wait for an endpoint to be free */
-	bool gathers; /* memory for what fits nowhere at once */
+	bool queues; /* late binding: wait for an endpoint to be free */
+	bool reserves_memory; /* memory for what fits nowhere at once */
 	enum pool_found (*choose)(struct dl_pool *pool,
 				  const struct pool_want *want, int64_t now,
 				  struct pool_choice *out);
@@ -463,15 +464,15 @@
 	int64_t (*service_ms)(const struct dl_pool *pool,
 			      const struct pool_want *want);
 	/* When one that is refused as late may find a place, from now. */
-	int64_t (*back_ms)(const struct dl_pool *pool,
-			   const struct pool_want *want, int64_t now);
+	int64_t (*retry_ms)(const struct dl_pool *pool,
+			    const struct pool_want *want, int64_t now);
 	void (*granted)(struct dl_pool *pool, const struct pool_grant *g,
 			double read_ms, int64_t now);
 	/* Dispatching begins here; NULL where nothing is to be done. */
-	void (*lead)(struct dl_pool *pool, int64_t now);
+	void (*start_dispatching)(struct dl_pool *pool, int64_t now);
 	/* Its first event came; NULL where that teaches nothing. */
-	void (*first)(struct dl_pool *pool, const struct pool_grant *g,
-		      int64_t now);
+	void (*first_event)(struct dl_pool *pool, const struct pool_grant *g,
+			    int64_t now);
 	void (*learn)(struct pool_endpoint *e, const struct pool_grant *g,
 		      const struct dl_usage *usage);
 };
@@ -481,7 +482,8 @@
 uint64_t pool_random(struct dl_pool *pool);
 uint64_t pool_tokens(uint64_t claimed);
 uint64_t pool_domain(const struct dl_name *name);
-bool pool_is_away(const struct pool_want *want, const struct pool_endpoint *e);
+bool pool_in_other_domain(const struct pool_want *want,
+			  const struct pool_endpoint *e);
 uint8_t pool_level(const struct pool_want *want);
 /* pool_endpoint.c */
 void pool_endpoint_expire(struct dl_pool *pool, int64_t now);
@@ -499,13 +501,15 @@
 /* pool_serve.c */
 void pool_serve_credit(struct dl_pool *pool, const struct pool_want *want);
 
-/* pool_limit.c */
+/* pool_workspace.c */
 struct pool_workspace *pool_workspace_get(struct dl_pool *pool,
 					  struct dl_str name);
 uint32_t pool_workspace_weight(const struct dl_pool *pool,
 			       const struct pool_workspace *ws);
-enum dl_reason pool_limit_check(struct dl_pool *pool, struct pool_workspace *ws,
-				int64_t now, uint32_t *retry_after_ms);
+enum dl_reason pool_workspace_check_limits(struct dl_pool *pool,
+					   struct pool_workspace *ws,
+					   int64_t now,
+					   uint32_t *retry_after_ms);
 void pool_workspace_free(struct pool_workspace *ws);
 
 /* pool_queue.c */
@@ -523,8 +527,8 @@
 void pool_queue_charge(struct dl_pool *pool, struct pool_workspace *ws,
 		       const struct pool_want *want);
 bool pool_queue_ahead(const struct dl_pool *pool, const struct pool_want *want);
-bool pool_queue_room(const struct dl_pool *pool, uint32_t entries,
-		     uint64_t tokens, uint64_t freed);
+bool pool_queue_has_room(const struct dl_pool *pool, uint32_t entries,
+			 uint64_t tokens, uint64_t freed);
 struct pool_request *pool_queue_victim(struct dl_pool *pool,
 				       const struct pool_want *want,
 				       double strain, int64_t now);
@@ -533,7 +537,7 @@
 				     uint32_t nth);
 struct pool_request *pool_queue_next(const struct pool_request *req);
 uint8_t pool_lane_of(const struct pool_want *want);
-void pool_queue_weigh(struct dl_pool *pool);
+void pool_queue_sum_weights(struct dl_pool *pool);
 void pool_queue_yield(struct dl_pool *pool, struct pool_request *req);
 
 /* pool_admit.c */
@@ -544,13 +548,14 @@
 int64_t pool_wait_ms(const struct dl_pool *pool, const struct pool_want *want,
 		     const struct pool_request *req,
 		     const struct pool_workspace *ws, int64_t now);
-enum dl_reason pool_admit_ever(const struct dl_pool *pool,
-			       const struct pool_want *want, int64_t now);
+enum dl_reason pool_admit_feasible(const struct dl_pool *pool,
+				   const struct pool_want *want, int64_t now);
 uint32_t pool_retry_after(struct dl_pool *pool, const struct pool_want *want,
 			  int64_t short_ms, int64_t now);
-double pool_strain(const struct dl_pool *pool, const struct pool_want *want,
-		   const struct pool_request *req,
-		   const struct pool_workspace *ws, int64_t now);
+double pool_deadline_ratio(const struct dl_pool *pool,
+			   const struct pool_want *want,
+			   const struct pool_request *req,
+			   const struct pool_workspace *ws, int64_t now);
 void pool_admit_recheck(struct dl_pool *pool, int64_t now);
 void pool_admit_learn(struct dl_pool *pool, const struct pool_request *req,
 		      bool ended, int64_t now);
@@ -586,18 +591,18 @@
 double pool_decode_ms(const struct pool_endpoint *e);
 
 /* pool_throttle.c */
-bool pool_throttle_takes(const struct pool_endpoint *e,
-			 const struct pool_want *want, int64_t now);
-void pool_throttle_take(struct pool_endpoint *e, const struct pool_want *want,
-			int64_t now);
+bool pool_throttle_allows(const struct pool_endpoint *e,
+			  const struct pool_want *want, int64_t now);
+void pool_throttle_charge(struct pool_endpoint *e, const struct pool_want *want,
+			  int64_t now);
 double pool_throttle_rate(const struct dl_pool *pool,
 			  const struct pool_endpoint *e, double rate);
 void pool_throttle_reset(struct pool_endpoint *e);
 
 /* pool_backoff.c */
-bool pool_backoff_holds(const struct dl_pool *pool,
-			const struct pool_want *want,
-			const struct pool_endpoint *e, int64_t now);
+bool pool_backoff_active(const struct dl_pool *pool,
+			 const struct pool_want *want,
+			 const struct pool_endpoint *e, int64_t now);
 void pool_backoff_note(struct dl_pool *pool, const struct pool_grant *g,
 		       const struct dl_name *id, uint32_t ms, int64_t now);
 uint32_t pool_backoff_wait_ms(const struct dl_pool *pool,
@@ -607,11 +612,11 @@
 int64_t pool_backlog_higher_ms(const struct pool_endpoint *e, uint8_t level);
 void pool_backlog_commit(struct pool_endpoint *e, const struct pool_want *want,
 			 int64_t prefill_ms, int64_t slack_ms, int64_t now);
-void pool_backlog_undo(struct pool_endpoint *e, uint8_t level, int64_t rest_ms,
-		       int64_t now);
+void pool_backlog_release(struct pool_endpoint *e, uint8_t level,
+			  int64_t rest_ms, int64_t now);
 void pool_backlog_report(struct dl_pool *pool, struct pool_endpoint *e,
 			 bool first, int64_t now);
-uint64_t pool_excess_low(const struct pool_excess *excess);
+uint64_t pool_excess_min(const struct pool_excess *excess);
 
 /* pool_prefix.c */
 uint32_t pool_prefix_saved(const struct dl_pool *pool,
@@ -641,24 +646,24 @@
 void pool_hold_lost(struct dl_pool *pool, const struct pool_endpoint *e);
 int64_t pool_hold_expiry(const struct dl_pool *pool);
 
-/* pool_shift.c */
-void pool_shift_learn(struct dl_pool *pool, struct pool_grant *g,
-		      const struct dl_usage *usage, int64_t now);
-void pool_shift_overdue(struct dl_pool *pool, struct pool_endpoint *e,
-			int64_t now);
-void pool_shift_judge(struct dl_pool *pool, struct pool_endpoint *e,
-		      int64_t now);
-void pool_shift_recall(struct dl_pool *pool, int64_t now);
-void pool_shift_gone(struct dl_pool *pool, struct pool_endpoint *e);
-void pool_shift_back(struct dl_pool *pool, struct pool_endpoint *e,
-		     int64_t now);
-void pool_shift_reset(struct dl_pool *pool, struct pool_endpoint *e);
-void pool_shift_tick(struct dl_pool *pool, struct pool_endpoint *e,
-		     int64_t now);
-uint32_t pool_shift_slots(const struct pool_endpoint *e, int64_t now);
-struct pool_endpoint *pool_shift_probe(struct dl_pool *pool,
-				       const struct pool_want *want,
-				       int64_t now);
+/* pool_outlier.c */
+void pool_outlier_learn(struct dl_pool *pool, struct pool_grant *g,
+			const struct dl_usage *usage, int64_t now);
+void pool_outlier_check_overdue(struct dl_pool *pool, struct pool_endpoint *e,
+				int64_t now);
+void pool_outlier_evaluate(struct dl_pool *pool, struct pool_endpoint *e,
+			   int64_t now);
+void pool_outlier_readmit_all(struct dl_pool *pool, int64_t now);
+void pool_outlier_clear(struct dl_pool *pool, struct pool_endpoint *e);
+void pool_outlier_readmit(struct dl_pool *pool, struct pool_endpoint *e,
+			  int64_t now);
+void pool_outlier_reset(struct dl_pool *pool, struct pool_endpoint *e);
+void pool_outlier_tick(struct dl_pool *pool, struct pool_endpoint *e,
+		       int64_t now);
+uint32_t pool_outlier_slots(const struct pool_endpoint *e, int64_t now);
+struct pool_endpoint *pool_outlier_probe(struct dl_pool *pool,
+					 const struct pool_want *want,
+					 int64_t now);
 
 /* pool_grant.c */
 struct pool_grant *pool_grant_find(const struct dl_pool *pool, uint64_t id);
--- a/src/coordination/pool_shift.c
+++ b/src/coordination/pool_outlier.c
@@ -11,7 +11,7 @@
  * One in five of each sample: an endpoint that has become slow is known after
  * a handful of answers, and one odd answer moves it little.
  */
-#define GAIN		0.2
+#define SAMPLE_GAIN	0.2
 #define POOL_GAIN	0.01 /* over all endpoints */
 #define DEVIATION_GAIN	0.1
 #define SLOW_MIN	0.1
@@ -35,39 +35,40 @@
  * mixed fleet.  Never on fewer samples than these, nor against a median of
  * fewer endpoints.  Three failures in a row put out at once.
  */
-#define OUTLIER_FACTOR	 3.0
-#define OUTLIER_SAMPLES	 5
-#define MEDIAN_ENDPOINTS 3
-#define OUTLIER_FAILURES 3
-#define BACK_FACTOR	 2.0
-#define MEDIAN_EVERY_MS	 1000
-#define OVERDUE_FACTOR	 3
-#define OVERDUE_EXTRA_MS 1000
-#define OVERDUE_LOOK_AT	 4
+#define OUTLIER_FACTOR	     3.0
+#define OUTLIER_SAMPLES_MIN  5
+#define MEDIAN_ENDPOINTS_MIN 3
+#define OUTLIER_FAILURES     3
+#define READMIT_FACTOR	     2.0
+#define MEDIAN_INTERVAL_MS   1000
+#define OVERDUE_FACTOR	     3
+#define OVERDUE_EXTRA_MS     1000
+#define OVERDUE_SCAN_MAX     4
 /* Without answers for this long what was learnt fades, within about as long. */
-#define FORGET_AFTER_MS	 2000
-#define FORGET_MS	 5000.0
+#define DECAY_AFTER_MS	 2000
+#define DECAY_MS	 5000.0
 #define PROBE_GAP_MS	 1000
 #define PROBE_GAP_MAX_MS 16000
 #define PROBE_SLACK	 2
-#define PROBE_NONE_MS	 30000
+#define PROBE_TIMEOUT_MS 30000
 #define SLOW_START_MS	 10000
 #define PERMILLE	 1000
 
 static double latency_of(const struct dl_pool *pool,
 			 const struct pool_endpoint *e);
 static int compare_doubles(const void *a, const void *b);
-static void find_median(struct dl_pool *pool, int64_t now);
+static void update_median(struct dl_pool *pool, int64_t now);
 static double clamp(double v, double low, double high);
-static void note_first(struct pool_endpoint *e, const struct pool_grant *g,
-		       const struct dl_usage *usage);
+static void record_first_token(struct pool_endpoint *e,
+			       const struct pool_grant *g,
+			       const struct dl_usage *usage);
 static void learn_speed(struct dl_pool *pool, struct pool_endpoint *e,
 			const struct pool_grant *g,
 			const struct dl_usage *usage);
 static void learn_interference(struct dl_pool *pool, struct pool_endpoint *e,
 			       const struct pool_grant *g, double error);
-static void forget(const struct dl_pool *pool, struct pool_endpoint *e,
-		   int64_t now);
+static void decay_estimates(const struct dl_pool *pool, struct pool_endpoint *e,
+			    int64_t now);
 static void learn_prefill(struct dl_pool *pool, struct pool_endpoint *e,
 			  const struct pool_grant *g,
 			  const struct dl_usage *usage);
@@ -76,12 +77,12 @@
 			   const struct dl_usage *usage);
 static void learn_decode(struct dl_pool *pool, struct pool_endpoint *e,
 			 const struct dl_usage *usage);
-static void learn_service(struct pool_endpoint *e,
-			  const struct dl_usage *usage);
+static void learn_service_time(struct pool_endpoint *e,
+			       const struct dl_usage *usage);
 static void probe_ended(struct dl_pool *pool, struct pool_endpoint *e,
 			const struct pool_grant *g,
 			const struct dl_usage *usage, int64_t now);
-static void put_out(struct dl_pool *pool, struct pool_endpoint *e, int64_t now);
+static void eject(struct dl_pool *pool, struct pool_endpoint *e, int64_t now);
 
 static double clamp(double v, double low, double high)
 {
@@ -103,12 +104,12 @@
 	return (x > y) - (x < y);
 }
 
-static void find_median(struct dl_pool *pool, int64_t now)
+static void update_median(struct dl_pool *pool, int64_t now)
 {
 	double *list;
 	uint32_t n = 0;
 
-	if (pool->median_at && now < pool->median_at + MEDIAN_EVERY_MS)
+	if (pool->median_at && now < pool->median_at + MEDIAN_INTERVAL_MS)
 		return;
 	pool->median_at = now;
 	pool->median = 0;
@@ -117,9 +118,9 @@
 		abort();
 	for (uint32_t i = 0; i < pool->endpoints_n; i++)
 		if (pool->endpoints[i]->counted_open &&
-		    pool->endpoints[i]->samples >= OUTLIER_SAMPLES)
+		    pool->endpoints[i]->samples >= OUTLIER_SAMPLES_MIN)
 			list[n++] = latency_of(pool, pool->endpoints[i]);
-	if (n >= MEDIAN_ENDPOINTS) {
+	if (n >= MEDIAN_ENDPOINTS_MIN) {
 		qsort(list, n, sizeof(*list), compare_doubles);
 		pool->median = list[n / 2];
 	}
@@ -155,23 +156,23 @@
 			const struct pool_grant *g,
 			const struct dl_usage *usage)
 {
-	const struct pool_first *before =
-		&e->first[(g->order - 1) % POOL_FIRSTS];
-	double nominal = (double)(g->want.prompt - g->saved) *
-			 pool_ms_per_token(pool, e) / e->slow;
+	const struct pool_first_token *before =
+		&e->first_tokens[(g->seq - 1) % POOL_FIRST_TOKENS];
+	double nominal = (double)(g->want.prompt - g->cached_tokens) *
+			 pool_ms_per_token(pool, e) / e->prefill_slowdown;
 	int64_t first = g->since + usage->ttft_ms;
 	int64_t start = g->since;
 	double ratio;
 
-	if (g->order > 1 && before->order != g->order - 1)
+	if (g->seq > 1 && before->seq != g->seq - 1)
 		return;
-	if (g->order > 1 && before->at > start)
+	if (g->seq > 1 && before->at > start)
 		start = before->at;
 	if (first <= start)
 		return;
 	ratio = ((double)(first - start) + NOISE_MS) / (nominal + NOISE_MS);
 	ratio = clamp(ratio, SLOW_MIN, SLOW_MAX);
-	e->slow += GAIN * (ratio - e->slow);
+	e->prefill_slowdown += SAMPLE_GAIN * (ratio - e->prefill_slowdown);
 }
 
 /*
@@ -202,9 +203,9 @@
 	double ratio = clamp((measured + NOISE_MS) / (predicted + NOISE_MS),
 			     RATIO_MIN, RATIO_MAX);
 
-	if (g->crowded)
+	if (g->reordered)
 		return;
-	if (g->saved && ratio > BACK_FACTOR) {
+	if (g->cached_tokens && ratio > READMIT_FACTOR) {
 		pool_prefix_forget(pool, g->want.prefix, e);
 		return;
 	}
@@ -224,22 +225,24 @@
 static void learn_decode(struct dl_pool *pool, struct pool_endpoint *e,
 			 const struct dl_usage *usage)
 {
-	double nominal = pool_decode_ms(e) / e->decode_slow;
+	double nominal = pool_decode_ms(e) / e->decode_slowdown;
 	double measured, error;
 
 	if (usage->output_tokens == 0 || usage->total_ms <= usage->ttft_ms)
 		return;
 	measured = (double)(usage->total_ms - usage->ttft_ms) /
 		   (double)usage->output_tokens;
-	error = fabs(measured / (nominal * e->decode_slow) - 1);
+	error = fabs(measured / (nominal * e->decode_slowdown) - 1);
 	error = clamp(error, 0, RATIO_MAX);
 	e->decode_deviation += DEVIATION_GAIN * (error - e->decode_deviation);
 	pool->decode_deviation += POOL_GAIN * (error - pool->decode_deviation);
-	e->decode_slow += GAIN * (measured / nominal - e->decode_slow);
-	e->decode_slow = clamp(e->decode_slow, SLOW_MIN, SLOW_MAX);
+	e->decode_slowdown +=
+		SAMPLE_GAIN * (measured / nominal - e->decode_slowdown);
+	e->decode_slowdown = clamp(e->decode_slowdown, SLOW_MIN, SLOW_MAX);
 }
 
-static void learn_service(struct pool_endpoint *e, const struct dl_usage *usage)
+static void learn_service_time(struct pool_endpoint *e,
+			       const struct dl_usage *usage)
 {
 	double measured = usage->total_ms ? usage->total_ms : 1;
 	double error;
@@ -251,18 +254,20 @@
 		error = -error;
 	e->deviation +=
 		DEVIATION_GAIN * (clamp(error, 0, RATIO_MAX) - e->deviation);
-	e->service_ms += GAIN * (measured - e->service_ms);
+	e->service_ms += SAMPLE_GAIN * (measured - e->service_ms);
 	e->service_ms = clamp(e->service_ms, 1, INTERFERENCE_MS);
 }
 
-static void note_first(struct pool_endpoint *e, const struct pool_grant *g,
-		       const struct dl_usage *usage)
+static void record_first_token(struct pool_endpoint *e,
+			       const struct pool_grant *g,
+			       const struct dl_usage *usage)
 {
-	struct pool_first *first = &e->first[g->order % POOL_FIRSTS];
+	struct pool_first_token *first =
+		&e->first_tokens[g->seq % POOL_FIRST_TOKENS];
 
-	if (g->order < first->order || usage->ttft_ms == 0)
+	if (g->seq < first->seq || usage->ttft_ms == 0)
 		return;
-	first->order = g->order;
+	first->seq = g->seq;
 	first->at = g->since + usage->ttft_ms;
 }
 
@@ -272,8 +277,8 @@
  * request only: what a group took says little about each of its engines, and
  * one that its caller gave up on nothing at all.
  */
-void pool_shift_learn(struct dl_pool *pool, struct pool_grant *g,
-		      const struct dl_usage *usage, int64_t now)
+void pool_outlier_learn(struct dl_pool *pool, struct pool_grant *g,
+			const struct dl_usage *usage, int64_t now)
 {
 	bool answered = usage->ttft_ms || usage->total_ms <= 1;
 	struct pool_endpoint *e = g->parts[0].endpoint;
@@ -292,9 +297,9 @@
 		}
 	} else if (g->parts_n == 1 && answered && !usage->failed) {
 		if (pool->conf.kind == DL_POOL_PLAIN) {
-			learn_service(e, usage);
+			learn_service_time(e, usage);
 		} else if (usage->ttft_ms && !g->overdue_counted) {
-			note_first(e, g, usage);
+			record_first_token(e, g, usage);
 			learn_prefill(pool, e, g, usage);
 			learn_decode(pool, e, usage);
 		}
@@ -303,19 +308,19 @@
 	}
 	if (e->probe == g->id && (answered || usage->failed))
 		probe_ended(pool, e, g, usage, now);
-	pool_shift_judge(pool, e, now);
+	pool_outlier_evaluate(pool, e, now);
 }
 
 /*
  * An endpoint that has stopped answering sends no sample at all; its oldest
  * grants count as three times their prediction once they have taken longer.
  */
-void pool_shift_overdue(struct dl_pool *pool, struct pool_endpoint *e,
-			int64_t now)
+void pool_outlier_check_overdue(struct dl_pool *pool, struct pool_endpoint *e,
+				int64_t now)
 {
 	struct pool_part *part = e->parts;
 
-	for (int i = 0; part && i < OVERDUE_LOOK_AT; i++) {
+	for (int i = 0; part && i < OVERDUE_SCAN_MAX; i++) {
 		struct pool_grant *g = part->grant;
 		int64_t limit =
 			(int64_t)OVERDUE_FACTOR * g->predicted_total_ms +
@@ -325,24 +330,26 @@
 		    now - g->since > limit) {
 			g->overdue_counted = true;
 			e->samples++;
-			e->slow = clamp(
-				e->slow * (1 + GAIN * (OVERDUE_FACTOR - 1)),
+			e->prefill_slowdown = clamp(
+				e->prefill_slowdown *
+					(1 +
+					 SAMPLE_GAIN * (OVERDUE_FACTOR - 1)),
 				SLOW_MIN, SLOW_MAX);
 		}
 		part = part->next;
 	}
-	pool_shift_judge(pool, e, now);
+	pool_outlier_evaluate(pool, e, now);
 }
 
-static void put_out(struct dl_pool *pool, struct pool_endpoint *e, int64_t now)
+static void eject(struct dl_pool *pool, struct pool_endpoint *e, int64_t now)
 {
-	e->shift = POOL_OUT;
-	e->shifted_at = now;
+	e->ejection = POOL_EJECTED;
+	e->ejection_changed_at = now;
 	e->probe_gap_ms = PROBE_GAP_MS;
 	e->probe_at = now + PROBE_GAP_MS;
 	e->probe = 0;
-	pool->out++;
-	if (pool->out == 1 || pool->probe_at > e->probe_at)
+	pool->ejected++;
+	if (pool->ejected == 1 || pool->probe_at > e->probe_at)
 		pool->probe_at = e->probe_at;
 	pool_hold_lost(pool, e);
 	pool->recheck_all = true;
@@ -356,32 +363,33 @@
  * the load or something shared, and putting them out would only move the
  * overload to the rest.
  */
-void pool_shift_judge(struct dl_pool *pool, struct pool_endpoint *e,
-		      int64_t now)
+void pool_outlier_evaluate(struct dl_pool *pool, struct pool_endpoint *e,
+			   int64_t now)
 {
-	uint32_t all = pool->open + pool->out;
+	uint32_t all = pool->open_endpoints + pool->ejected;
 	uint64_t max = (uint64_t)all * pool->conf.out_share_permille / PERMILLE;
 	bool failing = e->failures >= OUTLIER_FAILURES;
 	bool slow;
 
-	find_median(pool, now);
+	update_median(pool, now);
 	if (max < 1 && all > 1 && pool->conf.out_share_permille)
 		max = 1;
-	slow = pool->median > 0 && e->samples >= OUTLIER_SAMPLES &&
+	slow = pool->median > 0 && e->samples >= OUTLIER_SAMPLES_MIN &&
 	       latency_of(pool, e) > OUTLIER_FACTOR * pool->median;
-	if (pool->policy->queues && e->shift != POOL_OUT && e->counted_open &&
-	    (failing || slow) && pool->out < max)
-		put_out(pool, e, now);
+	if (pool->policy->queues && e->ejection != POOL_EJECTED &&
+	    e->counted_open && (failing || slow) && pool->ejected < max)
+		eject(pool, e, now);
 	pool_place_refresh(pool, e, now);
 }
 
 /* Take an endpoint back in, with a share that grows over some seconds. */
-void pool_shift_back(struct dl_pool *pool, struct pool_endpoint *e, int64_t now)
+void pool_outlier_readmit(struct dl_pool *pool, struct pool_endpoint *e,
+			  int64_t now)
 {
-	if (e->shift == POOL_OUT)
-		pool->out--;
-	e->shift = POOL_SLOW_START;
-	e->shifted_at = now;
+	if (e->ejection == POOL_EJECTED)
+		pool->ejected--;
+	e->ejection = POOL_SLOW_START;
+	e->ejection_changed_at = now;
 	e->failures = 0;
 	e->probe = 0;
 	pool_place_refresh(pool, e, now);
@@ -392,33 +400,33 @@
  * was put out while others stood, and these then left: a slow or faulty one
  * serves some of its requests, none serves nobody.
  */
-void pool_shift_recall(struct dl_pool *pool, int64_t now)
+void pool_outlier_readmit_all(struct dl_pool *pool, int64_t now)
 {
-	for (uint32_t i = 0; pool->out && i < pool->endpoints_n; i++) {
+	for (uint32_t i = 0; pool->ejected && i < pool->endpoints_n; i++) {
 		struct pool_endpoint *e = pool->endpoints[i];
 
-		if (e->shift == POOL_OUT && e->state == POOL_EP_LIVE &&
+		if (e->ejection == POOL_EJECTED && e->state == POOL_EP_LIVE &&
 		    !e->drained && !e->last.leaving)
-			pool_shift_back(pool, e, now);
+			pool_outlier_readmit(pool, e, now);
 	}
 }
 
 /* An endpoint is no longer there to be put out. */
-void pool_shift_gone(struct dl_pool *pool, struct pool_endpoint *e)
+void pool_outlier_clear(struct dl_pool *pool, struct pool_endpoint *e)
 {
-	if (e->shift == POOL_OUT)
-		pool->out--;
-	e->shift = POOL_IN;
+	if (e->ejection == POOL_EJECTED)
+		pool->ejected--;
+	e->ejection = POOL_IN_SERVICE;
 	e->probe = 0;
 }
 
 /* A new incarnation: what was learnt about the old one is void. */
-void pool_shift_reset(struct dl_pool *pool, struct pool_endpoint *e)
+void pool_outlier_reset(struct dl_pool *pool, struct pool_endpoint *e)
 {
-	pool_shift_gone(pool, e);
-	e->slow = 1;
+	pool_outlier_clear(pool, e);
+	e->prefill_slowdown = 1;
 	dl_engine_init(&e->engine);
-	e->decode_slow = 1;
+	e->decode_slowdown = 1;
 	e->deviation = 0;
 	e->decode_deviation = 0;
 	e->interference_ms = pool->interference_ms;
@@ -432,12 +440,12 @@
  * outage this grows over ten seconds: its caches are cold, and if it is still
  * ill, a few requests show that as well as all of them would.
  */
-uint32_t pool_shift_slots(const struct pool_endpoint *e, int64_t now)
+uint32_t pool_outlier_slots(const struct pool_endpoint *e, int64_t now)
 {
-	int64_t passed = now - e->shifted_at;
+	int64_t passed = now - e->ejection_changed_at;
 	uint64_t slots;
 
-	if (e->shift != POOL_SLOW_START || passed >= SLOW_START_MS)
+	if (e->ejection != POOL_SLOW_START || passed >= SLOW_START_MS)
 		return e->last.slots;
 	if (passed < 0)
 		passed = 0;
@@ -454,14 +462,14 @@
 
 	e->probe = 0;
 	if (!usage->failed &&
-	    measured <= BACK_FACTOR * expected + 2 * NOISE_MS) {
-		double now_is = latency_of(pool, e);
+	    measured <= READMIT_FACTOR * expected + 2 * NOISE_MS) {
+		double latency = latency_of(pool, e);
 
-		if (pool->median > 0 && now_is > pool->median) {
-			e->slow *= pool->median / now_is;
+		if (pool->median > 0 && latency > pool->median) {
+			e->prefill_slowdown *= pool->median / latency;
 			e->service_ms = pool->median;
 		}
-		pool_shift_back(pool, e, now);
+		pool_outlier_readmit(pool, e, now);
 		return;
 	}
 	if (e->probe_gap_ms < PROBE_GAP_MAX_MS)
@@ -478,9 +486,9 @@
  * minute, the endpoint is taken back with a slow start, for a pool of nothing
  * but urgent requests would never know.
  */
-struct pool_endpoint *pool_shift_probe(struct dl_pool *pool,
-				       const struct pool_want *want,
-				       int64_t now)
+struct pool_endpoint *pool_outlier_probe(struct dl_pool *pool,
+					 const struct pool_want *want,
+					 int64_t now)
 {
 	struct pool_endpoint *found = NULL;
 	int64_t next = INT64_MAX;
@@ -494,7 +502,7 @@
 	for (uint32_t i = 0; i < pool->endpoints_n; i++) {
 		struct pool_endpoint *e = pool->endpoints[i];
 
-		if (e->shift != POOL_OUT || e->probe)
+		if (e->ejection != POOL_EJECTED || e->probe)
 			continue;
 		if (e->probe_at > now) {
 			next = e->probe_at < next ? e->probe_at : next;
@@ -519,32 +527,34 @@
  * gets no requests, and would otherwise be believed slow for good.  All of a
  * pool could be, after a bad minute.
  */
-static void forget(const struct dl_pool *pool, struct pool_endpoint *e,
-		   int64_t now)
+static void decay_estimates(const struct dl_pool *pool, struct pool_endpoint *e,
+			    int64_t now)
 {
 	int64_t silent = now - e->learnt_at;
 	double keep;
 
-	if (silent < FORGET_AFTER_MS)
+	if (silent < DECAY_AFTER_MS)
 		return;
-	keep = exp(-(double)(silent - FORGET_AFTER_MS) / FORGET_MS);
-	e->slow = 1 + (e->slow - 1) * keep;
+	keep = exp(-(double)(silent - DECAY_AFTER_MS) / DECAY_MS);
+	e->prefill_slowdown = 1 + (e->prefill_slowdown - 1) * keep;
 	e->deviation *= keep;
 	e->decode_deviation *= keep;
 	e->interference_ms =
 		pool->interference_ms +
 		(e->interference_ms - pool->interference_ms) * keep;
-	e->learnt_at = now - FORGET_AFTER_MS;
+	e->learnt_at = now - DECAY_AFTER_MS;
 }
 
 /* Take back an endpoint that nothing could probe, and end a slow start. */
-void pool_shift_tick(struct dl_pool *pool, struct pool_endpoint *e, int64_t now)
+void pool_outlier_tick(struct dl_pool *pool, struct pool_endpoint *e,
+		       int64_t now)
 {
-	if (e->shift == POOL_OUT && !e->probe &&
-	    now >= e->probe_at + PROBE_NONE_MS)
-		pool_shift_back(pool, e, now);
-	if (e->shift == POOL_SLOW_START && now >= e->shifted_at + SLOW_START_MS)
-		e->shift = POOL_IN;
-	if (e->shift != POOL_OUT)
-		forget(pool, e, now);
+	if (e->ejection == POOL_EJECTED && !e->probe &&
+	    now >= e->probe_at + PROBE_TIMEOUT_MS)
+		pool_outlier_readmit(pool, e, now);
+	if (e->ejection == POOL_SLOW_START &&
+	    now >= e->ejection_changed_at + SLOW_START_MS)
+		e->ejection = POOL_IN_SERVICE;
+	if (e->ejection != POOL_EJECTED)
+		decay_estimates(pool, e, now);
 }
--- a/src/coordination/pool_place.c
+++ b/src/coordination/pool_place.c
@@ -91,7 +91,7 @@
 {
 	(void)pool;
 	return e->state == POOL_EP_LIVE && !e->drained && !e->last.leaving &&
-	       !e->unreachable && e->shift != POOL_OUT;
+	       !e->unreachable && e->ejection != POOL_EJECTED;
 }
 
 /* Milliseconds of prefill a token, as reported and corrected by answers. */
@@ -104,7 +104,7 @@
 		return e->service_ms;
 	if (rate <= 0)
 		rate = PREFILL_RATE_UNKNOWN;
-	return e->slow * MS_PER_S / rate;
+	return e->prefill_slowdown * MS_PER_S / rate;
 }
 
 /* Milliseconds between tokens of one stream. */
@@ -114,7 +114,7 @@
 
 	if (rate <= 0)
 		rate = DECODE_RATE_UNKNOWN;
-	return e->decode_slow * MS_PER_S / rate;
+	return e->decode_slowdown * MS_PER_S / rate;
 }
 
 /* Memory that no grant, no hold and nobody unknown has. */
@@ -126,7 +126,7 @@
 static uint64_t free_beside(const struct pool_endpoint *e, uint64_t reserved)
 {
 	uint64_t taken =
-		e->held + reserved + pool_excess_low(&e->memory_excess);
+		e->held + reserved + pool_excess_min(&e->memory_excess);
 
 	return e->last.memory_tokens > taken ? e->last.memory_tokens - taken :
 					       0;
@@ -141,15 +141,15 @@
  */
 uint32_t pool_place_long_max(const struct dl_pool *pool)
 {
-	uint64_t max = (uint64_t)pool->open * pool->conf.long_share_permille /
-		       PERMILLE;
+	uint64_t max = (uint64_t)pool->open_endpoints *
+		       pool->conf.long_share_permille / PERMILLE;
 
-	if (pool->open <= 1)
-		return pool->open;
+	if (pool->open_endpoints <= 1)
+		return pool->open_endpoints;
 	if (max < 1)
 		max = 1;
-	if (max > pool->open - 1)
-		max = pool->open - 1;
+	if (max > pool->open_endpoints - 1)
+		max = pool->open_endpoints - 1;
 	return (uint32_t)max;
 }
 
@@ -188,10 +188,10 @@
 	decode = open ? pool_decode_ms(e) : 0;
 	pool->decode_sum += decode - e->counted_decode;
 	e->counted_decode = decode;
-	pool->open += (uint32_t)open - (uint32_t)e->counted_open;
+	pool->open_endpoints += (uint32_t)open - (uint32_t)e->counted_open;
 	pool->long_endpoints += (uint32_t)is_long - (uint32_t)e->counted_long;
 	pool->rate += rate - e->counted_rate;
-	if (pool->open == 0)
+	if (pool->open_endpoints == 0)
 		pool->rate = 0;
 	e->counted_open = open;
 	e->counted_long = is_long;
@@ -208,20 +208,20 @@
 			int64_t now)
 {
 	struct pool_index_node leaf;
-	uint64_t running = e->grants + pool_excess_low(&e->running_excess);
+	uint64_t running = e->grants + pool_excess_min(&e->running_excess);
 
 	count(pool, e);
 	if (!pool_endpoint_open(pool, e) ||
-	    running >= pool_shift_slots(e, now)) {
-		pool_index_set(&pool->index, e->slot, NULL);
+	    running >= pool_outlier_slots(e, now)) {
+		pool_index_set(&pool->index, e->index, NULL);
 		return;
 	}
 	for (int i = 0; i < POOL_LEVELS; i++)
-		leaf.ready[i] = e->until[i];
+		leaf.ready[i] = e->busy_until[i];
 	leaf.free = pool_place_free(e);
 	leaf.free_long = e->long_grants > 0 ? leaf.free : 0;
 	leaf.ms_per_token = pool_ms_per_token(pool, e);
-	pool_index_set(&pool->index, e->slot, &leaf);
+	pool_index_set(&pool->index, e->index, &leaf);
 }
 
 /* Whether a request already failed on this endpoint. */
@@ -242,8 +242,8 @@
 		     const struct pool_endpoint *e, int64_t now)
 {
 	return !pool_place_tried(want, e) &&
-	       pool_throttle_takes(e, want, now) &&
-	       !pool_backoff_holds(pool, want, e, now);
+	       pool_throttle_allows(e, want, now) &&
+	       !pool_backoff_active(pool, want, e, now);
 }
 
 /*
@@ -256,7 +256,7 @@
 			 int64_t prefill_ms, int64_t now)
 {
 	for (int i = level + 1; i < POOL_LEVELS; i++)
-		if (e->until[i] > now && e->slack[i] < prefill_ms)
+		if (e->busy_until[i] > now && e->slack[i] < prefill_ms)
 			return false;
 	return true;
 }
@@ -293,8 +293,8 @@
 	}
 	if (want->need > room)
 		return false;
-	if (e->grants + pool_excess_low(&e->running_excess) >=
-	    pool_shift_slots(e, now))
+	if (e->grants + pool_excess_min(&e->running_excess) >=
+	    pool_outlier_slots(e, now))
 		return false;
 	return levels_allow(e, level, (int64_t)ceil(prefill), now);
 }
@@ -324,14 +324,15 @@
 	double margin = pool_margin(e->deviation);
 	double wait, whole, decode;
 
-	out->start = max_time(now, e->until[level]);
-	out->behind_lower = e->until[POOL_LEVELS - 1] > out->start;
+	out->start = max_time(now, e->busy_until[level]);
+	out->behind_lower = e->busy_until[POOL_LEVELS - 1] > out->start;
 	wait = (double)(out->start - now);
 	if (out->behind_lower)
 		wait += e->interference_ms;
 	whole = wait + (double)tokens * per_token;
 	decode = (double)want->output * pool_decode_ms(e);
-	out->ttft_ms = (int64_t)ceil(whole - (double)out->saved * per_token);
+	out->ttft_ms =
+		(int64_t)ceil(whole - (double)out->cached_tokens * per_token);
 	out->total_ms =
 		(int64_t)ceil(whole * (1 + margin) +
 			      decode * (1 + pool_margin(e->decode_deviation))) +
@@ -352,13 +353,13 @@
 /* Whether an endpoint is free for a level, or so soon that it may be bound. */
 bool pool_place_ready(const struct pool_endpoint *e, uint8_t level, int64_t now)
 {
-	return e->until[level] <= now + BIND_AHEAD_MS;
+	return e->busy_until[level] <= now + BIND_AHEAD_MS;
 }
 
 static void wait_for(struct dl_pool *pool, const struct pool_endpoint *e,
 		     uint8_t level)
 {
-	int64_t at = e->until[level] - BIND_AHEAD_MS;
+	int64_t at = e->busy_until[level] - BIND_AHEAD_MS;
 
 	if (at < pool->bind_at)
 		pool->bind_at = at;
@@ -370,17 +371,17 @@
 	double tokens = (double)(s->want->prompt - saved);
 	double prefill = tokens * pool_ms_per_token(s->pool, e);
 	double margin = pool_margin(e->deviation);
-	int64_t start = max_time(s->now, e->until[s->level]);
+	int64_t start = max_time(s->now, e->busy_until[s->level]);
 	double cost = (double)start + prefill * (1 + margin);
 
 	/*
 	 * One of another failure domain only where the own would be late: a
 	 * cut between the domains does not break what stays at home.
 	 */
-	if (pool_is_away(s->want, e))
+	if (pool_in_other_domain(s->want, e))
 		cost += s->want->target_ms;
 
-	if (e->until[POOL_LEVELS - 1] > start)
+	if (e->busy_until[POOL_LEVELS - 1] > start)
 		cost += e->interference_ms * (1 + margin);
 	else if (s->level == POOL_MEDIUM &&
 		 e->interference_ms >= KEEP_CLEAR_FROM_MS)
@@ -459,11 +460,11 @@
 static bool probe_choose(struct dl_pool *pool, const struct pool_want *want,
 			 int64_t now, struct pool_choice *out)
 {
-	struct pool_endpoint *e = pool_shift_probe(pool, want, now);
+	struct pool_endpoint *e = pool_outlier_probe(pool, want, now);
 
 	if (!e)
 		return false;
-	out->saved = 0;
+	out->cached_tokens = 0;
 	pool_place_expect(pool, e, want, want->prompt, now, out);
 	if (!pool_place_in_time(out, want, now))
 		return false;
@@ -502,9 +503,9 @@
 	*out = (struct pool_choice){ 0 };
 	if (hold)
 		return pool_hold_choose(pool, hold, now, out);
-	if (want->band == POOL_GIANT)
+	if (want->band == POOL_OVERSIZED)
 		return pool_group_choose(pool, want, now, out);
-	if (pool->out && probe_choose(pool, want, now, out))
+	if (pool->ejected && probe_choose(pool, want, now, out))
 		return POOL_CHOSEN;
 	if (pool->index.room == 0)
 		return POOL_WAIT;
@@ -520,7 +521,7 @@
 	visit(&s, 1);
 	if (!s.best)
 		return POOL_WAIT;
-	out->saved = pool_prefix_saved(pool, want, s.best, now);
+	out->cached_tokens = pool_prefix_saved(pool, want, s.best, now);
 	pool_place_expect(pool, s.best, want, want->prompt, now, out);
 	out->endpoint[0] = s.best;
 	out->n = 1;
--- a/src/coordination/pool_prefix.c
+++ b/src/coordination/pool_prefix.c
@@ -56,7 +56,8 @@
 	if (p->prefix != want->prefix)
 		return NULL;
 	node = pool_map_first(&pool->endpoint_by_name, p->endpoint);
-	return node ? POOL_OF(node, struct pool_endpoint, by_name) : NULL;
+	return node ? POOL_CONTAINER_OF(node, struct pool_endpoint, by_name) :
+		      NULL;
 }
 
 /* An endpoint reads, or says that it holds, this start of a prompt. */
--- a/src/coordination/pool_queue.c
+++ b/src/coordination/pool_queue.c
@@ -12,7 +12,7 @@
 #include <stdlib.h>
 
 /* Steps of virtual time a token, so that weights up to this count. */
-#define VIRTUAL_UNIT 1024
+#define VIRTUAL_TICKS_PER_TOKEN 1024
 
 /*
  * How far a workspace that asked for less than its share may be ahead of the
@@ -32,8 +32,8 @@
 static void flow_charge(struct dl_pool *pool, struct pool_flow *flow,
 			const struct pool_want *want);
 static void unlink_request(struct dl_pool *pool, struct pool_request *req);
-static struct pool_request *first_of(const struct pool_flow *flow);
-static struct pool_request *last_of(const struct pool_flow *flow);
+static struct pool_request *flow_first(const struct pool_flow *flow);
+static struct pool_request *flow_last(const struct pool_flow *flow);
 
 /* The lane of a request. */
 uint8_t pool_lane_of(const struct pool_want *want)
@@ -80,8 +80,9 @@
 			  const struct pool_flow *flow)
 {
 	uint32_t weight = pool_workspace_weight(pool, flow->workspace);
-	int64_t earliest = lane->virtual_now -
-			   (int64_t)CREDIT_TOKENS * VIRTUAL_UNIT / weight;
+	int64_t earliest = lane->virtual_now - (int64_t)CREDIT_TOKENS *
+						       VIRTUAL_TICKS_PER_TOKEN /
+						       weight;
 
 	if (flow->epoch != lane->epoch || flow->finish < earliest)
 		return earliest;
@@ -98,8 +99,9 @@
 		pool_heap_remove(&lane->by_backlog, &flow->backlog);
 		return;
 	}
-	pool_heap_set(&lane->by_backlog, &flow->backlog,
-		      -(int64_t)(flow->root->sum * VIRTUAL_UNIT / weight));
+	pool_heap_set(
+		&lane->by_backlog, &flow->backlog,
+		-(int64_t)(flow->root->sum * VIRTUAL_TICKS_PER_TOKEN / weight));
 	if (!flow->start.pos)
 		pool_heap_set(&lane->by_start, &flow->start,
 			      flow_start(pool, lane, flow));
@@ -114,7 +116,8 @@
 	uint64_t tokens = want->prompt + want->output;
 
 	flow->epoch = lane->epoch;
-	flow->finish = start + (int64_t)(tokens * VIRTUAL_UNIT / weight);
+	flow->finish =
+		start + (int64_t)(tokens * VIRTUAL_TICKS_PER_TOKEN / weight);
 	if (flow->start.pos)
 		pool_heap_set(&lane->by_start, &flow->start, flow->finish);
 }
@@ -140,8 +143,8 @@
 	struct pool_map_node *node = pool_map_first(&pool->request_by_id, hash);
 
 	for (; node; node = pool_map_next(node)) {
-		struct pool_request *req =
-			POOL_OF(node, struct pool_request, by_request);
+		struct pool_request *req = POOL_CONTAINER_OF(
+			node, struct pool_request, by_request);
 
 		if (req->entry == entry && req->request == request)
 			return req;
@@ -167,8 +170,8 @@
  * Bounded in entries for this VM's memory and in tokens because a few season
  * files are more work than a thousand pings.
  */
-bool pool_queue_room(const struct dl_pool *pool, uint32_t entries,
-		     uint64_t tokens, uint64_t freed)
+bool pool_queue_has_room(const struct dl_pool *pool, uint32_t entries,
+			 uint64_t tokens, uint64_t freed)
 {
 	return pool->queued + entries <= pool->conf.queue_entries_max &&
 	       pool->queued_tokens + tokens <=
@@ -295,16 +298,16 @@
 	return req;
 }
 
-static struct pool_request *first_of(const struct pool_flow *flow)
+static struct pool_request *flow_first(const struct pool_flow *flow)
 {
-	return POOL_OF(pool_tree_first(flow->root), struct pool_request,
-		       by_deadline);
+	return POOL_CONTAINER_OF(pool_tree_first(flow->root),
+				 struct pool_request, by_deadline);
 }
 
-static struct pool_request *last_of(const struct pool_flow *flow)
+static struct pool_request *flow_last(const struct pool_flow *flow)
 {
-	return POOL_OF(pool_tree_last(flow->root), struct pool_request,
-		       by_deadline);
+	return POOL_CONTAINER_OF(pool_tree_last(flow->root),
+				 struct pool_request, by_deadline);
 }
 
 /*
@@ -318,7 +321,8 @@
 
 	if (nth >= heap->n)
 		return NULL;
-	return first_of(POOL_OF(heap->at[nth + 1], struct pool_flow, start));
+	return flow_first(
+		POOL_CONTAINER_OF(heap->at[nth + 1], struct pool_flow, start));
 }
 
 /* The request behind another one of its flow, or NULL. */
@@ -327,11 +331,13 @@
 	struct pool_tree_node *next =
 		pool_tree_next(req->flow->root, &req->by_deadline);
 
-	return next ? POOL_OF(next, struct pool_request, by_deadline) : NULL;
+	return next ? POOL_CONTAINER_OF(next, struct pool_request,
+					by_deadline) :
+		      NULL;
 }
 
 /* Add the weights of all lanes up anew, after the default one changed. */
-void pool_queue_weigh(struct dl_pool *pool)
+void pool_queue_sum_weights(struct dl_pool *pool)
 {
 	for (int i = 0; i < POOL_LANES; i++) {
 		struct pool_lane *lane = &pool->lane[i];
@@ -339,8 +345,8 @@
 		lane->weights = 0;
 		for (uint32_t k = 1; k <= lane->by_start.n; k++)
 			lane->weights += pool_workspace_weight(
-				pool, POOL_OF(lane->by_start.at[k],
-					      struct pool_flow, start)
+				pool, POOL_CONTAINER_OF(lane->by_start.at[k],
+							struct pool_flow, start)
 					      ->workspace);
 	}
 }
@@ -379,10 +385,11 @@
 
 			if (lane->n == 0)
 				continue;
-			req = last_of(POOL_OF(pool_heap_top(&lane->by_backlog),
-					      struct pool_flow, backlog));
-			s = pool_strain(pool, &req->want, req, req->workspace,
-					now);
+			req = flow_last(POOL_CONTAINER_OF(
+				pool_heap_top(&lane->by_backlog),
+				struct pool_flow, backlog));
+			s = pool_deadline_ratio(pool, &req->want, req,
+						req->workspace, now);
 			if (s > most) {
 				most = s;
 				worst = req;
--- a/src/coordination/pool_serve.c
+++ b/src/coordination/pool_serve.c
@@ -13,14 +13,14 @@
  * one workspace that floods a higher class: without it the others' dossiers
  * would be admitted and then never served.
  */
-#define CREDIT_SHARE 4
+#define CREDIT_DIVISOR 4
 /* Credit kept for later, in tokens: one long prompt's worth. */
 #define CREDIT_MAX ((uint64_t)1 << 21)
 
 /* How many flows of a lane are tried when the first one's head fits nowhere. */
-#define LOOK_AHEAD 3
+#define FLOWS_TRIED_MAX 3
 /* How many requests behind a flow's head, where endpoints hold its VM back. */
-#define LOOK_BEHIND 8
+#define REQUESTS_TRIED_MAX 8
 
 /*
  * When nothing but an event can help, the queue is still looked at this often:
@@ -41,7 +41,7 @@
 static bool serve_credit(struct dl_pool *pool, int64_t now,
 			 struct dl_answer *out);
 static bool serve(struct dl_pool *pool, int64_t now, struct dl_answer *out);
-static void plan_serve(struct dl_pool *pool, int64_t now);
+static void schedule_serve(struct dl_pool *pool, int64_t now);
 static bool take_refused(struct dl_pool *pool, struct dl_answer *out);
 static void refuse_one_late(struct dl_pool *pool, struct pool_request *req,
 			    int64_t now);
@@ -54,7 +54,7 @@
 	for (int c = want->class + 1; c < DL_CLASS_COUNT; c++) {
 		uint64_t *credit = &pool->class_credit[c];
 
-		*credit += want->prompt / CREDIT_SHARE + 1;
+		*credit += want->prompt / CREDIT_DIVISOR + 1;
 		if (*credit > CREDIT_MAX)
 			*credit = CREDIT_MAX;
 	}
@@ -88,7 +88,7 @@
 {
 	const struct pool_index_node *root = pool_index_root(&pool->index);
 
-	if (want->band == POOL_GIANT)
+	if (want->band == POOL_OVERSIZED)
 		return true;
 	if (want->band == POOL_SHORT)
 		return false;
@@ -109,7 +109,7 @@
 
 	if (!dl_backoff_any(pool->backoff, now))
 		return false;
-	for (int i = 0; i < LOOK_BEHIND; i++) {
+	for (int i = 0; i < REQUESTS_TRIED_MAX; i++) {
 		req = pool_queue_next(req);
 		if (!req)
 			return false;
@@ -130,7 +130,7 @@
 {
 	struct pool_request *first = pool_queue_head(pool, lane, 0);
 
-	for (uint32_t nth = 0; nth < LOOK_AHEAD; nth++) {
+	for (uint32_t nth = 0; nth < FLOWS_TRIED_MAX; nth++) {
 		struct pool_request *req = pool_queue_head(pool, lane, nth);
 
 		if (!req)
@@ -140,7 +140,7 @@
 	}
 	if (first && serve_behind(pool, first, now, out))
 		return true;
-	if (first && pool->policy->gathers &&
+	if (first && pool->policy->reserves_memory &&
 	    fits_nowhere(pool, &first->want) &&
 	    pool_hold_begin(pool, first, now))
 		return serve_request(pool, first, now, out);
@@ -200,7 +200,7 @@
 	return false;
 }
 
-static void plan_serve(struct dl_pool *pool, int64_t now)
+static void schedule_serve(struct dl_pool *pool, int64_t now)
 {
 	pool->serve_at = INT64_MAX;
 	if (pool->queued == 0)
@@ -245,7 +245,8 @@
 	while ((top = pool_heap_top(&pool->request_last_start)) &&
 	       top->key < now) {
 		refuse_one_late(pool,
-				POOL_OF(top, struct pool_request, last_start),
+				POOL_CONTAINER_OF(top, struct pool_request,
+						  last_start),
 				now);
 	}
 }
@@ -264,7 +265,7 @@
 		return true;
 	if (serve(pool, now, out))
 		return true;
-	plan_serve(pool, now);
+	schedule_serve(pool, now);
 	return false;
 }
 
@@ -283,7 +284,7 @@
 	if (pool->refused)
 		return pool->now;
 	at = earlier(at, &pool->grant_lease);
-	at = earlier(at, &pool->endpoint_gone);
+	at = earlier(at, &pool->endpoint_expiry);
 	if (pool->request_last_start.n) {
 		at = earlier(at, &pool->request_last_start);
 		if (pool->recheck_at < at)
--- a/src/coordination/pool_spill.c
+++ b/src/coordination/pool_spill.c
@@ -18,17 +18,17 @@
  * pool, seen by every entry in the same second: all of them shifting at once
  * would only move the overload, and shift back a summary later.
  */
-#define SHARE_STEP    25
-#define SHARE_STEP_MS 100
-#define SHARE_MAX     500
-#define SHARE_STEPS   20 /* counted at most, after a long silence */
-#define PERMILLE      1000
+#define SHARE_STEP	25
+#define SHARE_STEP_MS	100
+#define SHARE_MAX	500
+#define SHARE_STEPS_MAX 20 /* counted at most, after a long silence */
+#define PERMILLE	1000
 
 static bool can_take(const struct dl_pool_summary *pool,
 		     const struct dl_ask *ask);
 static bool much_better(const struct dl_pool_summary *a,
 			const struct dl_pool_summary *b);
-static void move_share(struct dl_spill *spill, bool up, int64_t now);
+static void adjust_share(struct dl_spill *spill, bool up, int64_t now);
 static int pick_of_two(struct dl_spill *spill,
 		       const struct dl_pool_summary *others, uint32_t n,
 		       const struct dl_ask *ask);
@@ -57,7 +57,7 @@
 	       a->backlog_ms * BACKLOG_FACTOR < b->backlog_ms;
 }
 
-static void move_share(struct dl_spill *spill, bool up, int64_t now)
+static void adjust_share(struct dl_spill *spill, bool up, int64_t now)
 {
 	int64_t steps = (now - spill->changed_at) / SHARE_STEP_MS;
 	uint32_t by;
@@ -65,8 +65,8 @@
 	if (steps < 1)
 		return;
 	spill->changed_at = now;
-	if (steps > SHARE_STEPS)
-		steps = SHARE_STEPS;
+	if (steps > SHARE_STEPS_MAX)
+		steps = SHARE_STEPS_MAX;
 	by = (uint32_t)steps * SHARE_STEP;
 	if (up) {
 		by = spill->share_permille == 0 ? SHARE_STEP : by;
@@ -125,10 +125,10 @@
 	if (!own || !can_take(own, ask))
 		return other;
 	if (!much_better(&others[other], own)) {
-		move_share(spill, false, now);
+		adjust_share(spill, false, now);
 		return -1;
 	}
-	move_share(spill, true, now);
+	adjust_share(spill, true, now);
 	if (next_random(spill) % PERMILLE < spill->share_permille)
 		return other;
 	return -1;
--- a/src/coordination/pool_throttle.c
+++ b/src/coordination/pool_throttle.c
@@ -15,24 +15,24 @@
  * Whether a limit is still named shows in answers only: one that takes fewer
  * requests is given one in five seconds.
  */
-#define LEAST_PER_1000S 200
-#define MS_PER_1000S	1000000.0
+#define LIMIT_MIN_PER_1000S 200
+#define MS_PER_1000S	    1000000.0
 /*
  * An answer without a limit lifts it once no other has named one for so long: a
  * VM that is slow reads answers that are older than those of others.
  */
-#define NAMED_MS 500
+#define LIMIT_LIFT_DELAY_MS 500
 
 static double rate_per_ms(const struct pool_endpoint *e)
 {
-	uint32_t limit = e->limit > LEAST_PER_1000S ? e->limit :
-						      LEAST_PER_1000S;
+	uint32_t limit = e->limit > LIMIT_MIN_PER_1000S ? e->limit :
+							  LIMIT_MIN_PER_1000S;
 
 	return limit / MS_PER_1000S;
 }
 
 /* Requests that may go to a limited endpoint now, one at the most. */
-static double credit(const struct pool_endpoint *e, int64_t now)
+static double available_credit(const struct pool_endpoint *e, int64_t now)
 {
 	double gained = (double)(now - e->limit_credit_at) * rate_per_ms(e);
 
@@ -40,27 +40,27 @@
 }
 
 /* Whether an endpoint's own limit lets another request go there. */
-bool pool_throttle_takes(const struct pool_endpoint *e,
-			 const struct pool_want *want, int64_t now)
+bool pool_throttle_allows(const struct pool_endpoint *e,
+			  const struct pool_want *want, int64_t now)
 {
 	if (e->limit == DL_UNLIMITED)
 		return true;
 	/* What other VMs send there by themselves is not known here. */
 	if (want->self_placed)
 		return false;
-	return credit(e, now) >= 1;
+	return available_credit(e, now) >= 1;
 }
 
 /*
  * A request goes to an endpoint, or a part of one.  A standby gives half of the
  * rate: the dispatcher, which others may reach, gives all of it.
  */
-void pool_throttle_take(struct pool_endpoint *e, const struct pool_want *want,
-			int64_t now)
+void pool_throttle_charge(struct pool_endpoint *e, const struct pool_want *want,
+			  int64_t now)
 {
 	if (e->limit == DL_UNLIMITED)
 		return;
-	e->limit_credit = credit(e, now) - (want->standby ? 2 : 1);
+	e->limit_credit = available_credit(e, now) - (want->standby ? 2 : 1);
 	e->limit_credit_at = now;
 }
 
@@ -96,14 +96,15 @@
 	pool->now = now;
 	if (!e)
 		return false;
-	if (limit == DL_UNLIMITED && now - e->limit_named < NAMED_MS)
+	if (limit == DL_UNLIMITED && now - e->limit_named < LIMIT_LIFT_DELAY_MS)
 		return false;
 	if (limit != DL_UNLIMITED)
 		e->limit_named = now;
 	if (e->limit == limit)
 		return false;
 	/* Nothing is saved up at first: what went there before is not known. */
-	e->limit_credit = e->limit == DL_UNLIMITED ? 0 : credit(e, now);
+	e->limit_credit = e->limit == DL_UNLIMITED ? 0 :
+						     available_credit(e, now);
 	e->limit_credit_at = now;
 	e->limit = limit;
 	pool_place_refresh(pool, e, now);
--- a/src/coordination/pool_limit.c
+++ b/src/coordination/pool_workspace.c
@@ -10,9 +10,9 @@
  */
 #define WORKSPACES_MAX 40000
 
-#define CREDIT_ONE  1000 /* of one request */
-#define MS_PER_S    1000
-#define RETRY_SLICE 100 /* ms, where nothing is known of its requests */
+#define CREDIT_ONE	 1000 /* of one request */
+#define MS_PER_S	 1000
+#define RETRY_DEFAULT_MS 100 /* ms, where nothing is known of its requests */
 
 static bool is_idle(const struct pool_workspace *ws);
 static void forget_idle(struct dl_pool *pool);
@@ -52,8 +52,8 @@
 		struct pool_map_node **link = &map->bucket[i];
 
 		while (*link) {
-			struct pool_workspace *ws =
-				POOL_OF(*link, struct pool_workspace, by_name);
+			struct pool_workspace *ws = POOL_CONTAINER_OF(
+				*link, struct pool_workspace, by_name);
 
 			if (!is_idle(ws)) {
 				link = &(*link)->next;
@@ -78,7 +78,7 @@
 	struct pool_workspace *ws;
 
 	for (; node; node = pool_map_next(node)) {
-		ws = POOL_OF(node, struct pool_workspace, by_name);
+		ws = POOL_CONTAINER_OF(node, struct pool_workspace, by_name);
 		if (dl_name_eq(&ws->name, name))
 			return ws;
 	}
@@ -119,14 +119,16 @@
  * answer says when the next one is due: the bucket's next whole request, or
  * about when one of its own requests ends.
  */
-enum dl_reason pool_limit_check(struct dl_pool *pool, struct pool_workspace *ws,
-				int64_t now, uint32_t *retry_after_ms)
+enum dl_reason pool_workspace_check_limits(struct dl_pool *pool,
+					   struct pool_workspace *ws,
+					   int64_t now,
+					   uint32_t *retry_after_ms)
 {
 	uint32_t under_way = ws->running + ws->queued;
 
 	(void)pool;
 	if (ws->concurrency_max && under_way >= ws->concurrency_max) {
-		*retry_after_ms = RETRY_SLICE;
+		*retry_after_ms = RETRY_DEFAULT_MS;
 		if (ws->mean_ms > 0)
 			*retry_after_ms =
 				1 + (uint32_t)(ws->mean_ms / under_way);
