--- a/src/coordination/pool_int.h
+++ b/src/coordination/pool_int.h
@@ -1,6 +1,7 @@
 /*
- * The inside of a pool: its structures and what its files offer each other.
- * Each file decides one thing; pool.c calls them in the order of events.
+ * Internal structures of a pool and the functions that its files share.  Each
+ * file makes one kind of decision; pool.c calls them in the order in which an
+ * event is handled.
  */
 #ifndef DL_COORDINATION_POOL_INT_H
 #define DL_COORDINATION_POOL_INT_H
@@ -8,19 +9,19 @@
 #include "daisyledge/backoff.h"
 #include "daisyledge/pool.h"
 
-/* The member of a structure back to the structure. */
+/* Get the structure that contains a member, as container_of() does. */
 #define POOL_CONTAINER_OF(node, type, member)                                  \
 	((type *)(void *)((char *)(node)-offsetof(type, member)))
 
-/* A place in a heap, inside what is ordered; pos is 0 while outside. */
+/* Heap entry, embedded in the element; pos is 0 while it is in no heap. */
 struct pool_heap_node {
 	int64_t key;
 	uint32_t pos;
 };
 
-/* Nodes by their smallest key. */
+/* Binary min-heap by key. */
 struct pool_heap {
-	struct pool_heap_node **at; /* from 1 on */
+	struct pool_heap_node **at; /* 1-based */
 	uint32_t n;
 	uint32_t room;
 };
@@ -31,7 +32,7 @@
 void pool_heap_remove(struct pool_heap *heap, struct pool_heap_node *node);
 struct pool_heap_node *pool_heap_top(const struct pool_heap *heap);
 
-/* A place in a hash table, inside what is looked up. */
+/* Hash table entry, embedded in the element. */
 struct pool_map_node {
 	uint64_t hash;
 	struct pool_map_node *next;
@@ -52,14 +53,14 @@
 struct pool_map_node *pool_map_first(const struct pool_map *map, uint64_t hash);
 struct pool_map_node *pool_map_next(const struct pool_map_node *node);
 
-/* A place in a treap ordered by (key, order), with sums of weights. */
+/* Treap node, ordered by (key, order), with subtree sums of the weights. */
 struct pool_tree_node {
 	struct pool_tree_node *left;
 	struct pool_tree_node *right;
 	int64_t key;
 	uint64_t order;
 	uint64_t weight;
-	uint64_t sum; /* of the weights of this subtree */
+	uint64_t sum; /* of the weights in this subtree */
 	uint32_t rank;
 };
 
@@ -74,49 +75,48 @@
 uint64_t pool_tree_sum_before(const struct pool_tree_node *root, int64_t key,
 			      uint64_t order);
 
-/* Lengths of prompts, each with queues of its own. */
+/* Length bands of prompts; each band has its own queues. */
 enum pool_band {
 	POOL_SHORT,
 	POOL_MEDIUM,
 	POOL_LONG,
-	POOL_OVERSIZED, /* longer than any one engine's memory */
+	POOL_OVERSIZED, /* longer than the memory of any one engine */
 };
 #define POOL_BANDS 4
 
 /*
- * The most tokens that are reckoned with; whatever a caller or an endpoint
- * claims beyond is cut to it, so that no sum overflows.
+ * Upper bound of token counts.  Larger claims of callers and endpoints are
+ * clamped to it, so that no sum overflows.
  */
 #define POOL_TOKENS_MAX ((uint64_t)1 << 40)
 
-/* Priorities that an engine tells apart; giants run as long ones. */
+/* Priority levels of an engine; oversized prompts run at the long level. */
 #define POOL_LEVELS 3
 #define POOL_LANES  (DL_CLASS_COUNT * POOL_BANDS)
 
-/* What a request wants, apart from who asks. */
+/* What a request needs, without the identity of the request. */
 struct pool_want {
-	uint64_t prompt; /* tokens; 1 for a plain service's request */
+	uint64_t prompt; /* tokens; 1 for a request of a plain service */
 	uint64_t output;
-	uint64_t need; /* memory in tokens */
+	uint64_t need; /* KV memory, tokens */
 	uint64_t prefix;
-	uint64_t entry;	 /* the VM that asks */
-	uint64_t domain; /* hash of its VM's failure domain; 0: not said */
+	uint64_t entry;	 /* the VM that sends the request */
+	uint64_t domain; /* hash of that VM's failure domain; 0 if unknown */
 	uint32_t prefix_tokens;
 	uint8_t class;
 	uint8_t band;
 	uint8_t tried_n;
-	uint64_t tried[3]; /* hashes of endpoint names */
+	uint64_t tried[3]; /* hashes of endpoint names, to avoid */
 	int64_t deadline;
-	int64_t asked_at;	      /* when the pool heard of it */
-	int64_t first_event_deadline; /* the caller leaves without an event; 0:
-					 never */
-	uint32_t target_ms;	      /* to the first event; 0: not said */
-	uint32_t gap_ms;  /* the longest pause that is on time; 0: any */
-	bool self_placed; /* its entry places it without the dispatcher */
-	bool standby;	  /* others may still reach the dispatcher */
+	int64_t asked_at;	      /* when the pool received it */
+	int64_t first_event_deadline; /* caller gives up; 0: never */
+	uint32_t target_ms;	      /* to the first event; 0: not given */
+	uint32_t gap_ms;	      /* longest gap between events; 0: any */
+	bool self_placed;	      /* by its entry, without the dispatcher */
+	bool standby; /* others may still reach the dispatcher */
 };
 
-/* Lowest of the last reports of something the pool cannot account for. */
+/* The last reports of load that the pool's own grants do not explain. */
 #define POOL_EXCESS_REPORTS 3
 struct pool_excess {
 	uint64_t samples[POOL_EXCESS_REPORTS];
@@ -124,20 +124,20 @@
 };
 
 enum pool_ep_state {
-	POOL_EP_UNKNOWN, /* named by a grant or by operators, not yet heard */
+	POOL_EP_UNKNOWN, /* named by a grant or an operator, no report yet */
 	POOL_EP_LIVE,
 	POOL_EP_GONE,
 };
 
 enum pool_ejection {
 	POOL_IN_SERVICE,
-	POOL_EJECTED,	 /* an outlier: probes only */
-	POOL_SLOW_START, /* on its way back */
+	POOL_EJECTED,	 /* an outlier: probe requests only */
+	POOL_SLOW_START, /* readmitted, with a growing share */
 };
 
 struct pool_part;
 
-/* When the grants of an endpoint, in their order, gave their first token. */
+/* When an endpoint's grants, in their order, produced their first token. */
 #define POOL_FIRST_TOKENS 32
 struct pool_first_token {
 	uint64_t seq;
@@ -147,13 +147,13 @@
 struct pool_endpoint {
 	struct pool_map_node by_name;
 	struct dl_endpoint_report last;
-	uint64_t domain; /* hash of its failure domain; 0: not said */
+	uint64_t domain; /* hash of its failure domain; 0 if unknown */
 	enum pool_ep_state state;
 	bool drained;
-	bool unreachable;	/* until it announces itself again */
-	struct pool_hold *hold; /* memory is being gathered for a request */
+	bool unreachable;	/* until its next report */
+	struct pool_hold *hold; /* memory is being reserved for a request */
 
-	/* What the pool's sums hold of it. */
+	/* What the sums in struct dl_pool include of it. */
 	bool counted_open;
 	bool counted_long;
 	uint64_t counted_memory;
@@ -164,60 +164,62 @@
 	uint32_t index;
 	struct pool_heap_node expiry;
 
-	/* What its live grants hold. */
+	/* Held by its live grants. */
 	struct pool_part *parts; /* oldest first */
 	struct pool_part *parts_last;
 	uint64_t held;
-	uint64_t reserved; /* gathered for a request, not yet granted */
+	uint64_t reserved; /* reserved for a request, not yet granted */
 	uint32_t grants;
 	uint32_t long_grants;
 
-	/* When its prefill work of each level and above ends. */
+	/* When its prefill work of each level and the levels above ends. */
 	int64_t busy_until[POOL_LEVELS];
-	/* All the work of each level so far. */
+	/* Total prefill work committed so far, by level. */
 	int64_t committed_ms[POOL_LEVELS];
-	/* How much later that may become for the grants under way. */
+	/* By how much running grants may still be delayed. */
 	int64_t slack[POOL_LEVELS];
 
-	/* What its reports show beyond its grants. */
+	/* Load in its reports that its grants do not explain. */
 	struct pool_excess memory_excess;
 	struct pool_excess running_excess;
 	struct pool_excess backlog_excess;
-	struct pool_excess backlog_own; /* as reckoned at those reports */
+	struct pool_excess backlog_own; /* expected backlog at those reports */
 
-	/* What its answers taught. */
+	/* Learned from its answers. */
 	double prefill_slowdown; /* measured over reported prefill time */
 	double decode_slowdown;	 /* measured over reported decode time */
-	double deviation;	 /* of measured from predicted, a share */
-	double decode_deviation; /* likewise, of decoding */
-	double interference_ms;	 /* a lower level's work before a higher's */
-	double service_ms;	 /* of a plain service's request */
-	uint64_t grant_seq;	 /* of its latest grant */
+	double deviation;	 /* mean relative prediction error */
+	double decode_deviation; /* the same for decoding */
+	/* delay of a prefill by work of lower levels */
+	double interference_ms;
+	double service_ms;  /* of one request, for plain services */
+	uint64_t grant_seq; /* sequence number of its latest grant */
 	struct pool_first_token first_tokens[POOL_FIRST_TOKENS];
 	uint32_t samples;
 	int64_t learnt_at;
 
-	struct dl_engine engine; /* followed by dl_policy_engine */
+	struct dl_engine engine; /* model of dl_policy_engine */
 
-	uint32_t limit; /* requests in 1,000 s, as it named; or DL_UNLIMITED */
-	int64_t limit_named;	 /* last */
-	double limit_credit;	 /* requests that may go there, */
-	int64_t limit_credit_at; /* at that time */
+	/* requests per 1,000 s, set by the endpoint; or DL_UNLIMITED */
+	uint32_t limit;
+	int64_t limit_named;	 /* time of the last answer that set it */
+	double limit_credit;	 /* requests that may be sent */
+	int64_t limit_credit_at; /* time of that credit */
 
-	/* Whether it is an outlier. */
+	/* Outlier detection. */
 	enum pool_ejection ejection;
-	uint32_t failures; /* in a row */
+	uint32_t failures; /* consecutive */
 	int64_t ejection_changed_at;
 	int64_t probe_at;
 	uint32_t probe_gap_ms;
-	uint64_t probe; /* the grant that probes, 0 for none */
+	uint64_t probe; /* id of the probing grant, 0 for none */
 };
 
 struct pool_grant;
 
-/* What one grant holds on one endpoint. */
+/* The share of a grant on one endpoint. */
 struct pool_part {
-	struct pool_endpoint *endpoint; /* NULL once that is lost */
+	struct pool_endpoint *endpoint; /* NULL once the endpoint is lost */
 	struct pool_grant *grant;
 	struct pool_part *next;
 	struct pool_part *prev;
@@ -240,14 +242,14 @@
 	int64_t valid_until;
 	uint32_t predicted_ttft_ms;
 	uint32_t predicted_total_ms;
-	uint64_t seq;		/* among its endpoint's grants */
-	double interference_ms; /* expected when it was granted */
-	uint32_t cached_tokens; /* tokens expected in the endpoint's cache */
-	int64_t higher_ms;	/* committed before it, of higher levels */
-	bool adopted;		/* of an earlier dispatcher */
-	bool reordered;	      /* an equal of its level overtook it, or it one */
-	bool behind_lower;    /* lower work was under way on the endpoint */
-	bool overdue_counted; /* its lateness was learnt before its end */
+	uint64_t seq;		/* among the grants of its endpoint */
+	double interference_ms; /* expected at the time of the grant */
+	uint32_t cached_tokens; /* expected in the cache of the endpoint */
+	int64_t higher_ms;	/* work of higher levels committed before it */
+	bool adopted;		/* from a previous dispatcher */
+	bool reordered;	      /* swapped order with another one of its level */
+	bool behind_lower;    /* the endpoint had work of lower levels */
+	bool overdue_counted; /* counted as overdue before its end */
 	uint8_t priority;
 	uint8_t parts_n;
 	struct pool_part parts[];
@@ -268,36 +270,37 @@
 	uint64_t entry;
 	int64_t since;
 	int64_t predicted_wait;
-	double bias; /* in force when it was predicted */
+	double bias; /* correction applied to predicted_wait */
 	uint32_t retry_after_ms;
 	enum dl_reason reason;
 };
 
-/* What one workspace queues in one lane. */
+/* Queued requests of one workspace in one lane. */
 struct pool_flow {
-	struct pool_flow *next; /* of the workspace */
+	struct pool_flow *next; /* of the same workspace */
 	struct pool_workspace *workspace;
 	struct pool_tree_node *root;
 	uint32_t n;
 	uint8_t lane;
 	uint32_t epoch;
-	int64_t finish; /* virtual time at which its work so far ends */
-	struct pool_heap_node start;   /* by virtual time of its next */
-	struct pool_heap_node backlog; /* by work queued over weight */
+	int64_t finish; /* virtual time at which its granted work ends */
+	/* by virtual start time of its next request */
+	struct pool_heap_node start;
+	struct pool_heap_node backlog; /* by queued work over weight */
 };
 
-/* The queues of one class and one band. */
+/* The queues of one class and one length band. */
 struct pool_lane {
 	struct pool_heap by_start;
 	struct pool_heap by_backlog;
 	int64_t virtual_now;
 	uint64_t tokens;
-	uint32_t epoch;	  /* times that it became empty */
-	uint64_t weights; /* of the flows that queue something */
+	uint32_t epoch;	  /* incremented whenever it becomes empty */
+	uint64_t weights; /* of the flows with queued requests */
 	uint32_t n;
 	uint8_t class;
 	uint8_t band;
-	double bias; /* waits measured over waits predicted */
+	double bias; /* mean of measured over predicted waits */
 };
 
 struct pool_workspace {
@@ -315,16 +318,16 @@
 	bool configured;
 };
 
-/* One node of the index over endpoints: the best of what is below it. */
+/* Node of the endpoint index: the best values in its subtree. */
 struct pool_index_node {
 	int64_t ready[POOL_LEVELS];
 	uint64_t free;
-	uint64_t free_long; /* of those that hold a long one already */
+	uint64_t free_long; /* of endpoints that already run a long request */
 	double ms_per_token;
 };
 
 struct pool_index {
-	struct pool_index_node *at; /* from 1 on, leaves from room on */
+	struct pool_index_node *at; /* 1-based; leaves start at room */
 	uint32_t room;
 };
 
@@ -334,7 +337,7 @@
 		    const struct pool_index_node *leaf);
 const struct pool_index_node *pool_index_root(const struct pool_index *index);
 
-/* A remembered prefix: where it was last, and how much of it. */
+/* A cached prompt prefix: its last endpoint and cached length. */
 struct pool_prefix {
 	uint64_t prefix;
 	uint64_t endpoint; /* hash of its name */
@@ -343,18 +346,18 @@
 };
 #define POOL_PREFIXES 4096
 
-/* Memory being gathered for a request that fits nowhere at once. */
+/* Memory being reserved for a request that currently fits on no endpoint. */
 #define POOL_HOLDS 4
 struct pool_hold {
-	struct pool_request *request; /* NULL for none */
+	struct pool_request *request; /* NULL while unused */
 	struct pool_endpoint *endpoint[DL_GROUP_MAX];
 	uint8_t n;
 	uint64_t share;
-	int64_t ready; /* expected, when it began */
+	int64_t ready; /* expected time at the start of the hold */
 	int64_t expires;
 };
 
-/* A rate that forgets: events weighted over a few seconds. */
+/* A rate that decays exponentially over a few seconds. */
 struct pool_rate {
 	double per_ms;
 	int64_t at;
@@ -366,9 +369,10 @@
 	uint64_t seed;
 	uint64_t counter;
 	uint64_t random;
-	int64_t unknown_grants_until; /* others' grants may not be known yet */
-	int64_t now;		      /* of the event under way */
-	int64_t last_report_at;	      /* when any endpoint last reported */
+	/* grants of other dispatchers may be unknown */
+	int64_t unknown_grants_until;
+	int64_t now;		/* of the current event */
+	int64_t last_report_at; /* by any endpoint */
 
 	struct pool_endpoint **endpoints;
 	uint32_t endpoints_n;
@@ -376,15 +380,17 @@
 	struct pool_map endpoint_by_name;
 	struct pool_heap endpoint_expiry;
 	struct pool_index index;
-	uint32_t next_round_robin; /* of the round robin baseline */
+	uint32_t next_round_robin; /* of the round robin policy */
 
-	/* Sums over the endpoints that take work, kept by pool_place. */
+	/*
+	 * Sums over the endpoints that accept work, see pool_place_refresh().
+	 */
 	uint32_t open_endpoints;
 	uint32_t long_endpoints;
 	uint64_t memory_max; /* of one engine */
 	uint64_t slots;
-	double rate;	   /* tokens a ms of all together */
-	double decode_sum; /* ms a token, added up */
+	double rate;	   /* tokens per ms, of all endpoints */
+	double decode_sum; /* sum of ms per token */
 
 	struct pool_map grant_by_id;
 	struct pool_map grant_by_request;
@@ -396,81 +402,88 @@
 	struct pool_request **refused_tail;
 	uint32_t queued;
 	uint64_t queued_tokens;
-	uint32_t entries_allowed; /* the bounds, or what a smaller new bound */
-	uint64_t tokens_allowed;  /* found queued already */
+	/*
+	 * Bounds of the queue, or its size where that exceeded a new, smaller
+	 * bound.
+	 */
+	uint32_t entries_allowed;
+	uint64_t tokens_allowed;
 	struct pool_lane lane[POOL_LANES];
 	uint64_t class_credit[DL_CLASS_COUNT];
 
 	struct pool_map workspaces;
 	uint32_t workspaces_max;
 
-	struct dl_backoff *backoff; /* of endpoints towards VMs */
+	struct dl_backoff *backoff; /* of VMs from endpoints */
 	struct pool_prefix *prefixes;
 	struct pool_hold hold[POOL_HOLDS];
-	int64_t hold_at; /* no new hold is tried before */
+	int64_t hold_at; /* no new hold before this time */
 
 	struct pool_rate granted[DL_CLASS_COUNT];
-	double release_gap_ms; /* between two releases, while work waits */
+	/* mean time between releases while requests wait */
+	double release_gap_ms;
 	int64_t released_at;
-	int64_t waited_since; /* when the queue was last no longer empty */
-	int64_t retry_booked_until; /* up to when refused work was told to
-				       return */
+	int64_t waited_since; /* when the queue last became non-empty */
+	/* refused work is told to retry up to here */
+	int64_t retry_booked_until;
 	int64_t serve_at;
-	int64_t bind_at; /* when a request that waits for an endpoint gets it */
+	int64_t bind_at; /* when the next waiting request can be granted */
 	int64_t recheck_at;
 	bool recheck_all;
 
 	uint32_t ejected;
-	int64_t probe_at;	/* no probe is due before */
-	double interference_ms; /* the mean of the endpoints' */
+	int64_t probe_at;	/* no probe before this time */
+	double interference_ms; /* mean of the endpoints */
 	double decode_deviation;
-	double deviation; /* of all answers from their predictions */
+	double deviation; /* mean relative prediction error */
 	double median;	  /* latency of the endpoints, see pool_outlier.c */
 	int64_t median_at;
 };
 
-/* Where a request would run, and what is expected there. */
+/* A placement of a request and its expected times. */
 struct pool_choice {
 	struct pool_endpoint *endpoint[DL_GROUP_MAX];
 	uint8_t n;
 	uint64_t share;
-	int64_t start; /* when its prefill begins */
+	int64_t start; /* when its prefill starts */
 	int64_t ttft_ms;
-	int64_t cost_ms; /* ttft_ms, and what an engine kept free is worth */
+	int64_t cost_ms; /* ttft_ms plus the cost of using idle capacity */
 	int64_t total_ms;
 	uint32_t cached_tokens;
 	bool behind_lower;
 	bool probe;
-	bool memory_on_leader; /* the first engine alone holds the memory */
-	double read_ms;	       /* of the part that each engine reads */
+	bool memory_on_leader; /* only the first engine holds memory */
+	/* time of the part of the prompt that each engine reads */
+	double read_ms;
 };
 
-/* What came of looking for an endpoint. */
+/* Result of choosing endpoints. */
 enum pool_found {
-	POOL_WAIT, /* none is free for it now */
+	POOL_WAIT, /* none is available now */
 	POOL_CHOSEN,
-	POOL_LATE, /* the best there is would end past its deadline */
+	POOL_LATE, /* even the best one would miss the deadline */
 };
 
-/* The ways to dispatch. */
+/* A dispatching policy. */
 struct dl_pool_policy {
 	const char *name;
-	bool queues; /* late binding: wait for an endpoint to be free */
-	bool reserves_memory; /* memory for what fits nowhere at once */
+	bool queues; /* late binding: requests wait for a free endpoint */
+	/* reserves memory for requests that fit nowhere */
+	bool reserves_memory;
 	enum pool_found (*choose)(struct dl_pool *pool,
 				  const struct pool_want *want, int64_t now,
 				  struct pool_choice *out);
-	/* The rest may be NULL: what late binding does then holds. */
+	/* The rest may be NULL; late binding's behaviour is the default. */
 	int64_t (*service_ms)(const struct dl_pool *pool,
 			      const struct pool_want *want);
-	/* When one that is refused as late may find a place, from now. */
+	/* When a retry of a request refused as late may fit, ms from now. */
 	int64_t (*retry_ms)(const struct dl_pool *pool,
 			    const struct pool_want *want, int64_t now);
 	void (*granted)(struct dl_pool *pool, const struct pool_grant *g,
 			double read_ms, int64_t now);
-	/* Dispatching begins here; NULL where nothing is to be done. */
+	/* Dispatching starts. */
 	void (*start_dispatching)(struct dl_pool *pool, int64_t now);
-	/* Its first event came; NULL where that teaches nothing. */
+	/* The first event of an answer arrived. */
 	void (*first_event)(struct dl_pool *pool, const struct pool_grant *g,
 			    int64_t now);
 	void (*learn)(struct pool_endpoint *e, const struct pool_grant *g,
