--- a/src/coordination/pool.c
+++ b/src/coordination/pool.c
@@ -1,19 +1,19 @@
 /*
- * The dispatcher of a pool: its life, its endpoints, and the order in which an
- * event is dealt with.  What is decided stands in the files beside this one:
+ * Pools: creation, configuration, and the order in which events are handled.
+ * The decisions are made in the other files:
  *
- *	pool_endpoint.c	which endpoints there are
- *	pool_workspace.c	may this workspace ask now
- *	pool_admit.c	can this request make it
- *	pool_queue.c	who waits, who is next, who makes room
- *	pool_place.c	which endpoint takes it (pool_prefix.c: whose cache)
- *	pool_backlog.c	what each endpoint still has to do
- *	pool_group.c	which endpoints take one that fits on none
- *	pool_grant.c	who holds what, and until when
- *	pool_outlier.c	which endpoints lose their share
- *	pool_throttle.c	how much an endpoint takes of all VMs
- *	pool_backoff.c	which endpoints a VM backs off from
- *	pool_serve.c	the late answers, in which order
+ *	pool_endpoint.c	set of endpoints and their reports
+ *	pool_workspace.c	weights and limits of workspaces
+ *	pool_admit.c	admission: can a request meet its deadline
+ *	pool_queue.c	queueing, fair order and shedding
+ *	pool_place.c	choice of an endpoint (pool_prefix.c: by cached prefix)
+ *	pool_backlog.c	outstanding work of each endpoint
+ *	pool_group.c	groups for requests that fit on no single endpoint
+ *	pool_grant.c	grants and their leases
+ *	pool_outlier.c	ejection of slow or failing endpoints
+ *	pool_throttle.c	rate limits that endpoints set for all VMs
+ *	pool_backoff.c	endpoints that a VM backs off from
+ *	pool_serve.c	decisions on queued requests
  */
 #include "pool_engine.h"
 
@@ -22,14 +22,14 @@
 #include <string.h>
 
 /*
- * A class's rate is its grants over about this long: more than one long
- * prompt's grant, less than a wave of load lasts.
+ * Time constant of the grant rate of a class: longer than one grant of a long
+ * prompt, shorter than a load wave.
  */
 #define RATE_DECAY_MS 3000.0
-/* Where no endpoint takes work: a few of their announcements later. */
+/* Retry delay if no endpoint accepts work: a few announcement intervals. */
 #define RETRY_NO_ENDPOINT_MS 1000
 
-/* Below this a prompt is short: about what an engine reads in one step. */
+/* Prompts below this are short: about what an engine reads in one step. */
 #define SHORT_TOKENS 4096
 
 static const char *const reason_names[DL_REASON_COUNT] = {
@@ -63,7 +63,7 @@
 				struct pool_workspace *ws, int64_t now,
 				uint32_t *retry_after_ms);
 
-/* The name of a reason as callers and logs see it. */
+/* The name of a reason, as callers and logs see it. */
 const char *dl_reason_name(enum dl_reason reason)
 {
 	if ((unsigned)reason >= DL_REASON_COUNT)
@@ -71,7 +71,7 @@
 	return reason_names[reason];
 }
 
-/* Spread the bits of a number (the finalizer of splitmix64, a permutation). */
+/* Mix the bits of a number (finalizer of splitmix64, a permutation). */
 uint64_t pool_mix(uint64_t x)
 {
 	x += 0x9e3779b97f4a7c15U;
@@ -80,20 +80,20 @@
 	return x ^ (x >> 31);
 }
 
-/* The next of the pool's own random numbers. */
+/* The next pseudo-random number of the pool. */
 uint64_t pool_random(struct dl_pool *pool)
 {
 	pool->random = pool_mix(pool->random);
 	return pool->random;
 }
 
-/* A number of tokens as claimed, cut to what is reckoned with. */
+/* Clamp a claimed number of tokens to POOL_TOKENS_MAX. */
 uint64_t pool_tokens(uint64_t claimed)
 {
 	return claimed < POOL_TOKENS_MAX ? claimed : POOL_TOKENS_MAX;
 }
 
-/* A fading rate as of now, in units a millisecond. */
+/* Current value of a decaying rate, in units per millisecond. */
 double pool_rate_read(const struct pool_rate *rate, int64_t now)
 {
 	int64_t passed = now - rate->at;
@@ -105,14 +105,16 @@
 		       rate->per_ms * exp(-(double)passed / RATE_DECAY_MS);
 }
 
-/* Count an amount into a fading rate. */
+/* Add an amount to a decaying rate. */
 void pool_rate_add(struct pool_rate *rate, double amount, int64_t now)
 {
 	rate->per_ms = pool_rate_read(rate, now) + amount / RATE_DECAY_MS;
 	rate->at = now;
 }
 
-/* Begin a pool without endpoints; the seed is new with each incarnation. */
+/*
+ * Create a pool without endpoints; the seed must differ for each incarnation.
+ */
 struct dl_pool *dl_pool_new(const struct dl_pool_conf *conf,
 			    const struct dl_pool_policy *policy, uint64_t seed)
 {
@@ -143,7 +145,7 @@
 	return pool;
 }
 
-/* End a pool; nobody is told. */
+/* Free a pool without answering its queued requests. */
 void dl_pool_free(struct dl_pool *pool)
 {
 	struct pool_heap_node *top;
@@ -196,8 +198,8 @@
 }
 
 /*
- * Put a new configuration in force.  What is queued or granted stays, also
- * where a smaller bound would not have let it in.
+ * Apply a new configuration.  Queued requests and grants stay, even if a
+ * smaller bound would not have admitted them.
  */
 void dl_pool_configure(struct dl_pool *pool, const struct dl_pool_conf *conf)
 {
@@ -213,7 +215,7 @@
 	pool_queue_sum_weights(pool);
 }
 
-/* Weight and limits of a workspace; a weight of 0 is the default one. */
+/* Set weight and limits of a workspace; a weight of 0 means the default. */
 void dl_pool_set_workspace(struct dl_pool *pool,
 			   const struct dl_workspace_conf *c)
 {
@@ -235,7 +237,7 @@
 				pool_workspace_weight(pool, ws) - before;
 }
 
-/* The level of an engine's priority that a request runs at. */
+/* The engine priority level of a request. */
 uint8_t pool_level(const struct pool_want *want)
 {
 	return want->band < POOL_LEVELS ? want->band : POOL_LEVELS - 1;
@@ -253,10 +255,10 @@
 	if (pool->conf.long_tokens && prompt >= pool->conf.long_tokens)
 		return POOL_LONG;
 	/*
-	 * Where the engines' figures are published a prompt of one part is
-	 * short: it goes to one engine, or to few, and need not wait.  Above
-	 * 4,096 tokens it stood in one lane with those that wait for a dozen
-	 * engines, behind them where its workspace was the same.
+	 * If the engine model is known, a prompt that is read as a single part
+	 * is short: it goes to one engine or few and need not wait.  Otherwise
+	 * prompts above 4,096 tokens would share a lane with those that wait
+	 * for a dozen engines, and queue behind them within the same workspace.
 	 */
 	if (pool->conf.engine.read_per_ms > 0)
 		return dl_engine_read_ms(&pool->conf.engine, prompt) <=
@@ -268,20 +270,20 @@
 	return prompt < short_tokens ? POOL_SHORT : POOL_MEDIUM;
 }
 
-/* A failure domain's name as a number; 0 where none is said. */
+/* Hash of a failure domain's name; 0 if it is unknown. */
 uint64_t pool_domain(const struct dl_name *name)
 {
 	return name->n ? dl_hash(dl_name_str(name), 0) : 0;
 }
 
-/* Whether an endpoint is in another failure domain than a request's VM. */
+/* Whether an endpoint is in another failure domain than the requesting VM. */
 bool pool_in_other_domain(const struct pool_want *want,
 			  const struct pool_endpoint *e)
 {
 	return want->domain && e->domain && want->domain != e->domain;
 }
 
-/* What a request wants, from what its entry says. */
+/* Derive the needs of a request from what its entry sent. */
 void pool_want_of(const struct dl_pool *pool, const struct dl_ask *ask,
 		  struct pool_want *out)
 {
@@ -324,7 +326,7 @@
 	out->retry_after_ms = retry_after_ms;
 }
 
-/* An ask that was sent twice gets the answer that it already has. */
+/* Answer a request that was sent twice with the decision already made. */
 static bool repeat_answer(struct dl_pool *pool, const struct dl_ask *ask,
 			  struct dl_answer *out)
 {
@@ -385,8 +387,8 @@
 }
 
 /*
- * Always answers: granted where an endpoint is free for it, queued where it is
- * predicted to make it, refused at once in every other case.
+ * Decide on a new request: grant it if an endpoint is free for it, queue it if
+ * it is predicted to meet its deadline, refuse it immediately otherwise.
  */
 void dl_pool_ask(struct dl_pool *pool, const struct dl_ask *ask, int64_t now,
 		 struct dl_answer *out)
@@ -461,7 +463,7 @@
 	out->verdict = DL_QUEUED;
 }
 
-/* The caller of a queued request left. */
+/* The caller of a queued request went away. */
 void dl_pool_cancel(struct dl_pool *pool, uint64_t entry, uint64_t request,
 		    int64_t now)
 {
@@ -472,7 +474,7 @@
 		pool_queue_drop(pool, req);
 }
 
-/* The pool in one line, for other pools, other domains and operators. */
+/* Summarize the pool for other pools, other failure domains and status. */
 void dl_pool_summarize(const struct dl_pool *pool, int64_t now,
 		       struct dl_pool_summary *out)
 {
