--- a/src/coordination/pool_admit.c
+++ b/src/coordination/pool_admit.c
@@ -1,6 +1,6 @@
 /*
- * Who is let in: the predicted wait and work of a request against its
- * deadline, at its arrival and while it waits.
+ * Admission: the predicted wait and service time of a request is compared with
+ * its deadline, on arrival and while it is queued.
  */
 #include "pool_int.h"
 
@@ -9,31 +9,36 @@
 #include <stdlib.h>
 
 #define OVERHEAD_MS 10
-/* A prompt read by several engines: the exchange between them, a share. */
+/*
+ * Exchange between engines that read a prompt together, as a share of the
+ * prefill.
+ */
 #define GROUP_OVERHEAD 0.1
 
 /*
- * The least share of a pool that a lower class can count on, as pool.c gives
- * it: a prediction must not be more pessimistic than what is done.
+ * Lowest share of a pool that a prediction assumes for a lower class.
+ * pool_serve.c guarantees that share, and a prediction must not be more
+ * pessimistic than the scheduling.
  */
 #define LOWER_CLASS_SHARE 0.2
 
 /*
- * Feedback on predicted waits: the mean of measured over predicted, over some
- * fifty requests, so that a single odd wait doesn't swing admission; between
- * these, so that a bad minute neither admits everything nor refuses all.
+ * Feedback on predicted waits: a moving average of measured over predicted
+ * wait, over some fifty requests so that a single odd wait does not swing
+ * admission.  It is clamped so that a bad minute neither admits everything nor
+ * refuses everything.
  */
 #define BIAS_GAIN 0.02
 #define BIAS_MIN  0.5
 #define BIAS_MAX  4.0
-/* Waits shorter than this say nothing about a prediction. */
+/* Shorter waits say nothing about the quality of a prediction. */
 #define BIAS_WAIT_MS 20
 
 /*
- * While requests wait, this often the ones nearest to their last start are
- * predicted anew, this many at a time, and refused once this share of the
- * predicted wait alone would carry them past their deadline.  Below one,
- * because a refusal is final and a prediction is not.
+ * Queued requests are rechecked at this interval, this many at a time, nearest
+ * latest start first.  One is refused if this share of its predicted wait would
+ * already miss its deadline; the share is below one because a refusal is final
+ * and a prediction is not.
  */
 #define RECHECK_MS    100
 #define RECHECK_MAX   64
@@ -72,7 +77,7 @@
 	return pool->open_endpoints / pool->rate;
 }
 
-/* The whole time a request needs once it starts, on the best endpoint. */
+/* Total time that a request needs after its start on the best endpoint. */
 int64_t pool_service_ms(const struct dl_pool *pool,
 			const struct pool_want *want)
 {
@@ -96,7 +101,7 @@
 	       OVERHEAD_MS;
 }
 
-/* The share of the pool that the classes before this one were given lately. */
+/* Share of the pool recently granted to the classes before this one. */
 double pool_load(const struct dl_pool *pool, uint8_t classes, int64_t now)
 {
 	double sum = 0;
@@ -136,9 +141,10 @@
 }
 
 /*
- * The work of its own lane that goes before a request: all of it, or what its
- * workspace has before it over the workspace's share, whichever is less.  The
- * second is the bound of fair queueing, (sigma + I) / g.
+ * Work in its own lane that is served before a request: all of it, or the work
+ * that its workspace has queued before it divided by the workspace's share,
+ * whichever is less.  The second is the delay bound of fair queueing, (sigma +
+ * I) / g.
  */
 static double lane_tokens_ahead(const struct dl_pool *pool,
 				const struct pool_want *want,
@@ -192,13 +198,12 @@
 }
 
 /*
- * How long a request would wait before it is granted.  req is NULL for one
- * that is not queued.
+ * Predicted time until a request is granted. req is NULL if it is not queued.
  *
- * For saturation: the work that goes before it over the rate that its class
- * can count on, after the rest of what the first endpoint to be free is at.
- * Where slots or memory and not prefill are what is short, releases per second
- * bound it instead.  Feedback on its lane corrects both.
+ * Under saturation this is the work served before it, divided by the rate that
+ * its class can count on, plus the time until the first endpoint becomes free.
+ * Where slots or memory are the bottleneck instead of prefill, the release rate
+ * is the bound.  Feedback from the lane corrects both.
  */
 int64_t pool_wait_ms(const struct dl_pool *pool, const struct pool_want *want,
 		     const struct pool_request *req,
@@ -241,12 +246,12 @@
 }
 
 /*
- * Whether a request could run here if nothing else did, and why not.  A
- * request that no group of engines could hold, or that could not end in time
- * even on an idle engine, is told so at once: its caller can use the time, and
- * coming back would not help.  One whose VM all endpoints have asked to wait
- * does not wait here: another VM may be served now, and it would stand before
- * the requests of others that can be.
+ * Whether a request could run if the pool were idle, and if not, why.  Requests
+ * that no group of engines could hold, or that could not finish in time even on
+ * an idle engine, are refused immediately: the caller can use the time, and a
+ * retry would not help.  A request whose VM all endpoints have told to back off
+ * is not queued either: another VM may be served now, and the request would
+ * block those of other VMs.
  */
 enum dl_reason pool_admit_feasible(const struct dl_pool *pool,
 				   const struct pool_want *want, int64_t now)
@@ -277,14 +282,14 @@
 }
 
 /*
- * When a refused caller may come back and make it.
+ * When a refused caller can retry with a chance of success.
  *
- * Honest means two things.  It is short_ms from now at the least: how much
- * sooner the pool would have had to be free.  And a time is not promised
- * twice: each refusal books the work it stands for behind that of the ones
- * before, so that a thousand refused in one second are spread over the time
- * in which the pool can take them, and don't come back together.  At most a
- * minute, since nobody knows the load of the next one.
+ * The delay is at least short_ms, the time by which the pool would have had to
+ * be free sooner.  Each refusal also reserves the time for its work behind that
+ * of earlier refusals, so that a thousand requests refused in one second are
+ * spread over the time in which the pool can serve them and do not return
+ * together.  The delay is capped at a minute, as the load after that is
+ * unknown.
  */
 uint32_t pool_retry_after(struct dl_pool *pool, const struct pool_want *want,
 			  int64_t short_ms, int64_t now)
@@ -308,7 +313,7 @@
 	return after < RETRY_MAX_MS ? (uint32_t)after : RETRY_MAX_MS;
 }
 
-/* How much of the time it has left a request is expected to need. */
+/* Expected time to completion over the time left until the deadline. */
 double pool_deadline_ratio(const struct dl_pool *pool,
 			   const struct pool_want *want,
 			   const struct pool_request *req,
@@ -348,10 +353,11 @@
 }
 
 /*
- * Refuse what has become hopeless since it was queued: endpoints were lost, a
- * higher class came, more tight deadlines came before it.  For a failure
- * domain's loss above all, after which half of the queue cannot make it; its
- * callers are told in this moment and not one by one at their deadlines.
+ * Refuse queued requests that can no longer meet their deadlines, because
+ * endpoints were lost or requests of a higher class or with tighter deadlines
+ * arrived.  This matters most when a failure domain is lost and half of the
+ * queue becomes infeasible: the callers are told at once and not one by one at
+ * their deadlines.
  */
 void pool_admit_recheck(struct dl_pool *pool, int64_t now)
 {
@@ -377,13 +383,14 @@
 }
 
 /*
- * Compare a wait with its prediction: at its end, or where the request was
- * refused while waiting and the wait had proved longer already.  A wait broken
- * off before would count as a short one, and the more are refused late the more
- * would be let in.
- * The prediction is taken without the correction that was in force when it
- * was made: an error of the correction itself must not feed back into it,
- * since its effect is only seen a whole wait later.
+ * Update the wait correction of a lane with a wait that ended, or with that of
+ * a request refused after it had waited longer than predicted.  An interrupted
+ * shorter wait would count as a short one, and the more requests were refused
+ * late, the more would be admitted.
+ *
+ * The error is computed against the prediction without the correction applied
+ * at that time.  Otherwise the error of the correction itself would feed back
+ * into it, with the delay of a whole wait.
  */
 void pool_admit_learn(struct dl_pool *pool, const struct pool_request *req,
 		      bool ended, int64_t now)
