--- a/src/coordination/pool_backlog.c
+++ b/src/coordination/pool_backlog.c
@@ -1,11 +1,11 @@
 /*
- * What an endpoint still has to do, as far as the pool can reckon: prefill by
- * levels of priority, moved by own grants at once and by reports later, and
- * what its reports show beyond the grants.
+ * Estimate of the outstanding work of an endpoint: prefill by priority level,
+ * updated immediately by the pool's own grants and later by reports, and the
+ * load in its reports that those grants do not explain.
  */
 #include "pool_int.h"
 
-/* Less than this is not corrected: it is within what a grant may be early. */
+/* Smaller differences are not corrected: a grant may be this early. */
 #define CORRECTION_MIN_MS 20
 #define SLACK_NONE	  (INT64_MAX / 4)
 
@@ -21,7 +21,7 @@
 	return a > b ? a : b;
 }
 
-/* The work so far that engines do before that of a level. */
+/* Total work so far that an engine does before that of a level. */
 int64_t pool_backlog_higher_ms(const struct pool_endpoint *e, uint8_t level)
 {
 	int64_t sum = 0;
@@ -31,7 +31,7 @@
 	return sum;
 }
 
-/* Count a granted prefill, and how much later it may still end. */
+/* Add a granted prefill, and by how much it may still be delayed. */
 void pool_backlog_commit(struct pool_endpoint *e, const struct pool_want *want,
 			 int64_t prefill_ms, int64_t slack_ms, int64_t now)
 {
@@ -53,7 +53,7 @@
 		e->slack[level] = slack_ms;
 }
 
-/* Take back what is left of a prefill that ended before its time. */
+/* Remove the remainder of a prefill that ended early. */
 void pool_backlog_release(struct pool_endpoint *e, uint8_t level,
 			  int64_t rest_ms, int64_t now)
 {
@@ -65,7 +65,7 @@
 	}
 }
 
-/* The lowest of the last reports: what all of them show. */
+/* Lowest of the last reports, which all of them support. */
 uint64_t pool_excess_min(const struct pool_excess *excess)
 {
 	uint64_t low = excess->samples[0];
@@ -104,10 +104,10 @@
 }
 
 /*
- * Prefill that an endpoint reports beyond what was reckoned.  A report is up
- * to a few of its periods old, so it is held against the most that was
- * reckoned over the last ones; and the middle one of three counts, since the
- * work there changes from one report to the next.
+ * Add prefill that an endpoint reports beyond the expected backlog.  A report
+ * is up to a few report intervals old, so it is compared with the largest
+ * backlog expected over the last ones; and the median of three is used, since
+ * the work there changes from one report to the next.
  */
 static void correct_backlog(struct dl_pool *pool, struct pool_endpoint *e,
 			    bool first, int64_t now)
@@ -134,13 +134,13 @@
 }
 
 /*
- * Reconcile with an endpoint's own report.  Reports lag, so one that shows
- * more than the pool's grants proves nothing; what three in a row show is
- * somebody else's, or a grant reclaimed while the engine still works on it,
- * and is kept free for that.  One that shows less is not believed at all: an
- * endpoint that understates its load would otherwise be given everything.
- * The first report of an incarnation counts by itself, since a dispatcher that
- * has just begun knows of no grants.
+ * Reconcile the estimate with an endpoint's report.  Reports lag, so a single
+ * one that shows more than the pool's grants proves nothing.  What three
+ * consecutive reports show belongs to somebody else, or to a reclaimed grant
+ * that the engine still works on, and is kept free for that.  A report that
+ * shows less is ignored: otherwise an endpoint that understates its load would
+ * be given everything.  The first report of an incarnation counts by itself,
+ * since a new dispatcher knows of no grants.
  */
 void pool_backlog_report(struct dl_pool *pool, struct pool_endpoint *e,
 			 bool first, int64_t now)
