--- a/src/coordination/pool_backoff.c
+++ b/src/coordination/pool_backoff.c
@@ -1,16 +1,16 @@
 /*
- * Endpoints that have asked a VM to wait: what that VM asks for is not placed
- * there until the time that they named is over.
+ * Endpoints that told a VM to back off: requests from that VM are not placed
+ * there until the time given by the endpoint is over.
  *
- * Load: an endpoint that turns requests away, of all VMs or of one.  Harm: it
- * holds nothing, so it looks like the best place there is and gets the next
- * request of the same VM as well, which costs that one a second try and the
- * endpoint the time to recover.  Other VMs are not held back: it answers each
- * of them for itself.
+ * An endpoint that rejects requests, of all VMs or of one, holds nothing and so
+ * looks like the best choice.  It would get the next request of the same VM as
+ * well, which costs that request a second attempt and the endpoint the time to
+ * recover.  Other VMs are not held back: the endpoint decides for each of them
+ * separately.
  */
 #include "pool_int.h"
 
-/* A start of an endpoint and the VM that it asked. */
+/* Key of an incarnation of an endpoint and the VM that it told to back off. */
 static uint64_t backoff_key(const struct pool_endpoint *e, uint64_t vm)
 {
 	return pool_mix(
@@ -26,7 +26,7 @@
 				  now);
 }
 
-/* Whether an endpoint has asked a request's VM to wait. */
+/* Whether a request's VM currently backs off from an endpoint. */
 bool pool_backoff_active(const struct dl_pool *pool,
 			 const struct pool_want *want,
 			 const struct pool_endpoint *e, int64_t now)
@@ -35,7 +35,7 @@
 	       remaining_ms(pool, want, e, now) > 0;
 }
 
-/* The VM of a grant was asked to wait by one of its endpoints. */
+/* An endpoint of a grant told the grant's VM to back off. */
 void pool_backoff_note(struct dl_pool *pool, const struct pool_grant *g,
 		       const struct dl_name *id, uint32_t ms, int64_t now)
 {
@@ -51,8 +51,8 @@
 }
 
 /*
- * How long until the first endpoint takes a request whose VM all have asked to
- * wait, ms; 0 where one takes it already, or none will.
+ * Time until the first endpoint accepts a request from a VM that backs off from
+ * all of them, ms; 0 if one accepts it already, or none will.
  */
 uint32_t pool_backoff_wait_ms(const struct dl_pool *pool,
 			      const struct pool_want *want, int64_t now)
