--- a/src/coordination/pool_baseline.c
+++ b/src/coordination/pool_baseline.c
@@ -1,7 +1,7 @@
 /*
- * The ways to dispatch: late binding, and the two it is measured against.
- * The baselines grant at once whatever is under way, as a proxy without a
- * queue does; engines queue what they cannot take.
+ * Late binding, and the two baseline policies it is compared with.  The
+ * baselines grant immediately, whatever is running, as a proxy without a queue
+ * does; the engines queue what they cannot run.
  */
 #include "pool_int.h"
 
@@ -75,8 +75,10 @@
 	struct pool_choice part = { 0 };
 
 	pool_place_expect(pool, e, want, want->prompt / n, now, &part);
-	/* Its prefill is what comes after the wait: with the wait counted as
-	 * prefill the backlog of an endpoint doubled with each request. */
+	/*
+	 * Prefill starts after the wait: when the wait was counted as prefill,
+	 * the backlog of an endpoint doubled with each request.
+	 */
 	if (out->n == 0 || part.ttft_ms > out->ttft_ms) {
 		out->ttft_ms = part.ttft_ms;
 		out->start = part.start;
@@ -86,7 +88,7 @@
 	out->endpoint[out->n++] = e;
 }
 
-/* Each endpoint in its turn. */
+/* Use the endpoints in turn. */
 static enum pool_found choose_round_robin(struct dl_pool *pool,
 					  const struct pool_want *want,
 					  int64_t now, struct pool_choice *out)
@@ -106,7 +108,10 @@
 	return n && out->n == n ? POOL_CHOSEN : POOL_WAIT;
 }
 
-/* The endpoint that last reported the least to read, then the least running. */
+/*
+ * Use the endpoint with the least reported prefill backlog and running
+ * requests.
+ */
 static enum pool_found choose_least_load(struct dl_pool *pool,
 					 const struct pool_want *want,
 					 int64_t now, struct pool_choice *out)
