--- a/src/coordination/pool_check.c
+++ b/src/coordination/pool_check.c
@@ -1,4 +1,4 @@
-/* The invariants of a pool, asserted after every event of randomised runs. */
+/* Invariants of a pool, checked after every event of the randomized tests. */
 #include "pool_int.h"
 
 static const char *check_endpoint(const struct pool_endpoint *e);
@@ -19,20 +19,20 @@
 
 	for (const struct pool_part *p = e->parts; p; p = p->next) {
 		if (p->endpoint != e)
-			return "a part names another endpoint than its list";
+			return "a grant part is on the list of another endpoint";
 		held += p->share;
 		grants++;
 		longs += p->grant->want.band >= POOL_LONG;
 	}
 	if (held != e->held)
-		return "memory held is not that of the live grants";
+		return "held memory differs from the sum of live grants";
 	if (grants != e->grants || longs != e->long_grants)
-		return "grants counted on an endpoint are not those it has";
+		return "grant counts of an endpoint differ from its list";
 	if (!e->hold != !e->reserved)
-		return "memory gathered for nobody";
+		return "reserved memory without a hold, or a hold without memory";
 	for (int i = 1; i < POOL_LEVELS; i++)
 		if (e->busy_until[i] < e->busy_until[i - 1])
-			return "a lower level's work ends before a higher's";
+			return "work of a lower level ends before that of a higher one";
 	return NULL;
 }
 
@@ -53,9 +53,9 @@
 		if (violation)
 			return violation;
 		if (e->index != i)
-			return "an endpoint is not where it says";
+			return "an endpoint has a wrong index";
 		if (e->counted_open != pool_endpoint_open(pool, e))
-			return "an endpoint is counted as what it is not";
+			return "an endpoint is counted as open wrongly";
 		open += e->counted_open;
 		longs += e->counted_open &&
 			 (e->long_grants > 0 || is_held_long(e));
@@ -64,13 +64,13 @@
 			memory = e->last.memory_tokens;
 	}
 	if (open != pool->open_endpoints || longs != pool->long_endpoints)
-		return "open endpoints are miscounted";
+		return "counts of open or long-running endpoints are wrong";
 	if (out != pool->ejected)
-		return "endpoints put out are miscounted";
+		return "count of ejected endpoints is wrong";
 	if (memory != pool->memory_max)
-		return "the largest memory is not the largest";
+		return "the largest engine memory is wrong";
 	if (pool->endpoint_by_name.n != pool->endpoints_n)
-		return "an endpoint has no name";
+		return "an endpoint is missing in the name table";
 	return NULL;
 }
 
@@ -86,10 +86,10 @@
 		if (leaf->ready[0] == INT64_MAX)
 			continue;
 		if (!pool_endpoint_open(pool, e))
-			return "a closed endpoint is in the index";
+			return "a closed endpoint is in the placement index";
 		if (leaf->free != pool_place_free(e) ||
 		    leaf->ready[0] != e->busy_until[0])
-			return "the index lags its endpoint";
+			return "the placement index is out of date";
 	}
 	return NULL;
 }
@@ -105,20 +105,20 @@
 			lane->by_start.at[i], struct pool_flow, start);
 
 		if (flow->lane != at || flow->n == 0 || !flow->root)
-			return "an empty flow waits";
+			return "an empty flow is in the heap of a lane";
 		if (i > 1 &&
 		    lane->by_start.at[i / 2]->key > lane->by_start.at[i]->key)
-			return "turns are out of order";
+			return "the flow heap of a lane is not ordered";
 		n += flow->n;
 		tokens += flow->root->sum;
 		weights += pool_workspace_weight(pool, flow->workspace);
 	}
 	if (n != lane->n || tokens != lane->tokens)
-		return "a lane's sums are not those of its flows";
+		return "the sums of a lane differ from its flows";
 	if (weights != lane->weights)
-		return "a lane's weights are not those of its flows";
+		return "the weight sum of a lane differs from its flows";
 	if (lane->by_backlog.n != lane->by_start.n)
-		return "a flow is in one heap only";
+		return "the two flow heaps of a lane differ";
 	return NULL;
 }
 
@@ -137,11 +137,11 @@
 		tokens += pool->lane[i].tokens;
 	}
 	if (n != pool->queued || tokens != pool->queued_tokens)
-		return "the queue's sums are not those of its lanes";
+		return "the sums of the queue differ from its lanes";
 	if (n > pool->entries_allowed || tokens > pool->tokens_allowed)
-		return "the queue is past its bounds";
+		return "the queue exceeds its bounds";
 	if (n != pool->request_last_start.n)
-		return "a queued request has no last start";
+		return "a queued request is missing in the start time heap";
 	for (const struct pool_request *r = pool->refused; r;
 	     r = r->next_refused)
 		refused++;
@@ -156,7 +156,7 @@
 
 	if (pool->grant_lease.n != pool->grant_by_id.n ||
 	    pool->grant_lease.n != pool->grant_by_request.n)
-		return "a grant has no lease";
+		return "a grant is missing in the lease heap or an id table";
 	for (uint32_t i = 1; i <= pool->grant_lease.n; i++) {
 		const struct pool_grant *g = POOL_CONTAINER_OF(
 			pool->grant_lease.at[i], struct pool_grant, lease);
@@ -166,7 +166,7 @@
 	}
 	for (uint32_t i = 0; i < pool->endpoints_n; i++)
 		listed += pool->endpoints[i]->grants;
-	return parts == listed ? NULL : "a part of a grant is on no list";
+	return parts == listed ? NULL : "a grant part is on no endpoint's list";
 }
 
 static const char *check_workspaces(const struct dl_pool *pool)
@@ -185,7 +185,7 @@
 		}
 	}
 	if (running != pool->grant_by_id.n || queued != pool->queued)
-		return "workspaces are charged for what is not there";
+		return "request counts of workspaces differ from the pool";
 	return NULL;
 }
 
@@ -200,17 +200,17 @@
 
 		wanted += hold->n;
 		if (!hold->request != !hold->n)
-			return "a hold without a request";
+			return "a hold has endpoints without a request, or none";
 		if (hold->request && !hold->request->flow)
-			return "a hold for a request that does not wait";
+			return "a hold belongs to a request that is not queued";
 		for (uint8_t k = 0; k < hold->n; k++)
 			if (hold->endpoint[k]->hold != hold)
-				return "two holds share an endpoint";
+				return "an endpoint of a hold does not refer to it";
 	}
-	return held == wanted ? NULL : "an endpoint is held for nobody";
+	return held == wanted ? NULL : "an endpoint refers to an unused hold";
 }
 
-/* NULL, or which invariant is violated. */
+/* Return NULL, or a description of the violated invariant. */
 const char *dl_pool_check_invariants(const struct dl_pool *pool)
 {
 	const char *violation = check_endpoints(pool);
