--- a/src/coordination/pool_endpoint.c
+++ b/src/coordination/pool_endpoint.c
@@ -1,4 +1,4 @@
-/* The endpoints of a pool: announced, heard, closed and forgotten. */
+/* Endpoints of a pool: reports, expiry, draining and removal. */
 #include "pool_int.h"
 
 #include <errno.h>
@@ -6,17 +6,17 @@
 #include <string.h>
 
 /*
- * Endpoints announce themselves; past this many a new one is turned away, so
- * that made-up announcements cannot use up the memory of a VM.  The target has
- * 600 in all pools together.
+ * Endpoints announce themselves.  New ones beyond this number are rejected, so
+ * that made-up announcements cannot exhaust the memory of a VM. The target
+ * deployment has 600 in all pools together.
  */
 #define ENDPOINTS_MAX 4096
 /*
- * Reports of a whole pool that fail to come for this part of the time after
- * which one endpoint counts as gone have stopped on their way.
+ * If no endpoint of a pool has reported for this fraction of report_gone_ms,
+ * the report path is assumed to be broken.
  */
 #define SILENT_DIVISOR 2
-/* An endpoint that nobody speaks of is not kept for longer. */
+/* Endpoints without any report are not kept for longer than this. */
 #define SILENT_MAX_MS 30000
 
 static int check_report(const struct dl_pool *pool,
@@ -26,7 +26,7 @@
 static void close_endpoint(struct dl_pool *pool, struct pool_endpoint *e,
 			   int64_t now);
 
-/* The endpoint of this name, or NULL. */
+/* Find an endpoint by name, or NULL. */
 struct pool_endpoint *pool_endpoint_find(const struct dl_pool *pool,
 					 struct dl_str id)
 {
@@ -37,7 +37,7 @@
 		      NULL;
 }
 
-/* The endpoint of this name; one not heard of yet where there is none. */
+/* Find an endpoint by name, or create one in POOL_EP_UNKNOWN state. */
 struct pool_endpoint *pool_endpoint_get(struct dl_pool *pool, struct dl_str id)
 {
 	struct pool_endpoint *e = pool_endpoint_find(pool, id);
@@ -65,7 +65,7 @@
 	return e;
 }
 
-/* Forget an endpoint that holds nothing. */
+/* Remove an endpoint that has no grants. */
 void pool_endpoint_forget(struct dl_pool *pool, struct pool_endpoint *e)
 {
 	struct pool_endpoint *last = pool->endpoints[pool->endpoints_n - 1];
@@ -97,10 +97,10 @@
 }
 
 /*
- * A word that an endpoint leaves may say nothing else of it: the figures that
- * are known hold.  Refused for want of figures, such a word left its engine in
- * the pool until its reports were missed, for seconds, and an engine that
- * empties looks the best place there is.
+ * A report that an endpoint is leaving may contain nothing else, so the known
+ * figures are kept.  When such a report was rejected for missing figures, the
+ * engine stayed in the pool for seconds until its reports were missed, and an
+ * engine that drains looks like the best choice.
  */
 static void complete_leaving_report(const struct pool_endpoint *e,
 				    struct dl_endpoint_report *r)
@@ -113,9 +113,10 @@
 }
 
 /*
- * An endpoint's heartbeat: -EINVAL where it makes no sense, -ENOSPC where the
- * pool has too many already.  A new incarnation has lost what the old one held.
- * One that was gone and is back gets its share back over some seconds.
+ * Process the report of an endpoint: -EINVAL if it is invalid, -ENOSPC if the
+ * pool has too many endpoints.  A new incarnation has lost what the old one
+ * held.  An endpoint that was gone and returns gets its share back over some
+ * seconds.
  */
 int dl_pool_report(struct dl_pool *pool, const struct dl_endpoint_report *sent,
 		   int64_t now)
@@ -189,15 +190,16 @@
 }
 
 /*
- * Whether the reports of all have stopped: then the way of the reports is cut,
- * not every endpoint gone at once.  One that is gone is found out by the first
- * request that cannot reach it.
+ * Whether all endpoints have stopped reporting, which means that the path of
+ * the reports is cut and not that every endpoint died at once.  An endpoint
+ * that did die is found by the first request that cannot reach it.
  *
- * Load: endpoints that cannot reach those who take their announcements, for
- * some seconds, and go on serving.  Without it every request was refused for
- * want of endpoints until the announcements came again.  Only where this pool
- * is told all reports by those who take them: where it hears some by chance, an
- * endpoint may have said elsewhere that it leaves.
+ * This covers endpoints that keep serving but cannot reach those who receive
+ * their announcements for some seconds; without it every request was refused
+ * for lack of endpoints until the announcements came again.  It applies only if
+ * all reports reach this pool through those receivers: a pool that sees only
+ * some reports may miss that an endpoint announced elsewhere that it is
+ * leaving.
  */
 bool dl_pool_is_silent(const struct dl_pool *pool, int64_t now)
 {
@@ -209,8 +211,8 @@
 }
 
 /*
- * Close the endpoints that have not been heard for too long.  Where all are
- * silent none is closed, and each has the whole time again after that.
+ * Close endpoints that have not reported in time.  If all are silent none is
+ * closed, and each gets the full time again.
  */
 void pool_endpoint_expire(struct dl_pool *pool, int64_t now)
 {
@@ -233,7 +235,7 @@
 
 /*
  * An endpoint is known to be unreachable.  Its grants stay until their entries
- * release them: it may only be cut off, and still work on them.
+ * release them: it may only be partitioned, and still work on them.
  */
 void dl_pool_endpoint_gone(struct dl_pool *pool, struct dl_str id, int64_t now)
 {
@@ -245,11 +247,11 @@
 }
 
 /*
- * No connection to an endpoint could be made: nothing new for it until it
- * announces itself again.  For a killed engine among healthy ones: it looks the
- * least loaded, refuses at once and would draw every request of the pool until
- * its announcements are missed, seconds later.  Not bounded by the share that
- * may be put out, since an engine that cannot be reached serves nobody.
+ * Connecting to an endpoint failed: give it nothing new until its next report.
+ * A killed engine among healthy ones looks the least loaded, refuses at once
+ * and would attract every request of the pool until its announcements are
+ * missed, seconds later.  The limit on ejected endpoints does not apply, since
+ * an unreachable engine serves nobody.
  */
 void pool_endpoint_unreachable(struct dl_pool *pool, struct pool_endpoint *e,
 			       int64_t now)
@@ -260,7 +262,10 @@
 	pool->recheck_all = true;
 }
 
-/* The operators' drain: no new work until lifted, whatever it reports. */
+/*
+ * Drain set by an operator: no new work, whatever the endpoint reports, until
+ * it is lifted.
+ */
 void dl_pool_endpoint_drain(struct dl_pool *pool, struct dl_str id, bool drain,
 			    int64_t now)
 {
@@ -280,8 +285,8 @@
 }
 
 /*
- * An engine's cache event: that it holds the start of a prompt, or no longer.
- * These come late and with gaps; they only better an estimate.
+ * An engine started or stopped caching the start of a prompt.  Such events are
+ * late and incomplete; they only improve an estimate.
  */
 void dl_pool_cache_event(struct dl_pool *pool, struct dl_str id,
 			 uint64_t prefix, uint32_t tokens, int64_t now)
@@ -297,7 +302,7 @@
 		pool_prefix_forget(pool, prefix, e);
 }
 
-/* Walk the endpoints by index for status; false past the last. */
+/* Iterate over the endpoints by index, for status; false at the end. */
 bool dl_pool_endpoint_at(const struct dl_pool *pool, uint32_t index,
 			 struct dl_endpoint_report *out, uint64_t *held_tokens,
 			 bool *put_out)
