--- a/src/coordination/pool_grant.c
+++ b/src/coordination/pool_grant.c
@@ -1,7 +1,8 @@
 /*
- * Grants: leases on an endpoint's memory and a slot of it.  Whatever dies, the
- * memory comes back: an entry renews or its grants end with their lease, a
- * dead entry's end at once, an endpoint's end with its incarnation.
+ * Grants: leases on memory and a slot of an endpoint.  The memory is always
+ * reclaimed: a grant that its entry does not renew ends with its lease, the
+ * grants of a dead entry end at once, and those on an endpoint end with its
+ * incarnation.
  */
 #include "pool_int.h"
 
@@ -12,9 +13,10 @@
 #define MEAN_GAIN	 0.1
 #define REORDER_SCAN_MAX 8
 /*
- * The gap between two releases is a mean over as many as the pool runs at once,
- * and over these at the least: what began together ends together, after a long
- * gap, and that gap alone says nothing about the rest of its wave.
+ * The release gap is averaged over as many releases as the pool runs requests
+ * at once, and over at least this many: requests that started together end
+ * together after a long gap, and that gap alone says nothing about the rest of
+ * the wave.
  */
 #define RELEASES_MIN 10
 
@@ -35,13 +37,13 @@
 				    const struct pool_grant *g,
 				    const struct dl_name *id, int64_t now);
 
-/* The hash of a request's name: its id is unique only with its entry. */
+/* Hash of the id of a request, which is unique only per entry. */
 uint64_t pool_request_hash(uint64_t entry, uint64_t request)
 {
 	return pool_mix(pool_mix(entry) ^ request);
 }
 
-/* The grant of this id, or NULL. */
+/* Find a grant by id, or NULL. */
 struct pool_grant *pool_grant_find(const struct dl_pool *pool, uint64_t id)
 {
 	struct pool_map_node *node =
@@ -50,7 +52,7 @@
 	return node ? POOL_CONTAINER_OF(node, struct pool_grant, by_id) : NULL;
 }
 
-/* The grant that an entry has for a request, or NULL. */
+/* Find the grant of an entry's request, or NULL. */
 struct pool_grant *pool_grant_of_request(const struct dl_pool *pool,
 					 uint64_t entry, uint64_t request)
 {
@@ -69,9 +71,9 @@
 }
 
 /*
- * Ids are a permutation of a counter under the seed, so that two incarnations
- * of a dispatcher do not give the same one and a late release of an old grant
- * finds nothing.
+ * Ids are a permutation of a counter, keyed by the seed, so that two
+ * incarnations of a dispatcher do not use the same one and a late release of an
+ * old grant matches nothing.
  */
 static uint64_t new_grant_id(struct dl_pool *pool)
 {
@@ -162,9 +164,9 @@
 }
 
 /*
- * Mark the requests of its level that a new one overtakes in the engine, and
- * itself: what either takes is not what was predicted, and says nothing about
- * the engine.  Only the latest few can still be waiting for their prefill.
+ * Mark a new request and those of its level that it overtakes in the engine:
+ * neither takes the predicted time, so their times say nothing about the
+ * engine.  Only the latest few can still be waiting for their prefill.
  */
 static void mark_reordered(struct pool_grant *g, struct pool_endpoint *e,
 			   int64_t now)
@@ -183,7 +185,7 @@
 	}
 }
 
-/* Grant a choice: hold its memory and count its work. */
+/* Grant a placement: hold its memory and account for its work. */
 void pool_grant_make(struct dl_pool *pool, uint64_t request, uint64_t entry,
 		     struct pool_workspace *ws, const struct pool_want *want,
 		     const struct pool_choice *choice, int64_t now,
@@ -232,7 +234,7 @@
 	pool_grant_answer(g, out);
 }
 
-/* Tell a grant. */
+/* Fill in the answer for a grant. */
 void pool_grant_answer(const struct pool_grant *g, struct dl_answer *out)
 {
 	out->request = g->request;
@@ -275,7 +277,7 @@
 	ws->mean_ms += MEAN_GAIN * (took - ws->mean_ms);
 }
 
-/* End a grant and give back all it holds. */
+/* End a grant and release what it holds. */
 void pool_grant_drop(struct dl_pool *pool, struct pool_grant *g, int64_t now)
 {
 	int64_t ends = g->since + g->predicted_ttft_ms;
@@ -299,7 +301,7 @@
 	free(g);
 }
 
-/* End the grants that nobody renewed. */
+/* End grants whose lease expired. */
 void pool_grant_expire(struct dl_pool *pool, int64_t now)
 {
 	struct pool_heap_node *top;
@@ -310,18 +312,18 @@
 			now);
 }
 
-/* An endpoint's memory is lost: its grants hold nothing there any more. */
+/* An endpoint lost its memory: its grants no longer hold anything there. */
 void pool_grant_detach(struct dl_pool *pool, struct pool_endpoint *e)
 {
 	bool drained = e->drained;
 
-	e->drained = true; /* the caller still needs it */
+	e->drained = true; /* keeps e allocated for the caller */
 	while (e->parts)
 		detach_part(pool, e->parts, pool->now);
 	e->drained = drained;
 }
 
-/* Keep a grant for another lease; -ENOENT where it is not one of this pool. */
+/* Extend a grant by another lease; -ENOENT if the pool does not have it. */
 int dl_pool_renew(struct dl_pool *pool, uint64_t grant, int64_t now)
 {
 	struct pool_grant *g;
@@ -337,9 +339,10 @@
 }
 
 /*
- * The first endpoint of a group could not reach another one of it.  For a
- * failure domain that is cut off: a group fails after a stall (1.5 s) in which
- * the whole engine that leads stands still, and the same helpers look free.
+ * The leader of a group could not reach this helper.  Without this, when a
+ * failure domain is cut off, each such group fails after a stall of 1.5 s
+ * during which the whole leading engine stands still, and the same helpers
+ * still look free.
  */
 static void mark_helper_unreachable(struct dl_pool *pool,
 				    const struct pool_grant *g,
@@ -353,14 +356,14 @@
 	}
 }
 
-/* Dispatching begins here. */
+/* Start dispatching in this pool. */
 void dl_pool_start_dispatching(struct dl_pool *pool, int64_t now)
 {
 	if (pool->policy->start_dispatching)
 		pool->policy->start_dispatching(pool, now);
 }
 
-/* The first event of a grant's answer came; -ENOENT as for renew. */
+/* The first event of the answer to a grant arrived; -ENOENT as for renew. */
 int dl_pool_first_event(struct dl_pool *pool, uint64_t grant, int64_t now)
 {
 	struct pool_grant *g = pool_grant_find(pool, grant);
@@ -372,7 +375,7 @@
 	return 0;
 }
 
-/* Give back what a grant holds and learn from it; -ENOENT as for renew. */
+/* Release a grant and learn from its outcome; -ENOENT as for renew. */
 int dl_pool_release(struct dl_pool *pool, uint64_t grant,
 		    const struct dl_usage *usage, int64_t now)
 {
@@ -395,10 +398,10 @@
 }
 
 /*
- * Count a grant of an earlier dispatcher as one of this: after a hand-over
- * each entry tells what it has under way, and nothing of it runs twice or is
- * forgotten.  Endpoints that have not reported yet are held for it by name.
- * -EINVAL where it names no endpoint, -EEXIST where it is known.
+ * Adopt a grant of a previous dispatcher.  After a handover each entry reports
+ * its running requests, so that none is run twice or forgotten.  Endpoints
+ * without a report yet are created by name. -EINVAL if the grant has no
+ * endpoint, -EEXIST if it is known.
  */
 int dl_pool_adopt(struct dl_pool *pool, const struct dl_answer *grant,
 		  const struct dl_ask *ask, int64_t now)
@@ -440,7 +443,10 @@
 	return 0;
 }
 
-/* An entry died: nobody waits for what it queued, nobody reads its answers. */
+/*
+ * An entry died: drop its queued requests and end its grants, as nobody waits
+ * for or reads the answers.
+ */
 void dl_pool_entry_gone(struct dl_pool *pool, uint64_t entry, int64_t now)
 {
 	struct pool_map *map = &pool->grant_by_id;
