--- a/src/coordination/pool_queue.c
+++ b/src/coordination/pool_queue.c
@@ -1,25 +1,26 @@
 /*
- * The pool's one queue.
+ * The queue of a pool.
  *
- * It has a lane for each class and band of length.  In a lane the workspaces
- * take turns by the tokens they were given over their weight (start-time fair
- * queueing), and each one's requests go earliest deadline first.  Every step
- * costs the logarithm of what is queued, so that 32,000 workspaces cost little
- * more than ten.
+ * It has a lane for each class and length band.  Within a lane, start-time fair
+ * queueing shares the granted tokens between workspaces by weight, and each
+ * workspace's requests are ordered by earliest deadline first.  Every operation
+ * takes logarithmic time in the queue length, so that 32,000 workspaces cost
+ * little more than ten.
  */
 #include "pool_int.h"
 
 #include <stdlib.h>
 
-/* Steps of virtual time a token, so that weights up to this count. */
+/* Units of virtual time per token: the resolution for weights. */
 #define VIRTUAL_TICKS_PER_TOKEN 1024
 
 /*
- * How far a workspace that asked for less than its share may be ahead of the
- * others when it asks again, in tokens at weight one.  For a workspace that
- * floods: without it each request of the others would wait for one of every
- * other workspace, the flooding one included.  A few short prompts' worth, so
- * that a burst after a quiet time holds the others up by milliseconds.
+ * Credit of a workspace that used less than its share: how far it may be ahead
+ * of the others when it becomes active again, in tokens at weight one.  Without
+ * it, while one workspace floods the pool, each request of the others would
+ * wait for one of every other workspace, the flooding one included.  It is a
+ * few short prompts' worth, so that a burst after an idle period delays the
+ * others only by milliseconds.
  */
 #define CREDIT_TOKENS 8192
 
@@ -35,13 +36,13 @@
 static struct pool_request *flow_first(const struct pool_flow *flow);
 static struct pool_request *flow_last(const struct pool_flow *flow);
 
-/* The lane of a request. */
+/* The lane index of a request. */
 uint8_t pool_lane_of(const struct pool_want *want)
 {
 	return (uint8_t)(want->class * POOL_BANDS + want->band);
 }
 
-/* What a workspace has in a lane, or NULL. */
+/* The flow of a workspace in a lane, or NULL. */
 struct pool_flow *pool_flow_find(const struct pool_workspace *ws, uint8_t lane)
 {
 	struct pool_flow *flow = ws->flows;
@@ -70,10 +71,9 @@
 }
 
 /*
- * The virtual time at which a flow's next request starts: where its last one
- * ended, but not further back than its credit.  What it was given before the
- * lane last became empty is forgotten: nobody waited then, so nobody was
- * wronged by it.
+ * Virtual start time of a flow's next request: the end of its last one, but no
+ * earlier than its credit allows.  Work granted before the lane last became
+ * empty does not count, as nobody was waiting then.
  */
 static int64_t flow_start(const struct dl_pool *pool,
 			  const struct pool_lane *lane,
@@ -123,8 +123,8 @@
 }
 
 /*
- * Count work that was granted without queueing.  Only while others queue in
- * its lane: work given while nobody waited is held against no one.
+ * Charge work that was granted without queueing, but only while others are
+ * queued in its lane: work granted while nobody waits costs no share.
  */
 void pool_queue_charge(struct dl_pool *pool, struct pool_workspace *ws,
 		       const struct pool_want *want)
@@ -135,7 +135,7 @@
 		flow_charge(pool, flow_get(pool, ws, at), want);
 }
 
-/* The queued or refused request of an entry, or NULL. */
+/* Find the queued or refused request of an entry, or NULL. */
 struct pool_request *pool_queue_find(const struct dl_pool *pool, uint64_t entry,
 				     uint64_t request)
 {
@@ -152,7 +152,7 @@
 	return NULL;
 }
 
-/* Whether anything queued goes before a request that has just come. */
+/* Whether any queued request goes before a new one. */
 bool pool_queue_ahead(const struct dl_pool *pool, const struct pool_want *want)
 {
 	uint8_t own = pool_lane_of(want);
@@ -166,9 +166,9 @@
 }
 
 /*
- * Whether the queue's bounds allow this many more, once as much is freed.
- * Bounded in entries for this VM's memory and in tokens because a few season
- * files are more work than a thousand pings.
+ * Whether this many more fit into the queue, once some tokens are freed.  The
+ * bound on entries limits the memory of this VM; the one on tokens is needed
+ * because a few large batch files are more work than a thousand pings.
  */
 bool pool_queue_has_room(const struct dl_pool *pool, uint32_t entries,
 			 uint64_t tokens, uint64_t freed)
@@ -178,7 +178,6 @@
 		       pool->conf.queue_tokens_max + freed;
 }
 
-/* Queue a request. */
 struct pool_request *pool_queue_push(struct dl_pool *pool,
 				     const struct dl_ask *ask,
 				     const struct pool_want *want,
@@ -240,7 +239,7 @@
 	req->flow = NULL;
 }
 
-/* Take a request out to be granted: its workspace's turn is used. */
+/* Remove a request that is being granted and charge its workspace. */
 void pool_queue_take(struct dl_pool *pool, struct pool_request *req)
 {
 	struct pool_flow *flow = req->flow;
@@ -254,7 +253,7 @@
 	pool_map_remove(&pool->request_by_id, &req->by_request);
 }
 
-/* Forget a request, queued or refused, without an answer. */
+/* Drop a queued or refused request without an answer. */
 void pool_queue_drop(struct dl_pool *pool, struct pool_request *req)
 {
 	struct pool_request **link = &pool->refused;
@@ -272,7 +271,7 @@
 	free(req);
 }
 
-/* Refuse a queued request: the next call of dl_pool_next says so. */
+/* Refuse a queued request; dl_pool_next() will return the refusal. */
 void pool_queue_refuse(struct dl_pool *pool, struct pool_request *req,
 		       enum dl_reason reason, uint32_t retry_after_ms)
 {
@@ -284,7 +283,7 @@
 	pool->refused_tail = &req->next_refused;
 }
 
-/* The refusal to be told next; the caller frees it. */
+/* Take the next refused request; the caller frees it. */
 struct pool_request *pool_queue_refused(struct dl_pool *pool)
 {
 	struct pool_request *req = pool->refused;
@@ -311,8 +310,8 @@
 }
 
 /*
- * The first request of the lane's nth flow, 0 being the one whose turn it is;
- * those after are near the front, in no strict order.
+ * The first request of the nth flow in a lane, 0 being the next one to serve;
+ * the following ones are near the front, in no strict order.
  */
 struct pool_request *pool_queue_head(const struct dl_pool *pool, uint8_t lane,
 				     uint32_t nth)
@@ -325,7 +324,7 @@
 		POOL_CONTAINER_OF(heap->at[nth + 1], struct pool_flow, start));
 }
 
-/* The request behind another one of its flow, or NULL. */
+/* The next request of the same flow, or NULL. */
 struct pool_request *pool_queue_next(const struct pool_request *req)
 {
 	struct pool_tree_node *next =
@@ -336,7 +335,7 @@
 		      NULL;
 }
 
-/* Add the weights of all lanes up anew, after the default one changed. */
+/* Recompute the weight sums of all lanes after the default weight changed. */
 void pool_queue_sum_weights(struct dl_pool *pool)
 {
 	for (int i = 0; i < POOL_LANES; i++) {
@@ -351,23 +350,24 @@
 	}
 }
 
-/* Let the other flows of its lane go before a request that cannot start. */
+/* Let other flows of the lane go before a request that cannot start. */
 void pool_queue_yield(struct dl_pool *pool, struct pool_request *req)
 {
 	flow_charge(pool, req->flow, &req->want);
 }
 
 /*
- * Which request makes room in a full queue, or NULL for the one that has just
- * come.  For the moment at which more has come than can be done: somebody
- * must go, and it is the one that can least make it, measured by how much of
- * the time it has left it is expected to need (strain).  A request with half a
- * second left and nothing before it stays; the hundredth of a flood goes
- * though its deadline is minutes away.  A lower class goes before a higher.
+ * Choose the request to drop from a full queue, or NULL for the new one.
  *
- * Looked at are the last request of the workspace with the most work queued
- * over its weight, in each lane, and the one whose last start is nearest:
- * looking at all would cost most just when there is the least time.
+ * When more work arrives than can be done, the request least likely to meet its
+ * deadline is dropped, measured by expected time to completion over time left
+ * (deadline_ratio).  A request with half a second left and nothing before it
+ * stays; the hundredth of a flood is dropped though its deadline is minutes
+ * away.  A lower class is dropped before a higher one.
+ *
+ * Only the last request of the workspace with the most queued work per weight
+ * is considered in each lane: a full scan would cost most just when there is
+ * the least time.
  */
 struct pool_request *pool_queue_victim(struct dl_pool *pool,
 				       const struct pool_want *want,
