--- a/src/coordination/pool_serve.c
+++ b/src/coordination/pool_serve.c
@@ -1,5 +1,5 @@
 /*
- * The late answers: who is refused while waiting, who is granted next, and
+ * Decisions on queued requests: which is refused, which is granted next, and
  * when to look again.
  */
 #include "pool_int.h"
@@ -8,23 +8,25 @@
 #include <string.h>
 
 /*
- * What a lower class gets at the least of what is given to the classes before
- * it, while it has something queued: one part in four, so a fifth in all.  For
- * one workspace that floods a higher class: without it the others' dossiers
- * would be admitted and then never served.
+ * A lower class with queued requests gets at least this part of what is granted
+ * to the classes before it: one in four, so a fifth in total.  Without it, if
+ * one workspace floods a higher class, batch requests of the others would be
+ * admitted and never served.
  */
 #define CREDIT_DIVISOR 4
-/* Credit kept for later, in tokens: one long prompt's worth. */
+/* Limit of unused credit, in tokens: one long prompt's worth. */
 #define CREDIT_MAX ((uint64_t)1 << 21)
 
-/* How many flows of a lane are tried when the first one's head fits nowhere. */
+/*
+ * How many flows of a lane are tried if the head of the first one does not fit.
+ */
 #define FLOWS_TRIED_MAX 3
-/* How many requests behind a flow's head, where endpoints hold its VM back. */
+/* How many requests behind a flow's head are tried while its VM backs off. */
 #define REQUESTS_TRIED_MAX 8
 
 /*
- * When nothing but an event can help, the queue is still looked at this often:
- * slow starts grow and outliers come back without one.
+ * Poll interval of the queue without events: slow starts grow and ejected
+ * endpoints are readmitted without one.
  */
 #define SERVE_RETRY_MS 25
 
@@ -48,7 +50,7 @@
 static void refuse_late(struct dl_pool *pool, int64_t now);
 static int64_t earlier(int64_t at, const struct pool_heap *heap);
 
-/* A grant to a class earns the lower classes their part. */
+/* A grant to a class earns credit for the lower classes. */
 void pool_serve_credit(struct dl_pool *pool, const struct pool_want *want)
 {
 	for (int c = want->class + 1; c < DL_CLASS_COUNT; c++) {
@@ -99,8 +101,8 @@
 }
 
 /*
- * Serve a request behind one that fits nowhere: a VM that endpoints have asked
- * to wait must not keep those of other VMs from them.
+ * Serve a request behind one that cannot be placed: a VM that backs off from
+ * endpoints must not keep those of other VMs from them.
  */
 static bool serve_behind(struct dl_pool *pool, struct pool_request *head,
 			 int64_t now, struct dl_answer *out)
@@ -121,9 +123,9 @@
 }
 
 /*
- * Serve a lane: the flow whose turn it is, or one of the next few where that
- * one's head fits nowhere now, so that one request which may not go where the
- * others may doesn't stop its lane.
+ * Serve a lane: the next flow, or one of the few after it if the head of that
+ * one cannot be placed now, so that one request with fewer allowed endpoints
+ * does not block its lane.
  */
 static bool serve_lane(struct dl_pool *pool, uint8_t lane, int64_t now,
 		       struct dl_answer *out)
@@ -183,9 +185,9 @@
 }
 
 /*
- * The next request to be granted: by class, within it short before long since
- * these go to different endpoints for the most part; but a lower class that
- * has credit first.
+ * Grant the next request: by class, and within a class short before long, since
+ * those mostly use different endpoints; but a lower class with credit goes
+ * first.
  */
 static bool serve(struct dl_pool *pool, int64_t now, struct dl_answer *out)
 {
@@ -235,8 +237,8 @@
 }
 
 /*
- * Refuse what can no longer make it even if it started now, at that moment:
- * its caller gets the rest of its time.
+ * Refuse requests that would miss their deadline even if they started now, so
+ * that the caller can use the remaining time.
  */
 static void refuse_late(struct dl_pool *pool, int64_t now)
 {
@@ -251,7 +253,7 @@
 	}
 }
 
-/* Take the next late answer: a grant or refusal of a queued request. */
+/* Return the next decision on a queued request: a grant or a refusal. */
 bool dl_pool_next(struct dl_pool *pool, int64_t now, struct dl_answer *out)
 {
 	pool->now = now;
@@ -276,7 +278,7 @@
 	return top && top->key < at ? top->key : at;
 }
 
-/* When dl_pool_next must be called at the latest; INT64_MAX for never. */
+/* Latest time for the next dl_pool_next() call; INT64_MAX for never. */
 int64_t dl_pool_wakeup(const struct dl_pool *pool)
 {
 	int64_t at = pool->serve_at, hold;
