--- a/src/coordination/pool_outlier.c
+++ b/src/coordination/pool_outlier.c
@@ -1,6 +1,6 @@
 /*
- * Which endpoints lose their share: what answers teach about each one, and
- * when one is put out, probed and taken back.
+ * Outlier detection: learning latency and failures of each endpoint from its
+ * answers, and ejecting, probing and readmitting endpoints.
  */
 #include "pool_int.h"
 
@@ -8,8 +8,8 @@
 #include <stdlib.h>
 
 /*
- * One in five of each sample: an endpoint that has become slow is known after
- * a handful of answers, and one odd answer moves it little.
+ * Moving average with a gain of one in five: a slow endpoint is recognized
+ * after a handful of answers, and a single odd answer has little effect.
  */
 #define SAMPLE_GAIN	0.2
 #define POOL_GAIN	0.01 /* over all endpoints */
@@ -18,22 +18,22 @@
 #define SLOW_MAX	50.0
 #define RATIO_MIN	0.25
 #define RATIO_MAX	4.0
-#define INTERFERENCE_MS 10000.0 /* at most */
-/* Added to both sides of a ratio: what short answers take on the way. */
+#define INTERFERENCE_MS 10000.0 /* upper bound */
+/* Added to both sides of a ratio: network time of short answers. */
 #define NOISE_MS 20.0
 
 /*
  * A request that was overtaken for more than this share of its time says too
- * little about the engine's own speed: how much of the overtaking fell before
- * its first token is only estimated.
+ * little about the speed of the engine: how much of the overtaking happened
+ * before its first token is only estimated.
  */
 #define OVERTAKEN_SHARE 0.1
 
 /*
- * Put out from three times the median on: below that the learnt speed alone
- * already gives it less work, and less would put out the slower half of a
- * mixed fleet.  Never on fewer samples than these, nor against a median of
- * fewer endpoints.  Three failures in a row put out at once.
+ * Endpoints are ejected from three times the median latency: below that, the
+ * learned speed alone reduces their work, and a lower factor would eject the
+ * slower half of a mixed fleet.  A minimum of samples, and of endpoints for the
+ * median, is required.  Three consecutive failures eject at once.
  */
 #define OUTLIER_FACTOR	     3.0
 #define OUTLIER_SAMPLES_MIN  5
@@ -44,7 +44,9 @@
 #define OVERDUE_FACTOR	     3
 #define OVERDUE_EXTRA_MS     1000
 #define OVERDUE_SCAN_MAX     4
-/* Without answers for this long what was learnt fades, within about as long. */
+/*
+ * Without answers for this long, learned values decay with this time constant.
+ */
 #define DECAY_AFTER_MS	 2000
 #define DECAY_MS	 5000.0
 #define PROBE_GAP_MS	 1000
@@ -128,10 +130,10 @@
 }
 
 /*
- * How much work overtook a request until its first token: all that was
- * committed on its endpoint at higher levels while it ran, by the share of
- * that time which its prefill took.  Without it every short prompt that goes
- * before a long one would look like a slow engine.
+ * Estimate of the work that overtook a request before its first token: all that
+ * was committed on its endpoint at higher levels while it ran, times the
+ * fraction of that time that its prefill took.  Without it every short prompt
+ * that goes before a long one would make the engine look slow.
  */
 static double overtaken_ms(const struct pool_endpoint *e,
 			   const struct pool_grant *g,
@@ -146,11 +148,12 @@
 }
 
 /*
- * The engine's speed: from the moment at which it was free for a request, its
- * grant or the first token of the one before it, to its own first token.  The
- * time it waited there is left out: it shows what the pool gave the engine
- * before, and learning from it would answer an error in the speed seconds
- * later by a larger one in the other direction.
+ * Learn the speed of an engine from the time between the moment at which it was
+ * free for a request, which is the grant or the first token of the previous
+ * request, and the first token of the request.  The time queued in the engine
+ * is excluded: it depends on what the pool granted before, and learning from it
+ * would correct an error in the speed seconds later by a larger one in the
+ * other direction.
  */
 static void learn_speed(struct dl_pool *pool, struct pool_endpoint *e,
 			const struct pool_grant *g,
@@ -176,9 +179,9 @@
 }
 
 /*
- * How long lower work holds up higher work that was put before it: a step of
- * an engine that honours priorities, the whole of a long prompt on one that
- * does not.  Learnt from short prompts, whose own time hides least of it.
+ * Learn how long work of a lower level delays work of a higher one: a step of
+ * an engine that honours priorities, a whole long prompt on one that does not.
+ * Learned from short prompts, whose own time hides least of it.
  */
 static void learn_interference(struct dl_pool *pool, struct pool_endpoint *e,
 			       const struct pool_grant *g, double error)
@@ -272,10 +275,10 @@
 }
 
 /*
- * Learn from the end of a grant, unless another dispatcher gave it: its times
- * are not known here.  From the endpoint's own answer to one
- * request only: what a group took says little about each of its engines, and
- * one that its caller gave up on nothing at all.
+ * Learn from the end of a grant, unless another dispatcher gave it, as its
+ * times are unknown here.  Only answers of one endpoint to one request count:
+ * the times of a group say little about each of its engines, and those of a
+ * request that its caller abandoned say nothing.
  */
 void pool_outlier_learn(struct dl_pool *pool, struct pool_grant *g,
 			const struct dl_usage *usage, int64_t now)
@@ -312,8 +315,8 @@
 }
 
 /*
- * An endpoint that has stopped answering sends no sample at all; its oldest
- * grants count as three times their prediction once they have taken longer.
+ * An endpoint that has stopped answering yields no samples.  Its oldest grants
+ * are counted as three times their prediction once they exceed it.
  */
 void pool_outlier_check_overdue(struct dl_pool *pool, struct pool_endpoint *e,
 				int64_t now)
@@ -356,12 +359,12 @@
 }
 
 /*
- * Put an outlier out: one whose answers take three times the pool's median,
- * or fail.  For the one slow endpoint in a healthy pool, which would hold
- * every request it is given past its prediction.  The configured share of the
- * pool bounds it (one at the least, of two or more): where many are slow it is
- * the load or something shared, and putting them out would only move the
- * overload to the rest.
+ * Eject an endpoint whose answers take three times the pool's median, or fail:
+ * one slow endpoint in a healthy pool would delay every request it is given
+ * beyond its prediction.  The number of ejected endpoints is bounded by the
+ * configured share of the pool (at least one, in a pool of two or more): if
+ * many are slow, the cause is load or something shared, and ejecting them would
+ * only move the overload to the rest.
  */
 void pool_outlier_evaluate(struct dl_pool *pool, struct pool_endpoint *e,
 			   int64_t now)
@@ -382,7 +385,7 @@
 	pool_place_refresh(pool, e, now);
 }
 
-/* Take an endpoint back in, with a share that grows over some seconds. */
+/* Readmit an endpoint with a share that grows over some seconds. */
 void pool_outlier_readmit(struct dl_pool *pool, struct pool_endpoint *e,
 			  int64_t now)
 {
@@ -396,9 +399,9 @@
 }
 
 /*
- * Take the outliers back in where nothing else is left.  For the endpoint that
- * was put out while others stood, and these then left: a slow or faulty one
- * serves some of its requests, none serves nobody.
+ * Readmit all ejected endpoints if no others are left, for example because the
+ * others departed later: a slow or faulty endpoint serves some requests, an
+ * empty pool serves none.
  */
 void pool_outlier_readmit_all(struct dl_pool *pool, int64_t now)
 {
@@ -411,7 +414,7 @@
 	}
 }
 
-/* An endpoint is no longer there to be put out. */
+/* Clear the ejection of an endpoint that is closed or removed. */
 void pool_outlier_clear(struct dl_pool *pool, struct pool_endpoint *e)
 {
 	if (e->ejection == POOL_EJECTED)
@@ -420,7 +423,7 @@
 	e->probe = 0;
 }
 
-/* A new incarnation: what was learnt about the old one is void. */
+/* A new incarnation: discard what was learned about the previous one. */
 void pool_outlier_reset(struct dl_pool *pool, struct pool_endpoint *e)
 {
 	pool_outlier_clear(pool, e);
@@ -436,9 +439,9 @@
 }
 
 /*
- * How many requests an endpoint may have at once.  After its return from an
- * outage this grows over ten seconds: its caches are cold, and if it is still
- * ill, a few requests show that as well as all of them would.
+ * How many requests an endpoint may run at once.  After an outage this grows
+ * over ten seconds: its caches are cold, and if it is still faulty, a few
+ * requests show that as well as many.
  */
 uint32_t pool_outlier_slots(const struct pool_endpoint *e, int64_t now)
 {
@@ -478,13 +481,13 @@
 }
 
 /*
- * An endpoint that is out and due for a probe, if this request may be it.
- * Only short ones that are not urgent and have twice the time they
- * need: a probe may fail, and its caller must be able to bear a second try.
- * One at a time, after twice the gap each time it fails, so that an ill
- * endpoint costs less and less.  Where no such request comes for half a
- * minute, the endpoint is taken back with a slow start, for a pool of nothing
- * but urgent requests would never know.
+ * Find an ejected endpoint that is due for a probe by this request.  Only short
+ * requests that are not urgent and have twice the time they need are used as
+ * probes: a probe may fail, and its caller must be able to afford a second
+ * attempt.  There is one probe at a time, and the interval doubles after each
+ * failure, so that a faulty endpoint costs less and less.  If no such request
+ * arrives for half a minute, the endpoint is readmitted with a slow start;
+ * otherwise a pool with urgent requests only would never find out.
  */
 struct pool_endpoint *pool_outlier_probe(struct dl_pool *pool,
 					 const struct pool_want *want,
@@ -522,10 +525,10 @@
 }
 
 /*
- * Without answers what was learnt fades, interference to what the pool's
- * other engines, which are of its kind, show: an endpoint that is believed slow
- * gets no requests, and would otherwise be believed slow for good.  All of a
- * pool could be, after a bad minute.
+ * Without answers, learned values decay, interference towards the pool's mean,
+ * as its other engines are of the same kind.  An endpoint believed to be slow
+ * gets no requests and would otherwise be believed slow forever; after a bad
+ * minute this could affect the whole pool.
  */
 static void decay_estimates(const struct dl_pool *pool, struct pool_endpoint *e,
 			    int64_t now)
@@ -545,7 +548,7 @@
 	e->learnt_at = now - DECAY_AFTER_MS;
 }
 
-/* Take back an endpoint that nothing could probe, and end a slow start. */
+/* Readmit an endpoint that could not be probed, and end a slow start. */
 void pool_outlier_tick(struct dl_pool *pool, struct pool_endpoint *e,
 		       int64_t now)
 {
