--- a/src/coordination/pool_spill.c
+++ b/src/coordination/pool_spill.c
@@ -1,27 +1,29 @@
 /*
- * Spill between the pools of a service: when a request leaves its own failure
- * domain, and where to.
+ * Spilling between the pools of a service: when a request leaves its own
+ * failure domain, and for which one.
  */
 #include "pool_int.h"
 
 /*
- * A pool is worse off from this backlog on, and by this much more than the
- * other: what the way to another domain and a summary's age make uncertain.
- * Below, going elsewhere would win nothing that the caller notices.
+ * A pool is overloaded from this backlog on, if the other one's is less by this
+ * factor.  Differences below that are uncertain because of the network path to
+ * another domain and the age of a summary, and spilling would gain nothing that
+ * the caller notices.
  */
 #define BACKLOG_MIN_MS 200
 #define BACKLOG_FACTOR 2
 
 /*
- * The share of requests that may leave moves by this much in this time, up as
- * well as down, and half of them at the most.  For a burst or a lost half of a
- * pool, seen by every entry in the same second: all of them shifting at once
- * would only move the overload, and shift back a summary later.
+ * The share of requests that may spill changes by at most this step per
+ * interval, in both directions, and never exceeds half of them.  In a burst, or
+ * when half of a pool is lost, every entry sees it in the same second: if all
+ * of them shifted at once, the overload would only move, and move back a
+ * summary later.
  */
 #define SHARE_STEP	25
 #define SHARE_STEP_MS	100
 #define SHARE_MAX	500
-#define SHARE_STEPS_MAX 20 /* counted at most, after a long silence */
+#define SHARE_STEPS_MAX 20 /* limit after a long pause */
 #define PERMILLE	1000
 
 static bool can_take(const struct dl_pool_summary *pool,
@@ -40,7 +42,7 @@
 	return spill->seed;
 }
 
-/* A pool without memory to speak of is one of plain services. */
+/* A pool that reports no memory is one of plain services. */
 static bool can_take(const struct dl_pool_summary *pool,
 		     const struct dl_ask *ask)
 {
@@ -80,8 +82,8 @@
 }
 
 /*
- * The better of two pools drawn at random.  The best of all would draw the
- * spill of every entry at once, since they all read the same summaries.
+ * The better of two randomly chosen pools.  Using the best of all would attract
+ * the spill of every entry at once, since they all read the same summaries.
  */
 static int pick_of_two(struct dl_spill *spill,
 		       const struct dl_pool_summary *others, uint32_t n,
@@ -106,10 +108,10 @@
 }
 
 /*
- * Choose between the own failure domain's pool and others.  The own one is
- * nearest and goes on when domains are cut off, so it is left only where it
- * cannot take the request at all, or is much worse off than the other; and
- * then only by a share of requests that moves slowly.
+ * Choose between the pool of the own failure domain and others.  The own one is
+ * nearest and keeps working when domains are partitioned, so requests leave it
+ * only if it cannot take them at all or is much more loaded than the other one,
+ * and then only as a share that changes slowly.
  */
 int dl_pool_spill(struct dl_spill *spill, const struct dl_pool_summary *own,
 		  const struct dl_pool_summary *others, uint32_t n,
