--- a/src/coordination/pool_throttle.c
+++ b/src/coordination/pool_throttle.c
@@ -1,25 +1,25 @@
 /*
- * Limits that endpoints name of themselves, on requests from all VMs together.
+ * Rate limits that endpoints set for themselves, on requests from all VMs
+ * together.
  *
- * Load: an endpoint in need, that still takes what it is sent.  Harm: requests
- * beyond what it can bear; it looks no worse than others, and is taken as
- * often.  The one dispatcher of its pool sees all that goes there and grants it
- * at the rate that was named, without bursts, as several requests may be on
- * their way at once.
+ * An overloaded endpoint that still accepts everything looks no worse than the
+ * others and would be chosen as often.  The pool's only dispatcher sees all
+ * requests that go there and grants them at the given rate, without bursts, as
+ * several requests may be in flight at once.
  */
 #include "pool_int.h"
 
 #include <math.h>
 
 /*
- * Whether a limit is still named shows in answers only: one that takes fewer
- * requests is given one in five seconds.
+ * Only answers show whether a limit still applies, so an endpoint with a limit
+ * lower than this still gets one request in five seconds.
  */
 #define LIMIT_MIN_PER_1000S 200
 #define MS_PER_1000S	    1000000.0
 /*
- * An answer without a limit lifts it once no other has named one for so long: a
- * VM that is slow reads answers that are older than those of others.
+ * An answer without a limit lifts it only if no other has set one for this
+ * long: a slow VM reads older answers than the others do.
  */
 #define LIMIT_LIFT_DELAY_MS 500
 
@@ -31,7 +31,7 @@
 	return limit / MS_PER_1000S;
 }
 
-/* Requests that may go to a limited endpoint now, one at the most. */
+/* Requests that may go to a limited endpoint now, at most one. */
 static double available_credit(const struct pool_endpoint *e, int64_t now)
 {
 	double gained = (double)(now - e->limit_credit_at) * rate_per_ms(e);
@@ -39,21 +39,22 @@
 	return fmin(e->limit_credit + fmax(gained, 0), 1);
 }
 
-/* Whether an endpoint's own limit lets another request go there. */
+/* Whether the limit of an endpoint allows another request. */
 bool pool_throttle_allows(const struct pool_endpoint *e,
 			  const struct pool_want *want, int64_t now)
 {
 	if (e->limit == DL_UNLIMITED)
 		return true;
-	/* What other VMs send there by themselves is not known here. */
+	/* What other VMs send there on their own is not known here. */
 	if (want->self_placed)
 		return false;
 	return available_credit(e, now) >= 1;
 }
 
 /*
- * A request goes to an endpoint, or a part of one.  A standby gives half of the
- * rate: the dispatcher, which others may reach, gives all of it.
+ * Charge a request, or a part of one, to the limit of its endpoint.  A standby
+ * uses half of the rate, since the dispatcher that others may still reach uses
+ * all of it.
  */
 void pool_throttle_charge(struct pool_endpoint *e, const struct pool_want *want,
 			  int64_t now)
@@ -65,8 +66,8 @@
 }
 
 /*
- * The work that an endpoint's limit lets through, tokens a ms, where its usual
- * request has so many; so that no more is admitted than will be granted.
+ * Work that the limit of an endpoint allows, in tokens per ms for requests of
+ * the usual length, so that no more is admitted than will be granted.
  */
 double pool_throttle_rate(const struct dl_pool *pool,
 			  const struct pool_endpoint *e, double rate)
@@ -80,14 +81,14 @@
 	return fmin(rate, rate_per_ms(e) * usual);
 }
 
-/* A start of an endpoint has no limit until it names one. */
+/* A new incarnation of an endpoint has no limit until it sets one. */
 void pool_throttle_reset(struct pool_endpoint *e)
 {
 	e->limit = DL_UNLIMITED;
 	e->limit_credit = 0;
 }
 
-/* Note what an answer of an endpoint named. */
+/* Set the limit that an answer of an endpoint contained. */
 bool dl_pool_set_endpoint_limit(struct dl_pool *pool, struct dl_str id,
 				uint32_t limit, int64_t now)
 {
@@ -102,7 +103,7 @@
 		e->limit_named = now;
 	if (e->limit == limit)
 		return false;
-	/* Nothing is saved up at first: what went there before is not known. */
+	/* Start without credit: what went there before is unknown. */
 	e->limit_credit = e->limit == DL_UNLIMITED ? 0 :
 						     available_credit(e, now);
 	e->limit_credit_at = now;
@@ -111,7 +112,7 @@
 	return true;
 }
 
-/* Walk the limits that were named since a time; false past the last. */
+/* Iterate over the limits set since a time; false at the end. */
 bool dl_pool_endpoint_limit_next(const struct dl_pool *pool, uint32_t *index,
 				 int64_t since, struct dl_name *id,
 				 uint32_t *limit)
