--- a/src/coordination/pool_workspace.c
+++ b/src/coordination/pool_workspace.c
@@ -1,24 +1,24 @@
-/* Workspaces: their weights, and the limits on each one's own requests. */
+/* Workspaces: weights, and limits on the requests of each one. */
 #include "pool_int.h"
 
 #include <stdlib.h>
 
 /*
- * Names of workspaces come from callers.  Past this many the idle ones that
- * no configuration names are forgotten, so that made-up names cannot use up
- * the memory of a VM; the target has 32,000.
+ * Workspace names come from callers.  Beyond this number, idle workspaces
+ * without configuration are removed, so that made-up names cannot exhaust the
+ * memory of a VM. The target deployment has 32,000.
  */
 #define WORKSPACES_MAX 40000
 
-#define CREDIT_ONE	 1000 /* of one request */
+#define CREDIT_ONE	 1000 /* credit of one request */
 #define MS_PER_S	 1000
-#define RETRY_DEFAULT_MS 100 /* ms, where nothing is known of its requests */
+#define RETRY_DEFAULT_MS 100 /* ms, until a duration was measured */
 
 static bool is_idle(const struct pool_workspace *ws);
 static void forget_idle(struct dl_pool *pool);
 static void refill(struct pool_workspace *ws, int64_t now);
 
-/* The weight in force. */
+/* The effective weight. */
 uint32_t pool_workspace_weight(const struct dl_pool *pool,
 			       const struct pool_workspace *ws)
 {
@@ -27,7 +27,7 @@
 	return pool->conf.weight_default ? pool->conf.weight_default : 1;
 }
 
-/* Free a workspace that nothing refers to. */
+/* Free a workspace without references. */
 void pool_workspace_free(struct pool_workspace *ws)
 {
 	while (ws->flows) {
@@ -69,7 +69,7 @@
 		pool->workspaces_max = map->n * 2;
 }
 
-/* The workspace of this name; a new one where there is none. */
+/* Find a workspace by name, or create it. */
 struct pool_workspace *pool_workspace_get(struct dl_pool *pool,
 					  struct dl_str name)
 {
@@ -113,11 +113,11 @@
 }
 
 /*
- * A workspace's own limits.  For a script that has gone wild within its
- * rights: the operators' numbers cap what it may ask for a second and have
- * under way, whatever is free.  One second's worth may come at once.  The
- * answer says when the next one is due: the bucket's next whole request, or
- * about when one of its own requests ends.
+ * Apply the limits of a workspace, which protect against a runaway script with
+ * valid credentials: operators cap its requests per second and its concurrent
+ * requests, whatever capacity is free.  A burst of one second's worth is
+ * allowed.  The retry delay is the time until the bucket has a whole request,
+ * or until about the next of its own requests ends.
  */
 enum dl_reason pool_workspace_check_limits(struct dl_pool *pool,
 					   struct pool_workspace *ws,
