--- a/test/test_pool.c
+++ b/test/test_pool.c
@@ -1,4 +1,4 @@
-/* The contract of a pool, event by event. */
+/* The behaviour of a pool, one event at a time. */
 #include <check.h>
 #include <errno.h>
 #include <stdio.h>
@@ -65,7 +65,7 @@
 	ck_assert_int_eq(dl_pool_report(pool, &r, now), 0);
 }
 
-/* All reports come by one way. */
+/* All reports arrive by one path. */
 static void hear_together(void)
 {
 	struct dl_pool_conf together = conf;
@@ -199,7 +199,7 @@
 }
 END_TEST
 
-/* One that is silent while another speaks gets nothing new. */
+/* A silent endpoint among reporting ones gets no new requests. */
 START_TEST(silent_one_gets_nothing_new)
 {
 	struct dl_answer a, b;
@@ -234,7 +234,7 @@
 	dl_pool_ask(pool, &a, now, &first);
 	dl_pool_ask(pool, &a, now, &again);
 	ck_assert_uint_eq(first.grant, again.grant);
-	a.entry = 2; /* the same number of another entry is another request */
+	a.entry = 2; /* the same id from another entry is another request */
 	dl_pool_ask(pool, &a, now, &again);
 	ck_assert_uint_ne(first.grant, again.grant);
 }
@@ -278,7 +278,7 @@
 }
 END_TEST
 
-/* What another dispatcher gave an engine is left free for it. */
+/* Capacity that another dispatcher granted is not granted again. */
 START_TEST(reported_excess_is_left_alone)
 {
 	struct dl_endpoint_report r = report_of("a:1");
@@ -353,7 +353,7 @@
 }
 END_TEST
 
-/* Names that callers make up don't pile up. */
+/* Made-up workspace names do not accumulate. */
 START_TEST(idle_names_are_forgotten)
 {
 	char name[24];
@@ -374,7 +374,7 @@
 
 struct baseline {
 	const struct dl_pool_policy *policy;
-	const char *second; /* where the second request goes */
+	const char *second; /* endpoint of the second request */
 };
 
 static const struct baseline baselines[] = {
@@ -431,7 +431,7 @@
 }
 END_TEST
 
-/* Word that an endpoint leaves may come without any figure of it. */
+/* A report that an endpoint is leaving may contain no figures. */
 START_TEST(leaving_needs_no_figures)
 {
 	struct dl_endpoint_report r = { .incarnation = 1, .leaving = true };
@@ -445,7 +445,7 @@
 
 		ck_assert(dl_name_eq(&a.endpoint[0], DL_STR("b:1")));
 	}
-	/* Of a start that is not the one known it says nothing. */
+	/* For another incarnation such a report is invalid. */
 	r.incarnation = 2;
 	dl_name_set(&r.id, DL_STR("b:1"));
 	ck_assert_int_eq(dl_pool_report(pool, &r, now), -EINVAL);
@@ -453,7 +453,7 @@
 }
 END_TEST
 
-/* An outlier is better than nothing: it is put out for others to take over. */
+/* An ejected endpoint is readmitted if it is the only one left. */
 START_TEST(outlier_serves_where_it_is_the_last)
 {
 	struct dl_usage failed = { .ran = true, .failed = true };
@@ -515,7 +515,9 @@
 }
 END_TEST
 
-/* A request that waits is refused when it is clear, not at its deadline. */
+/*
+ * A queued request is refused when it becomes infeasible, not at its deadline.
+ */
 START_TEST(hopeless_is_told_at_once)
 {
 	struct dl_answer a, late;
@@ -523,7 +525,7 @@
 	report("a:1");
 	a = ask(15000, 0, 20000); /* 1.5 s of the only engine */
 	ck_assert_int_eq(a.verdict, DL_GRANTED);
-	a = ask(10000, 0, 3000); /* 1.5 s of waiting, 1 s, 50 ms to spare */
+	a = ask(10000, 0, 3000); /* waits 1.5 s, takes 1 s, 50 ms to spare */
 	ck_assert_int_eq(a.verdict, DL_QUEUED);
 	dl_pool_endpoint_gone(pool, DL_STR("a:1"), now);
 	ck_assert(dl_pool_next(pool, now, &late));
@@ -567,7 +569,7 @@
 }
 END_TEST
 
-/* The prompt of a million: more than twice the memory of an engine. */
+/* A prompt longer than twice the memory of an engine gets a group of three. */
 START_TEST(group_is_whole_or_not_at_all)
 {
 	struct dl_answer a, b, late;
@@ -667,8 +669,8 @@
 }
 
 /*
- * A plain call runs in the failure domain of its VM while there is a slot, and
- * elsewhere at once where there is none.
+ * A plain request is placed in the failure domain of its VM if there is a slot,
+ * and elsewhere without a wait if there is none.
  */
 START_TEST(plain_calls_stay_in_their_domain)
 {
@@ -695,11 +697,7 @@
 }
 END_TEST
 
-/*
- * Endpoints that all fall silent at once are cut off from those who pass their
- * reports on, and are used; one that is silent among others is gone.
- */
-/* Take what the pool has to tell; nothing may be refused. */
+/* Take all decisions on queued requests; none may be a refusal. */
 static uint32_t take_grants(struct dl_answer *out)
 {
 	uint32_t n = 0;
@@ -711,7 +709,11 @@
 	return n;
 }
 
-/* Requests that began together end together, one a little sooner. */
+/*
+ * Requests that started together end together, one of them a little earlier.
+ * The long gap before that first release must not be taken as the release rate
+ * of the whole wave, which would refuse requests that are still in time.
+ */
 START_TEST(the_first_to_end_of_a_wave_refuses_nobody)
 {
 	enum {
@@ -732,7 +734,7 @@
 	wide.report_gone_ms = FAR;
 	dl_pool_configure(pool, &wide);
 	r.slots = AT_ONCE;
-	now += FAR; /* long idle before */
+	now += FAR; /* after a long idle period */
 	ck_assert_int_eq(dl_pool_report(pool, &r, now), 0);
 	for (int i = 0; i < REQUESTS; i++) {
 		running[granted] = ask(1, 1, 15000);
@@ -757,6 +759,10 @@
 }
 END_TEST
 
+/*
+ * Endpoints that all stop reporting at once are cut off from the receivers of
+ * their reports and stay in use; one that stops alone is gone.
+ */
 START_TEST(silence_of_all_closes_none)
 {
 	struct dl_pool_summary s;
@@ -771,7 +777,7 @@
 	ck_assert_int_eq(ask(1000, 100, FAR).verdict, DL_GRANTED);
 	now += (int64_t)conf.report_gone_ms * 2;
 	ck_assert_int_eq(ask(1000, 100, FAR).verdict, DL_GRANTED);
-	/* Two are heard again, and go on; the third is not. */
+	/* Two endpoints report again; the third does not. */
 	for (int i = 0; i < 6; i++) {
 		report("a:1");
 		report("b:1");
@@ -783,7 +789,7 @@
 }
 END_TEST
 
-/* For ever nobody is kept without a word. */
+/* Silent endpoints are not kept forever. */
 START_TEST(silence_ends)
 {
 	hear_together();
@@ -796,7 +802,7 @@
 }
 END_TEST
 
-/* What a caller gave up on says nothing about the endpoint. */
+/* A request abandoned by its caller says nothing about the endpoint. */
 START_TEST(given_up_requests_teach_nothing)
 {
 	struct dl_pool_conf plain = conf;
