--- a/test/test_pool_load.c
+++ b/test/test_pool_load.c
@@ -1,4 +1,4 @@
-/* What callers see under load and faults, over fake engines. */
+/* Behaviour that callers see under load and faults, with simulated engines. */
 #include <check.h>
 #include <math.h>
 #include <stdlib.h>
@@ -11,7 +11,7 @@
 
 #define ENGINES	 16
 #define PREFILL	 10000
-#define CAPACITY (ENGINES * PREFILL / 1000.0) /* tokens a ms */
+#define CAPACITY (ENGINES * PREFILL / 1000.0) /* tokens per ms */
 #define P95	 950
 #define SHORT_MS 5000
 
@@ -64,7 +64,7 @@
 	load_add_short(&load, rnd, at, workspace, tag, SHORT_MS);
 }
 
-/* Short prompts of ten workspaces at a part of the pool's capacity. */
+/* Short prompts of ten workspaces at a fraction of the pool's capacity. */
 static void add_shorts(int64_t to, double part, uint32_t skew)
 {
 	struct load_demand demand = { .to = to,
@@ -85,7 +85,7 @@
 	load_add_mix(&load, rnd, &demand);
 }
 
-/* Everything ended, in time or refused, and nothing is held any more. */
+/* All requests finished in time or were refused, and nothing is held. */
 static void check_clean(void)
 {
 	struct dl_pool_summary s;
@@ -104,12 +104,13 @@
 {
 	uint64_t done;
 
-	for (int i = 0; i < 1500; i++) /* 1.5M tokens, 9.4 s of the pool */
+	/* 1.5M tokens, 9.4 s of the pool's capacity */
+	for (int i = 0; i < 1500; i++)
 		add_short(1000 + i / 5, (uint32_t)i % 10, LOAD_SHORT);
 	load_run(&load, 30000);
 	check_clean();
 	done = load_count(&load, LOAD_SHORT, LOAD_DONE);
-	ck_assert_uint_ge(done, 400); /* 3 s of prefill, 2 of decoding */
+	ck_assert_uint_ge(done, 400); /* 3 s of prefill, 2 s of decoding */
 	for (uint32_t i = 0; i < load.requests; i++) {
 		const struct load_request *r = &load.request[i];
 
@@ -122,7 +123,7 @@
 }
 END_TEST
 
-/* The callers refused in a burst come back when told, and make it. */
+/* Callers refused in a burst that retry when told to are served. */
 START_TEST(retry_after_is_honest)
 {
 	uint64_t n, done = 0;
@@ -186,15 +187,15 @@
 	load.engine[3].slow = 1;
 	load_run(&load, 80000);
 	ck_assert_int_le(load_ttft(&load, LOAD_SHORT, P95) * 10, healthy * 15);
-	/* What it was given before its first answers were due. */
+	/* Requests granted before its first answers were due. */
 	ck_assert_uint_le(load_count(&load, LOAD_ANY, LOAD_LATE), 20);
 	for (uint32_t i = 0;
 	     dl_pool_endpoint_at(load.pool[0], i, &r, &tokens, &out); i++)
-		ck_assert(!out); /* taken back once it is well */
+		ck_assert(!out); /* readmitted after recovery */
 }
 END_TEST
 
-/* It reports a tenth of its load; it gets no more than the others. */
+/* An endpoint that reports a tenth of its load gets no more than the others. */
 START_TEST(lying_endpoint)
 {
 	uint32_t given = 0;
@@ -210,7 +211,7 @@
 }
 END_TEST
 
-/* The short ones' own times, with and without long ones beside them. */
+/* Latency of short prompts with and without long ones in the same pool. */
 START_TEST(long_beside_short)
 {
 	int64_t alone;
@@ -232,7 +233,7 @@
 }
 END_TEST
 
-/* What was predicted at the grants, over what came. */
+/* Predicted over measured time to the first token. */
 static double prediction(void)
 {
 	double predicted = 0, came = 0;
@@ -283,7 +284,7 @@
 	return sum * sum / (n * squares);
 }
 
-/* One workspace asks for fifty times its share of the pool. */
+/* One workspace requests fifty times its share of the pool. */
 START_TEST(one_workspace_floods)
 {
 	double done[9] = { 0 }, asked[9] = { 0 };
@@ -293,7 +294,8 @@
 	load_run(&load, 60000);
 	before = load_ttft(&load, LOAD_SHORT, P95);
 	again();
-	add_shorts(40000, 5.63, 888); /* 5 times all, and 0.63 */
+	/* five times the capacity, and 0.63 for the others */
+	add_shorts(40000, 5.63, 888);
 	load_run(&load, 60000);
 	check_clean();
 	for (uint32_t i = 0; i < load.requests; i++) {
@@ -315,7 +317,7 @@
 }
 END_TEST
 
-/* Half of the engines are cut off for twenty seconds. */
+/* Half of the engines are unreachable for twenty seconds. */
 START_TEST(failure_domain_lost_and_back)
 {
 	uint64_t before = 0, after = 0;
@@ -353,7 +355,10 @@
 }
 END_TEST
 
-/* Each needs three of four engines: one after the other, never half each. */
+/*
+ * Each needs three of four engines: they run one after the other, and neither
+ * blocks the other by holding a part of the engines.
+ */
 START_TEST(two_giants)
 {
 	load.engines = 4;
@@ -371,7 +376,7 @@
 }
 END_TEST
 
-/* Short prompts that would take each freed piece of memory at once. */
+/* Short prompts must not take every piece of memory as it becomes free. */
 START_TEST(giant_gets_its_memory)
 {
 	load.engines = 4;
@@ -408,7 +413,7 @@
 }
 END_TEST
 
-/* Engines whose speed keeps changing, at twice the load. */
+/* Engines whose speed keeps changing, at twice the capacity. */
 START_TEST(unsteady_engines)
 {
 	uint64_t done;
@@ -422,13 +427,19 @@
 	}
 	load_run(&load, 60000);
 	done = load_count(&load, LOAD_ANY, LOAD_DONE);
-	/* At a mean slowness of 1.25 the engines can read 5,120 thousand. */
+	/*
+	 * At a mean slowdown of 1.25 the engines can read 5,120 thousand
+	 * tokens.
+	 */
 	ck_assert_uint_ge(done, 4400);
 	ck_assert_uint_le(load_count(&load, LOAD_ANY, LOAD_LATE) * 100, done);
 }
 END_TEST
 
-/* Engines that ignore priorities: the pool learns to keep short ones off. */
+/*
+ * Engines that ignore priorities: the pool learns to keep short prompts away
+ * from long ones.
+ */
 START_TEST(engines_without_priority)
 {
 	for (uint32_t i = 0; i < load.engines; i++)
@@ -439,7 +450,10 @@
 }
 END_TEST
 
-/* Three endpoints of a plain service, eight requests of 40 ms at once each. */
+/*
+ * Three endpoints of a plain service, each with eight slots and 40 ms per
+ * request.
+ */
 static void plain(double part, uint32_t slow)
 {
 	struct dl_pool_conf conf = pool_conf;
