--- a/test/test_pool_random.c
+++ b/test/test_pool_random.c
@@ -1,6 +1,6 @@
 /*
- * Random events of every kind, a million of them, with the pool's invariants
- * and a model of what each caller was told checked after each one.
+ * A million random events of all kinds; after each one the invariants of the
+ * pool and a model of what each caller was told are checked.
  */
 #include <check.h>
 #include <errno.h>
@@ -14,7 +14,7 @@
 #include "fake/suite.h"
 
 #define EVENTS	   250000
-#define SANITIZED  20 /* times fewer under the sanitizers */
+#define SANITIZED  20 /* reduction under the sanitizers */
 #define REQUESTS   512
 #define ENDPOINTS  12
 #define ENTRIES	   4
@@ -35,7 +35,7 @@
 struct endpoint {
 	uint64_t incarnation;
 	uint64_t memory;
-	bool closed; /* drained, leaving or gone: no new work */
+	bool closed; /* drained, leaving or gone: gets no new work */
 	bool drained;
 };
 
@@ -208,7 +208,7 @@
 	}
 	e->drained = !e->drained;
 	dl_pool_endpoint_drain(pool, dl_str_of(names[i]), e->drained, now);
-	e->closed = true; /* until it reports again, for this model */
+	e->closed = true; /* this model waits for its next report */
 	if (!e->drained)
 		dl_pool_endpoint_gone(pool, dl_str_of(names[i]), now);
 }
@@ -223,7 +223,7 @@
 			requests[i].state = NONE;
 }
 
-/* A new dispatcher takes over; most entries tell it what they have. */
+/* A new dispatcher takes over; most entries report their grants to it. */
 static void do_hand_over(void)
 {
 	struct dl_pool_conf conf = random_conf();
