--- a/test/test_pool_reach.c
+++ b/test/test_pool_reach.c
@@ -1,6 +1,7 @@
 /*
- * An endpoint that cannot be reached: its pool must not offer it again, to
- * anybody, until it announces itself.
+ * An unreachable endpoint must not be used again, for any caller, until its
+ * next report.  It would otherwise look the least loaded and attract every
+ * request.
  */
 #include <check.h>
 #include <stdio.h>
@@ -49,7 +50,7 @@
 				.deadline = now + 5000 };
 }
 
-/* One request after the other; the first endpoint refuses connections. */
+/* Sequential requests; the first endpoint refuses connections. */
 static int refused_connects(struct dl_pool *pool, uint64_t *request,
 			    int64_t *now)
 {
@@ -91,7 +92,7 @@
 	}
 	ck_assert_int_le(refused_connects(pool, &request, &now), 1);
 	ck_assert_int_eq(refused_connects(pool, &request, &now), 0);
-	/* It announces itself: offered again, and found out again at once. */
+	/* After a report it is used again, and found unreachable at once. */
 	r = report_of(0);
 	ck_assert_int_eq(dl_pool_report(pool, &r, now), 0);
 	ck_assert_int_le(refused_connects(pool, &request, &now), 1);
