--- a/test/test_throttle.c
+++ b/test/test_throttle.c
@@ -1,6 +1,6 @@
 /*
- * Endpoints that name a limit of themselves: what they and the others are
- * granted under load, as the endpoints and callers see it.
+ * Endpoints that set a rate limit: requests granted to them and to the others
+ * under load, as endpoints and callers see it.
  */
 #include <check.h>
 #include <stdio.h>
@@ -114,14 +114,16 @@
 	take(&out);
 }
 
-/* Requests a second that three endpoints can just bear, and four are used for.
+/*
+ * Requests per second that three endpoints can just handle and four are used
+ * for.
  */
 static int busy(bool model)
 {
 	return model ? 100 : 40;
 }
 
-/* Play a load of so many requests a second. */
+/* Apply a load of this many requests per second. */
 static void play(int64_t ms, int per_s)
 {
 	struct dl_usage usage = { .ran = true, .ttft_ms = 100 };
@@ -164,7 +166,7 @@
 	return n;
 }
 
-/* The most that went to an endpoint in any window since a time. */
+/* The most requests granted to an endpoint in any window since a time. */
 static uint32_t most_at(const char *endpoint, int64_t since)
 {
 	uint32_t most = 0;
@@ -191,7 +193,7 @@
 	play(12000, per_s);
 	ck_assert_uint_le(most_at(LIMITED, since), 2 * WINDOW_MS / 1000 + 1);
 	ck_assert_uint_ge(granted_at(LIMITED, since, now), 12);
-	/* What the others take is not held up. */
+	/* Requests to other endpoints are not delayed. */
 	ck_assert_uint_ge(grants_n - before, 12 * per_s * 95 / 100);
 }
 END_TEST
@@ -213,7 +215,7 @@
 				  2 * WINDOW_MS / 1000 + 1);
 		ck_assert_uint_ge(granted_at(id[i], since, now), 16);
 	}
-	/* Nobody waits for what cannot be had. */
+	/* Requests that cannot be served are refused, not left waiting. */
 	ck_assert_uint_ge(refused + grants_n, 12 * 20 * 70 / 100);
 }
 END_TEST
@@ -223,7 +225,7 @@
 	open_pool(_i);
 	name_limit(1000);
 	play(2000, 40);
-	/* A late answer from before the limit is no word that it is over. */
+	/* An answer older than the limit does not lift it. */
 	name_limit(1000);
 	now += 100;
 	ck_assert(!name_limit(DL_UNLIMITED));
@@ -265,7 +267,10 @@
 }
 END_TEST
 
-/* The other one grants at the whole rate; half as much again is borne. */
+/*
+ * The dispatcher grants at the full rate; the endpoint can take half as much
+ * more.
+ */
 START_TEST(a_standby_gives_half_of_what_an_endpoint_named)
 {
 	int64_t since;
@@ -350,7 +355,7 @@
 	Suite *suite = suite_create("throttle");
 	TCase *tc = tcase_create("throttle");
 
-	/* Of plain services, and of engines. */
+	/* For plain services and for engines. */
 	tcase_add_loop_test(
 		tc, an_endpoint_gets_what_it_named_and_others_the_rest, 0, 2);
 	tcase_add_loop_test(
