--- a/src/coordination/pool.c
+++ b/src/coordination/pool.c
@@ -1,19 +1,19 @@
 /*
- * The dispatcher of a pool: its life, its endpoints, and the order in which an
- * event is dealt with.  What is decided stands in the files beside this one:
+ * Pools: creation, configuration, and the order in which events are handled.
+ * The decisions are made in the other files:
  *
- *	pool_endpoint.c	which endpoints there are
- *	pool_limit.c	may this workspace ask now
- *	pool_admit.c	can this request make it
- *	pool_queue.c	who waits, who is next, who makes room
- *	pool_place.c	which endpoint takes it (pool_prefix.c: whose cache)
- *	pool_backlog.c	what each endpoint still has to do
- *	pool_group.c	which endpoints take one that fits on none
- *	pool_grant.c	who holds what, and until when
- *	pool_shift.c	which endpoints lose their share
- *	pool_throttle.c	how much an endpoint takes of all VMs
- *	pool_backoff.c	which endpoints a VM backs off from
- *	pool_serve.c	the late answers, in which order
+ *	pool_endpoint.c	set of endpoints and their reports
+ *	pool_workspace.c	weights and limits of workspaces
+ *	pool_admit.c	admission: can a request meet its deadline
+ *	pool_queue.c	queueing, fair order and shedding
+ *	pool_place.c	choice of an endpoint (pool_prefix.c: by cached prefix)
+ *	pool_backlog.c	outstanding work of each endpoint
+ *	pool_group.c	groups for requests that fit on no single endpoint
+ *	pool_grant.c	grants and their leases
+ *	pool_outlier.c	ejection of slow or failing endpoints
+ *	pool_throttle.c	rate limits that endpoints set for all VMs
+ *	pool_backoff.c	endpoints that a VM backs off from
+ *	pool_serve.c	decisions on queued requests
  */
 #include "pool_engine.h"
 
@@ -22,14 +22,14 @@
 #include <string.h>
 
 /*
- * A class's rate is its grants over about this long: more than one long
- * prompt's grant, less than a wave of load lasts.
+ * Time constant of the grant rate of a class: longer than one grant of a long
+ * prompt, shorter than a load wave.
  */
-#define RATE_FADE_MS 3000.0
-/* Where no endpoint takes work: a few of their announcements later. */
-#define RETRY_FLAT_MS 1000
+#define RATE_DECAY_MS 3000.0
+/* Retry delay if no endpoint accepts work: a few announcement intervals. */
+#define RETRY_NO_ENDPOINT_MS 1000
 
-/* Below this a prompt is short: about what an engine reads in one step. */
+/* Prompts below this are short: about what an engine reads in one step. */
 #define SHORT_TOKENS 4096
 
 static const char *const reason_names[DL_REASON_COUNT] = {
@@ -53,8 +53,8 @@
 
 static uint8_t band_of(const struct dl_pool *pool, uint64_t prompt,
 		       uint64_t need);
-static bool answer_again(struct dl_pool *pool, const struct dl_ask *ask,
-			 struct dl_answer *out);
+static bool repeat_answer(struct dl_pool *pool, const struct dl_ask *ask,
+			  struct dl_answer *out);
 static enum dl_reason admit(struct dl_pool *pool, const struct pool_want *want,
 			    struct pool_workspace *ws, int64_t now,
 			    uint32_t *retry_after_ms, int64_t *wait);
@@ -63,7 +63,7 @@
 				struct pool_workspace *ws, int64_t now,
 				uint32_t *retry_after_ms);
 
-/* The name of a reason as callers and logs see it. */
+/* The name of a reason, as callers and logs see it. */
 const char *dl_reason_name(enum dl_reason reason)
 {
 	if ((unsigned)reason >= DL_REASON_COUNT)
@@ -71,7 +71,7 @@
 	return reason_names[reason];
 }
 
-/* Spread the bits of a number (the finalizer of splitmix64, a permutation). */
+/* Mix the bits of a number (finalizer of splitmix64, a permutation). */
 uint64_t pool_mix(uint64_t x)
 {
 	x += 0x9e3779b97f4a7c15U;
@@ -80,38 +80,41 @@
 	return x ^ (x >> 31);
 }
 
-/* The next of the pool's own random numbers. */
+/* The next pseudo-random number of the pool. */
 uint64_t pool_random(struct dl_pool *pool)
 {
 	pool->random = pool_mix(pool->random);
 	return pool->random;
 }
 
-/* A number of tokens as claimed, cut to what is reckoned with. */
+/* Clamp a claimed number of tokens to POOL_TOKENS_MAX. */
 uint64_t pool_tokens(uint64_t claimed)
 {
 	return claimed < POOL_TOKENS_MAX ? claimed : POOL_TOKENS_MAX;
 }
 
-/* A fading rate as of now, in units a millisecond. */
+/* Current value of a decaying rate, in units per millisecond. */
 double pool_rate_read(const struct pool_rate *rate, int64_t now)
 {
 	int64_t passed = now - rate->at;
 
 	if (rate->per_ms <= 0)
 		return 0;
-	return passed <= 0 ? rate->per_ms :
-			     rate->per_ms * exp(-(double)passed / RATE_FADE_MS);
+	return passed <= 0 ?
+		       rate->per_ms :
+		       rate->per_ms * exp(-(double)passed / RATE_DECAY_MS);
 }
 
-/* Count an amount into a fading rate. */
+/* Add an amount to a decaying rate. */
 void pool_rate_add(struct pool_rate *rate, double amount, int64_t now)
 {
-	rate->per_ms = pool_rate_read(rate, now) + amount / RATE_FADE_MS;
+	rate->per_ms = pool_rate_read(rate, now) + amount / RATE_DECAY_MS;
 	rate->at = now;
 }
 
-/* Begin a pool without endpoints; the seed is new with each incarnation. */
+/*
+ * Create a pool without endpoints; the seed must differ for each incarnation.
+ */
 struct dl_pool *dl_pool_new(const struct dl_pool_conf *conf,
 			    const struct dl_pool_policy *policy, uint64_t seed)
 {
@@ -142,7 +145,7 @@
 	return pool;
 }
 
-/* End a pool; nobody is told. */
+/* Free a pool without answering its queued requests. */
 void dl_pool_free(struct dl_pool *pool)
 {
 	struct pool_heap_node *top;
@@ -155,10 +158,12 @@
 		free(req);
 	while ((top = pool_heap_top(&pool->request_last_start)))
 		pool_queue_drop(pool,
-				POOL_OF(top, struct pool_request, last_start));
+				POOL_CONTAINER_OF(top, struct pool_request,
+						  last_start));
 	while ((top = pool_heap_top(&pool->grant_lease)))
-		pool_grant_drop(pool, POOL_OF(top, struct pool_grant, lease),
-				pool->now);
+		pool_grant_drop(
+			pool, POOL_CONTAINER_OF(top, struct pool_grant, lease),
+			pool->now);
 	while (pool->endpoints_n)
 		pool_endpoint_forget(pool, pool->endpoints[0]);
 	map = &pool->workspaces;
@@ -168,8 +173,8 @@
 		while (node) {
 			struct pool_map_node *next = node->next;
 
-			pool_workspace_free(
-				POOL_OF(node, struct pool_workspace, by_name));
+			pool_workspace_free(POOL_CONTAINER_OF(
+				node, struct pool_workspace, by_name));
 			node = next;
 		}
 	}
@@ -177,7 +182,7 @@
 		pool_heap_free(&pool->lane[i].by_start);
 		pool_heap_free(&pool->lane[i].by_backlog);
 	}
-	pool_heap_free(&pool->endpoint_gone);
+	pool_heap_free(&pool->endpoint_expiry);
 	pool_heap_free(&pool->grant_lease);
 	pool_heap_free(&pool->request_last_start);
 	pool_map_free(&pool->endpoint_by_name);
@@ -193,8 +198,8 @@
 }
 
 /*
- * Put a new configuration in force.  What is queued or granted stays, also
- * where a smaller bound would not have let it in.
+ * Apply a new configuration.  Queued requests and grants stay, even if a
+ * smaller bound would not have admitted them.
  */
 void dl_pool_configure(struct dl_pool *pool, const struct dl_pool_conf *conf)
 {
@@ -207,11 +212,12 @@
 		pool->tokens_allowed = pool->queued_tokens;
 	for (uint32_t i = 0; i < pool->endpoints_n; i++)
 		pool_place_refresh(pool, pool->endpoints[i], pool->now);
-	pool_queue_weigh(pool);
+	pool_queue_sum_weights(pool);
 }
 
-/* Weight and limits of a workspace; a weight of 0 is the default one. */
-void dl_pool_workspace(struct dl_pool *pool, const struct dl_workspace_conf *c)
+/* Set weight and limits of a workspace; a weight of 0 means the default. */
+void dl_pool_set_workspace(struct dl_pool *pool,
+			   const struct dl_workspace_conf *c)
 {
 	struct pool_workspace *ws =
 		pool_workspace_get(pool, dl_name_str(&c->name));
@@ -231,7 +237,7 @@
 				pool_workspace_weight(pool, ws) - before;
 }
 
-/* The level of an engine's priority that a request runs at. */
+/* The engine priority level of a request. */
 uint8_t pool_level(const struct pool_want *want)
 {
 	return want->band < POOL_LEVELS ? want->band : POOL_LEVELS - 1;
@@ -245,14 +251,14 @@
 	if (pool->conf.kind == DL_POOL_PLAIN)
 		return POOL_SHORT;
 	if (pool->memory_max && need > pool->memory_max)
-		return POOL_GIANT;
+		return POOL_OVERSIZED;
 	if (pool->conf.long_tokens && prompt >= pool->conf.long_tokens)
 		return POOL_LONG;
 	/*
-	 * Where the engines' figures are published a prompt of one part is
-	 * short: it goes to one engine, or to few, and need not wait.  Above
-	 * 4,096 tokens it stood in one lane with those that wait for a dozen
-	 * engines, behind them where its workspace was the same.
+	 * If the engine model is known, a prompt that is read as a single part
+	 * is short: it goes to one engine or few and need not wait.  Otherwise
+	 * prompts above 4,096 tokens would share a lane with those that wait
+	 * for a dozen engines, and queue behind them within the same workspace.
 	 */
 	if (pool->conf.engine.read_per_ms > 0)
 		return dl_engine_read_ms(&pool->conf.engine, prompt) <=
@@ -264,19 +270,20 @@
 	return prompt < short_tokens ? POOL_SHORT : POOL_MEDIUM;
 }
 
-/* A failure domain's name as a number; 0 where none is said. */
+/* Hash of a failure domain's name; 0 if it is unknown. */
 uint64_t pool_domain(const struct dl_name *name)
 {
 	return name->n ? dl_hash(dl_name_str(name), 0) : 0;
 }
 
-/* Whether an endpoint is in another failure domain than a request's VM. */
-bool pool_is_away(const struct pool_want *want, const struct pool_endpoint *e)
+/* Whether an endpoint is in another failure domain than the requesting VM. */
+bool pool_in_other_domain(const struct pool_want *want,
+			  const struct pool_endpoint *e)
 {
 	return want->domain && e->domain && want->domain != e->domain;
 }
 
-/* What a request wants, from what its entry says. */
+/* Derive the needs of a request from what its entry sent. */
 void pool_want_of(const struct dl_pool *pool, const struct dl_ask *ask,
 		  struct pool_want *out)
 {
@@ -284,11 +291,12 @@
 				   .entry = ask->entry,
 				   .domain = pool_domain(&ask->failure_domain),
 				   .deadline = ask->deadline,
-				   .asked = pool->now,
-				   .first_by = ask->first_by,
+				   .asked_at = pool->now,
+				   .first_event_deadline =
+					   ask->first_event_deadline,
 				   .target_ms = ask->target_ms,
 				   .gap_ms = ask->gap_ms,
-				   .alone = ask->alone,
+				   .self_placed = ask->self_placed,
 				   .standby = ask->standby };
 	if (out->class >= DL_CLASS_COUNT)
 		out->class = DL_CLASS_BATCH;
@@ -318,9 +326,9 @@
 	out->retry_after_ms = retry_after_ms;
 }
 
-/* An ask that was sent twice gets the answer that it already has. */
-static bool answer_again(struct dl_pool *pool, const struct dl_ask *ask,
-			 struct dl_answer *out)
+/* Answer a request that was sent twice with the decision already made. */
+static bool repeat_answer(struct dl_pool *pool, const struct dl_ask *ask,
+			  struct dl_answer *out)
 {
 	struct pool_grant *g =
 		pool_grant_of_request(pool, ask->entry, ask->request);
@@ -343,12 +351,13 @@
 	struct pool_request *victim;
 	uint32_t after;
 
-	if (pool_queue_room(pool, 1, want->prompt, 0))
+	if (pool_queue_has_room(pool, 1, want->prompt, 0))
 		return DL_REASON_NONE;
-	victim = pool_queue_victim(pool, want,
-				   pool_strain(pool, want, NULL, ws, now), now);
+	victim = pool_queue_victim(
+		pool, want, pool_deadline_ratio(pool, want, NULL, ws, now),
+		now);
 	if (victim &&
-	    pool_queue_room(pool, 0, want->prompt, victim->want.prompt)) {
+	    pool_queue_has_room(pool, 0, want->prompt, victim->want.prompt)) {
 		after = pool_retry_after(pool, &victim->want,
 					 pool_wait_ms(pool, &victim->want,
 						      victim, victim->workspace,
@@ -378,8 +387,8 @@
 }
 
 /*
- * Always answers: granted where an endpoint is free for it, queued where it is
- * predicted to make it, refused at once in every other case.
+ * Decide on a new request: grant it if an endpoint is free for it, queue it if
+ * it is predicted to meet its deadline, refuse it immediately otherwise.
  */
 void dl_pool_ask(struct dl_pool *pool, const struct dl_ask *ask, int64_t now,
 		 struct dl_answer *out)
@@ -399,23 +408,23 @@
 	out->entry = ask->entry;
 	pool_endpoint_expire(pool, now);
 	pool_grant_expire(pool, now);
-	if (answer_again(pool, ask, out))
+	if (repeat_answer(pool, ask, out))
 		return;
-	if (pool->open == 0 && pool->out)
-		pool_shift_recall(pool, now);
+	if (pool->open_endpoints == 0 && pool->ejected)
+		pool_outlier_readmit_all(pool, now);
 	pool_want_of(pool, ask, &want);
-	reason = pool_admit_ever(pool, &want, now);
+	reason = pool_admit_feasible(pool, &want, now);
 	if (reason != DL_REASON_NONE) {
 		if (reason == DL_REASON_NO_ENDPOINT ||
 		    reason == DL_REASON_DRAINING)
-			after = RETRY_FLAT_MS;
+			after = RETRY_NO_ENDPOINT_MS;
 		else if (reason == DL_REASON_BACKOFF)
 			after = pool_backoff_wait_ms(pool, &want, now);
 		pool_answer_refused(out, reason, after);
 		return;
 	}
 	ws = pool_workspace_get(pool, ask->workspace);
-	reason = pool_limit_check(pool, ws, now, &after);
+	reason = pool_workspace_check_limits(pool, ws, now, &after);
 	if (reason != DL_REASON_NONE) {
 		pool_answer_refused(out, reason, after);
 		return;
@@ -431,7 +440,7 @@
 		}
 		if (!pool->policy->queues) {
 			pool_answer_refused(out, DL_REASON_NO_ENDPOINT,
-					    RETRY_FLAT_MS);
+					    RETRY_NO_ENDPOINT_MS);
 			return;
 		}
 		if (found == POOL_LATE) {
@@ -454,7 +463,7 @@
 	out->verdict = DL_QUEUED;
 }
 
-/* The caller of a queued request left. */
+/* The caller of a queued request went away. */
 void dl_pool_cancel(struct dl_pool *pool, uint64_t entry, uint64_t request,
 		    int64_t now)
 {
@@ -465,7 +474,7 @@
 		pool_queue_drop(pool, req);
 }
 
-/* The pool in one line, for other pools, other domains and operators. */
+/* Summarize the pool for other pools, other failure domains and status. */
 void dl_pool_summarize(const struct dl_pool *pool, int64_t now,
 		       struct dl_pool_summary *out)
 {
@@ -473,7 +482,7 @@
 	double tokens = 0;
 
 	memset(out, 0, sizeof(*out));
-	out->endpoints = pool->open;
+	out->endpoints = pool->open_endpoints;
 	out->queued = pool->queued;
 	out->queued_tokens = pool->queued_tokens;
 	out->grants = pool->grant_by_id.n;
--- a/src/coordination/pool_grant.c
+++ b/src/coordination/pool_grant.c
@@ -1,7 +1,8 @@
 /*
- * Grants: leases on an endpoint's memory and a slot of it.  Whatever dies, the
- * memory comes back: an entry renews or its grants end with their lease, a
- * dead entry's end at once, an endpoint's end with its incarnation.
+ * Grants: leases on memory and a slot of an endpoint.  The memory is always
+ * reclaimed: a grant that its entry does not renew ends with its lease, the
+ * grants of a dead entry end at once, and those on an endpoint end with its
+ * incarnation.
  */
 #include "pool_int.h"
 
@@ -9,46 +10,49 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MEAN_GAIN     0.1
-#define CROWD_LOOK_AT 8
+#define MEAN_GAIN	 0.1
+#define REORDER_SCAN_MAX 8
 /*
- * The gap between two releases is a mean over as many as the pool runs at once,
- * and over these at the least: what began together ends together, after a long
- * gap, and that gap alone says nothing about the rest of its wave.
+ * The release gap is averaged over as many releases as the pool runs requests
+ * at once, and over at least this many: requests that started together end
+ * together after a long gap, and that gap alone says nothing about the rest of
+ * the wave.
  */
 #define RELEASES_MIN 10
 
-static void attach(struct pool_grant *g, uint8_t at, struct pool_endpoint *e,
-		   uint64_t share);
-static void detach(struct dl_pool *pool, struct pool_part *part, int64_t now);
+static void attach_part(struct pool_grant *g, uint8_t at,
+			struct pool_endpoint *e, uint64_t share);
+static void detach_part(struct dl_pool *pool, struct pool_part *part,
+			int64_t now);
 static struct pool_grant *grant_new(struct dl_pool *pool, uint64_t id,
 				    uint64_t entry, uint64_t request,
 				    struct pool_workspace *ws,
 				    const struct pool_want *want, uint8_t n);
-static void mark_crowded(struct pool_grant *g, struct pool_endpoint *e,
-			 int64_t now);
-static uint64_t new_id(struct dl_pool *pool);
-static void note_release(struct dl_pool *pool, struct pool_grant *g,
-			 int64_t now);
-static void blame(struct dl_pool *pool, const struct pool_grant *g,
-		  const struct dl_name *id, int64_t now);
-
-/* The hash of a request's name: its id is unique only with its entry. */
+static void mark_reordered(struct pool_grant *g, struct pool_endpoint *e,
+			   int64_t now);
+static uint64_t new_grant_id(struct dl_pool *pool);
+static void record_release(struct dl_pool *pool, struct pool_grant *g,
+			   int64_t now);
+static void mark_helper_unreachable(struct dl_pool *pool,
+				    const struct pool_grant *g,
+				    const struct dl_name *id, int64_t now);
+
+/* Hash of the id of a request, which is unique only per entry. */
 uint64_t pool_request_hash(uint64_t entry, uint64_t request)
 {
 	return pool_mix(pool_mix(entry) ^ request);
 }
 
-/* The grant of this id, or NULL. */
+/* Find a grant by id, or NULL. */
 struct pool_grant *pool_grant_find(const struct dl_pool *pool, uint64_t id)
 {
 	struct pool_map_node *node =
 		pool_map_first(&pool->grant_by_id, pool_mix(id));
 
-	return node ? POOL_OF(node, struct pool_grant, by_id) : NULL;
+	return node ? POOL_CONTAINER_OF(node, struct pool_grant, by_id) : NULL;
 }
 
-/* The grant that an entry has for a request, or NULL. */
+/* Find the grant of an entry's request, or NULL. */
 struct pool_grant *pool_grant_of_request(const struct dl_pool *pool,
 					 uint64_t entry, uint64_t request)
 {
@@ -58,7 +62,7 @@
 
 	for (; node; node = pool_map_next(node)) {
 		struct pool_grant *g =
-			POOL_OF(node, struct pool_grant, by_request);
+			POOL_CONTAINER_OF(node, struct pool_grant, by_request);
 
 		if (g->entry == entry && g->request == request)
 			return g;
@@ -67,11 +71,11 @@
 }
 
 /*
- * Ids are a permutation of a counter under the seed, so that two incarnations
- * of a dispatcher do not give the same one and a late release of an old grant
- * finds nothing.
+ * Ids are a permutation of a counter, keyed by the seed, so that two
+ * incarnations of a dispatcher do not use the same one and a late release of an
+ * old grant matches nothing.
  */
-static uint64_t new_id(struct dl_pool *pool)
+static uint64_t new_grant_id(struct dl_pool *pool)
 {
 	uint64_t id = 0;
 
@@ -103,8 +107,8 @@
 	return g;
 }
 
-static void attach(struct pool_grant *g, uint8_t at, struct pool_endpoint *e,
-		   uint64_t share)
+static void attach_part(struct pool_grant *g, uint8_t at,
+			struct pool_endpoint *e, uint64_t share)
 {
 	struct pool_part *part = &g->parts[at];
 
@@ -120,14 +124,15 @@
 	e->parts_last = part;
 	e->held += share;
 	e->grants++;
-	e->order++;
+	e->grant_seq++;
 	if (at == 0)
-		g->order = e->order;
+		g->seq = e->grant_seq;
 	if (g->want.band >= POOL_LONG)
 		e->long_grants++;
 }
 
-static void detach(struct dl_pool *pool, struct pool_part *part, int64_t now)
+static void detach_part(struct dl_pool *pool, struct pool_part *part,
+			int64_t now)
 {
 	struct pool_endpoint *e = part->endpoint;
 
@@ -151,42 +156,43 @@
 	part->endpoint = NULL;
 	if (e->grants == 0)
 		for (int i = 0; i < POOL_LEVELS; i++)
-			e->until[i] = now < e->until[i] ? now : e->until[i];
+			e->busy_until[i] =
+				now < e->busy_until[i] ? now : e->busy_until[i];
 	pool_place_refresh(pool, e, now);
 	if (e->grants == 0 && e->state != POOL_EP_LIVE && !e->drained)
 		pool_endpoint_forget(pool, e);
 }
 
 /*
- * Mark the requests of its level that a new one overtakes in the engine, and
- * itself: what either takes is not what was predicted, and says nothing about
- * the engine.  Only the latest few can still be waiting for their prefill.
+ * Mark a new request and those of its level that it overtakes in the engine:
+ * neither takes the predicted time, so their times say nothing about the
+ * engine.  Only the latest few can still be waiting for their prefill.
  */
-static void mark_crowded(struct pool_grant *g, struct pool_endpoint *e,
-			 int64_t now)
+static void mark_reordered(struct pool_grant *g, struct pool_endpoint *e,
+			   int64_t now)
 {
 	struct pool_part *part = e->parts_last;
 
-	for (int i = 0; part && i < CROWD_LOOK_AT; i++, part = part->prev) {
+	for (int i = 0; part && i < REORDER_SCAN_MAX; i++, part = part->prev) {
 		struct pool_grant *other = part->grant;
 
 		if (other == g || other->priority <= g->priority ||
 		    pool_level(&other->want) != pool_level(&g->want) ||
 		    other->since + other->predicted_ttft_ms < now)
 			continue;
-		other->crowded = true;
-		g->crowded = true;
+		other->reordered = true;
+		g->reordered = true;
 	}
 }
 
-/* Grant a choice: hold its memory and count its work. */
+/* Grant a placement: hold its memory and account for its work. */
 void pool_grant_make(struct dl_pool *pool, uint64_t request, uint64_t entry,
 		     struct pool_workspace *ws, const struct pool_want *want,
 		     const struct pool_choice *choice, int64_t now,
 		     struct dl_answer *out)
 {
-	struct pool_grant *g = grant_new(pool, new_id(pool), entry, request, ws,
-					 want, choice->n);
+	struct pool_grant *g = grant_new(pool, new_grant_id(pool), entry,
+					 request, ws, want, choice->n);
 	int64_t slack = want->deadline - now - choice->total_ms;
 	int64_t prefill = choice->ttft_ms - (choice->start - now);
 
@@ -195,7 +201,7 @@
 	pool_heap_set(&pool->grant_lease, &g->lease, g->valid_until);
 	g->predicted_ttft_ms = (uint32_t)choice->ttft_ms;
 	g->predicted_total_ms = (uint32_t)choice->total_ms;
-	g->saved = choice->saved;
+	g->cached_tokens = choice->cached_tokens;
 	g->interference_ms = choice->endpoint[0]->interference_ms;
 	g->behind_lower = choice->behind_lower;
 	g->priority = pool_place_priority(want, choice, now);
@@ -207,11 +213,12 @@
 		if (choice->behind_lower)
 			prefill -= (int64_t)e->interference_ms;
 		g->parts[i].prefill_ms = prefill > 0 ? prefill : 1;
-		mark_crowded(g, e, now);
+		mark_reordered(g, e, now);
 		pool_backlog_commit(e, want, g->parts[i].prefill_ms, slack,
 				    now);
-		attach(g, i, e, i && choice->lead_holds ? 0 : choice->share);
-		pool_throttle_take(e, want, now);
+		attach_part(g, i, e,
+			    i && choice->memory_on_leader ? 0 : choice->share);
+		pool_throttle_charge(e, want, now);
 		if (choice->probe) {
 			e->probe = g->id;
 			e->probe_at = now + e->probe_gap_ms;
@@ -227,7 +234,7 @@
 	pool_grant_answer(g, out);
 }
 
-/* Tell a grant. */
+/* Fill in the answer for a grant. */
 void pool_grant_answer(const struct pool_grant *g, struct dl_answer *out)
 {
 	out->request = g->request;
@@ -245,14 +252,15 @@
 	for (uint8_t i = 0; i < g->parts_n; i++) {
 		if (!g->parts[i].endpoint)
 			continue;
-		out->away += pool_is_away(&g->want, g->parts[i].endpoint);
+		out->away +=
+			pool_in_other_domain(&g->want, g->parts[i].endpoint);
 		out->endpoint[out->endpoints] = g->parts[i].endpoint->last.id;
 		out->share_tokens[out->endpoints++] = g->parts[i].share;
 	}
 }
 
-static void note_release(struct dl_pool *pool, struct pool_grant *g,
-			 int64_t now)
+static void record_release(struct dl_pool *pool, struct pool_grant *g,
+			   int64_t now)
 {
 	struct pool_workspace *ws = g->workspace;
 	int64_t since = pool->released_at > pool->waited_since ?
@@ -269,12 +277,12 @@
 	ws->mean_ms += MEAN_GAIN * (took - ws->mean_ms);
 }
 
-/* End a grant and give back all it holds. */
+/* End a grant and release what it holds. */
 void pool_grant_drop(struct dl_pool *pool, struct pool_grant *g, int64_t now)
 {
 	int64_t ends = g->since + g->predicted_ttft_ms;
 
-	note_release(pool, g, now);
+	record_release(pool, g, now);
 	for (uint8_t i = 0; i < g->parts_n; i++) {
 		struct pool_part *part = &g->parts[i];
 		int64_t rest = ends - now;
@@ -282,9 +290,9 @@
 		if (rest > part->prefill_ms)
 			rest = part->prefill_ms;
 		if (part->endpoint && rest > 0)
-			pool_backlog_undo(part->endpoint, pool_level(&g->want),
-					  rest, now);
-		detach(pool, part, now);
+			pool_backlog_release(part->endpoint,
+					     pool_level(&g->want), rest, now);
+		detach_part(pool, part, now);
 	}
 	g->workspace->running--;
 	pool_heap_remove(&pool->grant_lease, &g->lease);
@@ -293,28 +301,29 @@
 	free(g);
 }
 
-/* End the grants that nobody renewed. */
+/* End grants whose lease expired. */
 void pool_grant_expire(struct dl_pool *pool, int64_t now)
 {
 	struct pool_heap_node *top;
 
 	while ((top = pool_heap_top(&pool->grant_lease)) && top->key <= now)
-		pool_grant_drop(pool, POOL_OF(top, struct pool_grant, lease),
-				now);
+		pool_grant_drop(
+			pool, POOL_CONTAINER_OF(top, struct pool_grant, lease),
+			now);
 }
 
-/* An endpoint's memory is lost: its grants hold nothing there any more. */
+/* An endpoint lost its memory: its grants no longer hold anything there. */
 void pool_grant_detach(struct dl_pool *pool, struct pool_endpoint *e)
 {
 	bool drained = e->drained;
 
-	e->drained = true; /* the caller still needs it */
+	e->drained = true; /* keeps e allocated for the caller */
 	while (e->parts)
-		detach(pool, e->parts, pool->now);
+		detach_part(pool, e->parts, pool->now);
 	e->drained = drained;
 }
 
-/* Keep a grant for another lease; -ENOENT where it is not one of this pool. */
+/* Extend a grant by another lease; -ENOENT if the pool does not have it. */
 int dl_pool_renew(struct dl_pool *pool, uint64_t grant, int64_t now)
 {
 	struct pool_grant *g;
@@ -330,12 +339,14 @@
 }
 
 /*
- * The first endpoint of a group could not reach another one of it.  For a
- * failure domain that is cut off: a group fails after a stall (1.5 s) in which
- * the whole engine that leads stands still, and the same helpers look free.
+ * The leader of a group could not reach this helper.  Without this, when a
+ * failure domain is cut off, each such group fails after a stall of 1.5 s
+ * during which the whole leading engine stands still, and the same helpers
+ * still look free.
  */
-static void blame(struct dl_pool *pool, const struct pool_grant *g,
-		  const struct dl_name *id, int64_t now)
+static void mark_helper_unreachable(struct dl_pool *pool,
+				    const struct pool_grant *g,
+				    const struct dl_name *id, int64_t now)
 {
 	for (uint8_t i = 1; i < g->parts_n; i++) {
 		struct pool_endpoint *e = g->parts[i].endpoint;
@@ -345,26 +356,26 @@
 	}
 }
 
-/* Dispatching begins here. */
-void dl_pool_lead(struct dl_pool *pool, int64_t now)
+/* Start dispatching in this pool. */
+void dl_pool_start_dispatching(struct dl_pool *pool, int64_t now)
 {
-	if (pool->policy->lead)
-		pool->policy->lead(pool, now);
+	if (pool->policy->start_dispatching)
+		pool->policy->start_dispatching(pool, now);
 }
 
-/* The first event of a grant's answer came; -ENOENT as for renew. */
-int dl_pool_first(struct dl_pool *pool, uint64_t grant, int64_t now)
+/* The first event of the answer to a grant arrived; -ENOENT as for renew. */
+int dl_pool_first_event(struct dl_pool *pool, uint64_t grant, int64_t now)
 {
 	struct pool_grant *g = pool_grant_find(pool, grant);
 
 	if (!g)
 		return -ENOENT;
-	if (pool->policy->first)
-		pool->policy->first(pool, g, now);
+	if (pool->policy->first_event)
+		pool->policy->first_event(pool, g, now);
 	return 0;
 }
 
-/* Give back what a grant holds and learn from it; -ENOENT as for renew. */
+/* Release a grant and learn from its outcome; -ENOENT as for renew. */
 int dl_pool_release(struct dl_pool *pool, uint64_t grant,
 		    const struct dl_usage *usage, int64_t now)
 {
@@ -376,21 +387,21 @@
 	if (usage && usage->unreachable && g->parts[0].endpoint)
 		pool_endpoint_unreachable(pool, g->parts[0].endpoint, now);
 	if (usage && usage->at_fault.n)
-		blame(pool, g, &usage->at_fault, now);
-	if (usage && usage->wait_ms)
-		pool_backoff_note(pool, g, &usage->asked_to_wait,
-				  usage->wait_ms, now);
+		mark_helper_unreachable(pool, g, &usage->at_fault, now);
+	if (usage && usage->backoff_ms)
+		pool_backoff_note(pool, g, &usage->backoff_endpoint,
+				  usage->backoff_ms, now);
 	if (usage)
-		pool_shift_learn(pool, g, usage, now);
+		pool_outlier_learn(pool, g, usage, now);
 	pool_grant_drop(pool, g, now);
 	return 0;
 }
 
 /*
- * Count a grant of an earlier dispatcher as one of this: after a hand-over
- * each entry tells what it has under way, and nothing of it runs twice or is
- * forgotten.  Endpoints that have not reported yet are held for it by name.
- * -EINVAL where it names no endpoint, -EEXIST where it is known.
+ * Adopt a grant of a previous dispatcher.  After a handover each entry reports
+ * its running requests, so that none is run twice or forgotten.  Endpoints
+ * without a report yet are created by name. -EINVAL if the grant has no
+ * endpoint, -EEXIST if it is known.
  */
 int dl_pool_adopt(struct dl_pool *pool, const struct dl_answer *grant,
 		  const struct dl_ask *ask, int64_t now)
@@ -411,7 +422,7 @@
 		pool_queue_drop(pool, queued);
 	pool_want_of(pool, ask, &want);
 	if (grant->endpoints > 1)
-		want.band = POOL_GIANT;
+		want.band = POOL_OVERSIZED;
 	ws = pool_workspace_get(pool, ask->workspace);
 	g = grant_new(pool, grant->grant, ask->entry, ask->request, ws, &want,
 		      grant->endpoints);
@@ -424,7 +435,7 @@
 		struct pool_endpoint *e = pool_endpoint_get(
 			pool, dl_name_str(&grant->endpoint[i]));
 
-		attach(g, i, e, grant->share_tokens[i]);
+		attach_part(g, i, e, grant->share_tokens[i]);
 		pool_place_refresh(pool, e, now);
 	}
 	if (pool->policy->granted)
@@ -432,7 +443,10 @@
 	return 0;
 }
 
-/* An entry died: nobody waits for what it queued, nobody reads its answers. */
+/*
+ * An entry died: drop its queued requests and end its grants, as nobody waits
+ * for or reads the answers.
+ */
 void dl_pool_entry_gone(struct dl_pool *pool, uint64_t entry, int64_t now)
 {
 	struct pool_map *map = &pool->grant_by_id;
@@ -441,8 +455,8 @@
 	pool->now = now;
 	for (uint32_t i = 0; i <= map->mask; i++) {
 		for (node = map->bucket[i]; node; node = next) {
-			struct pool_grant *g =
-				POOL_OF(node, struct pool_grant, by_id);
+			struct pool_grant *g = POOL_CONTAINER_OF(
+				node, struct pool_grant, by_id);
 
 			next = node->next;
 			if (g->entry == entry)
@@ -452,8 +466,8 @@
 	map = &pool->request_by_id;
 	for (uint32_t i = 0; i <= map->mask; i++) {
 		for (node = map->bucket[i]; node; node = next) {
-			struct pool_request *req =
-				POOL_OF(node, struct pool_request, by_request);
+			struct pool_request *req = POOL_CONTAINER_OF(
+				node, struct pool_request, by_request);
 
 			next = node->next;
 			if (req->entry == entry)
--- a/src/coordination/pool_serve.c
+++ b/src/coordination/pool_serve.c
@@ -1,5 +1,5 @@
 /*
- * The late answers: who is refused while waiting, who is granted next, and
+ * Decisions on queued requests: which is refused, which is granted next, and
  * when to look again.
  */
 #include "pool_int.h"
@@ -8,23 +8,25 @@
 #include <string.h>
 
 /*
- * What a lower class gets at the least of what is given to the classes before
- * it, while it has something queued: one part in four, so a fifth in all.  For
- * one workspace that floods a higher class: without it the others' dossiers
- * would be admitted and then never served.
+ * A lower class with queued requests gets at least this part of what is granted
+ * to the classes before it: one in four, so a fifth in total.  Without it, if
+ * one workspace floods a higher class, batch requests of the others would be
+ * admitted and never served.
  */
-#define CREDIT_SHARE 4
-/* Credit kept for later, in tokens: one long prompt's worth. */
+#define CREDIT_DIVISOR 4
+/* Limit of unused credit, in tokens: one long prompt's worth. */
 #define CREDIT_MAX ((uint64_t)1 << 21)
 
-/* How many flows of a lane are tried when the first one's head fits nowhere. */
-#define LOOK_AHEAD 3
-/* How many requests behind a flow's head, where endpoints hold its VM back. */
-#define LOOK_BEHIND 8
+/*
+ * How many flows of a lane are tried if the head of the first one does not fit.
+ */
+#define FLOWS_TRIED_MAX 3
+/* How many requests behind a flow's head are tried while its VM backs off. */
+#define REQUESTS_TRIED_MAX 8
 
 /*
- * When nothing but an event can help, the queue is still looked at this often:
- * slow starts grow and outliers come back without one.
+ * Poll interval of the queue without events: slow starts grow and ejected
+ * endpoints are readmitted without one.
  */
 #define SERVE_RETRY_MS 25
 
@@ -41,20 +43,20 @@
 static bool serve_credit(struct dl_pool *pool, int64_t now,
 			 struct dl_answer *out);
 static bool serve(struct dl_pool *pool, int64_t now, struct dl_answer *out);
-static void plan_serve(struct dl_pool *pool, int64_t now);
+static void schedule_serve(struct dl_pool *pool, int64_t now);
 static bool take_refused(struct dl_pool *pool, struct dl_answer *out);
 static void refuse_one_late(struct dl_pool *pool, struct pool_request *req,
 			    int64_t now);
 static void refuse_late(struct dl_pool *pool, int64_t now);
 static int64_t earlier(int64_t at, const struct pool_heap *heap);
 
-/* A grant to a class earns the lower classes their part. */
+/* A grant to a class earns credit for the lower classes. */
 void pool_serve_credit(struct dl_pool *pool, const struct pool_want *want)
 {
 	for (int c = want->class + 1; c < DL_CLASS_COUNT; c++) {
 		uint64_t *credit = &pool->class_credit[c];
 
-		*credit += want->prompt / CREDIT_SHARE + 1;
+		*credit += want->prompt / CREDIT_DIVISOR + 1;
 		if (*credit > CREDIT_MAX)
 			*credit = CREDIT_MAX;
 	}
@@ -88,7 +90,7 @@
 {
 	const struct pool_index_node *root = pool_index_root(&pool->index);
 
-	if (want->band == POOL_GIANT)
+	if (want->band == POOL_OVERSIZED)
 		return true;
 	if (want->band == POOL_SHORT)
 		return false;
@@ -99,8 +101,8 @@
 }
 
 /*
- * Serve a request behind one that fits nowhere: a VM that endpoints have asked
- * to wait must not keep those of other VMs from them.
+ * Serve a request behind one that cannot be placed: a VM that backs off from
+ * endpoints must not keep those of other VMs from them.
  */
 static bool serve_behind(struct dl_pool *pool, struct pool_request *head,
 			 int64_t now, struct dl_answer *out)
@@ -109,7 +111,7 @@
 
 	if (!dl_backoff_any(pool->backoff, now))
 		return false;
-	for (int i = 0; i < LOOK_BEHIND; i++) {
+	for (int i = 0; i < REQUESTS_TRIED_MAX; i++) {
 		req = pool_queue_next(req);
 		if (!req)
 			return false;
@@ -121,16 +123,16 @@
 }
 
 /*
- * Serve a lane: the flow whose turn it is, or one of the next few where that
- * one's head fits nowhere now, so that one request which may not go where the
- * others may doesn't stop its lane.
+ * Serve a lane: the next flow, or one of the few after it if the head of that
+ * one cannot be placed now, so that one request with fewer allowed endpoints
+ * does not block its lane.
  */
 static bool serve_lane(struct dl_pool *pool, uint8_t lane, int64_t now,
 		       struct dl_answer *out)
 {
 	struct pool_request *first = pool_queue_head(pool, lane, 0);
 
-	for (uint32_t nth = 0; nth < LOOK_AHEAD; nth++) {
+	for (uint32_t nth = 0; nth < FLOWS_TRIED_MAX; nth++) {
 		struct pool_request *req = pool_queue_head(pool, lane, nth);
 
 		if (!req)
@@ -140,7 +142,7 @@
 	}
 	if (first && serve_behind(pool, first, now, out))
 		return true;
-	if (first && pool->policy->gathers &&
+	if (first && pool->policy->reserves_memory &&
 	    fits_nowhere(pool, &first->want) &&
 	    pool_hold_begin(pool, first, now))
 		return serve_request(pool, first, now, out);
@@ -183,9 +185,9 @@
 }
 
 /*
- * The next request to be granted: by class, within it short before long since
- * these go to different endpoints for the most part; but a lower class that
- * has credit first.
+ * Grant the next request: by class, and within a class short before long, since
+ * those mostly use different endpoints; but a lower class with credit goes
+ * first.
  */
 static bool serve(struct dl_pool *pool, int64_t now, struct dl_answer *out)
 {
@@ -200,7 +202,7 @@
 	return false;
 }
 
-static void plan_serve(struct dl_pool *pool, int64_t now)
+static void schedule_serve(struct dl_pool *pool, int64_t now)
 {
 	pool->serve_at = INT64_MAX;
 	if (pool->queued == 0)
@@ -235,8 +237,8 @@
 }
 
 /*
- * Refuse what can no longer make it even if it started now, at that moment:
- * its caller gets the rest of its time.
+ * Refuse requests that would miss their deadline even if they started now, so
+ * that the caller can use the remaining time.
  */
 static void refuse_late(struct dl_pool *pool, int64_t now)
 {
@@ -245,12 +247,13 @@
 	while ((top = pool_heap_top(&pool->request_last_start)) &&
 	       top->key < now) {
 		refuse_one_late(pool,
-				POOL_OF(top, struct pool_request, last_start),
+				POOL_CONTAINER_OF(top, struct pool_request,
+						  last_start),
 				now);
 	}
 }
 
-/* Take the next late answer: a grant or refusal of a queued request. */
+/* Return the next decision on a queued request: a grant or a refusal. */
 bool dl_pool_next(struct dl_pool *pool, int64_t now, struct dl_answer *out)
 {
 	pool->now = now;
@@ -264,7 +267,7 @@
 		return true;
 	if (serve(pool, now, out))
 		return true;
-	plan_serve(pool, now);
+	schedule_serve(pool, now);
 	return false;
 }
 
@@ -275,7 +278,7 @@
 	return top && top->key < at ? top->key : at;
 }
 
-/* When dl_pool_next must be called at the latest; INT64_MAX for never. */
+/* Latest time for the next dl_pool_next() call; INT64_MAX for never. */
 int64_t dl_pool_wakeup(const struct dl_pool *pool)
 {
 	int64_t at = pool->serve_at, hold;
@@ -283,7 +286,7 @@
 	if (pool->refused)
 		return pool->now;
 	at = earlier(at, &pool->grant_lease);
-	at = earlier(at, &pool->endpoint_gone);
+	at = earlier(at, &pool->endpoint_expiry);
 	if (pool->request_last_start.n) {
 		at = earlier(at, &pool->request_last_start);
 		if (pool->recheck_at < at)
--- a/test/test_placing.c
+++ b/test/test_placing.c
@@ -67,7 +67,7 @@
 
 static void end(void)
 {
-	ck_assert_ptr_null(dl_pool_broken(pool));
+	ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	dl_pool_free(pool);
 }
 
@@ -88,7 +88,7 @@
 	if (entry_domain)
 		dl_name_set(&a.failure_domain, dl_str_of(entry_domain));
 	dl_pool_ask(pool, &a, now, &out);
-	ck_assert_ptr_null(dl_pool_broken(pool));
+	ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	return out;
 }
 
@@ -161,7 +161,7 @@
 {
 	struct dl_answer a, granted;
 
-	dl_pool_lead(pool, now);
+	dl_pool_start_dispatching(pool, now);
 	a = ask_long(154000);
 	ck_assert_int_eq(a.verdict, DL_QUEUED);
 	a = ask_short();
--- a/test/test_pool_random.c
+++ b/test/test_pool_random.c
@@ -1,6 +1,6 @@
 /*
- * Random events of every kind, a million of them, with the pool's invariants
- * and a model of what each caller was told checked after each one.
+ * A million random events of all kinds; after each one the invariants of the
+ * pool and a model of what each caller was told are checked.
  */
 #include <check.h>
 #include <errno.h>
@@ -14,7 +14,7 @@
 #include "fake/suite.h"
 
 #define EVENTS	   250000
-#define SANITIZED  20 /* times fewer under the sanitizers */
+#define SANITIZED  20 /* reduction under the sanitizers */
 #define REQUESTS   512
 #define ENDPOINTS  12
 #define ENTRIES	   4
@@ -35,7 +35,7 @@
 struct endpoint {
 	uint64_t incarnation;
 	uint64_t memory;
-	bool closed; /* drained, leaving or gone: no new work */
+	bool closed; /* drained, leaving or gone: gets no new work */
 	bool drained;
 };
 
@@ -208,7 +208,7 @@
 	}
 	e->drained = !e->drained;
 	dl_pool_endpoint_drain(pool, dl_str_of(names[i]), e->drained, now);
-	e->closed = true; /* until it reports again, for this model */
+	e->closed = true; /* this model waits for its next report */
 	if (!e->drained)
 		dl_pool_endpoint_gone(pool, dl_str_of(names[i]), now);
 }
@@ -223,7 +223,7 @@
 			requests[i].state = NONE;
 }
 
-/* A new dispatcher takes over; most entries tell it what they have. */
+/* A new dispatcher takes over; most entries report their grants to it. */
 static void do_hand_over(void)
 {
 	struct dl_pool_conf conf = random_conf();
@@ -255,14 +255,14 @@
 
 	snprintf(name, sizeof(name), "w%u", below(WORKSPACES));
 	dl_name_set(&ws.name, dl_str_of(name));
-	dl_pool_workspace(pool, &ws);
+	dl_pool_set_workspace(pool, &ws);
 	dl_pool_configure(pool, &conf);
 }
 
 static void do_cached(void)
 {
-	dl_pool_cached(pool, dl_str_of(names[below(ENDPOINTS)]), below(8),
-		       below(2) * 3000, now);
+	dl_pool_cache_event(pool, dl_str_of(names[below(ENDPOINTS)]), below(8),
+			    below(2) * 3000, now);
 }
 
 static void drain(void)
@@ -276,7 +276,7 @@
 		ck_assert_uint_eq(a.request, r->ask.request);
 		ck_assert_int_ne(a.verdict, DL_QUEUED);
 		check_answer(r, &a);
-		ck_assert_ptr_null(dl_pool_broken(pool));
+		ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	}
 }
 
@@ -325,7 +325,7 @@
 		const char *broken;
 
 		one_event();
-		broken = dl_pool_broken(pool);
+		broken = dl_pool_check_invariants(pool);
 		ck_assert_msg(!broken, "seed %u event %d: %s", seeds[_i], i,
 			      broken);
 		drain();
--- a/test/test_throttle.c
+++ b/test/test_throttle.c
@@ -1,6 +1,6 @@
 /*
- * Endpoints that name a limit of themselves: what they and the others are
- * granted under load, as the endpoints and callers see it.
+ * Endpoints that set a rate limit: requests granted to them and to the others
+ * under load, as endpoints and callers see it.
  */
 #include <check.h>
 #include <stdio.h>
@@ -30,7 +30,7 @@
 static struct dl_pool *pool;
 static int64_t now;
 static uint64_t next_request;
-static bool alone, standby;
+static bool self_placed, standby;
 static uint64_t prompt;
 static struct granted grants[GRANTS_MAX];
 static uint32_t grants_n, first_open;
@@ -66,7 +66,7 @@
 
 	now = 1000;
 	next_request = 1;
-	alone = standby = false;
+	self_placed = standby = false;
 	prompt = 5000;
 	grants_n = first_open = refused = 0;
 	if (!model) {
@@ -81,7 +81,7 @@
 
 static void end(void)
 {
-	ck_assert_ptr_null(dl_pool_broken(pool));
+	ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	dl_pool_free(pool);
 }
 
@@ -106,7 +106,7 @@
 			    .deadline = now + 3000,
 			    .target_ms = TARGET_MS,
 			    .gap_ms = 250,
-			    .alone = alone,
+			    .self_placed = self_placed,
 			    .standby = standby };
 	struct dl_answer out;
 
@@ -114,14 +114,16 @@
 	take(&out);
 }
 
-/* Requests a second that three endpoints can just bear, and four are used for.
+/*
+ * Requests per second that three endpoints can just handle and four are used
+ * for.
  */
 static int busy(bool model)
 {
 	return model ? 100 : 40;
 }
 
-/* Play a load of so many requests a second. */
+/* Apply a load of this many requests per second. */
 static void play(int64_t ms, int per_s)
 {
 	struct dl_usage usage = { .ran = true, .ttft_ms = 100 };
@@ -136,13 +138,13 @@
 			ask();
 		while (dl_pool_next(pool, now, &out))
 			take(&out);
-		ck_assert_ptr_null(dl_pool_broken(pool));
+		ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	}
 }
 
 static bool name_limit(uint32_t limit)
 {
-	return dl_pool_limit(pool, DL_STR(LIMITED), limit, now);
+	return dl_pool_set_endpoint_limit(pool, DL_STR(LIMITED), limit, now);
 }
 
 static bool is_at(const struct granted *g, const char *endpoint)
@@ -164,7 +166,7 @@
 	return n;
 }
 
-/* The most that went to an endpoint in any window since a time. */
+/* The most requests granted to an endpoint in any window since a time. */
 static uint32_t most_at(const char *endpoint, int64_t since)
 {
 	uint32_t most = 0;
@@ -191,7 +193,7 @@
 	play(12000, per_s);
 	ck_assert_uint_le(most_at(LIMITED, since), 2 * WINDOW_MS / 1000 + 1);
 	ck_assert_uint_ge(granted_at(LIMITED, since, now), 12);
-	/* What the others take is not held up. */
+	/* Requests to other endpoints are not delayed. */
 	ck_assert_uint_ge(grants_n - before, 12 * per_s * 95 / 100);
 }
 END_TEST
@@ -205,7 +207,7 @@
 
 	open_pool(_i);
 	for (int i = 0; i < ENDPOINTS; i++)
-		dl_pool_limit(pool, dl_str_of(id[i]), 2000, now);
+		dl_pool_set_endpoint_limit(pool, dl_str_of(id[i]), 2000, now);
 	since = now;
 	play(12000, 20);
 	for (int i = 0; i < ENDPOINTS; i++) {
@@ -213,7 +215,7 @@
 				  2 * WINDOW_MS / 1000 + 1);
 		ck_assert_uint_ge(granted_at(id[i], since, now), 16);
 	}
-	/* Nobody waits for what cannot be had. */
+	/* Requests that cannot be served are refused, not left waiting. */
 	ck_assert_uint_ge(refused + grants_n, 12 * 20 * 70 / 100);
 }
 END_TEST
@@ -223,7 +225,7 @@
 	open_pool(_i);
 	name_limit(1000);
 	play(2000, 40);
-	/* A late answer from before the limit is no word that it is over. */
+	/* An answer older than the limit does not lift it. */
 	name_limit(1000);
 	now += 100;
 	ck_assert(!name_limit(DL_UNLIMITED));
@@ -258,14 +260,17 @@
 {
 	open_pool(_i);
 	name_limit(5000);
-	alone = true;
+	self_placed = true;
 	play(6000, 40);
 	ck_assert_uint_eq(granted_at(LIMITED, 0, now), 0);
 	ck_assert_uint_ge(grants_n, 6 * 40 * 95 / 100);
 }
 END_TEST
 
-/* The other one grants at the whole rate; half as much again is borne. */
+/*
+ * The dispatcher grants at the full rate; the endpoint can take half as much
+ * more.
+ */
 START_TEST(a_standby_gives_half_of_what_an_endpoint_named)
 {
 	int64_t since;
@@ -312,12 +317,13 @@
 
 	open_pool(true);
 	name_limit(2500);
-	ck_assert(dl_pool_limit_next(pool, &at, now, &id, &limit));
+	ck_assert(dl_pool_endpoint_limit_next(pool, &at, now, &id, &limit));
 	ck_assert(dl_name_eq(&id, DL_STR(LIMITED)));
 	ck_assert_uint_eq(limit, 2500);
-	ck_assert(!dl_pool_limit_next(pool, &at, now, &id, &limit));
+	ck_assert(!dl_pool_endpoint_limit_next(pool, &at, now, &id, &limit));
 	at = 0;
-	ck_assert(!dl_pool_limit_next(pool, &at, now + 1, &id, &limit));
+	ck_assert(
+		!dl_pool_endpoint_limit_next(pool, &at, now + 1, &id, &limit));
 }
 END_TEST
 
@@ -349,7 +355,7 @@
 	Suite *suite = suite_create("throttle");
 	TCase *tc = tcase_create("throttle");
 
-	/* Of plain services, and of engines. */
+	/* For plain services and for engines. */
 	tcase_add_loop_test(
 		tc, an_endpoint_gets_what_it_named_and_others_the_rest, 0, 2);
 	tcase_add_loop_test(
