--- a/include/daisyledge/engine.h
+++ b/include/daisyledge/engine.h
@@ -28,13 +28,13 @@
 };
 
 /* The time that reading a prompt takes, on one engine and alone. */
-double dl_engine_read_ms(const struct dl_engine_model *m, uint64_t tokens);
+double dl_engine_prefill_ms(const struct dl_engine_model *m, uint64_t tokens);
 /* One pass of some writers that reads nothing. */
-double dl_engine_write_ms(const struct dl_engine_model *m, uint32_t writers,
-			  uint64_t context);
+double dl_engine_decode_pass_ms(const struct dl_engine_model *m,
+				uint32_t writers, uint64_t context);
 
 /* What an answer that comes late is worth of one on time, as operators say. */
-#define DL_LATE_WORTH 0.25
+#define DL_LATE_VALUE 0.25
 
 /* The most requests and parts of requests that are followed on one engine. */
 #define DL_ENGINE_ITEMS_MAX 64
@@ -82,21 +82,22 @@
  * A request's first event left the engine at a time: a pass ended then.  What
  * is under way is moved to begin there.
  */
-void dl_engine_seen(struct dl_engine *e, const struct dl_engine_model *m,
-		    uint64_t id, int64_t at);
+void dl_engine_observe_first_event(struct dl_engine *e,
+				   const struct dl_engine_model *m, uint64_t id,
+				   int64_t at);
 /* It ended, or was given up. */
 void dl_engine_remove(struct dl_engine *e, uint64_t id, int64_t now);
 /*
  * What would bear a pass of from_ms and not one of to_ms, in weights; share: of
  * a pause that a pass may take.
  */
-double dl_engine_harm(const struct dl_engine *e, double from_ms, double to_ms,
-		      double share);
+double dl_engine_gap_cost(const struct dl_engine *e, double from_ms,
+			  double to_ms, double share);
 /*
  * What would have its first event late if the pass that a prompt given now is
  * read in ended at to and not at from, in weights.
  */
-double dl_engine_delay_harm(const struct dl_engine *e, int64_t from, int64_t to,
+double dl_engine_delay_cost(const struct dl_engine *e, int64_t from, int64_t to,
 			    int64_t now);
 void dl_engine_forecast(const struct dl_engine *e,
 			const struct dl_engine_model *m, double read_ms,
--- a/src/coordination/engine.c
+++ b/src/coordination/engine.c
@@ -22,7 +22,7 @@
 			  uint64_t *context);
 
 /* The time that reading a prompt takes, on one engine and alone. */
-double dl_engine_read_ms(const struct dl_engine_model *m, uint64_t tokens)
+double dl_engine_prefill_ms(const struct dl_engine_model *m, uint64_t tokens)
 {
 	double n = (double)tokens;
 	double rate = m->read_per_ms > 0 ? m->read_per_ms : 1;
@@ -31,8 +31,8 @@
 }
 
 /* One pass of some writers that reads nothing. */
-double dl_engine_write_ms(const struct dl_engine_model *m, uint32_t writers,
-			  uint64_t context)
+double dl_engine_decode_pass_ms(const struct dl_engine_model *m,
+				uint32_t writers, uint64_t context)
 {
 	double step = m->step_ms + writers * m->per_writer_ms +
 		      (double)context / CONTEXT * m->per_context_ms;
@@ -96,7 +96,7 @@
 	double ms;
 
 	count_writers(e, &writers, &context);
-	ms = dl_engine_write_ms(m, writers, context);
+	ms = dl_engine_decode_pass_ms(m, writers, context);
 	e->writing = writers > 0;
 	for (uint32_t i = 0; i < e->count; i++) {
 		if (!e->item[i].waiting)
@@ -170,8 +170,9 @@
  * late that were taken to be in time (120 a day, on the average 220 ms later
  * than was foreseen).
  */
-void dl_engine_seen(struct dl_engine *e, const struct dl_engine_model *m,
-		    uint64_t id, int64_t at)
+void dl_engine_observe_first_event(struct dl_engine *e,
+				   const struct dl_engine_model *m, uint64_t id,
+				   int64_t at)
 {
 	const struct dl_engine_item *item = NULL;
 	int64_t late;
@@ -234,8 +235,8 @@
 }
 
 /* The weight of those that a longer pass would pause for too long. */
-double dl_engine_harm(const struct dl_engine *e, double from_ms, double to_ms,
-		      double share)
+double dl_engine_gap_cost(const struct dl_engine *e, double from_ms,
+			  double to_ms, double share)
 {
 	double sum = 0;
 
@@ -259,7 +260,7 @@
  * 0.24 s came after 2.3 s, with five parts that joined one after the other).
  * While somebody writes, what arrives waits for the next pass instead.
  */
-double dl_engine_delay_harm(const struct dl_engine *e, int64_t from, int64_t to,
+double dl_engine_delay_cost(const struct dl_engine *e, int64_t from, int64_t to,
 			    int64_t now)
 {
 	bool joins = e->pass_ends > now && !e->writing;
@@ -273,7 +274,7 @@
 		if (item->due && from <= item->due && to > item->due)
 			sum += item->weight;
 		if (item->last && from <= item->last && to > item->last)
-			sum += item->weight * DL_LATE_WORTH;
+			sum += item->weight * DL_LATE_VALUE;
 	}
 	return sum;
 }
@@ -308,8 +309,8 @@
 		out->read_at = now + (int64_t)ceil(out->pass_ms);
 		return;
 	}
-	out->pass_ms = (dl_engine_write_ms(m, writers, out->context) + reads +
-			read_ms) *
+	out->pass_ms = (dl_engine_decode_pass_ms(m, writers, out->context) +
+			reads + read_ms) *
 		       e->pace;
 	out->read_at =
 		(busy ? e->pass_ends : now) + (int64_t)ceil(out->pass_ms);
--- a/src/coordination/pool.c
+++ b/src/coordination/pool.c
@@ -255,7 +255,7 @@
 	 * engines, behind them where its workspace was the same.
 	 */
 	if (pool->conf.engine.read_per_ms > 0)
-		return dl_engine_read_ms(&pool->conf.engine, prompt) <=
+		return dl_engine_prefill_ms(&pool->conf.engine, prompt) <=
 				       PART_MS ?
 			       POOL_SHORT :
 			       POOL_MEDIUM;
--- a/src/coordination/pool_engine.c
+++ b/src/coordination/pool_engine.c
@@ -95,7 +95,7 @@
 
 	s->gap_share = GAP_SHARE_HARSH;
 	if ((double)s->waited > s->target)
-		budget *= DL_LATE_WORTH;
+		budget *= DL_LATE_VALUE;
 	if (!pool_engine_place(s, budget, &harsh))
 		return false;
 	if ((double)(s->waited + harsh.ttft_ms) > s->target &&
@@ -127,7 +127,7 @@
 
 	*out = place;
 	s.target = want->target_ms ? want->target_ms : TARGET_DEFAULT_MS;
-	s.read_ms = dl_engine_read_ms(s.model, want->prompt);
+	s.read_ms = dl_engine_prefill_ms(s.model, want->prompt);
 	s.weight = pool_engine_weight(want);
 	pool_engine_look(&s);
 	if (is_too_much(&s))
@@ -164,8 +164,9 @@
 	uint32_t n = pool->open < DL_GROUP_MAX ? pool->open : DL_GROUP_MAX;
 	double passes = (double)want->output / (m->stride ? m->stride : 1);
 
-	return (int64_t)ceil(dl_engine_read_ms(m, want->prompt) / (n ? n : 1) +
-			     passes * dl_engine_write_ms(m, 1, 0)) +
+	return (int64_t)ceil(dl_engine_prefill_ms(m, want->prompt) /
+				     (n ? n : 1) +
+			     passes * dl_engine_decode_pass_ms(m, 1, 0)) +
 	       WAY_MS;
 }
 
@@ -234,7 +235,8 @@
 
 	if (g->parts_n != 1 || !e)
 		return;
-	dl_engine_seen(&e->engine, &pool->conf.engine, g->id, now - WAY_MS / 2);
+	dl_engine_observe_first_event(&e->engine, &pool->conf.engine, g->id,
+				      now - WAY_MS / 2);
 }
 
 /*
--- a/src/coordination/pool_engine_place.c
+++ b/src/coordination/pool_engine_place.c
@@ -149,10 +149,10 @@
 {
 	const struct dl_engine *e = &c->endpoint->engine;
 
-	return dl_engine_harm(e, c->forecast.pass_ms,
-			      c->forecast.pass_ms + part_ms * e->pace,
-			      s->gap_share) +
-	       dl_engine_delay_harm(e, c->forecast.read_at, read_at(c, part_ms),
+	return dl_engine_gap_cost(e, c->forecast.pass_ms,
+				  c->forecast.pass_ms + part_ms * e->pace,
+				  s->gap_share) +
+	       dl_engine_delay_cost(e, c->forecast.read_at, read_at(c, part_ms),
 				    s->now);
 }
 
@@ -320,7 +320,7 @@
 {
 	const struct dl_engine_model *m = s->model;
 	double passes = (double)s->want->output / (m->stride ? m->stride : 1);
-	double pass = dl_engine_write_ms(m, 1, 0);
+	double pass = dl_engine_decode_pass_ms(m, 1, 0);
 
 	out->lead_holds = s->least == 1;
 	out->total_ms = out->ttft_ms + (int64_t)(passes * pass);
--- a/src/main/entry_route.c
+++ b/src/main/entry_route.c
@@ -235,7 +235,7 @@
 	if (c->stream && m->slots)
 		takes += STREAM_FACTOR * (double)output /
 			 (m->stride ? m->stride : 1) *
-			 dl_engine_write_ms(m, 1, 0);
+			 dl_engine_decode_pass_ms(m, 1, 0);
 	return c->begun + (int64_t)takes <=
 	       c->e->stop_at + stop_ms - STOP_MARGIN_MS;
 }
--- a/test/test_engine.c
+++ b/test/test_engine.c
@@ -61,17 +61,19 @@
 {
 	const struct reading *r = &readings[_i];
 
-	ck_assert_double_eq_tol(dl_engine_read_ms(&model, r->tokens), r->ms,
+	ck_assert_double_eq_tol(dl_engine_prefill_ms(&model, r->tokens), r->ms,
 				0.1 + r->ms * 0.001);
 }
 END_TEST
 
 START_TEST(writing_takes_a_stride)
 {
-	ck_assert_double_eq_tol(dl_engine_write_ms(&model, 0, 0), 0, 0.001);
-	ck_assert_double_eq_tol(dl_engine_write_ms(&model, 1, 0), 43.57, 0.01);
-	ck_assert_double_eq_tol(dl_engine_write_ms(&model, 16, 80000), 58.45,
+	ck_assert_double_eq_tol(dl_engine_decode_pass_ms(&model, 0, 0), 0,
+				0.001);
+	ck_assert_double_eq_tol(dl_engine_decode_pass_ms(&model, 1, 0), 43.57,
 				0.01);
+	ck_assert_double_eq_tol(dl_engine_decode_pass_ms(&model, 16, 80000),
+				58.45, 0.01);
 }
 END_TEST
 
@@ -153,10 +155,10 @@
 
 START_TEST(a_first_event_shows_where_a_pass_ends)
 {
-	double stride = dl_engine_write_ms(&model, 1, 0);
+	double stride = dl_engine_decode_pass_ms(&model, 1, 0);
 
 	add(1, 30, true, 0);
-	dl_engine_seen(&engine, &model, 1, firsts[_i].seen);
+	dl_engine_observe_first_event(&engine, &model, 1, firsts[_i].seen);
 	ck_assert_int_eq(engine.pass_began, firsts[_i].begins);
 	ck_assert_int_eq(engine.pass_ends,
 			 firsts[_i].begins + (int64_t)(stride + 1));
@@ -172,12 +174,12 @@
 	forecast(0, 31);
 	add(2, 20, true, 35);
 	add(3, 20, true, 36);
-	dl_engine_seen(&engine, &model, 2, 60);
+	dl_engine_observe_first_event(&engine, &model, 2, 60);
 	ck_assert(!engine.item[1].reading && !engine.item[1].waiting);
 	ck_assert(engine.item[2].reading);
 	ck_assert_int_eq(engine.pass_began, 60);
 	/* One that is not there, and a part, show nothing. */
-	dl_engine_seen(&engine, &model, 9, 70);
+	dl_engine_observe_first_event(&engine, &model, 9, 70);
 	ck_assert_int_eq(engine.pass_began, 60);
 }
 END_TEST
@@ -211,7 +213,7 @@
 	double harm;
 
 	add(1, 0, true, 1000);
-	harm = dl_engine_harm(&engine, p->from_ms, p->to_ms, 1);
+	harm = dl_engine_gap_cost(&engine, p->from_ms, p->to_ms, 1);
 	ck_assert_int_eq(harm > 0, p->harms);
 	ck_assert_int_eq(harm > 1000, p->gravely);
 }
@@ -252,17 +254,17 @@
 	item.last = 2000;
 	ck_assert_int_eq(dl_engine_add(&engine, &model, &item, 1000), 0);
 	ck_assert_int_eq(engine.pass_ends, 1200);
-	ck_assert_double_eq(dl_engine_delay_harm(&engine, 1200, 1240, 1000), 0);
-	ck_assert_double_eq(dl_engine_delay_harm(&engine, 1200, 1260, 1000),
+	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1200, 1240, 1000), 0);
+	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1200, 1260, 1000),
 			    10);
 	/* Past its caller's patience it is worth nothing any more. */
-	ck_assert_double_eq(dl_engine_delay_harm(&engine, 1200, 2100, 1000),
+	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1200, 2100, 1000),
 			    12.5);
 	/* It is late already: only the patience is left to lose. */
-	ck_assert_double_eq(dl_engine_delay_harm(&engine, 1300, 1900, 1000), 0);
+	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1300, 1900, 1000), 0);
 	/* Once it writes, another prompt is read in a later pass. */
 	dl_engine_advance(&engine, &model, 1200);
-	ck_assert_double_eq(dl_engine_delay_harm(&engine, 1200, 2100, 1200), 0);
+	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1200, 2100, 1200), 0);
 }
 END_TEST
 
