--- a/src/coordination/pool.c
+++ b/src/coordination/pool.c
@@ -483,7 +483,7 @@
 		if (!e->counted_open)
 			continue;
 		out->memory_tokens += e->last.memory_tokens;
-		out->free_tokens += pool_place_free(e);
+		out->free_tokens += pool_place_free_memory(e);
 	}
 	for (size_t c = 0; c < DL_CLASS_COUNT; c++)
 		tokens += (double)pool->lane[c * (size_t)POOL_BANDS].tokens;
--- a/src/coordination/pool_admit.c
+++ b/src/coordination/pool_admit.c
@@ -231,7 +231,7 @@
 	for (uint32_t i = 0; i < pool->endpoints_n; i++) {
 		const struct pool_endpoint *e = pool->endpoints[i];
 
-		if (e->counted_open && !pool_place_tried(want, e))
+		if (e->counted_open && !pool_place_failed_before(want, e))
 			return true;
 	}
 	return false;
--- a/src/coordination/pool_backoff.c
+++ b/src/coordination/pool_backoff.c
@@ -64,7 +64,7 @@
 		const struct pool_endpoint *e = pool->endpoints[i];
 		uint32_t left;
 
-		if (!e->counted_open || pool_place_tried(want, e))
+		if (!e->counted_open || pool_place_failed_before(want, e))
 			continue;
 		left = left_ms(pool, want, e, now);
 		if (!left)
--- a/src/coordination/pool_baseline.c
+++ b/src/coordination/pool_baseline.c
@@ -52,7 +52,7 @@
 		       const struct pool_endpoint *e, uint64_t share,
 		       uint32_t n)
 {
-	if (!e->counted_open || pool_place_tried(want, e))
+	if (!e->counted_open || pool_place_failed_before(want, e))
 		return false;
 	if (n > 1 && !e->last.takes_groups)
 		return false;
--- a/src/coordination/pool_check.c
+++ b/src/coordination/pool_check.c
@@ -87,7 +87,7 @@
 			continue;
 		if (!pool_endpoint_open(pool, e))
 			return "a closed endpoint is in the index";
-		if (leaf->free != pool_place_free(e) ||
+		if (leaf->free != pool_place_free_memory(e) ||
 		    leaf->ready[0] != e->until[0])
 			return "the index lags its endpoint";
 	}
--- a/src/coordination/pool_engine_place.c
+++ b/src/coordination/pool_engine_place.c
@@ -123,7 +123,7 @@
 		struct candidate *c = &s->at[s->count];
 
 		if (!pool_endpoint_open(s->pool, e) ||
-		    !pool_place_lets(s->pool, s->want, e, s->now))
+		    !pool_place_allowed(s->pool, s->want, e, s->now))
 			continue;
 		e->engine.pace = e->slow;
 		dl_engine_advance(&e->engine, s->model, s->now);
--- a/src/coordination/pool_group.c
+++ b/src/coordination/pool_group.c
@@ -80,7 +80,7 @@
 {
 	if (n > 1 && !e->last.takes_groups)
 		return false;
-	return e->counted_open && !pool_place_tried(want, e);
+	return e->counted_open && !pool_place_failed_before(want, e);
 }
 
 static bool fits_now(struct dl_pool *pool, const struct pool_want *part,
@@ -155,7 +155,7 @@
 static int64_t ready_at(const struct pool_endpoint *e, uint64_t share,
 			int64_t now)
 {
-	uint64_t free = pool_place_free(e);
+	uint64_t free = pool_place_free_memory(e);
 	int64_t at = e->until[POOL_LEVELS - 1];
 
 	if (at < now)
--- a/src/coordination/pool_int.h
+++ b/src/coordination/pool_int.h
@@ -568,10 +568,11 @@
 			const struct pool_want *want, int64_t now);
 bool pool_place_ready(const struct pool_endpoint *e, uint8_t level,
 		      int64_t now);
-bool pool_place_tried(const struct pool_want *want,
-		      const struct pool_endpoint *e);
-bool pool_place_lets(const struct dl_pool *pool, const struct pool_want *want,
-		     const struct pool_endpoint *e, int64_t now);
+bool pool_place_failed_before(const struct pool_want *want,
+			      const struct pool_endpoint *e);
+bool pool_place_allowed(const struct dl_pool *pool,
+			const struct pool_want *want,
+			const struct pool_endpoint *e, int64_t now);
 void pool_place_expect(const struct dl_pool *pool,
 		       const struct pool_endpoint *e,
 		       const struct pool_want *want, uint64_t tokens,
@@ -579,7 +580,7 @@
 uint8_t pool_place_priority(const struct pool_want *want,
 			    const struct pool_choice *choice, int64_t now);
 uint32_t pool_place_long_max(const struct dl_pool *pool);
-uint64_t pool_place_free(const struct pool_endpoint *e);
+uint64_t pool_place_free_memory(const struct pool_endpoint *e);
 double pool_ms_per_token(const struct dl_pool *pool,
 			 const struct pool_endpoint *e);
 double pool_decode_ms(const struct pool_endpoint *e);
@@ -613,9 +614,9 @@
 uint64_t pool_excess_low(const struct pool_excess *excess);
 
 /* pool_prefix.c */
-uint32_t pool_prefix_saved(const struct dl_pool *pool,
-			   const struct pool_want *want,
-			   const struct pool_endpoint *e, int64_t now);
+uint32_t pool_prefix_cached_tokens(const struct dl_pool *pool,
+				   const struct pool_want *want,
+				   const struct pool_endpoint *e, int64_t now);
 struct pool_endpoint *pool_prefix_endpoint(const struct dl_pool *pool,
 					   const struct pool_want *want);
 void pool_prefix_note(struct dl_pool *pool, uint64_t prefix, uint32_t tokens,
--- a/src/coordination/pool_place.c
+++ b/src/coordination/pool_place.c
@@ -118,7 +118,7 @@
 }
 
 /* Memory that no grant, no hold and nobody unknown has. */
-uint64_t pool_place_free(const struct pool_endpoint *e)
+uint64_t pool_place_free_memory(const struct pool_endpoint *e)
 {
 	return free_beside(e, e->reserved);
 }
@@ -218,15 +218,15 @@
 	}
 	for (int i = 0; i < POOL_LEVELS; i++)
 		leaf.ready[i] = e->until[i];
-	leaf.free = pool_place_free(e);
+	leaf.free = pool_place_free_memory(e);
 	leaf.free_long = e->long_grants > 0 ? leaf.free : 0;
 	leaf.ms_per_token = pool_ms_per_token(pool, e);
 	pool_index_set(&pool->index, e->slot, &leaf);
 }
 
 /* Whether a request already failed on this endpoint. */
-bool pool_place_tried(const struct pool_want *want,
-		      const struct pool_endpoint *e)
+bool pool_place_failed_before(const struct pool_want *want,
+			      const struct pool_endpoint *e)
 {
 	for (int i = 0; i < want->tried_n; i++)
 		if (want->tried[i] == e->by_name.hash)
@@ -238,10 +238,11 @@
  * Whether nothing that an endpoint has said or done keeps a request away from
  * it, however free it is.
  */
-bool pool_place_lets(const struct dl_pool *pool, const struct pool_want *want,
-		     const struct pool_endpoint *e, int64_t now)
+bool pool_place_allowed(const struct dl_pool *pool,
+			const struct pool_want *want,
+			const struct pool_endpoint *e, int64_t now)
 {
-	return !pool_place_tried(want, e) &&
+	return !pool_place_failed_before(want, e) &&
 	       pool_throttle_takes(e, want, now) &&
 	       !pool_backoff_holds(pool, want, e, now);
 }
@@ -281,10 +282,10 @@
 {
 	uint8_t level = pool_level(want);
 	double prefill = (double)want->prompt * pool_ms_per_token(pool, e);
-	uint64_t room = pool_place_free(e);
+	uint64_t room = pool_place_free_memory(e);
 
 	if (!pool_endpoint_open(pool, e) ||
-	    !pool_place_lets(pool, want, e, now))
+	    !pool_place_allowed(pool, want, e, now))
 		return false;
 	if (e->hold && level > POOL_SHORT) {
 		if (!backfills(pool, want, e, now))
@@ -366,7 +367,7 @@
 
 static double cost_at(const struct search *s, const struct pool_endpoint *e)
 {
-	uint32_t saved = pool_prefix_saved(s->pool, s->want, e, s->now);
+	uint32_t saved = pool_prefix_cached_tokens(s->pool, s->want, e, s->now);
 	double tokens = (double)(s->want->prompt - saved);
 	double prefill = tokens * pool_ms_per_token(s->pool, e);
 	double margin = pool_margin(e->deviation);
@@ -520,7 +521,7 @@
 	visit(&s, 1);
 	if (!s.best)
 		return POOL_WAIT;
-	out->saved = pool_prefix_saved(pool, want, s.best, now);
+	out->saved = pool_prefix_cached_tokens(pool, want, s.best, now);
 	pool_place_expect(pool, s.best, want, want->prompt, now, out);
 	out->endpoint[0] = s.best;
 	out->n = 1;
--- a/src/coordination/pool_prefix.c
+++ b/src/coordination/pool_prefix.c
@@ -19,9 +19,9 @@
 }
 
 /* Tokens of a prompt that an endpoint is expected not to read again. */
-uint32_t pool_prefix_saved(const struct dl_pool *pool,
-			   const struct pool_want *want,
-			   const struct pool_endpoint *e, int64_t now)
+uint32_t pool_prefix_cached_tokens(const struct dl_pool *pool,
+				   const struct pool_want *want,
+				   const struct pool_endpoint *e, int64_t now)
 {
 	const struct pool_prefix *p;
 	uint64_t tokens;
--- a/src/coordination/pool_shift.c
+++ b/src/coordination/pool_shift.c
@@ -503,8 +503,8 @@
 		if (!found && e->state == POOL_EP_LIVE && !e->drained &&
 		    !e->last.leaving && !e->unreachable &&
 		    e->grants < e->last.slots &&
-		    want->need <= pool_place_free(e) &&
-		    pool_place_lets(pool, want, e, now))
+		    want->need <= pool_place_free_memory(e) &&
+		    pool_place_allowed(pool, want, e, now))
 			found = e;
 	}
 	if (!found)
