--- a/test/fake/load.c
+++ b/test/fake/load.c
@@ -356,7 +356,7 @@
 	}
 }
 
-void load_hand_over(struct load *load)
+void load_fail_over(struct load *load)
 {
 	struct dl_answer answer;
 	struct dl_ask ask;
--- a/test/fake/load.h
+++ b/test/fake/load.h
@@ -113,7 +113,7 @@
 /* Run until this time. */
 void load_run(struct load *load, int64_t until);
 /* Kill the dispatchers; new ones are told of what runs and asked again. */
-void load_hand_over(struct load *load);
+void load_fail_over(struct load *load);
 
 /* The given part of the requests' times to the first token since asking. */
 int64_t load_ttft(const struct load *load, uint32_t tag, int permille);
--- a/test/test_pool_load.c
+++ b/test/test_pool_load.c
@@ -346,7 +346,7 @@
 	add_shorts(20000, 2, 0);
 	load_run(&load, 10000);
 	ck_assert_uint_gt(load_count(&load, LOAD_ANY, LOAD_QUEUED), 100);
-	load_hand_over(&load);
+	load_fail_over(&load);
 	load_run(&load, 40000);
 	check_clean();
 	ck_assert_uint_eq(load_count(&load, LOAD_ANY, LOAD_LOST), 0);
