--- a/test/fake/verdict.c
+++ b/test/fake/verdict.c
@@ -9,9 +9,9 @@
 
 #define LEAVING_MAX_MS 2000
 /* The script notes the time just before or after the kill itself. */
-#define AWAY_SLACK_MS 50
-#define FAULTS_MAX    20 /* told in full; the rest is counted */
-#define RECORD_FIELDS 9
+#define OUTAGE_SLACK_MS 50
+#define VIOLATIONS_MAX	20 /* told in full; the rest is counted */
+#define RECORD_FIELDS	9
 
 enum record_field {
 	FIELD_KIND,
@@ -25,44 +25,44 @@
 	FIELD_NOTE,
 };
 
-static const char *const told_names[TOLD_COUNT] = {
-	[TOLD_DONE] = "done",	    [TOLD_FAILED] = "failed",
-	[TOLD_NOT_RUN] = "not-run", [TOLD_UNKNOWN] = "unknown",
-	[TOLD_NOTHING] = "nothing",
+static const char *const outcome_names[VERDICT_OUTCOMES] = {
+	[VERDICT_DONE] = "done",	  [VERDICT_FAILED] = "failed",
+	[VERDICT_NOT_RUN] = "not-run",	  [VERDICT_UNKNOWN] = "unknown",
+	[VERDICT_NO_OUTCOME] = "nothing",
 };
 
-static const char *const promise_texts[PROMISE_COUNT] = {
-	[PROMISE_IN_TIME] = "every request ends by its deadline",
-	[PROMISE_TOLD] = "every caller is told an outcome",
-	[PROMISE_MEMORY] = "no engine loses memory",
-	[PROMISE_WHOLE] = "answers are whole and the caller's own",
-	[PROMISE_NOT_RUN] = "what was told not-run did not run",
-	[PROMISE_AT_MOST_ONCE] = "not idempotent: at most once",
-	[PROMISE_LEAVING] = "a leaving endpoint gets no new work",
+static const char *const guarantee_texts[GUARANTEE_COUNT] = {
+	[GUARANTEE_DEADLINE] = "every request ends by its deadline",
+	[GUARANTEE_OUTCOME] = "every caller is told an outcome",
+	[GUARANTEE_MEMORY] = "no engine loses memory",
+	[GUARANTEE_CONTENT] = "answers are whole and the caller's own",
+	[GUARANTEE_NOT_RUN] = "what was told not-run did not run",
+	[GUARANTEE_AT_MOST_ONCE] = "not idempotent: at most once",
+	[GUARANTEE_LEAVING] = "a leaving endpoint gets no new work",
 };
 
-enum told verdict_told(const char *outcome)
+enum verdict_outcome verdict_parse_outcome(const char *outcome)
 {
-	for (int i = 0; i < TOLD_NOTHING; i++) {
-		if (strcmp(outcome, told_names[i]) == 0)
-			return (enum told)i;
+	for (int i = 0; i < VERDICT_NO_OUTCOME; i++) {
+		if (strcmp(outcome, outcome_names[i]) == 0)
+			return (enum verdict_outcome)i;
 	}
-	return TOLD_NOTHING;
+	return VERDICT_NO_OUTCOME;
 }
 
-const char *verdict_told_name(enum told told)
+const char *verdict_outcome_name(enum verdict_outcome outcome)
 {
-	return told_names[told];
+	return outcome_names[outcome];
 }
 
-static guint begun(const struct verdict *v, uint64_t hash)
+static guint executions_of(const struct verdict *v, uint64_t hash)
 {
-	if (!v->begun)
+	if (!v->executions)
 		return 0;
-	return GPOINTER_TO_UINT(g_hash_table_lookup(v->begun, &hash));
+	return GPOINTER_TO_UINT(g_hash_table_lookup(v->executions, &hash));
 }
 
-static void take_record(struct verdict *v, char **field)
+static void add_record(struct verdict *v, char **field)
 {
 	uint64_t hash = strtoull(field[FIELD_HASH], NULL, 16);
 	long long leaving = strtoll(field[FIELD_LEAVING], NULL, 10);
@@ -70,22 +70,23 @@
 
 	v->records++;
 	if (kind == 'L')
-		v->leavings++;
+		v->leaving_reports++;
 	if ((kind == 'B' || kind == 'X') && leaving > LEAVING_MAX_MS)
-		v->late_begins++;
+		v->late_dispatches++;
 	if (kind == 'B')
-		g_hash_table_replace(v->begun, g_memdup2(&hash, sizeof(hash)),
-				     GUINT_TO_POINTER(begun(v, hash) + 1));
+		g_hash_table_replace(
+			v->executions, g_memdup2(&hash, sizeof(hash)),
+			GUINT_TO_POINTER(executions_of(v, hash) + 1));
 }
 
-int verdict_read_record(struct verdict *v, const char *file)
+int verdict_read_execution_log(struct verdict *v, const char *file)
 {
 	char *text;
 	char **lines;
 
-	if (!v->begun)
-		v->begun = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						 g_free, NULL);
+	if (!v->executions)
+		v->executions = g_hash_table_new_full(
+			g_int64_hash, g_int64_equal, g_free, NULL);
 	if (!g_file_get_contents(file, &text, NULL, NULL))
 		return -ENOENT;
 	lines = g_strsplit(text, "\n", -1);
@@ -93,7 +94,7 @@
 		char **field = g_strsplit(*l, " ", RECORD_FIELDS);
 
 		if (g_strv_length(field) == RECORD_FIELDS)
-			take_record(v, field);
+			add_record(v, field);
 		g_strfreev(field);
 	}
 	g_strfreev(lines);
@@ -101,32 +102,32 @@
 	return 0;
 }
 
-static void take_away(struct verdict *v, char **word)
+static void add_outage(struct verdict *v, char **word)
 {
-	struct verdict_away a = { .to = HUGE_VAL };
+	struct verdict_outage a = { .to = HUGE_VAL };
 
 	if (!dl_vm_parse(dl_str_of(word[0]), &a.entry))
 		return;
 	a.from = g_ascii_strtod(word[2], NULL);
 	if (strcmp(word[1], "away") == 0) {
-		g_array_append_val(v->away, a);
+		g_array_append_val(v->outages, a);
 		return;
 	}
-	for (guint i = 0; i < v->away->len; i++) {
-		struct verdict_away *old =
-			&g_array_index(v->away, struct verdict_away, i);
+	for (guint i = 0; i < v->outages->len; i++) {
+		struct verdict_outage *old =
+			&g_array_index(v->outages, struct verdict_outage, i);
 
 		if (old->entry == a.entry && isinf(old->to))
 			old->to = a.from;
 	}
 }
 
-int verdict_read_away(struct verdict *v, const char *file)
+int verdict_read_outages(struct verdict *v, const char *file)
 {
 	char *text;
 	char **lines;
 
-	v->away = g_array_new(FALSE, FALSE, sizeof(struct verdict_away));
+	v->outages = g_array_new(FALSE, FALSE, sizeof(struct verdict_outage));
 	if (!g_file_get_contents(file, &text, NULL, NULL))
 		return -ENOENT;
 	lines = g_strsplit(text, "\n", -1);
@@ -134,7 +135,7 @@
 		char **word = g_strsplit(*l, " ", 3);
 
 		if (g_strv_length(word) == 3)
-			take_away(v, word);
+			add_outage(v, word);
 		g_strfreev(word);
 	}
 	g_strfreev(lines);
@@ -143,93 +144,95 @@
 }
 
 /* Whether its entry was away at some time between its start and its end. */
-static bool was_away(const struct verdict *v, const struct verdict_result *r)
+static bool had_outage(const struct verdict *v, const struct verdict_result *r)
 {
 	double end = r->wall_start + (r->ended - r->start);
 
-	for (guint i = 0; v->away && i < v->away->len; i++) {
-		const struct verdict_away *a =
-			&g_array_index(v->away, struct verdict_away, i);
+	for (guint i = 0; v->outages && i < v->outages->len; i++) {
+		const struct verdict_outage *a =
+			&g_array_index(v->outages, struct verdict_outage, i);
 
 		if (a->entry == r->entry && r->wall_start <= a->to &&
-		    end >= a->from - AWAY_SLACK_MS)
+		    end >= a->from - OUTAGE_SLACK_MS)
 			return true;
 	}
 	return false;
 }
 
-static void check(struct verdict *v, enum promise promise,
+static void check(struct verdict *v, enum verdict_guarantee guarantee,
 		  const struct verdict_result *r, bool held)
 {
 	char vm[24];
 
-	v->judged[promise]++;
+	v->checked[guarantee]++;
 	if (held)
 		return;
-	v->broken[promise]++;
-	if (v->broken[promise] > FAULTS_MAX)
+	v->violated[guarantee]++;
+	if (v->violated[guarantee] > VIOLATIONS_MAX)
 		return;
 	g_string_append_printf(
-		v->faults,
+		v->violations,
 		"%s: request %" PRIu64 " id %s hash %016" PRIx64
 		" through %s status %d told %s reason %s took %.0f of %u ms, "
 		"ttft %.0f, begun %u times, end %d\n",
-		promise_texts[promise], r->number, r->id[0] ? r->id : "-",
+		guarantee_texts[guarantee], r->number, r->id[0] ? r->id : "-",
 		r->hash, dl_vm_text(r->entry, vm), r->status,
-		told_names[r->told], r->reason[0] ? r->reason : "-",
-		r->ended - r->start, r->deadline_ms, r->ttft, begun(v, r->hash),
-		r->end);
+		outcome_names[r->outcome], r->reason[0] ? r->reason : "-",
+		r->ended - r->start, r->deadline_ms, r->ttft,
+		executions_of(v, r->hash), r->end);
 }
 
-static void judge_one(struct verdict *v, const struct verdict_result *r)
+static void check_result(struct verdict *v, const struct verdict_result *r)
 {
 	if (!r->excused) {
-		check(v, PROMISE_IN_TIME, r,
+		check(v, GUARANTEE_DEADLINE, r,
 		      r->ended - r->start <=
 			      (double)r->deadline_ms + v->slack_ms);
-		check(v, PROMISE_TOLD, r, r->told != TOLD_NOTHING);
+		check(v, GUARANTEE_OUTCOME, r,
+		      r->outcome != VERDICT_NO_OUTCOME);
 	}
-	if (r->told == TOLD_DONE)
-		check(v, PROMISE_WHOLE, r,
-		      r->right && !r->garbled && !r->cut_done_mark);
+	if (r->outcome == VERDICT_DONE)
+		check(v, GUARANTEE_CONTENT, r,
+		      r->complete && !r->garbled && !r->cut_done_mark);
 	else if (r->status == 200)
-		check(v, PROMISE_WHOLE, r, r->part && !r->garbled);
-	if (!v->begun)
+		check(v, GUARANTEE_CONTENT, r, r->is_prefix && !r->garbled);
+	if (!v->executions)
 		return;
-	if (r->told == TOLD_NOT_RUN)
-		check(v, PROMISE_NOT_RUN, r, begun(v, r->hash) == 0);
-	if (r->told == TOLD_DONE)
-		check(v, PROMISE_WHOLE, r, begun(v, r->hash) > 0);
+	if (r->outcome == VERDICT_NOT_RUN)
+		check(v, GUARANTEE_NOT_RUN, r, executions_of(v, r->hash) == 0);
+	if (r->outcome == VERDICT_DONE)
+		check(v, GUARANTEE_CONTENT, r, executions_of(v, r->hash) > 0);
 	if (!r->idempotent)
-		check(v, PROMISE_AT_MOST_ONCE, r, begun(v, r->hash) <= 1);
+		check(v, GUARANTEE_AT_MOST_ONCE, r,
+		      executions_of(v, r->hash) <= 1);
 }
 
-void verdict_judge(struct verdict *v, GPtrArray *results)
+void verdict_check(struct verdict *v, GPtrArray *results)
 {
-	v->faults = g_string_new(NULL);
+	v->violations = g_string_new(NULL);
 	for (guint i = 0; i < results->len; i++) {
 		struct verdict_result *r = g_ptr_array_index(results, i);
 
-		r->excused = was_away(v, r);
-		judge_one(v, r);
+		r->excused = had_outage(v, r);
+		check_result(v, r);
 	}
-	v->judged[PROMISE_MEMORY] = v->engines_alive;
-	v->broken[PROMISE_MEMORY] = v->memory_left > 0;
+	v->checked[GUARANTEE_MEMORY] = v->engines_alive;
+	v->violated[GUARANTEE_MEMORY] = v->memory_left > 0;
 	if (v->memory_left)
-		g_string_append_printf(v->faults,
+		g_string_append_printf(v->violations,
 				       "memory: %" PRIu64
 				       " tokens are still held\n",
 				       v->memory_left);
-	v->judged[PROMISE_LEAVING] = v->leavings;
-	v->broken[PROMISE_LEAVING] = v->late_begins;
-	if (v->late_begins)
-		g_string_append_printf(v->faults,
+	v->checked[GUARANTEE_LEAVING] = v->leaving_reports;
+	v->violated[GUARANTEE_LEAVING] = v->late_dispatches;
+	if (v->late_dispatches)
+		g_string_append_printf(v->violations,
 				       "leaving: %u requests came later than "
 				       "%d ms after it was said\n",
-				       v->late_begins, LEAVING_MAX_MS);
+				       v->late_dispatches, LEAVING_MAX_MS);
 }
 
-static int by_value(const void *a, const void *b)
+static int compare_doubles(const void *a, const void *b)
 {
 	const double *x = a;
 	const double *y = b;
@@ -237,7 +240,7 @@
 	return (*x > *y) - (*x < *y);
 }
 
-static double at_rank(const GArray *sorted, double rank)
+static double percentile(const GArray *sorted, double rank)
 {
 	if (sorted->len == 0)
 		return 0;
@@ -256,39 +259,39 @@
 		if (r->class != class)
 			continue;
 		out->offered++;
-		out->told[r->told]++;
-		if (r->told == TOLD_DONE)
+		out->outcomes[r->outcome]++;
+		if (r->outcome == VERDICT_DONE)
 			g_array_append_val(ttft, r->ttft);
 	}
-	g_array_sort(ttft, by_value);
-	out->ttft[0] = at_rank(ttft, 0.50);
-	out->ttft[1] = at_rank(ttft, 0.95);
-	out->ttft[2] = at_rank(ttft, 0.99);
+	g_array_sort(ttft, compare_doubles);
+	out->ttft[0] = percentile(ttft, 0.50);
+	out->ttft[1] = percentile(ttft, 0.95);
+	out->ttft[2] = percentile(ttft, 0.99);
 	g_array_free(ttft, TRUE);
 }
 
 /* "held", "broken", or "not tested" where nothing was there to judge. */
 void verdict_print(const struct verdict *v, FILE *to)
 {
-	for (int i = 0; i < PROMISE_COUNT; i++) {
-		const char *word = v->broken[i] ? "broken" : "held";
+	for (int i = 0; i < GUARANTEE_COUNT; i++) {
+		const char *word = v->violated[i] ? "broken" : "held";
 
-		if (!v->judged[i])
+		if (!v->checked[i])
 			word = "untested";
 		fprintf(to, "%-9s %s (%u judged, %u broken)\n", word,
-			promise_texts[i], v->judged[i], v->broken[i]);
+			guarantee_texts[i], v->checked[i], v->violated[i]);
 	}
 }
 
-void verdict_faults(const struct verdict *v, FILE *to)
+void verdict_print_violations(const struct verdict *v, FILE *to)
 {
-	fputs(v->faults->str, to);
+	fputs(v->violations->str, to);
 }
 
-bool verdict_held(const struct verdict *v)
+bool verdict_passed(const struct verdict *v)
 {
-	for (int i = 0; i < PROMISE_COUNT; i++) {
-		if (v->broken[i])
+	for (int i = 0; i < GUARANTEE_COUNT; i++) {
+		if (v->violated[i])
 			return false;
 	}
 	return true;
--- a/test/fake/verdict.h
+++ b/test/fake/verdict.h
@@ -10,13 +10,13 @@
 #include "daisyledge/base.h"
 
 /* What a caller was told; nothing where its connection broke. */
-enum told {
-	TOLD_DONE,
-	TOLD_FAILED,
-	TOLD_NOT_RUN,
-	TOLD_UNKNOWN,
-	TOLD_NOTHING,
-	TOLD_COUNT
+enum verdict_outcome {
+	VERDICT_DONE,
+	VERDICT_FAILED,
+	VERDICT_NOT_RUN,
+	VERDICT_UNKNOWN,
+	VERDICT_NO_OUTCOME,
+	VERDICT_OUTCOMES
 };
 
 struct verdict_result {
@@ -29,15 +29,15 @@
 	uint64_t entry;
 	bool idempotent;
 	bool keyed;
-	bool right;   /* the whole answer and this one's */
-	bool part;    /* what came is the answer's beginning */
-	bool garbled; /* an event that is no JSON */
+	bool complete;	/* the whole answer and this one's */
+	bool is_prefix; /* what came is the answer's beginning */
+	bool garbled;	/* an event that is no JSON */
 	bool cut_done_mark;
 	bool retry_after;
 	bool excused; /* its entry was killed or frozen meanwhile */
 	int status;
 	int end;
-	enum told told;
+	enum verdict_outcome outcome;
 	guint resent;
 	uint64_t tokens;
 	uint32_t deadline_ms;
@@ -48,19 +48,19 @@
 };
 
 /* The promises judged here, one line each. */
-enum promise {
-	PROMISE_IN_TIME,
-	PROMISE_TOLD,
-	PROMISE_MEMORY,
-	PROMISE_WHOLE,
-	PROMISE_NOT_RUN,
-	PROMISE_AT_MOST_ONCE,
-	PROMISE_LEAVING,
-	PROMISE_COUNT
+enum verdict_guarantee {
+	GUARANTEE_DEADLINE,
+	GUARANTEE_OUTCOME,
+	GUARANTEE_MEMORY,
+	GUARANTEE_CONTENT,
+	GUARANTEE_NOT_RUN,
+	GUARANTEE_AT_MOST_ONCE,
+	GUARANTEE_LEAVING,
+	GUARANTEE_COUNT
 };
 
 /* When an entry was killed or frozen: nobody can be answered by it then. */
-struct verdict_away {
+struct verdict_outage {
 	uint64_t entry;
 	double from; /* ms, by the time of day */
 	double to;
@@ -70,32 +70,32 @@
 	uint32_t slack_ms;
 	uint64_t memory_left;
 	guint engines_alive;
-	GArray *away;	   /* of struct verdict_away */
-	GHashTable *begun; /* hash to executions begun */
-	guint late_begins; /* too long after leaving was said */
-	guint leavings;	   /* endpoints that said that they leave */
+	GArray *outages;	/* of struct verdict_outage */
+	GHashTable *executions; /* hash to executions begun */
+	guint late_dispatches;	/* too long after leaving was said */
+	guint leaving_reports;	/* endpoints that said that they leave */
 	guint records;
-	guint broken[PROMISE_COUNT];
-	guint judged[PROMISE_COUNT];
-	GString *faults;
+	guint violated[GUARANTEE_COUNT];
+	guint checked[GUARANTEE_COUNT];
+	GString *violations;
 };
 
 struct verdict_row {
 	guint offered;
-	guint told[TOLD_COUNT];
+	guint outcomes[VERDICT_OUTCOMES];
 	double ttft[3]; /* p50, p95, p99 of those done */
 };
 
-enum told verdict_told(const char *outcome);
-const char *verdict_told_name(enum told told);
+enum verdict_outcome verdict_parse_outcome(const char *outcome);
+const char *verdict_outcome_name(enum verdict_outcome outcome);
 /* Lines of "IP:PORT away MS" and "IP:PORT back MS". */
-int verdict_read_away(struct verdict *v, const char *file);
-int verdict_read_record(struct verdict *v, const char *file);
-void verdict_judge(struct verdict *v, GPtrArray *results);
+int verdict_read_outages(struct verdict *v, const char *file);
+int verdict_read_execution_log(struct verdict *v, const char *file);
+void verdict_check(struct verdict *v, GPtrArray *results);
 void verdict_row(const GPtrArray *results, guint class,
 		 struct verdict_row *out);
 void verdict_print(const struct verdict *v, FILE *to);
-void verdict_faults(const struct verdict *v, FILE *to);
-bool verdict_held(const struct verdict *v);
+void verdict_print_violations(const struct verdict *v, FILE *to);
+bool verdict_passed(const struct verdict *v);
 
 #endif
--- a/test/test_verdict.c
+++ b/test/test_verdict.c
@@ -16,67 +16,67 @@
 /* One request, what was recorded of it, and the promise that it breaks. */
 struct verdict_case {
 	const char *name;
-	enum told told;
+	enum verdict_outcome outcome;
 	bool idempotent;
-	bool right;
-	bool part;
+	bool complete;
+	bool is_prefix;
 	int status;
 	double took;
 	const char *record;
 	const char *away;
-	int broken; /* a promise, or PROMISE_COUNT for none */
+	int violates; /* a promise, or GUARANTEE_COUNT for none */
 };
 
 #define BEGUN "B 1 127.0.0.1:9 r - 00000000000000ab /p -1 begun\n"
 
 static const struct verdict_case cases[] = {
-	{ "done", TOLD_DONE, false, true, true, 200, 900, BEGUN, "",
-	  PROMISE_COUNT },
-	{ "refused", TOLD_NOT_RUN, false, false, false, 503, 1, "", "",
-	  PROMISE_COUNT },
-	{ "late", TOLD_DONE, true, true, true, 200, 1251, BEGUN, "",
-	  PROMISE_IN_TIME },
-	{ "late, but its VM was frozen", TOLD_DONE, true, true, true, 200, 1300,
-	  BEGUN, "127.0.0.1:1 away 5100\n127.0.0.1:1 back 5200\n",
-	  PROMISE_COUNT },
-	{ "late, its VM was frozen before", TOLD_DONE, true, true, true, 200,
+	{ "done", VERDICT_DONE, false, true, true, 200, 900, BEGUN, "",
+	  GUARANTEE_COUNT },
+	{ "refused", VERDICT_NOT_RUN, false, false, false, 503, 1, "", "",
+	  GUARANTEE_COUNT },
+	{ "late", VERDICT_DONE, true, true, true, 200, 1251, BEGUN, "",
+	  GUARANTEE_DEADLINE },
+	{ "late, but its VM was frozen", VERDICT_DONE, true, true, true, 200,
+	  1300, BEGUN, "127.0.0.1:1 away 5100\n127.0.0.1:1 back 5200\n",
+	  GUARANTEE_COUNT },
+	{ "late, its VM was frozen before", VERDICT_DONE, true, true, true, 200,
 	  1300, BEGUN, "127.0.0.1:1 away 4000\n127.0.0.1:1 back 4900\n",
-	  PROMISE_IN_TIME },
-	{ "late, another VM was killed", TOLD_DONE, true, true, true, 200, 1300,
-	  BEGUN, "127.0.0.2:1 away 5100\n", PROMISE_IN_TIME },
-	{ "told nothing", TOLD_NOTHING, true, false, true, 0, 10, "", "",
-	  PROMISE_TOLD },
-	{ "told nothing by a killed VM", TOLD_NOTHING, true, false, true, 0,
-	  300, "", "127.0.0.1:1 away 5290\n", PROMISE_COUNT },
-	{ "done without the whole answer", TOLD_DONE, true, false, true, 200,
-	  10, BEGUN, "", PROMISE_WHOLE },
-	{ "done, but nowhere run", TOLD_DONE, true, true, true, 200, 10, "", "",
-	  PROMISE_WHOLE },
-	{ "failed after another's bytes", TOLD_FAILED, true, false, false, 200,
-	  10, BEGUN, "", PROMISE_WHOLE },
-	{ "failed after a part", TOLD_FAILED, true, false, true, 200, 10, BEGUN,
-	  "", PROMISE_COUNT },
-	{ "not-run, yet it ran", TOLD_NOT_RUN, true, false, false, 503, 10,
-	  BEGUN, "", PROMISE_NOT_RUN },
-	{ "a confirmation run twice", TOLD_DONE, false, true, true, 200, 10,
-	  BEGUN BEGUN, "", PROMISE_AT_MOST_ONCE },
-	{ "a ping run twice", TOLD_DONE, true, true, true, 200, 10, BEGUN BEGUN,
-	  "", PROMISE_COUNT },
-	{ "run by one that left long ago", TOLD_DONE, true, true, true, 200, 10,
-	  "B 1 127.0.0.1:9 r - 00000000000000ab /p 2001 begun\n", "",
-	  PROMISE_LEAVING },
-	{ "sent to one that left long ago", TOLD_NOT_RUN, true, false, false,
+	  GUARANTEE_DEADLINE },
+	{ "late, another VM was killed", VERDICT_DONE, true, true, true, 200,
+	  1300, BEGUN, "127.0.0.2:1 away 5100\n", GUARANTEE_DEADLINE },
+	{ "told nothing", VERDICT_NO_OUTCOME, true, false, true, 0, 10, "", "",
+	  GUARANTEE_OUTCOME },
+	{ "told nothing by a killed VM", VERDICT_NO_OUTCOME, true, false, true,
+	  0, 300, "", "127.0.0.1:1 away 5290\n", GUARANTEE_COUNT },
+	{ "done without the whole answer", VERDICT_DONE, true, false, true, 200,
+	  10, BEGUN, "", GUARANTEE_CONTENT },
+	{ "done, but nowhere run", VERDICT_DONE, true, true, true, 200, 10, "",
+	  "", GUARANTEE_CONTENT },
+	{ "failed after another's bytes", VERDICT_FAILED, true, false, false,
+	  200, 10, BEGUN, "", GUARANTEE_CONTENT },
+	{ "failed after a part", VERDICT_FAILED, true, false, true, 200, 10,
+	  BEGUN, "", GUARANTEE_COUNT },
+	{ "not-run, yet it ran", VERDICT_NOT_RUN, true, false, false, 503, 10,
+	  BEGUN, "", GUARANTEE_NOT_RUN },
+	{ "a confirmation run twice", VERDICT_DONE, false, true, true, 200, 10,
+	  BEGUN BEGUN, "", GUARANTEE_AT_MOST_ONCE },
+	{ "a ping run twice", VERDICT_DONE, true, true, true, 200, 10,
+	  BEGUN BEGUN, "", GUARANTEE_COUNT },
+	{ "run by one that left long ago", VERDICT_DONE, true, true, true, 200,
+	  10, "B 1 127.0.0.1:9 r - 00000000000000ab /p 2001 begun\n", "",
+	  GUARANTEE_LEAVING },
+	{ "sent to one that left long ago", VERDICT_NOT_RUN, true, false, false,
 	  503, 10, "X 1 127.0.0.1:9 r - 00000000000000ab /p 2001 leaving\n", "",
-	  PROMISE_LEAVING },
-	{ "run by one that leaves just now", TOLD_DONE, true, true, true, 200,
-	  10, "B 1 127.0.0.1:9 r - 00000000000000ab /p 1999 begun\n", "",
-	  PROMISE_COUNT },
+	  GUARANTEE_LEAVING },
+	{ "run by one that leaves just now", VERDICT_DONE, true, true, true,
+	  200, 10, "B 1 127.0.0.1:9 r - 00000000000000ab /p 1999 begun\n", "",
+	  GUARANTEE_COUNT },
 };
 
 #define CASES (sizeof(cases) / sizeof(cases[0]))
 
 /* A file with this text, whose name is the caller's. */
-static char *file_with(const char *text)
+static char *write_temp_file(const char *text)
 {
 	char *name = NULL;
 	int fd = g_file_open_tmp("verdict.XXXXXX", &name, NULL);
@@ -87,27 +87,27 @@
 	return name;
 }
 
-static void judge(struct verdict *v, const struct verdict_case *c)
+static void check_case(struct verdict *v, const struct verdict_case *c)
 {
 	GPtrArray *results = g_ptr_array_new_with_free_func(g_free);
 	struct verdict_result *r = g_new0(struct verdict_result, 1);
-	char *record = file_with(c->record);
-	char *away = file_with(c->away);
+	char *record = write_temp_file(c->record);
+	char *away = write_temp_file(c->away);
 
 	r->hash = HASH;
 	r->entry = ENTRY;
-	r->told = c->told;
+	r->outcome = c->outcome;
 	r->idempotent = c->idempotent;
-	r->right = c->right;
-	r->part = c->part;
+	r->complete = c->complete;
+	r->is_prefix = c->is_prefix;
 	r->status = c->status;
 	r->deadline_ms = DEADLINE_MS;
 	r->wall_start = WALL;
 	r->ended = c->took;
 	g_ptr_array_add(results, r);
-	ck_assert_int_eq(verdict_read_record(v, record), 0);
-	ck_assert_int_eq(verdict_read_away(v, away), 0);
-	verdict_judge(v, results);
+	ck_assert_int_eq(verdict_read_execution_log(v, record), 0);
+	ck_assert_int_eq(verdict_read_outages(v, away), 0);
+	verdict_check(v, results);
 	unlink(record);
 	unlink(away);
 	g_free(record);
@@ -117,33 +117,33 @@
 
 static void verdict_free(struct verdict *v)
 {
-	g_array_free(v->away, TRUE);
-	g_hash_table_destroy(v->begun);
-	g_string_free(v->faults, TRUE);
+	g_array_free(v->outages, TRUE);
+	g_hash_table_destroy(v->executions);
+	g_string_free(v->violations, TRUE);
 }
 
-START_TEST(breaks_just_that)
+START_TEST(violates_only_that_guarantee)
 {
 	const struct verdict_case *c = &cases[_i];
 	struct verdict v = { .slack_ms = SLACK_MS };
 
-	judge(&v, c);
-	for (int i = 0; i < PROMISE_COUNT; i++)
-		ck_assert_msg((v.broken[i] > 0) == (i == c->broken),
+	check_case(&v, c);
+	for (int i = 0; i < GUARANTEE_COUNT; i++)
+		ck_assert_msg((v.violated[i] > 0) == (i == c->violates),
 			      "%s: promise %d broken %u times", c->name, i,
-			      v.broken[i]);
-	ck_assert_int_eq(verdict_held(&v), c->broken == PROMISE_COUNT);
+			      v.violated[i]);
+	ck_assert_int_eq(verdict_passed(&v), c->violates == GUARANTEE_COUNT);
 	verdict_free(&v);
 }
 END_TEST
 
-START_TEST(sees_memory_left)
+START_TEST(detects_leaked_memory)
 {
 	struct verdict v = { .slack_ms = SLACK_MS, .memory_left = 1 };
 
-	judge(&v, &cases[0]);
-	ck_assert_uint_eq(v.broken[PROMISE_MEMORY], 1);
-	ck_assert(!verdict_held(&v));
+	check_case(&v, &cases[0]);
+	ck_assert_uint_eq(v.violated[GUARANTEE_MEMORY], 1);
+	ck_assert(!verdict_passed(&v));
 	verdict_free(&v);
 }
 END_TEST
@@ -153,8 +153,8 @@
 	Suite *s = suite_create("verdict");
 	TCase *t = tcase_create("verdict");
 
-	tcase_add_loop_test(t, breaks_just_that, 0, (int)CASES);
-	tcase_add_test(t, sees_memory_left);
+	tcase_add_loop_test(t, violates_only_that_guarantee, 0, (int)CASES);
+	tcase_add_test(t, detects_leaked_memory);
 	suite_add_tcase(s, t);
 	return suite_run(s);
 }
--- a/test/tool_load.c
+++ b/test/tool_load.c
@@ -503,7 +503,7 @@
 		have = text_of(json_array_get(json_object_get(o, "choices"), 0),
 			       "text", "");
 	}
-	f->r->part = g_str_has_prefix(want->str, have);
+	f->r->is_prefix = g_str_has_prefix(want->str, have);
 	right = strcmp(want->str, have) == 0;
 	json_decref(o);
 	g_string_free(want, TRUE);
@@ -532,10 +532,10 @@
 	if (opt.direct && whole && f->status == 200 &&
 	    (!f->sse || f->done_mark))
 		told = "done";
-	r->told = verdict_told(whole || f->event[0] ? told : "");
-	r->right = f->status / 100 == 2 && right_answer(f);
+	r->outcome = verdict_parse_outcome(whole || f->event[0] ? told : "");
+	r->complete = f->status / 100 == 2 && right_answer(f);
 	r->cut_done_mark = f->sse && f->status == 200 && !f->done_mark &&
-			   r->told == TOLD_DONE;
+			   r->outcome == VERDICT_DONE;
 	if (f->text->len && f->status != 200 && !f->reason[0]) {
 		json_t *o = json_loadb(f->text->str, f->text->len, 0, NULL);
 
@@ -563,7 +563,7 @@
 
 	if (end == FAKE_END_CONNECT && f->resends < RESENDS_MAX && left > 0) {
 		f->entry->ready = false;
-	} else if (!f->key[0] || f->r->told != TOLD_NOTHING ||
+	} else if (!f->key[0] || f->r->outcome != VERDICT_NO_OUTCOME ||
 		   f->resends >= RESENDS_MAX || left <= 0) {
 		return false;
 	}
@@ -759,7 +759,7 @@
 			"%.3f %u %s %s\n",
 			c->name, r->number, r->hash, r->id[0] ? r->id : "-",
 			dl_vm_text(r->entry, vm), r->status,
-			verdict_told_name(r->told), r->right, r->ttft,
+			verdict_outcome_name(r->outcome), r->complete, r->ttft,
 			r->ended - r->start, r->deadline_ms,
 			r->reason[0] ? r->reason : "-",
 			r->excused ? "excused" : "-");
@@ -776,7 +776,7 @@
 		const struct verdict_result *r =
 			g_ptr_array_index(me.results, i);
 
-		done += r->told == TOLD_DONE;
+		done += r->outcome == VERDICT_DONE;
 	}
 	if (done * 1000ull >= me.results->len * (guint64)opt.done_min)
 		return true;
@@ -797,10 +797,12 @@
 
 		verdict_row(me.results, i, &row);
 		printf("%-13s %7u %7u %7u %7u %7u %7u %9.1f %9.1f %9.1f\n",
-		       c->name, row.offered, row.told[TOLD_DONE],
-		       row.told[TOLD_NOT_RUN], row.told[TOLD_FAILED],
-		       row.told[TOLD_UNKNOWN], row.told[TOLD_NOTHING],
-		       row.ttft[0], row.ttft[1], row.ttft[2]);
+		       c->name, row.offered, row.outcomes[VERDICT_DONE],
+		       row.outcomes[VERDICT_NOT_RUN],
+		       row.outcomes[VERDICT_FAILED],
+		       row.outcomes[VERDICT_UNKNOWN],
+		       row.outcomes[VERDICT_NO_OUTCOME], row.ttft[0],
+		       row.ttft[1], row.ttft[2]);
 	}
 }
 
@@ -827,22 +829,22 @@
 	run();
 	settle_memory(&v);
 	for (char **p = opt.check; p && *p; p++) {
-		if (verdict_read_record(&v, *p) < 0) {
+		if (verdict_read_execution_log(&v, *p) < 0) {
 			fprintf(stderr, "load: %s: unreadable\n", *p);
 			return 2;
 		}
 	}
-	if (opt.away && verdict_read_away(&v, opt.away) < 0) {
+	if (opt.away && verdict_read_outages(&v, opt.away) < 0) {
 		fprintf(stderr, "load: %s: unreadable\n", opt.away);
 		return 2;
 	}
-	verdict_judge(&v, me.results);
+	verdict_check(&v, me.results);
 	if (!opt.quiet)
 		print_table();
 	if (opt.promises)
 		verdict_print(&v, stdout);
 	if (write_results() < 0)
 		return 2;
-	verdict_faults(&v, stderr);
-	return enough_done() && verdict_held(&v) ? 0 : 1;
+	verdict_print_violations(&v, stderr);
+	return enough_done() && verdict_passed(&v) ? 0 : 1;
 }
