--- a/include/daisyledge/engine.h
+++ b/include/daisyledge/engine.h
@@ -31,7 +31,7 @@
 double dl_engine_prefill_ms(const struct dl_engine_model *m, uint64_t tokens);
 /* One pass of some writers that reads nothing. */
 double dl_engine_decode_pass_ms(const struct dl_engine_model *m,
-				uint32_t writers, uint64_t context);
+				uint32_t streams, uint64_t context);
 
 /* What an answer that comes late is worth of one on time, as operators say. */
 #define DL_LATE_VALUE 0.25
@@ -42,34 +42,34 @@
 /* A request, or the part of its prompt that is read for another engine. */
 struct dl_engine_item {
 	uint64_t id;
-	uint64_t context; /* tokens that each step of its writing costs */
-	uint32_t gap_ms;  /* the longest pause that it bears; 0: any */
-	float weight;	  /* what it counts for against others */
-	float read_ms;	  /* of its prompt, or part, here */
-	int64_t due;	  /* its first event is late after it; 0: never */
-	int64_t last;	  /* its caller leaves without one; 0: never */
-	bool writes;	  /* here, once it is read */
-	bool reading;	  /* in the pass under way */
-	bool waiting;	  /* for the next pass */
+	uint64_t context;  /* tokens that each step of its writing costs */
+	uint32_t gap_ms;   /* the longest pause that it bears; 0: any */
+	float weight;	   /* what it counts for against others */
+	float prefill_ms;  /* of its prompt, or part, here */
+	int64_t target_at; /* its first event is late after it; 0: never */
+	int64_t first_by;  /* its caller leaves without one; 0: never */
+	bool decodes;	   /* here, once it is read */
+	bool prefilling;   /* in the pass under way */
+	bool waiting;	   /* for the next pass */
 };
 
 /* What one engine is expected to be at. */
 struct dl_engine {
 	int64_t pass_began;
 	int64_t pass_ends; /* in the past: it is idle */
-	bool writing;	   /* somebody writes in the pass under way */
+	bool decoding;	   /* somebody writes in the pass under way */
 	uint32_t count;
-	double pace; /* times as long as the model says */
+	double slowdown; /* times as long as the model says */
 	struct dl_engine_item item[DL_ENGINE_ITEMS_MAX];
 };
 
 /* What to expect of one more prompt, or part of one, on an engine. */
 struct dl_engine_forecast {
-	int64_t read_at;  /* when it has been read */
-	double pass_ms;	  /* of the pass that reads it */
-	uint32_t gap_ms;  /* the shortest pause borne there; 0: any */
-	uint32_t writers; /* that write or wait to */
-	uint64_t context; /* of all of them */
+	int64_t prefilled_at; /* when it has been read */
+	double pass_ms;	      /* of the pass that reads it */
+	uint32_t gap_ms;      /* the shortest pause borne there; 0: any */
+	uint32_t streams;     /* that write or wait to */
+	uint64_t context;     /* of all of them */
 };
 
 void dl_engine_init(struct dl_engine *e);
@@ -100,7 +100,7 @@
 double dl_engine_delay_cost(const struct dl_engine *e, int64_t from, int64_t to,
 			    int64_t now);
 void dl_engine_forecast(const struct dl_engine *e,
-			const struct dl_engine_model *m, double read_ms,
+			const struct dl_engine_model *m, double prefill_ms,
 			int64_t now, struct dl_engine_forecast *out);
 
 #endif
--- a/src/coordination/engine.c
+++ b/src/coordination/engine.c
@@ -5,20 +5,20 @@
 #include <math.h>
 #include <string.h>
 
-#define PAIRS	1e6
-#define CONTEXT 1000.0
+#define TOKEN_PAIRS    1e6
+#define CONTEXT_TOKENS 1000.0
 /* Pauses of so many times what is on time make callers give up (of eight). */
-#define GIVE_UP_PAUSES 4.0
-#define HOPELESS       1000.0
+#define ABANDON_GAPS	  4.0
+#define ABANDONED_PENALTY 1000.0
 /* A stream that is late already is still hurt by a longer pause. */
-#define PER_MULTIPLE 0.5
+#define PENALTY_PER_MULTIPLE 0.5
 
-static double strain(double pass_ms, double bears);
-static bool any_waits(const struct dl_engine *e);
+static double gap_penalty(double pass_ms, double gap_ms);
+static bool any_waiting(const struct dl_engine *e);
 static void end_pass(struct dl_engine *e);
 static void begin_pass(struct dl_engine *e, const struct dl_engine_model *m,
 		       int64_t at);
-static void count_writers(const struct dl_engine *e, uint32_t *writers,
+static void count_streams(const struct dl_engine *e, uint32_t *streams,
 			  uint64_t *context);
 
 /* The time that reading a prompt takes, on one engine and alone. */
@@ -27,27 +27,27 @@
 	double n = (double)tokens;
 	double rate = m->read_per_ms > 0 ? m->read_per_ms : 1;
 
-	return n / rate + n * n / 2 / PAIRS * m->per_pairs_ms;
+	return n / rate + n * n / 2 / TOKEN_PAIRS * m->per_pairs_ms;
 }
 
-/* One pass of some writers that reads nothing. */
+/* One pass of some streams that waiting_ms nothing. */
 double dl_engine_decode_pass_ms(const struct dl_engine_model *m,
-				uint32_t writers, uint64_t context)
+				uint32_t streams, uint64_t context)
 {
-	double step = m->step_ms + writers * m->per_writer_ms +
-		      (double)context / CONTEXT * m->per_context_ms;
+	double step = m->step_ms + streams * m->per_writer_ms +
+		      (double)context / CONTEXT_TOKENS * m->per_context_ms;
 
-	return writers ? m->stride * step : 0;
+	return streams ? m->stride * step : 0;
 }
 
 /* An engine that has nothing to do. */
 void dl_engine_init(struct dl_engine *e)
 {
 	memset(e, 0, sizeof(*e));
-	e->pace = 1;
+	e->slowdown = 1;
 }
 
-static bool any_waits(const struct dl_engine *e)
+static bool any_waiting(const struct dl_engine *e)
 {
 	for (uint32_t i = 0; i < e->count; i++) {
 		if (e->item[i].waiting)
@@ -56,17 +56,17 @@
 	return false;
 }
 
-static void count_writers(const struct dl_engine *e, uint32_t *writers,
+static void count_streams(const struct dl_engine *e, uint32_t *streams,
 			  uint64_t *context)
 {
-	*writers = 0;
+	*streams = 0;
 	*context = 0;
 	for (uint32_t i = 0; i < e->count; i++) {
 		const struct dl_engine_item *item = &e->item[i];
 
-		if (!item->writes || item->reading || item->waiting)
+		if (!item->decodes || item->prefilling || item->waiting)
 			continue;
-		(*writers)++;
+		(*streams)++;
 		*context += item->context;
 	}
 }
@@ -79,9 +79,9 @@
 	for (uint32_t i = 0; i < e->count; i++) {
 		struct dl_engine_item item = e->item[i];
 
-		if (item.reading && !item.writes)
+		if (item.prefilling && !item.decodes)
 			continue;
-		item.reading = false;
+		item.prefilling = false;
 		e->item[n++] = item;
 	}
 	e->count = n;
@@ -92,21 +92,21 @@
 		       int64_t at)
 {
 	uint64_t context;
-	uint32_t writers;
+	uint32_t streams;
 	double ms;
 
-	count_writers(e, &writers, &context);
-	ms = dl_engine_decode_pass_ms(m, writers, context);
-	e->writing = writers > 0;
+	count_streams(e, &streams, &context);
+	ms = dl_engine_decode_pass_ms(m, streams, context);
+	e->decoding = streams > 0;
 	for (uint32_t i = 0; i < e->count; i++) {
 		if (!e->item[i].waiting)
 			continue;
 		e->item[i].waiting = false;
-		e->item[i].reading = true;
-		ms += e->item[i].read_ms;
+		e->item[i].prefilling = true;
+		ms += e->item[i].prefill_ms;
 	}
 	e->pass_began = at;
-	e->pass_ends = at + (int64_t)ceil(ms * e->pace);
+	e->pass_ends = at + (int64_t)ceil(ms * e->slowdown);
 }
 
 /* Follow the engine up to now. */
@@ -114,13 +114,13 @@
 		       int64_t now)
 {
 	while (e->count && e->pass_ends <= now) {
-		uint32_t writers;
+		uint32_t streams;
 		uint64_t context;
 		int64_t at = e->pass_ends;
 
 		end_pass(e);
-		count_writers(e, &writers, &context);
-		if (!writers && !any_waits(e))
+		count_streams(e, &streams, &context);
+		if (!streams && !any_waiting(e))
 			break;
 		begin_pass(e, m, at);
 		/* A pass takes time, or this would never end. */
@@ -140,24 +140,25 @@
 		return -ENOSPC;
 	to = &e->item[e->count++];
 	*to = *item;
-	to->reading = false;
+	to->prefilling = false;
 	to->waiting = true;
 	if (e->pass_ends <= now) {
 		begin_pass(e, m, now);
-	} else if (!e->writing) {
+	} else if (!e->decoding) {
 		/* Reading alone goes on step by step: it joins at once. */
 		to->waiting = false;
-		to->reading = true;
-		e->pass_ends += (int64_t)ceil(to->read_ms * e->pace);
+		to->prefilling = true;
+		e->pass_ends += (int64_t)ceil(to->prefill_ms * e->slowdown);
 	}
 	return 0;
 }
 
 /* What was taken in up to one of those that wait has been read with it. */
-static void take_until(struct dl_engine *e, const struct dl_engine_item *last)
+static void mark_prefilled_until(struct dl_engine *e,
+				 const struct dl_engine_item *last)
 {
 	for (struct dl_engine_item *item = e->item; item <= last; item++) {
-		item->reading |= item->waiting;
+		item->prefilling |= item->waiting;
 		item->waiting = false;
 	}
 }
@@ -179,13 +180,13 @@
 
 	dl_engine_advance(e, m, at);
 	for (uint32_t i = 0; i < e->count && !item; i++) {
-		if (e->item[i].id == id && e->item[i].writes)
+		if (e->item[i].id == id && e->item[i].decodes)
 			item = &e->item[i];
 	}
 	if (!item || e->pass_ends <= at)
 		return;
 	late = at - e->pass_began;
-	if (!item->reading && !item->waiting &&
+	if (!item->prefilling && !item->waiting &&
 	    late < (e->pass_ends - e->pass_began) / 2) {
 		/* The pass before took longer, by so much. */
 		e->pass_began = at;
@@ -193,7 +194,7 @@
 		return;
 	}
 	if (item->waiting)
-		take_until(e, item);
+		mark_prefilled_until(e, item);
 	end_pass(e);
 	begin_pass(e, m, at);
 }
@@ -213,8 +214,9 @@
 			e->item[n++] = *item;
 			continue;
 		}
-		if (item->reading)
-			e->pass_ends -= (int64_t)(item->read_ms * e->pace);
+		if (item->prefilling)
+			e->pass_ends -=
+				(int64_t)(item->prefill_ms * e->slowdown);
 	}
 	e->count = n;
 	if (e->pass_ends < now)
@@ -222,16 +224,16 @@
 }
 
 /*
- * How badly a pause is borne: 0 within bears, 1 beyond, and more with each
+ * How badly a pause is borne: 0 within gap_ms, 1 beyond, and more with each
  * multiple, up to where callers give up.
  */
-static double strain(double pass_ms, double bears)
+static double gap_penalty(double pass_ms, double gap_ms)
 {
-	if (pass_ms <= bears)
+	if (pass_ms <= gap_ms)
 		return 0;
-	if (pass_ms > bears * GIVE_UP_PAUSES)
-		return HOPELESS;
-	return 1 + PER_MULTIPLE * (pass_ms / bears - 1);
+	if (pass_ms > gap_ms * ABANDON_GAPS)
+		return ABANDONED_PENALTY;
+	return 1 + PENALTY_PER_MULTIPLE * (pass_ms / gap_ms - 1);
 }
 
 /* The weight of those that a longer pass would pause for too long. */
@@ -242,11 +244,11 @@
 
 	for (uint32_t i = 0; i < e->count; i++) {
 		const struct dl_engine_item *item = &e->item[i];
-		double bears = item->gap_ms * share;
+		double gap_ms = item->gap_ms * share;
 
-		if (item->writes && item->gap_ms)
-			sum += item->weight *
-			       (strain(to_ms, bears) - strain(from_ms, bears));
+		if (item->decodes && item->gap_ms)
+			sum += item->weight * (gap_penalty(to_ms, gap_ms) -
+					       gap_penalty(from_ms, gap_ms));
 	}
 	return sum;
 }
@@ -255,25 +257,27 @@
  * The weight of those whose first event a longer pass makes late.
  *
  * Load: long prompts parted among engines on which nobody writes.  Such a pass
- * takes in what arrives, and what it reads is out only at its end: parts that
- * follow each other keep the first of them waiting (47,000 tokens foreseen in
- * 0.24 s came after 2.3 s, with five parts that joined one after the other).
+ * takes in what arrives, and what it waiting_ms is out only at its end: parts
+ * that follow each other keep the first of them waiting (47,000 tokens foreseen
+ * in 0.24 s came after 2.3 s, with five parts that joined one after the other).
  * While somebody writes, what arrives waits for the next pass instead.
  */
 double dl_engine_delay_cost(const struct dl_engine *e, int64_t from, int64_t to,
 			    int64_t now)
 {
-	bool joins = e->pass_ends > now && !e->writing;
+	bool joins = e->pass_ends > now && !e->decoding;
 	double sum = 0;
 
 	for (uint32_t i = 0; i < e->count; i++) {
 		const struct dl_engine_item *item = &e->item[i];
 
-		if (!item->waiting && !(joins && item->reading))
+		if (!item->waiting && !(joins && item->prefilling))
 			continue;
-		if (item->due && from <= item->due && to > item->due)
+		if (item->target_at && from <= item->target_at &&
+		    to > item->target_at)
 			sum += item->weight;
-		if (item->last && from <= item->last && to > item->last)
+		if (item->first_by && from <= item->first_by &&
+		    to > item->first_by)
 			sum += item->weight * DL_LATE_VALUE;
 	}
 	return sum;
@@ -281,37 +285,38 @@
 
 /* What to expect of one more prompt, or part of one; advance before. */
 void dl_engine_forecast(const struct dl_engine *e,
-			const struct dl_engine_model *m, double read_ms,
+			const struct dl_engine_model *m, double prefill_ms,
 			int64_t now, struct dl_engine_forecast *out)
 {
 	bool busy = e->count && e->pass_ends > now;
-	double reads = 0;
-	uint32_t writers = 0;
+	double waiting_ms = 0;
+	uint32_t streams = 0;
 
 	memset(out, 0, sizeof(*out));
 	for (uint32_t i = 0; i < e->count; i++) {
 		const struct dl_engine_item *item = &e->item[i];
 
 		if (item->waiting)
-			reads += item->read_ms;
-		if (!item->writes)
+			waiting_ms += item->prefill_ms;
+		if (!item->decodes)
 			continue;
-		out->writers++;
+		out->streams++;
 		out->context += item->context;
 		/* Those that wait write in the pass after it only. */
-		writers += !item->waiting;
+		streams += !item->waiting;
 		if (item->gap_ms &&
 		    (!out->gap_ms || item->gap_ms < out->gap_ms))
 			out->gap_ms = item->gap_ms;
 	}
-	if (busy && !e->writing) {
-		out->pass_ms = (double)(e->pass_ends - now) + read_ms * e->pace;
-		out->read_at = now + (int64_t)ceil(out->pass_ms);
+	if (busy && !e->decoding) {
+		out->pass_ms =
+			(double)(e->pass_ends - now) + prefill_ms * e->slowdown;
+		out->prefilled_at = now + (int64_t)ceil(out->pass_ms);
 		return;
 	}
-	out->pass_ms = (dl_engine_decode_pass_ms(m, writers, out->context) +
-			reads + read_ms) *
-		       e->pace;
-	out->read_at =
+	out->pass_ms = (dl_engine_decode_pass_ms(m, streams, out->context) +
+			waiting_ms + prefill_ms) *
+		       e->slowdown;
+	out->prefilled_at =
 		(busy ? e->pass_ends : now) + (int64_t)ceil(out->pass_ms);
 }
--- a/src/coordination/pool.c
+++ b/src/coordination/pool.c
@@ -256,7 +256,7 @@
 	 */
 	if (pool->conf.engine.read_per_ms > 0)
 		return dl_engine_prefill_ms(&pool->conf.engine, prompt) <=
-				       PART_MS ?
+				       PART_PREFILL_MS ?
 			       POOL_SHORT :
 			       POOL_MEDIUM;
 	if (pool->conf.long_tokens && pool->conf.long_tokens < short_tokens)
--- a/src/coordination/pool_engine.c
+++ b/src/coordination/pool_engine.c
@@ -22,7 +22,7 @@
  */
 #define GAP_SHARE 0.72
 /* Where a request has waited, what is foreseen may take more of it. */
-#define GAP_SHARE_HARSH 0.92
+#define GAP_SHARE_RELAXED 0.92
 /* Nobody writes for a caller without a target within a fixed time. */
 #define TARGET_DEFAULT_MS 1000
 /*
@@ -37,12 +37,12 @@
  * turn, so parts sent early end together, and late; a prompt that waits here
  * goes where it is read at once.
  */
-#define AHEAD_MS 150
+#define START_WITHIN_MS 150
 /*
  * And of the time that it has waited, so much more: it needs several engines at
  * once, of which one or other always reads for a shorter prompt.
  */
-#define AHEAD_WAITED_SHARE 0.3
+#define START_WITHIN_WAITED_SHARE 0.3
 /*
  * Past this share of the time in which a first event is asked, a request that
  * found no place without harm takes one that delays others' events.
@@ -54,23 +54,23 @@
  * Until then it takes engines for idle on which streams run: a long prompt that
  * it parts among them stops those streams until they are given up as silent.
  */
-#define STRANGE_MS 250
+#define TAKEOVER_MS 250
 /* However long an engine's grants are overdue, it is no slower than this. */
-#define PACE_MAX 6.0
+#define SLOWDOWN_MAX 6.0
 
 static enum pool_found pool_engine_choose(struct dl_pool *pool,
 					  const struct pool_want *want,
 					  int64_t now, struct pool_choice *out);
 static int64_t pool_engine_service_ms(const struct dl_pool *pool,
 				      const struct pool_want *want);
-static int64_t pool_engine_back_ms(const struct dl_pool *pool,
-				   const struct pool_want *want, int64_t now);
+static int64_t pool_engine_retry_ms(const struct dl_pool *pool,
+				    const struct pool_want *want, int64_t now);
 static void pool_engine_granted(struct dl_pool *pool,
-				const struct pool_grant *g, double read_ms,
+				const struct pool_grant *g, double prefill_ms,
 				int64_t now);
-static void pool_engine_lead(struct dl_pool *pool, int64_t now);
-static void pool_engine_first(struct dl_pool *pool, const struct pool_grant *g,
-			      int64_t now);
+static void pool_engine_take_over(struct dl_pool *pool, int64_t now);
+static void pool_engine_first_event(struct dl_pool *pool,
+				    const struct pool_grant *g, int64_t now);
 static void pool_engine_learn(struct pool_endpoint *e,
 			      const struct pool_grant *g,
 			      const struct dl_usage *usage);
@@ -80,28 +80,28 @@
  * it for most of what anybody is given: its work grows with the square of its
  * length, and while it is read nothing else begins.
  */
-static bool is_too_much(const struct engine_search *s)
+static bool exceeds_engines(const struct engine_search *s)
 {
 	uint32_t n = s->count < DL_GROUP_MAX ? s->count : DL_GROUP_MAX;
 
-	return n && s->read_ms / n > s->target * PART_TARGET_SHARE;
+	return n && s->prefill_ms / n > s->target_ms * PART_TARGET_SHARE;
 }
 
 /* The best place for a request that has waited and would still be late. */
-static bool choose_late(struct engine_search *s, struct pool_choice *out)
+static bool choose_with_cost(struct engine_search *s, struct pool_choice *out)
 {
-	struct pool_choice harsh = { 0 };
+	struct pool_choice place = { 0 };
 	double budget = s->weight;
 
-	s->gap_share = GAP_SHARE_HARSH;
-	if ((double)s->waited > s->target)
+	s->gap_share = GAP_SHARE_RELAXED;
+	if ((double)s->waited_ms > s->target_ms)
 		budget *= DL_LATE_VALUE;
-	if (!pool_engine_place(s, budget, &harsh))
+	if (!pool_engine_place(s, budget, &place))
 		return false;
-	if ((double)(s->waited + harsh.ttft_ms) > s->target &&
-	    s->read_ms > PART_MS && s->pool->queued > 1)
+	if ((double)(s->waited_ms + place.ttft_ms) > s->target_ms &&
+	    s->prefill_ms > PART_PREFILL_MS && s->pool->queued > 1)
 		return false;
-	*out = harsh;
+	*out = place;
 	return true;
 }
 
@@ -120,39 +120,43 @@
 				   .model = &pool->conf.engine,
 				   .want = want,
 				   .now = now,
-				   .waited = now - want->asked,
+				   .waited_ms = now - want->asked,
 				   .gap_share = GAP_SHARE };
 	struct pool_choice place = { 0 };
 	bool found;
 
 	*out = place;
-	s.target = want->target_ms ? want->target_ms : TARGET_DEFAULT_MS;
-	s.read_ms = dl_engine_prefill_ms(s.model, want->prompt);
+	s.target_ms = want->target_ms ? want->target_ms : TARGET_DEFAULT_MS;
+	s.prefill_ms = dl_engine_prefill_ms(s.model, want->prompt);
 	s.weight = pool_engine_weight(want);
-	pool_engine_look(&s);
-	if (is_too_much(&s))
+	pool_engine_collect(&s);
+	if (exceeds_engines(&s))
 		return POOL_LATE;
-	if (s.read_ms > PART_MS && now < pool->strange_until)
+	if (s.prefill_ms > PART_PREFILL_MS && now < pool->strange_until)
 		return POOL_WAIT;
 	found = pool_engine_place(&s, 0, &place);
-	if (!found || (double)(s.waited + place.ttft_ms) > s.target) {
-		if ((double)s.waited < s.target * PATIENCE_SHARE)
+	if (!found || (double)(s.waited_ms + place.ttft_ms) > s.target_ms) {
+		if ((double)s.waited_ms < s.target_ms * PATIENCE_SHARE)
 			return POOL_WAIT;
-		found = choose_late(&s, &place);
+		found = choose_with_cost(&s, &place);
 	}
 	if (!found)
-		return (double)s.waited > s.target && s.read_ms > PART_MS ?
+		return (double)s.waited_ms > s.target_ms &&
+				       s.prefill_ms > PART_PREFILL_MS ?
 			       POOL_LATE :
 			       POOL_WAIT;
-	if (s.read_ms > PART_MS && (double)s.waited < s.target &&
+	if (s.prefill_ms > PART_PREFILL_MS &&
+	    (double)s.waited_ms < s.target_ms &&
 	    place.ttft_ms - place.read_ms >
-		    AHEAD_MS + (double)s.waited * AHEAD_WAITED_SHARE)
+		    START_WITHIN_MS +
+			    (double)s.waited_ms * START_WITHIN_WAITED_SHARE)
 		return POOL_WAIT;
-	pool_engine_end(&s, &place);
+	pool_engine_predict_end(&s, &place);
 	*out = place;
 	if (!pool_place_in_time(out, want, now) ||
 	    (want->first_by && now + out->ttft_ms > want->first_by))
-		return (double)s.waited < s.target ? POOL_WAIT : POOL_LATE;
+		return (double)s.waited_ms < s.target_ms ? POOL_WAIT :
+							   POOL_LATE;
 	return POOL_CHOSEN;
 }
 
@@ -167,7 +171,7 @@
 	return (int64_t)ceil(dl_engine_prefill_ms(m, want->prompt) /
 				     (n ? n : 1) +
 			     passes * dl_engine_decode_pass_ms(m, 1, 0)) +
-	       WAY_MS;
+	       ROUND_TRIP_MS;
 }
 
 /*
@@ -175,8 +179,8 @@
  * they have, and half its target for what came meanwhile.  Told too early,
  * callers use their one return for another refusal.
  */
-static int64_t pool_engine_back_ms(const struct dl_pool *pool,
-				   const struct pool_want *want, int64_t now)
+static int64_t pool_engine_retry_ms(const struct dl_pool *pool,
+				    const struct pool_want *want, int64_t now)
 {
 	int64_t target = want->target_ms ? want->target_ms : TARGET_DEFAULT_MS;
 	int64_t sum = 0;
@@ -199,7 +203,7 @@
  * more to do.  read_ms: of the part that each one reads, 0 where it has.
  */
 static void pool_engine_granted(struct dl_pool *pool,
-				const struct pool_grant *g, double read_ms,
+				const struct pool_grant *g, double prefill_ms,
 				int64_t now)
 {
 	for (uint8_t i = 0; i < g->parts_n; i++) {
@@ -209,10 +213,10 @@
 			.context = g->want.prompt / g->parts_n,
 			.gap_ms = i == 0 ? g->want.gap_ms : 0,
 			.weight = (float)pool_engine_weight(&g->want),
-			.read_ms = (float)read_ms,
-			.due = pool_engine_due(&g->want),
-			.last = g->want.first_by,
-			.writes = i == 0,
+			.prefill_ms = (float)prefill_ms,
+			.target_at = pool_engine_target_at(&g->want),
+			.first_by = g->want.first_by,
+			.decodes = i == 0,
 		};
 
 		if (e)
@@ -222,21 +226,21 @@
 }
 
 /* Long prompts wait until the engines are known. */
-static void pool_engine_lead(struct dl_pool *pool, int64_t now)
+static void pool_engine_take_over(struct dl_pool *pool, int64_t now)
 {
-	pool->strange_until = now + STRANGE_MS;
+	pool->strange_until = now + TAKEOVER_MS;
 }
 
 /* Of a prompt that others read as well it shows the last of them only. */
-static void pool_engine_first(struct dl_pool *pool, const struct pool_grant *g,
-			      int64_t now)
+static void pool_engine_first_event(struct dl_pool *pool,
+				    const struct pool_grant *g, int64_t now)
 {
 	struct pool_endpoint *e = g->parts[0].endpoint;
 
 	if (g->parts_n != 1 || !e)
 		return;
 	dl_engine_observe_first_event(&e->engine, &pool->conf.engine, g->id,
-				      now - WAY_MS / 2);
+				      now - ROUND_TRIP_MS / 2);
 }
 
 /*
@@ -250,7 +254,7 @@
 {
 	if (!usage->ttft_ms || !g->predicted_ttft_ms)
 		return;
-	e->slow = fmin(fmax(e->slow, 1), PACE_MAX);
+	e->slow = fmin(fmax(e->slow, 1), SLOWDOWN_MAX);
 }
 
 const struct dl_pool_policy dl_policy_engine = {
@@ -258,9 +262,9 @@
 	.queues = true,
 	.choose = pool_engine_choose,
 	.service_ms = pool_engine_service_ms,
-	.back_ms = pool_engine_back_ms,
+	.back_ms = pool_engine_retry_ms,
 	.granted = pool_engine_granted,
-	.lead = pool_engine_lead,
-	.first = pool_engine_first,
+	.lead = pool_engine_take_over,
+	.first = pool_engine_first_event,
 	.learn = pool_engine_learn,
 };
--- a/src/coordination/pool_engine.h
+++ b/src/coordination/pool_engine.h
@@ -9,19 +9,19 @@
 #include "pool_int.h"
 
 /* The way to an engine and back, and its connection. */
-#define WAY_MS 4
+#define ROUND_TRIP_MS 4
 /*
  * A part that is read in this time, and the pass that it is read in, are within
  * what streams of longer prompts bear (600 ms and more).
  */
-#define PART_MS 300.0
+#define PART_PREFILL_MS 300.0
 /* The most engines that are looked at for one request. */
-#define POOL_ENGINE_LOOK_MAX 1024
+#define POOL_ENGINE_CANDIDATES_MAX 1024
 
 struct candidate {
 	struct pool_endpoint *endpoint;
 	struct dl_engine_forecast forecast; /* of no reading at all */
-	bool leads;			    /* has the slot to write */
+	bool can_decode;		    /* has the slot to write */
 };
 
 struct engine_search {
@@ -29,21 +29,23 @@
 	const struct dl_engine_model *model;
 	const struct pool_want *want;
 	int64_t now;
-	int64_t waited;
-	double target;
-	double read_ms;
+	int64_t waited_ms;
+	double target_ms;
+	double prefill_ms;
 	double weight;
-	uint32_t least; /* engines, for the memory alone; 1: the lead has it */
-	double gap_share; /* of a pause that a pass may take */
+	uint32_t engines_min; /* engines, for the memory alone; 1: the lead has
+				 it */
+	double gap_share;     /* of a pause that a pass may take */
 	uint32_t count;
-	struct candidate at[POOL_ENGINE_LOOK_MAX];
+	struct candidate candidate[POOL_ENGINE_CANDIDATES_MAX];
 };
 
 double pool_engine_weight(const struct pool_want *want);
-int64_t pool_engine_due(const struct pool_want *want);
-void pool_engine_look(struct engine_search *s);
+int64_t pool_engine_target_at(const struct pool_want *want);
+void pool_engine_collect(struct engine_search *s);
 bool pool_engine_place(struct engine_search *s, double budget,
 		       struct pool_choice *out);
-void pool_engine_end(const struct engine_search *s, struct pool_choice *out);
+void pool_engine_predict_end(const struct engine_search *s,
+			     struct pool_choice *out);
 
 #endif
--- a/test/test_engine.c
+++ b/test/test_engine.c
@@ -21,28 +21,29 @@
 	dl_engine_init(&engine);
 }
 
-static struct dl_engine_item item_of(uint64_t id, float read_ms, bool writes)
+static struct dl_engine_item item_of(uint64_t id, float prefill_ms,
+				     bool decodes)
 {
 	return (struct dl_engine_item){ .id = id,
-					.read_ms = read_ms,
-					.writes = writes,
+					.prefill_ms = prefill_ms,
+					.decodes = decodes,
 					.gap_ms = 250,
 					.weight = 10 };
 }
 
-static void add(uint64_t id, float read_ms, bool writes, int64_t now)
+static void add(uint64_t id, float prefill_ms, bool decodes, int64_t now)
 {
-	struct dl_engine_item item = item_of(id, read_ms, writes);
+	struct dl_engine_item item = item_of(id, prefill_ms, decodes);
 
 	ck_assert_int_eq(dl_engine_add(&engine, &model, &item, now), 0);
 }
 
-static struct dl_engine_forecast forecast(double read_ms, int64_t now)
+static struct dl_engine_forecast forecast(double prefill_ms, int64_t now)
 {
 	struct dl_engine_forecast f;
 
 	dl_engine_advance(&engine, &model, now);
-	dl_engine_forecast(&engine, &model, read_ms, now, &f);
+	dl_engine_forecast(&engine, &model, prefill_ms, now, &f);
 	return f;
 }
 
@@ -79,7 +80,7 @@
 
 START_TEST(idle_engine_reads_at_once)
 {
-	ck_assert_int_eq(forecast(28, 1000).read_at, 1028);
+	ck_assert_int_eq(forecast(28, 1000).prefilled_at, 1028);
 }
 END_TEST
 
@@ -87,7 +88,7 @@
 START_TEST(reading_alone_is_joined)
 {
 	add(1, 100, true, 1000);
-	ck_assert_int_eq(forecast(28, 1010).read_at, 1128);
+	ck_assert_int_eq(forecast(28, 1010).prefilled_at, 1128);
 }
 END_TEST
 
@@ -99,9 +100,9 @@
 	add(1, 100, true, 1000);
 	f = forecast(28, 1101);
 	ck_assert_int_eq(engine.pass_ends, 1144);
-	ck_assert_uint_eq(f.writers, 1);
+	ck_assert_uint_eq(f.streams, 1);
 	ck_assert_uint_eq(f.gap_ms, 250);
-	ck_assert_int_eq(f.read_at, 1144 + 72);
+	ck_assert_int_eq(f.prefilled_at, 1144 + 72);
 }
 END_TEST
 
@@ -122,7 +123,7 @@
 	add(1, 50, false, 1000);
 	dl_engine_advance(&engine, &model, 1051);
 	ck_assert_uint_eq(engine.count, 0);
-	ck_assert_int_eq(forecast(10, 1100).read_at, 1110);
+	ck_assert_int_eq(forecast(10, 1100).prefilled_at, 1110);
 }
 END_TEST
 
@@ -131,13 +132,13 @@
 {
 	add(1, 10000, true, 1000);
 	dl_engine_remove(&engine, 1, 2000);
-	ck_assert_int_eq(forecast(28, 2000).read_at, 2028);
+	ck_assert_int_eq(forecast(28, 2000).prefilled_at, 2028);
 }
 END_TEST
 
 START_TEST(slow_engines_take_longer)
 {
-	engine.pace = 3;
+	engine.slowdown = 3;
 	add(1, 100, true, 1000);
 	ck_assert_int_eq(engine.pass_ends, 1300);
 }
@@ -162,8 +163,8 @@
 	ck_assert_int_eq(engine.pass_began, firsts[_i].begins);
 	ck_assert_int_eq(engine.pass_ends,
 			 firsts[_i].begins + (int64_t)(stride + 1));
-	ck_assert(engine.writing);
-	ck_assert(!engine.item[0].reading && !engine.item[0].waiting);
+	ck_assert(engine.decoding);
+	ck_assert(!engine.item[0].prefilling && !engine.item[0].waiting);
 }
 END_TEST
 
@@ -175,8 +176,8 @@
 	add(2, 20, true, 35);
 	add(3, 20, true, 36);
 	dl_engine_observe_first_event(&engine, &model, 2, 60);
-	ck_assert(!engine.item[1].reading && !engine.item[1].waiting);
-	ck_assert(engine.item[2].reading);
+	ck_assert(!engine.item[1].prefilling && !engine.item[1].waiting);
+	ck_assert(engine.item[2].prefilling);
 	ck_assert_int_eq(engine.pass_began, 60);
 	/* One that is not there, and a part, show nothing. */
 	dl_engine_observe_first_event(&engine, &model, 9, 70);
@@ -236,7 +237,7 @@
 		if (engine.count)
 			ck_assert_int_gt(engine.pass_ends, now - 1);
 		for (uint32_t k = 0; k < engine.count; k++)
-			ck_assert(!engine.item[k].reading ||
+			ck_assert(!engine.item[k].prefilling ||
 				  !engine.item[k].waiting);
 	}
 }
@@ -250,8 +251,8 @@
 {
 	struct dl_engine_item item = item_of(1, 200, true);
 
-	item.due = 1250;
-	item.last = 2000;
+	item.target_at = 1250;
+	item.first_by = 2000;
 	ck_assert_int_eq(dl_engine_add(&engine, &model, &item, 1000), 0);
 	ck_assert_int_eq(engine.pass_ends, 1200);
 	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1200, 1240, 1000), 0);
--- a/test/test_placing.c
+++ b/test/test_placing.c
@@ -11,10 +11,10 @@
 #include "fake/published_engine.h"
 #include "fake/suite.h"
 
-#define ENGINES	 8
-#define FAR	 60000
-#define LEASE_MS 20000
-#define WAY_MS	 4 /* to an engine and back, in a forecast */
+#define ENGINES	      8
+#define FAR	      60000
+#define LEASE_MS      20000
+#define ROUND_TRIP_MS 4 /* to an engine and back, in a forecast */
 
 static const struct dl_pool_conf conf = {
 	.kind = DL_POOL_MODEL,
@@ -218,7 +218,7 @@
 	ck_assert_int_eq(next.verdict, DL_QUEUED);
 	ck_assert(next_within(3000, &next));
 	ck_assert_int_eq(next.verdict, DL_GRANTED);
-	ck_assert_int_ge(now, first_read(&first) - WAY_MS);
+	ck_assert_int_ge(now, first_read(&first) - ROUND_TRIP_MS);
 }
 END_TEST
 
