--- a/src/coordination/pool_group.c
+++ b/src/coordination/pool_group.c
@@ -26,9 +26,9 @@
 #define HOLD_RETRY_MS 100
 
 /* How members are chosen: what is ready soonest, or long ones first. */
-enum order {
-	BY_TIME,
-	BY_LONG,
+enum member_order {
+	BY_READY_TIME,
+	LONG_FIRST,
 };
 
 struct member {
@@ -40,29 +40,30 @@
 static uint32_t group_max(const struct dl_pool *pool);
 static bool may_join(const struct pool_want *want,
 		     const struct pool_endpoint *e, uint32_t n);
-static bool fits_now(struct dl_pool *pool, const struct pool_want *part,
-		     const struct pool_endpoint *e, int64_t now);
-static uint64_t part_of(uint64_t tokens, uint32_t n);
-static bool better(const struct member *a, const struct member *b,
-		   enum order order);
-static void keep_best(struct member *best, uint32_t *n, uint32_t max,
-		      struct member m, enum order order);
+static bool can_start_now(struct dl_pool *pool, const struct pool_want *part,
+			  const struct pool_endpoint *e, int64_t now);
+static uint64_t share_of(uint64_t tokens, uint32_t n);
+static bool sorts_before(const struct member *a, const struct member *b,
+			 enum member_order order);
+static void insert_best(struct member *best, uint32_t *n, uint32_t max,
+			struct member m, enum member_order order);
 static int64_t ready_at(const struct pool_endpoint *e, uint64_t share,
 			int64_t now);
 static uint32_t select_members(struct dl_pool *pool,
 			       const struct pool_want *want, uint32_t n,
-			       bool at_once, enum order order, int64_t now,
-			       struct member *best);
-static bool select_within(struct dl_pool *pool, const struct pool_want *want,
-			  uint32_t n, bool at_once, int64_t now,
-			  struct member *best);
+			       bool at_once, enum member_order order,
+			       int64_t now, struct member *best);
+static bool select_within_long_share(struct dl_pool *pool,
+				     const struct pool_want *want, uint32_t n,
+				     bool at_once, int64_t now,
+				     struct member *best);
 static void fill_choice(struct dl_pool *pool, const struct pool_want *want,
 			struct pool_endpoint **members, uint32_t n, int64_t now,
 			struct pool_choice *out);
-static bool within_share(const struct dl_pool *pool,
-			 const struct member *members, uint32_t n);
+static bool within_long_share(const struct dl_pool *pool,
+			      const struct member *members, uint32_t n);
 static void order_by_name(struct pool_endpoint **members, uint32_t n);
-static struct pool_hold *unused_hold(struct dl_pool *pool);
+static struct pool_hold *find_free_hold(struct dl_pool *pool);
 
 /*
  * A group alone may pass the share for long prompts, since the longest need
@@ -83,14 +84,14 @@
 	return e->counted_open && !pool_place_failed_before(want, e);
 }
 
-static bool fits_now(struct dl_pool *pool, const struct pool_want *part,
-		     const struct pool_endpoint *e, int64_t now)
+static bool can_start_now(struct dl_pool *pool, const struct pool_want *part,
+			  const struct pool_endpoint *e, int64_t now)
 {
 	return pool_place_fits(pool, part, e, now) &&
 	       pool_place_ready(e, pool_level(part), now);
 }
 
-static uint64_t part_of(uint64_t tokens, uint32_t n)
+static uint64_t share_of(uint64_t tokens, uint32_t n)
 {
 	return n ? (tokens + n - 1) / n : tokens;
 }
@@ -107,7 +108,7 @@
 	for (uint32_t n = 1; n <= max; n++) {
 		uint32_t able = 0;
 
-		*share = part_of(want->need, n);
+		*share = share_of(want->need, n);
 		for (uint32_t i = 0; i < pool->endpoints_n; i++) {
 			const struct pool_endpoint *e = pool->endpoints[i];
 
@@ -121,29 +122,29 @@
 	return 0;
 }
 
-static bool better(const struct member *a, const struct member *b,
-		   enum order order)
+static bool sorts_before(const struct member *a, const struct member *b,
+			 enum member_order order)
 {
-	if (order == BY_LONG && a->is_long != b->is_long)
+	if (order == LONG_FIRST && a->is_long != b->is_long)
 		return a->is_long;
 	if (a->ready != b->ready)
 		return a->ready < b->ready;
 	return a->endpoint->by_name.hash < b->endpoint->by_name.hash;
 }
 
-static void keep_best(struct member *best, uint32_t *n, uint32_t max,
-		      struct member m, enum order order)
+static void insert_best(struct member *best, uint32_t *n, uint32_t max,
+			struct member m, enum member_order order)
 {
 	uint32_t at = *n;
 
 	if (at == max) {
-		if (!better(&m, &best[max - 1], order))
+		if (!sorts_before(&m, &best[max - 1], order))
 			return;
 		at--;
 	} else {
 		(*n)++;
 	}
-	for (; at > 0 && better(&m, &best[at - 1], order); at--)
+	for (; at > 0 && sorts_before(&m, &best[at - 1], order); at--)
 		best[at] = best[at - 1];
 	best[at] = m;
 }
@@ -173,14 +174,14 @@
 
 static uint32_t select_members(struct dl_pool *pool,
 			       const struct pool_want *want, uint32_t n,
-			       bool at_once, enum order order, int64_t now,
-			       struct member *best)
+			       bool at_once, enum member_order order,
+			       int64_t now, struct member *best)
 {
 	struct pool_want part = *want;
 	uint32_t found = 0;
 
-	part.need = part_of(want->need, n);
-	part.prompt = part_of(want->prompt, n);
+	part.need = share_of(want->need, n);
+	part.prompt = share_of(want->prompt, n);
 	for (uint32_t i = 0; i < pool->endpoints_n; i++) {
 		struct pool_endpoint *e = pool->endpoints[i];
 		struct member m = { .endpoint = e, .is_long = e->counted_long };
@@ -189,10 +190,10 @@
 		    e->last.memory_tokens < part.need ||
 		    pool_backoff_holds(pool, want, e, now))
 			continue;
-		if (at_once && !fits_now(pool, &part, e, now))
+		if (at_once && !can_start_now(pool, &part, e, now))
 			continue;
 		m.ready = ready_at(e, part.need, now);
-		keep_best(best, &found, n, m, order);
+		insert_best(best, &found, n, m, order);
 	}
 	return found;
 }
@@ -201,20 +202,22 @@
  * The members that are ready soonest, or, where those would pass the share of
  * the pool for long prompts, the ones that are in it already.
  */
-static bool select_within(struct dl_pool *pool, const struct pool_want *want,
-			  uint32_t n, bool at_once, int64_t now,
-			  struct member *best)
+static bool select_within_long_share(struct dl_pool *pool,
+				     const struct pool_want *want, uint32_t n,
+				     bool at_once, int64_t now,
+				     struct member *best)
 {
-	if (select_members(pool, want, n, at_once, BY_TIME, now, best) < n)
+	if (select_members(pool, want, n, at_once, BY_READY_TIME, now, best) <
+	    n)
 		return false;
-	if (want->band < POOL_LONG || within_share(pool, best, n))
+	if (want->band < POOL_LONG || within_long_share(pool, best, n))
 		return true;
-	select_members(pool, want, n, at_once, BY_LONG, now, best);
-	return within_share(pool, best, n);
+	select_members(pool, want, n, at_once, LONG_FIRST, now, best);
+	return within_long_share(pool, best, n);
 }
 
-static bool within_share(const struct dl_pool *pool,
-			 const struct member *members, uint32_t n)
+static bool within_long_share(const struct dl_pool *pool,
+			      const struct member *members, uint32_t n)
 {
 	uint32_t max = pool_place_long_max(pool);
 	uint32_t added = 0;
@@ -245,12 +248,12 @@
 			struct pool_endpoint **members, uint32_t n, int64_t now,
 			struct pool_choice *out)
 {
-	uint64_t tokens = part_of(want->prompt, n);
+	uint64_t tokens = share_of(want->prompt, n);
 
 	if (n > 1)
 		tokens += tokens * GROUP_OVERHEAD_PERCENT / PERCENT;
 	*out = (struct pool_choice){ .n = (uint8_t)n,
-				     .share = part_of(want->need, n) };
+				     .share = share_of(want->need, n) };
 	order_by_name(members, n);
 	for (uint32_t i = 0; i < n; i++) {
 		struct pool_choice part = { 0 };
@@ -283,7 +286,7 @@
 	if (n == 0)
 		return POOL_WAIT;
 	for (; n <= max; n++) {
-		if (!select_within(pool, want, n, true, now, best))
+		if (!select_within_long_share(pool, want, n, true, now, best))
 			continue;
 		for (uint32_t i = 0; i < n; i++)
 			members[i] = best[i].endpoint;
@@ -313,14 +316,14 @@
 	struct pool_want part = *want;
 
 	part.need = hold->share;
-	part.prompt = part_of(want->prompt, hold->n);
+	part.prompt = share_of(want->prompt, hold->n);
 	for (uint32_t i = 0; i < hold->n; i++) {
 		struct pool_endpoint *e = hold->endpoint[i];
 		bool fits;
 
 		e->hold = NULL;
 		e->reserved = 0;
-		fits = fits_now(pool, &part, e, now);
+		fits = can_start_now(pool, &part, e, now);
 		e->hold = hold;
 		e->reserved = hold->share;
 		if (!fits)
@@ -330,7 +333,7 @@
 	return pool_place_in_time(out, want, now) ? POOL_CHOSEN : POOL_LATE;
 }
 
-static struct pool_hold *unused_hold(struct dl_pool *pool)
+static struct pool_hold *find_free_hold(struct dl_pool *pool)
 {
 	for (int i = 0; i < POOL_HOLDS; i++)
 		if (!pool->hold[i].request)
@@ -348,7 +351,7 @@
 bool pool_hold_begin(struct dl_pool *pool, struct pool_request *req,
 		     int64_t now)
 {
-	struct pool_hold *hold = unused_hold(pool);
+	struct pool_hold *hold = find_free_hold(pool);
 	const struct pool_want *want = &req->want;
 	struct member best[DL_GROUP_MAX];
 	uint64_t share = want->need;
@@ -359,7 +362,8 @@
 	pool->hold_at = now + HOLD_RETRY_MS;
 	if (want->band == POOL_GIANT)
 		n = pool_group_size(pool, want, &share);
-	if (n == 0 || !select_within(pool, want, n, false, now, best))
+	if (n == 0 ||
+	    !select_within_long_share(pool, want, n, false, now, best))
 		return false;
 	pool->hold_at = now;
 	hold->request = req;
--- a/src/coordination/pool_heap.c
+++ b/src/coordination/pool_heap.c
@@ -5,8 +5,8 @@
 
 #define HEAP_FIRST_ROOM 16
 
-static void put(struct pool_heap *heap, uint32_t pos,
-		struct pool_heap_node *node);
+static void place_node(struct pool_heap *heap, uint32_t pos,
+		       struct pool_heap_node *node);
 static void sift_up(struct pool_heap *heap, struct pool_heap_node *node);
 static void sift_down(struct pool_heap *heap, struct pool_heap_node *node);
 
@@ -17,8 +17,8 @@
 	*heap = (struct pool_heap){ 0 };
 }
 
-static void put(struct pool_heap *heap, uint32_t pos,
-		struct pool_heap_node *node)
+static void place_node(struct pool_heap *heap, uint32_t pos,
+		       struct pool_heap_node *node)
 {
 	heap->at[pos] = node;
 	node->pos = pos;
@@ -29,10 +29,10 @@
 	uint32_t pos = node->pos;
 
 	while (pos > 1 && heap->at[pos / 2]->key > node->key) {
-		put(heap, pos, heap->at[pos / 2]);
+		place_node(heap, pos, heap->at[pos / 2]);
 		pos /= 2;
 	}
-	put(heap, pos, node);
+	place_node(heap, pos, node);
 }
 
 static void sift_down(struct pool_heap *heap, struct pool_heap_node *node)
@@ -45,10 +45,10 @@
 			child++;
 		if (heap->at[child]->key >= node->key)
 			break;
-		put(heap, pos, heap->at[child]);
+		place_node(heap, pos, heap->at[child]);
 		pos = child;
 	}
-	put(heap, pos, node);
+	place_node(heap, pos, node);
 }
 
 /* Put a node in under a key, or move it to another key. */
@@ -66,7 +66,7 @@
 			if (!heap->at)
 				abort();
 		}
-		put(heap, ++heap->n, node);
+		place_node(heap, ++heap->n, node);
 	}
 	sift_up(heap, node);
 	sift_down(heap, node);
@@ -84,7 +84,7 @@
 	last = heap->at[heap->n--];
 	if (last == node)
 		return;
-	put(heap, pos, last);
+	place_node(heap, pos, last);
 	sift_up(heap, last);
 	sift_down(heap, last);
 }
--- a/src/coordination/pool_index.c
+++ b/src/coordination/pool_index.c
@@ -11,12 +11,12 @@
 
 #define INDEX_FIRST_ROOM 16
 
-static const struct pool_index_node closed = {
+static const struct pool_index_node unavailable_leaf = {
 	.ready = { INT64_MAX, INT64_MAX, INT64_MAX },
 	.ms_per_token = DBL_MAX,
 };
 
-static void combine(struct pool_index *index, uint32_t at);
+static void update_inner_node(struct pool_index *index, uint32_t at);
 
 /* Free the index. */
 void pool_index_free(struct pool_index *index)
@@ -41,16 +41,16 @@
 	if (!index->at)
 		abort();
 	for (size_t i = 0; i < 2 * (size_t)room; i++)
-		index->at[i] = closed;
+		index->at[i] = unavailable_leaf;
 	if (old.room)
 		memcpy(&index->at[room], &old.at[old.room],
 		       old.room * sizeof(*index->at));
 	for (uint32_t i = room - 1; i > 0; i--)
-		combine(index, i);
+		update_inner_node(index, i);
 	free(old.at);
 }
 
-static void combine(struct pool_index *index, uint32_t at)
+static void update_inner_node(struct pool_index *index, uint32_t at)
 {
 	const struct pool_index_node *a = &index->at[2 * (size_t)at];
 	const struct pool_index_node *b = &index->at[2 * (size_t)at + 1];
@@ -72,13 +72,13 @@
 {
 	uint32_t at = index->room + slot;
 
-	index->at[at] = leaf ? *leaf : closed;
+	index->at[at] = leaf ? *leaf : unavailable_leaf;
 	for (at /= 2; at > 0; at /= 2)
-		combine(index, at);
+		update_inner_node(index, at);
 }
 
 /* The best of all endpoints. */
 const struct pool_index_node *pool_index_root(const struct pool_index *index)
 {
-	return index->room ? &index->at[1] : &closed;
+	return index->room ? &index->at[1] : &unavailable_leaf;
 }
--- a/src/coordination/pool_place.c
+++ b/src/coordination/pool_place.c
@@ -43,8 +43,8 @@
  * long one instead, unless that costs them more than this share of their own
  * time.  With small steps it would only slow long prompts down.
  */
-#define KEEP_CLEAR_FROM_MS 40.0
-#define KEEP_CLEAR_SHARE   0.5
+#define KEEP_FOR_SHORT_FROM_MS 40.0
+#define KEEP_FOR_SHORT_SHARE   0.5
 
 #define PRIORITY_BAND	 64
 #define PRIORITY_CLASS	 16
@@ -62,23 +62,26 @@
 };
 
 static int64_t max_time(int64_t a, int64_t b);
-static bool levels_allow(const struct pool_endpoint *e, uint8_t level,
-			 int64_t prefill_ms, int64_t now);
-static void wait_for(struct dl_pool *pool, const struct pool_endpoint *e,
-		     uint8_t level);
-static uint64_t free_beside(const struct pool_endpoint *e, uint64_t reserved);
-static bool backfills(const struct dl_pool *pool, const struct pool_want *want,
-		      const struct pool_endpoint *e, int64_t now);
-static void consider_held(struct search *s);
-static double cost_at(const struct search *s, const struct pool_endpoint *e);
-static double bound_at(const struct search *s, uint32_t node);
-static void visit(struct search *s, uint32_t node);
+static bool lower_levels_allow(const struct pool_endpoint *e, uint8_t level,
+			       int64_t prefill_ms, int64_t now);
+static void schedule_bind(struct dl_pool *pool, const struct pool_endpoint *e,
+			  uint8_t level);
+static uint64_t free_memory_besides(const struct pool_endpoint *e,
+				    uint64_t reserved);
+static bool ends_before_hold(const struct dl_pool *pool,
+			     const struct pool_want *want,
+			     const struct pool_endpoint *e, int64_t now);
+static void consider_holds(struct search *s);
+static double placement_cost(const struct search *s,
+			     const struct pool_endpoint *e);
+static double cost_lower_bound(const struct search *s, uint32_t node);
+static void search_subtree(struct search *s, uint32_t node);
 static void consider(struct search *s, struct pool_endpoint *e);
-static bool probe_choose(struct dl_pool *pool, const struct pool_want *want,
+static bool choose_probe(struct dl_pool *pool, const struct pool_want *want,
 			 int64_t now, struct pool_choice *out);
-static bool is_held_long(const struct pool_endpoint *e);
-static void count(struct dl_pool *pool, struct pool_endpoint *e);
-static void find_memory_max(struct dl_pool *pool);
+static bool held_for_long(const struct pool_endpoint *e);
+static void update_totals(struct dl_pool *pool, struct pool_endpoint *e);
+static void update_memory_max(struct dl_pool *pool);
 
 static int64_t max_time(int64_t a, int64_t b)
 {
@@ -120,10 +123,11 @@
 /* Memory that no grant, no hold and nobody unknown has. */
 uint64_t pool_place_free_memory(const struct pool_endpoint *e)
 {
-	return free_beside(e, e->reserved);
+	return free_memory_besides(e, e->reserved);
 }
 
-static uint64_t free_beside(const struct pool_endpoint *e, uint64_t reserved)
+static uint64_t free_memory_besides(const struct pool_endpoint *e,
+				    uint64_t reserved)
 {
 	uint64_t taken =
 		e->held + reserved + pool_excess_low(&e->memory_excess);
@@ -153,7 +157,7 @@
 	return (uint32_t)max;
 }
 
-static void find_memory_max(struct dl_pool *pool)
+static void update_memory_max(struct dl_pool *pool)
 {
 	pool->memory_max = 0;
 	for (uint32_t i = 0; i < pool->endpoints_n; i++) {
@@ -164,15 +168,15 @@
 	}
 }
 
-static bool is_held_long(const struct pool_endpoint *e)
+static bool held_for_long(const struct pool_endpoint *e)
 {
 	return e->hold && e->hold->request->want.band >= POOL_LONG;
 }
 
-static void count(struct dl_pool *pool, struct pool_endpoint *e)
+static void update_totals(struct dl_pool *pool, struct pool_endpoint *e)
 {
 	bool open = pool_endpoint_open(pool, e);
-	bool is_long = open && (e->long_grants > 0 || is_held_long(e));
+	bool is_long = open && (e->long_grants > 0 || held_for_long(e));
 	uint64_t memory = open ? e->last.memory_tokens : 0;
 	uint64_t before = e->counted_memory;
 	double rate = 0, decode;
@@ -200,7 +204,7 @@
 	if (memory > pool->memory_max)
 		pool->memory_max = memory;
 	else if (before == pool->memory_max && memory < before)
-		find_memory_max(pool);
+		update_memory_max(pool);
 }
 
 /* Bring sums and index up to date after any change of an endpoint. */
@@ -210,7 +214,7 @@
 	struct pool_index_node leaf;
 	uint64_t running = e->grants + pool_excess_low(&e->running_excess);
 
-	count(pool, e);
+	update_totals(pool, e);
 	if (!pool_endpoint_open(pool, e) ||
 	    running >= pool_shift_slots(e, now)) {
 		pool_index_set(&pool->index, e->slot, NULL);
@@ -253,8 +257,8 @@
  * read: each of them delays it, and without this sum of delays a stream of
  * short ones would carry the long one past the deadline it was granted for.
  */
-static bool levels_allow(const struct pool_endpoint *e, uint8_t level,
-			 int64_t prefill_ms, int64_t now)
+static bool lower_levels_allow(const struct pool_endpoint *e, uint8_t level,
+			       int64_t prefill_ms, int64_t now)
 {
 	for (int i = level + 1; i < POOL_LEVELS; i++)
 		if (e->until[i] > now && e->slack[i] < prefill_ms)
@@ -267,8 +271,9 @@
  * to be ready.  For giants: their engines are rarely free at the same time, and
  * the first ones would idle until the last one is.
  */
-static bool backfills(const struct dl_pool *pool, const struct pool_want *want,
-		      const struct pool_endpoint *e, int64_t now)
+static bool ends_before_hold(const struct dl_pool *pool,
+			     const struct pool_want *want,
+			     const struct pool_endpoint *e, int64_t now)
 {
 	struct pool_choice choice = { 0 };
 
@@ -288,16 +293,16 @@
 	    !pool_place_allowed(pool, want, e, now))
 		return false;
 	if (e->hold && level > POOL_SHORT) {
-		if (!backfills(pool, want, e, now))
+		if (!ends_before_hold(pool, want, e, now))
 			return false;
-		room = free_beside(e, 0);
+		room = free_memory_besides(e, 0);
 	}
 	if (want->need > room)
 		return false;
 	if (e->grants + pool_excess_low(&e->running_excess) >=
 	    pool_shift_slots(e, now))
 		return false;
-	return levels_allow(e, level, (int64_t)ceil(prefill), now);
+	return lower_levels_allow(e, level, (int64_t)ceil(prefill), now);
 }
 
 /* What to keep in hand of a prediction, as a share of it. */
@@ -356,8 +361,8 @@
 	return e->until[level] <= now + BIND_AHEAD_MS;
 }
 
-static void wait_for(struct dl_pool *pool, const struct pool_endpoint *e,
-		     uint8_t level)
+static void schedule_bind(struct dl_pool *pool, const struct pool_endpoint *e,
+			  uint8_t level)
 {
 	int64_t at = e->until[level] - BIND_AHEAD_MS;
 
@@ -365,7 +370,8 @@
 		pool->bind_at = at;
 }
 
-static double cost_at(const struct search *s, const struct pool_endpoint *e)
+static double placement_cost(const struct search *s,
+			     const struct pool_endpoint *e)
 {
 	uint32_t saved = pool_prefix_cached_tokens(s->pool, s->want, e, s->now);
 	double tokens = (double)(s->want->prompt - saved);
@@ -384,12 +390,12 @@
 	if (e->until[POOL_LEVELS - 1] > start)
 		cost += e->interference_ms * (1 + margin);
 	else if (s->level == POOL_MEDIUM &&
-		 e->interference_ms >= KEEP_CLEAR_FROM_MS)
-		cost += prefill * KEEP_CLEAR_SHARE;
+		 e->interference_ms >= KEEP_FOR_SHORT_FROM_MS)
+		cost += prefill * KEEP_FOR_SHORT_SHARE;
 	return cost;
 }
 
-static double bound_at(const struct search *s, uint32_t node)
+static double cost_lower_bound(const struct search *s, uint32_t node)
 {
 	const struct pool_index_node *n = &s->pool->index.at[node];
 	uint64_t room = s->only_long ? n->free_long : n->free;
@@ -406,7 +412,7 @@
 
 	if (!pool_place_fits(s->pool, s->want, e, s->now))
 		return;
-	cost = cost_at(s, e);
+	cost = placement_cost(s, e);
 	if (cost >= s->best_cost)
 		return;
 	s->best = e;
@@ -414,7 +420,7 @@
 }
 
 /* Endpoints in a hold: the index counts their gathered memory as taken. */
-static void consider_held(struct search *s)
+static void consider_holds(struct search *s)
 {
 	for (int i = 0; i < POOL_HOLDS; i++) {
 		const struct pool_hold *hold = &s->pool->hold[i];
@@ -429,7 +435,7 @@
  * the best found.  Between equals the one that became free first is taken,
  * which spreads a light load over all of them.
  */
-static void visit(struct search *s, uint32_t node)
+static void search_subtree(struct search *s, uint32_t node)
 {
 	const struct pool_index *index = &s->pool->index;
 	uint32_t first = 2 * node, second = 2 * node + 1;
@@ -440,8 +446,8 @@
 			consider(s, s->pool->endpoints[node - index->room]);
 		return;
 	}
-	a = bound_at(s, first);
-	b = bound_at(s, second);
+	a = cost_lower_bound(s, first);
+	b = cost_lower_bound(s, second);
 	if (b < a || (b <= a && index->at[second].ready[s->level] <
 					index->at[first].ready[s->level])) {
 		double swap = a;
@@ -452,12 +458,12 @@
 		second = 4 * node + 1 - first;
 	}
 	if (a < s->best_cost)
-		visit(s, first);
+		search_subtree(s, first);
 	if (b < s->best_cost)
-		visit(s, second);
+		search_subtree(s, second);
 }
 
-static bool probe_choose(struct dl_pool *pool, const struct pool_want *want,
+static bool choose_probe(struct dl_pool *pool, const struct pool_want *want,
 			 int64_t now, struct pool_choice *out)
 {
 	struct pool_endpoint *e = pool_shift_probe(pool, want, now);
@@ -505,7 +511,7 @@
 		return pool_hold_choose(pool, hold, now, out);
 	if (want->band == POOL_GIANT)
 		return pool_group_choose(pool, want, now, out);
-	if (pool->out && probe_choose(pool, want, now, out))
+	if (pool->out && choose_probe(pool, want, now, out))
 		return POOL_CHOSEN;
 	if (pool->index.room == 0)
 		return POOL_WAIT;
@@ -517,8 +523,8 @@
 	if (cached && (!s.only_long || cached->long_grants > 0))
 		consider(&s, cached);
 	if (s.level > POOL_SHORT)
-		consider_held(&s);
-	visit(&s, 1);
+		consider_holds(&s);
+	search_subtree(&s, 1);
 	if (!s.best)
 		return POOL_WAIT;
 	out->saved = pool_prefix_cached_tokens(pool, want, s.best, now);
@@ -530,7 +536,7 @@
 		return POOL_LATE;
 	if (pool_place_ready(s.best, s.level, now))
 		return POOL_CHOSEN;
-	wait_for(pool, s.best, s.level);
+	schedule_bind(pool, s.best, s.level);
 	return POOL_WAIT;
 }
 
--- a/src/coordination/pool_prefix.c
+++ b/src/coordination/pool_prefix.c
@@ -9,11 +9,13 @@
  * After this long without use nothing is expected of a cache: memory for
  * prefixes is limited and goes to whoever comes next.
  */
-#define PREFIX_FADE_MS 120000
+#define PREFIX_DECAY_MS 120000
 
-static struct pool_prefix *slot_of(const struct dl_pool *pool, uint64_t prefix);
+static struct pool_prefix *prefix_slot(const struct dl_pool *pool,
+				       uint64_t prefix);
 
-static struct pool_prefix *slot_of(const struct dl_pool *pool, uint64_t prefix)
+static struct pool_prefix *prefix_slot(const struct dl_pool *pool,
+				       uint64_t prefix)
 {
 	return &pool->prefixes[pool_mix(prefix) % POOL_PREFIXES];
 }
@@ -29,8 +31,8 @@
 
 	if (want->prefix == 0)
 		return 0;
-	p = slot_of(pool, want->prefix);
-	left = p->at + PREFIX_FADE_MS - now;
+	p = prefix_slot(pool, want->prefix);
+	left = p->at + PREFIX_DECAY_MS - now;
 	if (p->prefix != want->prefix || p->endpoint != e->by_name.hash ||
 	    left <= 0)
 		return 0;
@@ -38,9 +40,9 @@
 						   want->prefix_tokens;
 	if (tokens >= want->prompt)
 		tokens = want->prompt - 1;
-	if (left > PREFIX_FADE_MS)
-		left = PREFIX_FADE_MS;
-	return (uint32_t)(tokens * (uint64_t)left / PREFIX_FADE_MS);
+	if (left > PREFIX_DECAY_MS)
+		left = PREFIX_DECAY_MS;
+	return (uint32_t)(tokens * (uint64_t)left / PREFIX_DECAY_MS);
 }
 
 /* The endpoint that last read this start of a prompt, or NULL. */
@@ -52,7 +54,7 @@
 
 	if (want->prefix == 0)
 		return NULL;
-	p = slot_of(pool, want->prefix);
+	p = prefix_slot(pool, want->prefix);
 	if (p->prefix != want->prefix)
 		return NULL;
 	node = pool_map_first(&pool->endpoint_by_name, p->endpoint);
@@ -67,7 +69,7 @@
 
 	if (prefix == 0)
 		return;
-	p = slot_of(pool, prefix);
+	p = prefix_slot(pool, prefix);
 	*p = (struct pool_prefix){ .prefix = prefix,
 				   .endpoint = e->by_name.hash,
 				   .at = now,
@@ -78,7 +80,7 @@
 void pool_prefix_forget(struct dl_pool *pool, uint64_t prefix,
 			const struct pool_endpoint *e)
 {
-	struct pool_prefix *p = slot_of(pool, prefix);
+	struct pool_prefix *p = prefix_slot(pool, prefix);
 
 	if (p->prefix == prefix && p->endpoint == e->by_name.hash)
 		*p = (struct pool_prefix){ 0 };
--- a/src/coordination/pool_tree.c
+++ b/src/coordination/pool_tree.c
@@ -5,19 +5,21 @@
  */
 #include "pool_int.h"
 
-static bool before(const struct pool_tree_node *a, int64_t key, uint64_t order);
-static void add_up(struct pool_tree_node *node);
+static bool sorts_before(const struct pool_tree_node *a, int64_t key,
+			 uint64_t order);
+static void update_sum(struct pool_tree_node *node);
 static void split(struct pool_tree_node *root, int64_t key, uint64_t order,
 		  struct pool_tree_node **left, struct pool_tree_node **right);
 static struct pool_tree_node *merge(struct pool_tree_node *left,
 				    struct pool_tree_node *right);
 
-static bool before(const struct pool_tree_node *a, int64_t key, uint64_t order)
+static bool sorts_before(const struct pool_tree_node *a, int64_t key,
+			 uint64_t order)
 {
 	return a->key < key || (a->key == key && a->order < order);
 }
 
-static void add_up(struct pool_tree_node *node)
+static void update_sum(struct pool_tree_node *node)
 {
 	node->sum = node->weight;
 	if (node->left)
@@ -34,14 +36,14 @@
 		*right = NULL;
 		return;
 	}
-	if (before(root, key, order)) {
+	if (sorts_before(root, key, order)) {
 		split(root->right, key, order, &root->right, right);
 		*left = root;
 	} else {
 		split(root->left, key, order, left, &root->left);
 		*right = root;
 	}
-	add_up(root);
+	update_sum(root);
 }
 
 static struct pool_tree_node *merge(struct pool_tree_node *left,
@@ -53,11 +55,11 @@
 		return left;
 	if (left->rank > right->rank) {
 		left->right = merge(left->right, right);
-		add_up(left);
+		update_sum(left);
 		return left;
 	}
 	right->left = merge(left, right->left);
-	add_up(right);
+	update_sum(right);
 	return right;
 }
 
@@ -68,7 +70,7 @@
 
 	node->left = NULL;
 	node->right = NULL;
-	add_up(node);
+	update_sum(node);
 	split(*root, node->key, node->order, &left, &right);
 	*root = merge(merge(left, node), right);
 }
@@ -80,7 +82,7 @@
 
 	while (*link && *link != node) {
 		(*link)->sum -= node->weight;
-		if (before(*link, node->key, node->order))
+		if (sorts_before(*link, node->key, node->order))
 			link = &(*link)->right;
 		else
 			link = &(*link)->left;
@@ -112,7 +114,8 @@
 	struct pool_tree_node *next = NULL;
 
 	while (root) {
-		if (root == node || before(root, node->key, node->order)) {
+		if (root == node ||
+		    sorts_before(root, node->key, node->order)) {
 			root = root->right;
 			continue;
 		}
@@ -129,7 +132,7 @@
 	uint64_t sum = 0;
 
 	while (root) {
-		if (!before(root, key, order)) {
+		if (!sorts_before(root, key, order)) {
 			root = root->left;
 			continue;
 		}
