--- a/test/fake/play.c
+++ b/test/fake/deployment_sim.c
@@ -1,5 +1,5 @@
 /* A load played over the dispatcher and emulated engines; see the header. */
-#include "play.h"
+#include "deployment_sim.h"
 
 #include <glib.h>
 #include <math.h>
@@ -9,53 +9,54 @@
 
 #include "pass_engine.h"
 
-#define DRAIN_S	     20
-#define MS	     1000
-#define RETRIES	     1
-#define REPORT_MS    200 /* as late as the reports of engines are */
-#define RENEW_MS     1000
-#define ALLOWED_X    2.5 /* output that callers allow, of what they use */
-#define LATE_WORTH   0.25
-#define WORST_SHARE  0.2
-#define WRITTEN_X    10.0
-#define TENTH	     0.1
-#define FIFTH_BELOW  0.3
-#define FIRM_MAX     16
-#define ENDPOINT_FMT "10.0.0.%u:80"
-#define ENDPOINT_IN  "10.0.0."
+#define DRAIN_S	  20
+#define MS_PER_S  1000
+#define RETRIES	  1
+#define REPORT_MS 200 /* as late as the reports of engines are */
+#define RENEW_MS  1000
+#define OUTPUT_LIMIT_FACTOR                                                    \
+	2.5 /* output that callers allow, of what they use */
+#define LATE_VALUE	     0.25
+#define LONGEST_SHARE	     0.2
+#define DECODED_TOKEN_WEIGHT 10.0
+#define LONGEST_TENTH	     0.1
+#define NEXT_FIFTH_END	     0.3
+#define WORKSPACE_NAME_MAX   16
+#define ENDPOINT_FMT	     "10.0.0.%u:80"
+#define ENDPOINT_PREFIX	     "10.0.0."
 
 struct caller {
 	struct pass_stream stream;
 	uint32_t kind;
 	uint64_t tokens;
 	uint32_t events;
-	int64_t begun, back_at;
+	int64_t arrived, retry_at;
 	uint32_t tries;
-	bool over, granted, in_time, late;
+	bool done, granted, in_time, late;
 	uint64_t grant;
 	int64_t renew_at;
-	char workspace[FIRM_MAX];
+	char workspace[WORKSPACE_NAME_MAX];
 };
 
 /* One run; the callbacks of the engines need it. */
-static const struct play_deployment *place;
+static const struct sim_deployment *current;
 static struct dl_pool *pool;
-static struct pass_engine engines[PLAY_ENGINES_MAX];
+static struct pass_engine engines[SIM_ENGINES_MAX];
 static GPtrArray *callers;
 static GRand *rnd;
 static int64_t now;
 
-static void report(void)
+static void report_engines(void)
 {
-	const struct dl_engine_model *m = &place->engine;
+	const struct dl_engine_model *m = &current->engine;
 
-	for (uint32_t i = 0; i < place->engines; i++) {
+	for (uint32_t i = 0; i < current->engines; i++) {
 		struct dl_endpoint_report r = {
 			.incarnation = 1,
 			.memory_tokens = m->memory_tokens,
 			.slots = m->slots,
-			.prefill_rate = (uint32_t)(m->read_per_ms * MS),
-			.decode_rate = (uint32_t)(MS / m->step_ms),
+			.prefill_rate = (uint32_t)(m->read_per_ms * MS_PER_S),
+			.decode_rate = (uint32_t)(MS_PER_S / m->step_ms),
 			.takes_groups = true,
 		};
 		char id[32];
@@ -75,18 +76,18 @@
 	}
 }
 
-static double read_ms(double tokens)
+static double prefill_ms(double tokens)
 {
-	const struct dl_engine_model *m = &place->engine;
+	const struct dl_engine_model *m = &current->engine;
 
 	return tokens / m->read_per_ms +
 	       tokens * tokens / 2 / 1e6 * m->per_pairs_ms;
 }
 
 /* The engines of a grant begin. */
-static void start(struct caller *c, const struct dl_answer *a)
+static void start_on_engines(struct caller *c, const struct dl_answer *a)
 {
-	double part = read_ms((double)c->tokens) / a->endpoints;
+	double part = prefill_ms((double)c->tokens) / a->endpoints;
 
 	c->granted = true;
 	c->grant = a->grant;
@@ -95,58 +96,58 @@
 	c->stream.parts_left = a->endpoints;
 	c->stream.events_left = c->events;
 	for (uint8_t i = 0; i < a->endpoints; i++) {
-		int at = atoi(a->endpoint[i].s + strlen(ENDPOINT_IN));
+		int at = atoi(a->endpoint[i].s + strlen(ENDPOINT_PREFIX));
 
 		pass_engine_give(&engines[at], &c->stream, part,
 				 (double)c->tokens / a->endpoints, i == 0, now);
 	}
 }
 
-static void take(const struct dl_answer *a)
+static void handle_answer(const struct dl_answer *a)
 {
 	struct caller *c = callers->pdata[a->request];
-	int64_t left = c->begun + place->kind[c->kind].patience_ms - now;
+	int64_t left = c->arrived + current->kind[c->kind].patience_ms - now;
 
 	if (a->verdict == DL_GRANTED) {
-		start(c, a);
+		start_on_engines(c, a);
 		return;
 	}
 	if (a->verdict != DL_REFUSED)
 		return;
 	if (c->tries++ >= RETRIES || !a->retry_after_ms) {
-		c->over = true;
+		c->done = true;
 		return;
 	}
 	/* Told to come back, and not past a third of the time that is left. */
-	c->back_at = now + MIN((int64_t)a->retry_after_ms, left / 3);
+	c->retry_at = now + MIN((int64_t)a->retry_after_ms, left / 3);
 }
 
-static void ask(struct caller *c)
+static void ask_pool(struct caller *c)
 {
-	const struct play_kind *k = &place->kind[c->kind];
+	const struct sim_kind *k = &current->kind[c->kind];
 	struct dl_ask want = {
 		.request = c->stream.id,
 		.entry = 1,
 		.workspace = dl_str_of(c->workspace),
 		.class = DL_CLASS_INTERACTIVE,
 		.prompt_tokens = c->tokens,
-		.output_tokens = (uint32_t)(ALLOWED_X * k->events *
-					    place->engine.stride),
-		.deadline = c->begun + k->patience_ms,
+		.output_tokens = (uint32_t)(OUTPUT_LIMIT_FACTOR * k->events *
+					    current->engine.stride),
+		.deadline = c->arrived + k->patience_ms,
 		.target_ms = k->target_ms,
 		.gap_ms = k->gap_ms,
 		.first_by = now + MAX(2000, k->target_ms * 4),
 	};
 	struct dl_answer a;
 
-	c->back_at = 0;
+	c->retry_at = 0;
 	c->stream.asked = now;
 	dl_pool_ask(pool, &want, now, &a);
-	take(&a);
+	handle_answer(&a);
 }
 
 /* Of a logarithm that is spread normally, about a mean. */
-static double drawn(double mean, double spread)
+static double draw_lognormal(double mean, double spread)
 {
 	double u = g_rand_double(rnd), v = g_rand_double(rnd);
 	double normal = sqrt(-2 * log(1 - u)) * cos(2 * G_PI * v);
@@ -154,92 +155,93 @@
 	return mean * exp(spread * normal - spread * spread / 2);
 }
 
-static void arrive(uint32_t kind)
+static void add_caller(uint32_t kind)
 {
-	const struct play_kind *k = &place->kind[kind];
+	const struct sim_kind *k = &current->kind[kind];
 	struct caller *c = g_new0(struct caller, 1);
-	double tokens = drawn(k->tokens, k->spread);
+	double tokens = draw_lognormal(k->tokens, k->spread);
 
 	c->kind = kind;
 	c->tokens = (uint64_t)CLAMP(tokens, 200, k->longest);
 	c->events = k->events;
-	if (place->events_spread > 0)
-		c->events =
-			(uint32_t)CLAMP(drawn(k->events, place->events_spread),
-					1, ALLOWED_X * k->events);
+	if (current->events_spread > 0)
+		c->events = (uint32_t)CLAMP(
+			draw_lognormal(k->events, current->events_spread), 1,
+			OUTPUT_LIMIT_FACTOR * k->events);
 	snprintf(c->workspace, sizeof(c->workspace), "firm-%d",
-		 place->workspaces > 1 ?
-			 g_rand_int_range(rnd, 0, (gint32)place->workspaces) :
+		 current->workspaces > 1 ?
+			 g_rand_int_range(rnd, 0, (gint32)current->workspaces) :
 			 0);
-	c->begun = now;
+	c->arrived = now;
 	c->stream.id = callers->len;
 	c->stream.owner = c;
 	g_ptr_array_add(callers, c);
-	ask(c);
+	ask_pool(c);
 }
 
 static void on_done(struct pass_stream *s, int64_t at)
 {
 	struct caller *c = s->owner;
-	const struct play_kind *k = &place->kind[c->kind];
+	const struct sim_kind *k = &current->kind[c->kind];
 	struct dl_usage usage = {
 		.ran = true,
 		.prompt_tokens = c->tokens,
-		.output_tokens = (uint64_t)c->events * place->engine.stride,
+		.output_tokens = (uint64_t)c->events * current->engine.stride,
 		.ttft_ms = (uint32_t)(s->first - s->granted),
 		.total_ms = (uint32_t)(at - s->granted),
 	};
 
-	c->over = true;
+	c->done = true;
 	dl_pool_release(pool, c->grant, &usage, at);
-	c->in_time = s->first - c->begun <= k->target_ms &&
+	c->in_time = s->first - c->arrived <= k->target_ms &&
 		     s->longest_gap <= k->gap_ms;
-	c->late = !c->in_time && at - c->begun <= k->patience_ms;
+	c->late = !c->in_time && at - c->arrived <= k->patience_ms;
 }
 
 /* When the callers that count begin to come. */
-static int64_t begins_at(const struct play_load *load)
+static int64_t counted_from(const struct sim_load *load)
 {
-	return (int64_t)load->before_s * MS;
+	return (int64_t)load->warmup_s * MS_PER_S;
 }
 
-static int64_t ends_at(const struct play_load *load)
+static int64_t arrivals_end(const struct sim_load *load)
 {
-	return begins_at(load) + (int64_t)load->seconds * MS;
+	return counted_from(load) + (int64_t)load->seconds * MS_PER_S;
 }
 
 /* Requests of a kind that come in a second, at this moment. */
-static double rate_of(const struct play_load *load, uint32_t kind)
+static double arrival_rate(const struct sim_load *load, uint32_t kind)
 {
-	return now < begins_at(load) ? load->before[kind] : load->rate[kind];
+	return now < counted_from(load) ? load->warmup_rate[kind] :
+					  load->rate[kind];
 }
 
-static void step(const struct play_load *load)
+static void step(const struct sim_load *load)
 {
 	struct dl_answer a;
 
 	if (now % REPORT_MS == 0)
-		report();
-	for (uint32_t i = 0; i < place->engines; i++)
+		report_engines();
+	for (uint32_t i = 0; i < current->engines; i++)
 		pass_engine_run(&engines[i], now, on_done);
 	for (guint i = 0; i < callers->len; i++) {
 		struct caller *c = callers->pdata[i];
 
-		if (c->over)
+		if (c->done)
 			continue;
-		if (c->back_at && now >= c->back_at)
-			ask(c);
+		if (c->retry_at && now >= c->retry_at)
+			ask_pool(c);
 		if (c->granted && now >= c->renew_at) {
 			dl_pool_renew(pool, c->grant, now);
 			c->renew_at = now + RENEW_MS;
 		}
 	}
-	for (uint32_t k = 0; k < PLAY_KINDS && now < ends_at(load); k++) {
-		if (g_rand_double(rnd) < rate_of(load, k) / MS)
-			arrive(k);
+	for (uint32_t k = 0; k < SIM_KINDS && now < arrivals_end(load); k++) {
+		if (g_rand_double(rnd) < arrival_rate(load, k) / MS_PER_S)
+			add_caller(k);
 	}
 	while (now >= dl_pool_wakeup(pool) && dl_pool_next(pool, now, &a))
-		take(&a);
+		handle_answer(&a);
 }
 
 static gint by_tokens(gconstpointer a, gconstpointer b)
@@ -253,13 +255,13 @@
 /* What an answer counts: a token written takes as long as ten that are read. */
 static double value_of(const struct caller *c)
 {
-	return (double)c->tokens +
-	       WRITTEN_X * (double)c->events * place->engine.stride;
+	return (double)c->tokens + DECODED_TOKEN_WEIGHT * (double)c->events *
+					   current->engine.stride;
 }
 
 /* What the callers of one kind got. */
-static void count(const struct play_load *load, uint32_t kind,
-		  struct play_count *out, double *got, double *asked)
+static void summarize(const struct sim_load *load, uint32_t kind,
+		      struct sim_count *out, double *got, double *asked)
 {
 	GPtrArray *of = g_ptr_array_new();
 	guint longest, tenth, below;
@@ -268,13 +270,13 @@
 	for (guint i = 0; i < callers->len; i++) {
 		struct caller *c = callers->pdata[i];
 
-		if (c->kind == kind && c->begun >= begins_at(load))
+		if (c->kind == kind && c->arrived >= counted_from(load))
 			g_ptr_array_add(of, c);
 	}
 	g_ptr_array_sort(of, by_tokens);
-	longest = (guint)(WORST_SHARE * of->len);
-	tenth = (guint)(TENTH * of->len);
-	below = (guint)(FIFTH_BELOW * of->len);
+	longest = (guint)(LONGEST_SHARE * of->len);
+	tenth = (guint)(LONGEST_TENTH * of->len);
+	below = (guint)(NEXT_FIFTH_END * of->len);
 	for (guint i = 0; i < of->len; i++) {
 		const struct caller *c = of->pdata[i];
 
@@ -291,16 +293,16 @@
 				     (c->in_time || c->late);
 		*asked += value_of(c);
 		*got += value_of(c) * (c->in_time ? 1 :
-				       c->late	  ? LATE_WORTH :
+				       c->late	  ? LATE_VALUE :
 						    0);
 	}
 	g_ptr_array_free(of, TRUE);
 }
 
 /* Play a load under one way to dispatch. */
-void play(const struct play_deployment *deployment,
-	  const struct play_load *load, const struct dl_pool_policy *policy,
-	  struct play_result *out)
+void sim_run(const struct sim_deployment *deployment,
+	     const struct sim_load *load, const struct dl_pool_policy *policy,
+	     struct sim_result *out)
 {
 	struct dl_pool_conf conf = {
 		.kind = DL_POOL_MODEL,
@@ -314,41 +316,43 @@
 	};
 	double got = 0, asked = 0;
 
-	g_assert(deployment->engines <= PLAY_ENGINES_MAX);
-	place = deployment;
+	g_assert(deployment->engines <= SIM_ENGINES_MAX);
+	current = deployment;
 	pool = dl_pool_new(&conf, policy, 7);
 	rnd = g_rand_new_with_seed(load->seed);
 	callers = g_ptr_array_new_with_free_func(g_free);
 	memset(engines, 0, sizeof(engines));
-	for (uint32_t i = 0; i < place->engines; i++)
-		pass_engine_init(&engines[i], &place->engine);
-	for (now = 0; now < ends_at(load) + (int64_t)DRAIN_S * MS; now++)
+	for (uint32_t i = 0; i < current->engines; i++)
+		pass_engine_init(&engines[i], &current->engine);
+	for (now = 0; now < arrivals_end(load) + (int64_t)DRAIN_S * MS_PER_S;
+	     now++)
 		step(load);
 	g_assert(!dl_pool_broken(pool));
-	for (uint32_t k = 0; k < PLAY_KINDS; k++)
-		count(load, k, &out->kind[k], &got, &asked);
-	out->worth = asked > 0 ? (uint32_t)(got / asked * 1000) : 1000;
+	for (uint32_t k = 0; k < SIM_KINDS; k++)
+		summarize(load, k, &out->kind[k], &got, &asked);
+	out->value_permille = asked > 0 ? (uint32_t)(got / asked * 1000) : 1000;
 	g_ptr_array_free(callers, TRUE);
 	g_rand_free(rnd);
 	dl_pool_free(pool);
 }
 
 /* Of a thousand of one kind, those in time. */
-uint32_t play_permille(const struct play_result *result, uint32_t kind)
+uint32_t sim_in_time_permille(const struct sim_result *result, uint32_t kind)
 {
-	const struct play_count *c = &result->kind[kind];
+	const struct sim_count *c = &result->kind[kind];
 
 	return c->asked ? c->in_time * 1000 / c->asked : 1000;
 }
 
 /* One line of what came of a load. */
-void play_print(const struct play_load *load, const char *way,
-		const struct play_deployment *deployment,
-		const struct play_result *result)
+void sim_print(const struct sim_load *load, const char *way,
+	       const struct sim_deployment *deployment,
+	       const struct sim_result *result)
 {
-	printf("%-14s %-12s worth %4u", load->name, way, result->worth);
-	for (uint32_t k = 0; k < PLAY_KINDS; k++) {
-		const struct play_count *c = &result->kind[k];
+	printf("%-14s %-12s worth %4u", load->name, way,
+	       result->value_permille);
+	for (uint32_t k = 0; k < SIM_KINDS; k++) {
+		const struct sim_count *c = &result->kind[k];
 
 		printf("  %s %u of %u (longest %u of %u), refused %u",
 		       deployment->kind[k].name, c->in_time, c->asked,
--- a/test/fake/play.h
+++ b/test/fake/deployment_sim.h
@@ -3,17 +3,17 @@
  * get: they come at random, allow more tokens than they use, and come back once
  * as told when they are refused.  Times in milliseconds.
  */
-#ifndef TEST_FAKE_PLAY_H
-#define TEST_FAKE_PLAY_H
+#ifndef TEST_FAKE_DEPLOYMENT_SIM_H
+#define TEST_FAKE_DEPLOYMENT_SIM_H
 
 #include "daisyledge/engine.h"
 #include "daisyledge/pool.h"
 
-#define PLAY_KINDS	 3
-#define PLAY_ENGINES_MAX 96
+#define SIM_KINDS	3
+#define SIM_ENGINES_MAX 96
 
 /* One kind of request, shortest prompts first. */
-struct play_kind {
+struct sim_kind {
 	const char *name;
 	double tokens;	/* mean of a prompt */
 	double spread;	/* of its logarithm */
@@ -24,28 +24,28 @@
 	uint32_t patience_ms; /* until the caller leaves */
 };
 
-struct play_deployment {
+struct sim_deployment {
 	uint32_t engines;
 	struct dl_engine_model engine;
-	struct play_kind kind[PLAY_KINDS];
+	struct sim_kind kind[SIM_KINDS];
 	double events_spread; /* of the logarithm of their number */
 	uint32_t workspaces;  /* that callers belong to; 0: one */
 };
 
-struct play_load {
+struct sim_load {
 	const char *name;
-	double rate[PLAY_KINDS]; /* requests a second */
-	uint32_t seconds;	 /* in which callers come */
+	double rate[SIM_KINDS]; /* requests a second */
+	uint32_t seconds;	/* in which callers come */
 	uint32_t seed;
 	/*
 	 * The load before it, which leaves its mark on the engines; callers of
 	 * that time are not counted.
 	 */
-	double before[PLAY_KINDS];
-	uint32_t before_s;
+	double warmup_rate[SIM_KINDS];
+	uint32_t warmup_s;
 };
 
-struct play_count {
+struct sim_count {
 	uint32_t asked, in_time, late, refused;
 	/* Of the fifth of the prompts that are longest. */
 	uint32_t longest_asked, longest_in_time;
@@ -54,22 +54,22 @@
 	uint32_t fifth_asked, fifth_served;
 };
 
-struct play_result {
-	struct play_count kind[PLAY_KINDS];
+struct sim_result {
+	struct sim_count kind[SIM_KINDS];
 	/*
 	 * Of a thousand, what callers got of what they asked for, by tokens of
 	 * which those written count ten times: late ones count a quarter.
 	 */
-	uint32_t worth;
+	uint32_t value_permille;
 };
 
-void play(const struct play_deployment *deployment,
-	  const struct play_load *load, const struct dl_pool_policy *policy,
-	  struct play_result *out);
+void sim_run(const struct sim_deployment *deployment,
+	     const struct sim_load *load, const struct dl_pool_policy *policy,
+	     struct sim_result *out);
 /* Of a thousand of one kind, those in time; 1000 where none was asked for. */
-uint32_t play_permille(const struct play_result *result, uint32_t kind);
-void play_print(const struct play_load *load, const char *way,
-		const struct play_deployment *deployment,
-		const struct play_result *result);
+uint32_t sim_in_time_permille(const struct sim_result *result, uint32_t kind);
+void sim_print(const struct sim_load *load, const char *way,
+	       const struct sim_deployment *deployment,
+	       const struct sim_result *result);
 
 #endif
--- a/test/test_placing_load.c
+++ b/test/test_placing_load.c
@@ -7,7 +7,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#include "fake/play.h"
+#include "fake/deployment_sim.h"
 #include "fake/published_engine.h"
 #include "fake/suite.h"
 
@@ -17,7 +17,7 @@
 #define SEED	11
 
 /* Sixteen engines of 315,000 tokens. */
-static const struct play_deployment sixteen = {
+static const struct sim_deployment sixteen = {
 	.engines = 16,
 	.engine = { PUBLISHED_ENGINE, .hop_ms = 0.05, .usual_output = 1622 },
 	.kind = {
@@ -43,15 +43,15 @@
 		.events_spread = 0.6, \
 	}
 
-static const struct play_deployment twenty_one = SMALLER(21);
+static const struct sim_deployment twenty_one = SMALLER(21);
 /* The same after the loss of some. */
-static const struct play_deployment seventeen = SMALLER(17);
+static const struct sim_deployment seventeen = SMALLER(17);
 
 /*
  * Of 197,200 tokens: three in eight of the long prompts need several.  What is
  * left of 69 engines when eleven have gone.
  */
-static const struct play_deployment fifty_eight = {
+static const struct sim_deployment fifty_eight = {
 	.engines = 58,
 	.engine = { PUBLISHED_ENGINE_SMALLEST, .hop_ms = 0.075,
 		    .usual_output = 1500 },
@@ -65,19 +65,19 @@
 };
 
 /* As much reading as they can do, right after a burst of short ones. */
-static const struct play_load full = {
+static const struct sim_load overload = {
 	"58, full", { 37, 10, 13.5 }, BURST_S, SEED, { 287, 3.9, 0.24 }, 8,
 };
-#define FULL_SEEDS 8
+#define OVERLOAD_SEEDS 8
 
-struct play_case {
-	const struct play_deployment *deployment;
-	struct play_load load;
+struct load_case {
+	const struct sim_deployment *deployment;
+	struct sim_load load;
 	/* Of a thousand, in time at least, by the product's way. */
-	uint32_t least[PLAY_KINDS];
+	uint32_t in_time_min[SIM_KINDS];
 };
 
-static const struct play_case cases[] = {
+static const struct load_case cases[] = {
 	{ &sixteen,
 	  { "steady", { 32.6, 1.66, 1.0 }, SECONDS, SEED, { 0 }, 0 },
 	  { 980, 950, 900 } },
@@ -107,25 +107,28 @@
 	  { 970, 920, 880 } },
 };
 
-START_TEST(bursts_are_served_in_time)
+START_TEST(serves_bursts_in_time)
 {
-	const struct play_case *c = &cases[_i];
-	struct play_result ours, robin, least;
-
-	play(c->deployment, &c->load, &dl_policy_engine, &ours);
-	play_print(&c->load, "engine", c->deployment, &ours);
-	play(c->deployment, &c->load, &dl_policy_round_robin, &robin);
-	play_print(&c->load, "round robin", c->deployment, &robin);
-	play(c->deployment, &c->load, &dl_policy_least_load, &least);
-	play_print(&c->load, "least load", c->deployment, &least);
-	for (uint32_t k = 0; k < PLAY_KINDS; k++) {
-		uint32_t of = play_permille(&ours, k);
-
-		ck_assert_msg(of >= c->least[k],
+	const struct load_case *c = &cases[_i];
+	struct sim_result engine, round_robin, least_load;
+
+	sim_run(c->deployment, &c->load, &dl_policy_engine, &engine);
+	sim_print(&c->load, "engine", c->deployment, &engine);
+	sim_run(c->deployment, &c->load, &dl_policy_round_robin, &round_robin);
+	sim_print(&c->load, "round robin", c->deployment, &round_robin);
+	sim_run(c->deployment, &c->load, &dl_policy_least_load, &least_load);
+	sim_print(&c->load, "least load", c->deployment, &least_load);
+	for (uint32_t k = 0; k < SIM_KINDS; k++) {
+		uint32_t permille = sim_in_time_permille(&engine, k);
+
+		ck_assert_msg(permille >= c->in_time_min[k],
 			      "%s: %u of a thousand %s ones in time",
-			      c->load.name, of, c->deployment->kind[k].name);
-		ck_assert_uint_ge(of, play_permille(&robin, k));
-		ck_assert_uint_ge(of, play_permille(&least, k));
+			      c->load.name, permille,
+			      c->deployment->kind[k].name);
+		ck_assert_uint_ge(permille,
+				  sim_in_time_permille(&round_robin, k));
+		ck_assert_uint_ge(permille,
+				  sim_in_time_permille(&least_load, k));
 	}
 }
 END_TEST
@@ -135,19 +138,19 @@
  * longest tenth and the fifth below it are served half as often as their kind
  * at the least.
  */
-START_TEST(the_longest_get_their_share)
+START_TEST(serves_longest_prompts)
 {
-	struct play_count sum = { 0 };
-	struct play_load load = full;
+	struct sim_count sum = { 0 };
+	struct sim_load load = overload;
 
-	for (uint32_t i = 0; i < FULL_SEEDS; i++) {
-		const struct play_count *c;
-		struct play_result result;
+	for (uint32_t i = 0; i < OVERLOAD_SEEDS; i++) {
+		const struct sim_count *c;
+		struct sim_result result;
 
 		load.seed = SEED + i;
-		play(&fifty_eight, &load, &dl_policy_engine, &result);
-		play_print(&load, "engine", &fifty_eight, &result);
-		c = &result.kind[PLAY_KINDS - 1];
+		sim_run(&fifty_eight, &load, &dl_policy_engine, &result);
+		sim_print(&load, "engine", &fifty_eight, &result);
+		c = &result.kind[SIM_KINDS - 1];
 		sum.asked += c->asked;
 		sum.in_time += c->in_time + c->late;
 		sum.tenth_asked += c->tenth_asked;
@@ -170,9 +173,9 @@
 	Suite *suite = suite_create("placing load");
 	TCase *tc = tcase_create("load");
 
-	tcase_add_loop_test(tc, bursts_are_served_in_time, 0,
+	tcase_add_loop_test(tc, serves_bursts_in_time, 0,
 			    sizeof(cases) / sizeof(cases[0]));
-	tcase_add_test(tc, the_longest_get_their_share);
+	tcase_add_test(tc, serves_longest_prompts);
 	tcase_set_timeout(tc, 300);
 	suite_add_tcase(suite, tc);
 	return suite_run(suite);
