--- a/test/fake/deployment_sim.c
+++ b/test/fake/deployment_sim.c
@@ -66,9 +66,9 @@
 			const struct pass_item *item = &engines[i].item[k];
 			const struct caller *c = item->stream->owner;
 
-			r.used_tokens += item->leads ? c->tokens : 0;
+			r.used_tokens += item->decodes ? c->tokens : 0;
 			r.prefill_backlog +=
-				item->state < PASS_READ ? c->tokens : 0;
+				item->state < PASS_PREFILLED ? c->tokens : 0;
 		}
 		snprintf(id, sizeof(id), ENDPOINT_FMT, i);
 		dl_name_set(&r.id, dl_str_of(id));
@@ -98,8 +98,9 @@
 	for (uint8_t i = 0; i < a->endpoints; i++) {
 		int at = atoi(a->endpoint[i].s + strlen(ENDPOINT_PREFIX));
 
-		pass_engine_give(&engines[at], &c->stream, part,
-				 (double)c->tokens / a->endpoints, i == 0, now);
+		pass_engine_submit(&engines[at], &c->stream, part,
+				   (double)c->tokens / a->endpoints, i == 0,
+				   now);
 	}
 }
 
--- a/test/fake/load.c
+++ b/test/fake/load.c
@@ -6,30 +6,30 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ENTRIES	   6
-#define RENEW_MS   500
-#define TRAVEL_MS  1 /* of a grant and its prompt */
-#define PERMILLE   1000
-#define US_PER_MS  1000
-#define WORKSPACES 10
-#define SHORT_MEAN 1000.0
-#define MIX_MEAN   (930 + 500 + 2700 + 2000.0)
+#define ENTRIES		  6
+#define RENEW_MS	  500
+#define TRAVEL_MS	  1 /* of a grant and its prompt */
+#define PERMILLE	  1000
+#define US_PER_MS	  1000
+#define WORKSPACES	  10
+#define SHORT_MEAN_TOKENS 1000.0
+#define MIX_MEAN_TOKENS	  (930 + 500 + 2700 + 2000.0)
 
 static uint32_t pool_of(const struct load *load, uint32_t i);
 static void make_pool(struct load *load, uint32_t i, uint64_t seed);
-static int64_t gap(GRand *rnd, double per_ms);
-static void checked(struct load *load, uint32_t pool);
+static int64_t arrival_gap_us(GRand *rnd, double per_ms);
+static void check_invariants(struct load *load, uint32_t pool);
 static void ask_of(const struct load *load, uint32_t i, struct dl_ask *out,
 		   char name[16]);
 static void on_answer(struct load *load, const struct dl_answer *a);
 static void submit(struct load *load, uint32_t i);
-static void release(struct load *load, uint32_t i, enum load_outcome outcome);
+static void finish(struct load *load, uint32_t i, enum load_outcome outcome);
 static void on_event(struct load *load, uint32_t engine,
 		     const struct sim_event *ev);
 static void step_engines(struct load *load);
 static void step_requests(struct load *load);
-static void drain(struct load *load, uint32_t pool);
-static int compare(const void *a, const void *b);
+static void poll_answers(struct load *load, uint32_t pool);
+static int compare_times(const void *a, const void *b);
 
 static uint32_t pool_of(const struct load *load, uint32_t i)
 {
@@ -107,7 +107,7 @@
 }
 
 /* Time to the next arrival, in microseconds. */
-static int64_t gap(GRand *rnd, double per_ms)
+static int64_t arrival_gap_us(GRand *rnd, double per_ms)
 {
 	return (int64_t)(-log(1 - g_rand_double(rnd)) / per_ms * US_PER_MS);
 }
@@ -117,7 +117,8 @@
 {
 	int64_t us = demand->from * US_PER_MS;
 
-	while ((us += gap(rnd, demand->tokens_per_ms / SHORT_MEAN)) <
+	while ((us += arrival_gap_us(rnd, demand->tokens_per_ms /
+						  SHORT_MEAN_TOKENS)) <
 	       demand->to * US_PER_MS) {
 		uint32_t ws = (uint32_t)g_rand_int_range(rnd, 0, WORKSPACES);
 
@@ -138,7 +139,8 @@
 {
 	int64_t us = demand->from * US_PER_MS;
 
-	while ((us += gap(rnd, demand->tokens_per_ms / MIX_MEAN)) <
+	while ((us +=
+		arrival_gap_us(rnd, demand->tokens_per_ms / MIX_MEAN_TOKENS)) <
 	       demand->to * US_PER_MS) {
 		uint32_t ws = (uint32_t)g_rand_int_range(rnd, 0, WORKSPACES);
 		int64_t at = us / US_PER_MS;
@@ -165,7 +167,7 @@
 	}
 }
 
-static void checked(struct load *load, uint32_t pool)
+static void check_invariants(struct load *load, uint32_t pool)
 {
 	if (load->check && !load->broken)
 		load->broken = dl_pool_broken(load->pool[pool]);
@@ -235,7 +237,7 @@
 				r->engine[k] = (uint8_t)e;
 }
 
-static void release(struct load *load, uint32_t i, enum load_outcome outcome)
+static void finish(struct load *load, uint32_t i, enum load_outcome outcome)
 {
 	struct load_request *r = &load->request[i];
 	struct dl_usage usage = {
@@ -253,8 +255,8 @@
 	r->ended = load->now;
 	dl_pool_release(load->pool[pool_of(load, i)], r->grant, &usage,
 			load->now);
-	checked(load, pool_of(load, i));
-	drain(load, pool_of(load, i));
+	check_invariants(load, pool_of(load, i));
+	poll_answers(load, pool_of(load, i));
 }
 
 static void on_event(struct load *load, uint32_t engine,
@@ -265,16 +267,16 @@
 	if (r->outcome != LOAD_RUNNING)
 		return;
 	if (ev->done) {
-		release(load, (uint32_t)ev->id, LOAD_DONE);
+		finish(load, (uint32_t)ev->id, LOAD_DONE);
 		return;
 	}
-	if (++r->firsts < r->engines)
+	if (++r->first_events < r->engines)
 		return;
 	r->first = load->now;
 	if (r->engines > 1)
-		r->leaves = load->now +
-			    (int64_t)r->output * PERMILLE /
-				    load->engine[engine].conf.decode_rate;
+		r->decode_ends = load->now +
+				 (int64_t)r->output * PERMILLE /
+					 load->engine[engine].conf.decode_rate;
 }
 
 static void step_engines(struct load *load)
@@ -291,8 +293,8 @@
 			continue;
 		for (uint32_t k = 0; k < load->pools; k++) {
 			dl_pool_report(load->pool[k], &report, load->now);
-			checked(load, k);
-			drain(load, k);
+			check_invariants(load, k);
+			poll_answers(load, k);
 		}
 	}
 }
@@ -309,25 +311,25 @@
 			continue;
 		if (load->now == r->granted + TRAVEL_MS)
 			submit(load, i);
-		if (r->leaves && load->now >= r->leaves)
-			release(load, i, LOAD_DONE);
+		if (r->decode_ends && load->now >= r->decode_ends)
+			finish(load, i, LOAD_DONE);
 		else if (load->now >= r->deadline)
-			release(load, i, LOAD_LATE);
+			finish(load, i, LOAD_LATE);
 		else if ((load->now - r->granted) % RENEW_MS == 0)
 			dl_pool_renew(load->pool[pool_of(load, i)], r->grant,
 				      load->now);
 	}
 }
 
-static void drain(struct load *load, uint32_t pool)
+static void poll_answers(struct load *load, uint32_t pool)
 {
 	struct dl_answer answer;
 
 	while (dl_pool_next(load->pool[pool], load->now, &answer)) {
-		checked(load, pool);
+		check_invariants(load, pool);
 		on_answer(load, &answer);
 	}
-	checked(load, pool);
+	check_invariants(load, pool);
 }
 
 void load_run(struct load *load, int64_t until)
@@ -346,13 +348,13 @@
 			ask_of(load, i, &ask, name);
 			dl_pool_ask(load->pool[pool_of(load, i)], &ask,
 				    load->now, &answer);
-			checked(load, pool_of(load, i));
+			check_invariants(load, pool_of(load, i));
 			on_answer(load, &answer);
-			drain(load, pool_of(load, i));
+			poll_answers(load, pool_of(load, i));
 		}
 		for (uint32_t k = 0; k < load->pools; k++)
 			if (dl_pool_wakeup(load->pool[k]) <= load->now)
-				drain(load, k);
+				poll_answers(load, k);
 	}
 }
 
@@ -374,7 +376,7 @@
 		ask_of(load, i, &ask, name);
 		dl_pool_adopt(load->pool[pool_of(load, i)], &r->answer, &ask,
 			      load->now);
-		checked(load, pool_of(load, i));
+		check_invariants(load, pool_of(load, i));
 	}
 	for (uint32_t e = 0; e < load->cut; e++) {
 		struct dl_endpoint_report report;
@@ -394,11 +396,11 @@
 		dl_pool_ask(load->pool[pool_of(load, i)], &ask, load->now,
 			    &answer);
 		on_answer(load, &answer);
-		drain(load, pool_of(load, i));
+		poll_answers(load, pool_of(load, i));
 	}
 }
 
-static int compare(const void *a, const void *b)
+static int compare_times(const void *a, const void *b)
 {
 	int64_t x = *(const int64_t *)a, y = *(const int64_t *)b;
 
@@ -419,7 +421,7 @@
 		if (r->first && (tag == LOAD_ANY || r->tag == tag))
 			list[n++] = r->first - r->at;
 	}
-	qsort(list, n, sizeof(*list), compare);
+	qsort(list, n, sizeof(*list), compare_times);
 	if (n)
 		found = list[(uint64_t)(n - 1) * (uint32_t)permille / PERMILLE];
 	free(list);
--- a/test/fake/load.h
+++ b/test/fake/load.h
@@ -64,8 +64,8 @@
 	uint64_t grant;
 	uint8_t engines;
 	uint8_t engine[DL_GROUP_MAX];
-	uint8_t firsts;
-	int64_t leaves; /* a group's decoding ends */
+	uint8_t first_events;
+	int64_t decode_ends; /* a group's decoding ends */
 	struct dl_answer answer;
 };
 
--- a/test/fake/pass_engine.c
+++ b/test/fake/pass_engine.c
@@ -7,29 +7,29 @@
 
 static void begin_pass(struct pass_engine *e, int64_t now);
 
-/* An engine that has nothing to do; the figures must outlast it. */
+/* An engine that has nothing to do; the model must outlast it. */
 void pass_engine_init(struct pass_engine *e,
-		      const struct dl_engine_model *figures)
+		      const struct dl_engine_model *model)
 {
 	memset(e, 0, sizeof(*e));
-	e->figures = figures;
-	e->slots = figures->slots;
+	e->model = model;
+	e->slots = model->slots;
 }
 
 /* Those that have a slot: the ones that lead. */
-static uint32_t active(const struct pass_engine *e)
+static uint32_t used_slots(const struct pass_engine *e)
 {
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < e->count; i++)
-		n += e->item[i].leads && e->item[i].state != PASS_QUEUED;
+		n += e->item[i].decodes && e->item[i].state != PASS_QUEUED;
 	return n;
 }
 
 /* Give queued ones the slots that are free, first come first. */
 static void admit(struct pass_engine *e)
 {
-	uint32_t n = active(e);
+	uint32_t n = used_slots(e);
 
 	for (uint32_t i = 0; i < e->count && n < e->slots; i++) {
 		if (e->item[i].state != PASS_QUEUED)
@@ -44,58 +44,59 @@
  * engine goes on step by step and takes it in at once; what it reads is out
  * when all that it took in is read.
  */
-void pass_engine_give(struct pass_engine *e, struct pass_stream *s,
-		      double read_ms, double context, bool leads, int64_t now)
+void pass_engine_submit(struct pass_engine *e, struct pass_stream *s,
+			double prefill_ms, double context, bool decodes,
+			int64_t now)
 {
 	struct pass_item *item;
 
 	if (e->count == PASS_ENGINE_ITEMS)
 		abort();
 	item = &e->item[e->count++];
-	*item = (struct pass_item){ s, read_ms, context, leads, PASS_QUEUED };
-	if (!leads)
+	*item = (struct pass_item){ s, prefill_ms, context, decodes,
+				    PASS_QUEUED };
+	if (!decodes)
 		item->state = PASS_WAITING;
 	admit(e);
 	if (e->ends <= now) {
 		begin_pass(e, now);
-	} else if (!e->writes && item->state == PASS_WAITING) {
-		item->state = PASS_READING;
-		e->ends += (int64_t)ceil(read_ms);
+	} else if (!e->decoding && item->state == PASS_WAITING) {
+		item->state = PASS_PREFILL;
+		e->ends += (int64_t)ceil(prefill_ms);
 	}
 }
 
 static void begin_pass(struct pass_engine *e, int64_t now)
 {
-	double writers = 0, context = 0, ms = 0;
+	double streams = 0, context = 0, ms = 0;
 	bool any = false;
 
 	for (uint32_t i = 0; i < e->count; i++) {
 		struct pass_item *item = &e->item[i];
 
-		if (item->state == PASS_READ && item->leads &&
+		if (item->state == PASS_PREFILLED && item->decodes &&
 		    item->stream->parts_left == 0)
-			item->state = PASS_WRITING;
+			item->state = PASS_DECODE;
 		if (item->state == PASS_WAITING) {
-			item->state = PASS_READING;
-			ms += item->read_ms;
+			item->state = PASS_PREFILL;
+			ms += item->prefill_ms;
 			any = true;
 		}
-		if (item->state == PASS_WRITING) {
-			writers++;
+		if (item->state == PASS_DECODE) {
+			streams++;
 			context += item->context;
 		}
 	}
-	e->writes = writers > 0;
-	if (e->writes)
-		ms += e->figures->stride *
-		      (e->figures->step_ms +
-		       writers * e->figures->per_writer_ms +
-		       context / 1000 * e->figures->per_context_ms);
-	if (any || e->writes)
+	e->decoding = streams > 0;
+	if (e->decoding)
+		ms += e->model->stride *
+		      (e->model->step_ms + streams * e->model->per_writer_ms +
+		       context / 1000 * e->model->per_context_ms);
+	if (any || e->decoding)
 		e->ends = now + (int64_t)ceil(ms > 1 ? ms : 1);
 }
 
-static void event(struct pass_stream *s, int64_t now)
+static void emit_event(struct pass_stream *s, int64_t now)
 {
 	if (!s->first)
 		s->first = now;
@@ -110,22 +111,22 @@
 		     void (*done)(struct pass_stream *s, int64_t now))
 {
 	struct pass_stream *ended[PASS_ENGINE_ITEMS];
-	uint32_t n = 0, ends = 0;
+	uint32_t n = 0, ended_n = 0;
 
 	for (uint32_t i = 0; i < e->count; i++) {
 		struct pass_item item = e->item[i];
 
-		if (item.state == PASS_READING) {
+		if (item.state == PASS_PREFILL) {
 			/* The first token follows the last part. */
 			if (--item.stream->parts_left == 0)
-				event(item.stream, now);
-			item.state = PASS_READ;
-			if (!item.leads)
+				emit_event(item.stream, now);
+			item.state = PASS_PREFILLED;
+			if (!item.decodes)
 				continue;
-		} else if (item.state == PASS_WRITING) {
-			event(item.stream, now);
+		} else if (item.state == PASS_DECODE) {
+			emit_event(item.stream, now);
 			if (item.stream->events_left == 0) {
-				ended[ends++] = item.stream;
+				ended[ended_n++] = item.stream;
 				continue;
 			}
 		}
@@ -133,7 +134,7 @@
 	}
 	e->count = n;
 	admit(e);
-	for (uint32_t i = 0; i < ends; i++)
+	for (uint32_t i = 0; i < ended_n; i++)
 		done(ended[i], now);
 }
 
@@ -143,8 +144,8 @@
 {
 	for (uint32_t i = 0; i < e->count; i++) {
 		if (e->item[i].state == PASS_WAITING ||
-		    e->item[i].state == PASS_WRITING ||
-		    (e->item[i].state == PASS_READ &&
+		    e->item[i].state == PASS_DECODE ||
+		    (e->item[i].state == PASS_PREFILLED &&
 		     e->item[i].stream->parts_left == 0))
 			return true;
 	}
--- a/test/fake/pass_engine.h
+++ b/test/fake/pass_engine.h
@@ -29,31 +29,32 @@
  */
 struct pass_item {
 	struct pass_stream *stream;
-	double read_ms;
+	double prefill_ms;
 	double context; /* tokens that each step of its writing costs */
-	bool leads;
+	bool decodes;
 	enum {
 		PASS_QUEUED,  /* no slot */
 		PASS_WAITING, /* for the next pass */
-		PASS_READING,
-		PASS_READ, /* other engines still read their parts */
-		PASS_WRITING,
+		PASS_PREFILL,
+		PASS_PREFILLED, /* other engines still read their parts */
+		PASS_DECODE,
 	} state;
 };
 
 struct pass_engine {
-	const struct dl_engine_model *figures; /* as they are published */
+	const struct dl_engine_model *model; /* as they are published */
 	uint32_t slots;
-	int64_t ends; /* of the pass under way */
-	bool writes;  /* somebody writes in it */
+	int64_t ends;  /* of the pass under way */
+	bool decoding; /* somebody writes in it */
 	uint32_t count;
 	struct pass_item item[PASS_ENGINE_ITEMS];
 };
 
 void pass_engine_init(struct pass_engine *e,
-		      const struct dl_engine_model *figures);
-void pass_engine_give(struct pass_engine *e, struct pass_stream *s,
-		      double read_ms, double context, bool leads, int64_t now);
+		      const struct dl_engine_model *model);
+void pass_engine_submit(struct pass_engine *e, struct pass_stream *s,
+			double prefill_ms, double context, bool decodes,
+			int64_t now);
 /* Let time pass; done is called for each stream that ends. */
 void pass_engine_run(struct pass_engine *e, int64_t now,
 		     void (*done)(struct pass_stream *s, int64_t now));
--- a/test/fake/sim_engine.c
+++ b/test/fake/sim_engine.c
@@ -8,9 +8,9 @@
 #define PERMILLE 1000
 #define MS_PER_S 1000.0
 
-static bool goes_before(const struct sim_engine *e, const struct sim_job *a,
-			const struct sim_job *b);
-static int pick(const struct sim_engine *e, enum sim_state state);
+static bool sorts_before(const struct sim_engine *e, const struct sim_job *a,
+			 const struct sim_job *b);
+static int first_in_state(const struct sim_engine *e, enum sim_state state);
 static void admit_waiting(struct sim_engine *e);
 static void begin_chunk(struct sim_engine *e, double at);
 static void snapshot(struct sim_engine *e, int64_t now);
@@ -24,7 +24,7 @@
 	dl_name_set(&e->name, dl_str_of(name));
 	e->incarnation = 1;
 	e->slow = 1;
-	e->reading = -1;
+	e->prefilling = -1;
 	e->job = calloc(SIM_JOBS, sizeof(*e->job));
 	if (!e->job)
 		abort();
@@ -42,7 +42,7 @@
 	e->jobs = 0;
 	e->used = 0;
 	e->running = 0;
-	e->reading = -1;
+	e->prefilling = -1;
 	e->clock = (double)now;
 	e->incarnation++;
 	e->snapshots = 0;
@@ -50,22 +50,22 @@
 	e->frozen = false;
 }
 
-static bool goes_before(const struct sim_engine *e, const struct sim_job *a,
-			const struct sim_job *b)
+static bool sorts_before(const struct sim_engine *e, const struct sim_job *a,
+			 const struct sim_job *b)
 {
 	if (!e->conf.no_priority && a->priority != b->priority)
 		return a->priority < b->priority;
 	return a->order < b->order;
 }
 
-static int pick(const struct sim_engine *e, enum sim_state state)
+static int first_in_state(const struct sim_engine *e, enum sim_state state)
 {
 	int best = -1;
 
 	for (uint32_t i = 0; i < e->jobs; i++) {
 		if (e->job[i].state != state)
 			continue;
-		if (best < 0 || goes_before(e, &e->job[i], &e->job[best]))
+		if (best < 0 || sorts_before(e, &e->job[i], &e->job[best]))
 			best = (int)i;
 	}
 	return best;
@@ -75,7 +75,8 @@
 {
 	int i;
 
-	while (e->running < e->conf.slots && (i = pick(e, SIM_WAITING)) >= 0) {
+	while (e->running < e->conf.slots &&
+	       (i = first_in_state(e, SIM_WAITING)) >= 0) {
 		if (e->used + e->job[i].memory > e->conf.memory)
 			return;
 		e->job[i].state = SIM_PREFILL;
@@ -91,10 +92,10 @@
 	uint64_t tokens;
 
 	admit_waiting(e);
-	e->reading = pick(e, SIM_PREFILL);
-	if (e->reading < 0)
+	e->prefilling = first_in_state(e, SIM_PREFILL);
+	if (e->prefilling < 0)
 		return;
-	tokens = e->job[e->reading].left;
+	tokens = e->job[e->prefilling].left;
 	if (tokens > e->conf.chunk)
 		tokens = e->conf.chunk;
 	e->chunk_ends =
@@ -115,8 +116,8 @@
 	e->job[i] = *job;
 	e->job[i].state = SIM_WAITING;
 	e->job[i].left = job->prompt ? job->prompt : 1;
-	e->job[i].order = e->orders++;
-	if (e->reading < 0 && !e->frozen)
+	e->job[i].order = e->next_order++;
+	if (e->prefilling < 0 && !e->frozen)
 		begin_chunk(e, (double)now);
 }
 
@@ -132,7 +133,7 @@
 			e->running--;
 		}
 		j->state = SIM_FREE;
-		if (e->reading == (int)i || e->reading < 0)
+		if (e->prefilling == (int)i || e->prefilling < 0)
 			begin_chunk(e, (double)now);
 	}
 }
@@ -150,8 +151,8 @@
 		sim_engine_cancel(e, j->id, now);
 		return true;
 	}
-	while (e->reading >= 0 && e->chunk_ends <= (double)now) {
-		struct sim_job *j = &e->job[e->reading];
+	while (e->prefilling >= 0 && e->chunk_ends <= (double)now) {
+		struct sim_job *j = &e->job[e->prefilling];
 		double at = e->chunk_ends;
 
 		j->left -= j->left < e->conf.chunk ? j->left : e->conf.chunk;
@@ -173,22 +174,24 @@
 {
 	uint32_t at = e->snapshots++ % SIM_SNAPSHOTS;
 	struct dl_endpoint_report *r = &e->snapshot[at];
-	uint64_t told = e->conf.lie_permille ? e->conf.lie_permille : PERMILLE;
+	uint64_t reported = e->conf.reported_load_permille ?
+				    e->conf.reported_load_permille :
+				    PERMILLE;
 
 	memset(r, 0, sizeof(*r));
 	r->id = e->name;
 	r->incarnation = e->incarnation;
 	r->memory_tokens = e->conf.memory;
-	r->used_tokens = e->used * told / PERMILLE;
+	r->used_tokens = e->used * reported / PERMILLE;
 	r->slots = e->conf.slots;
-	r->running = (uint32_t)(e->running * told / PERMILLE);
+	r->running = (uint32_t)(e->running * reported / PERMILLE);
 	r->prefill_rate = e->conf.prefill_rate;
 	r->decode_rate = e->conf.decode_rate;
 	for (uint32_t i = 0; i < e->jobs; i++)
 		if (e->job[i].state == SIM_WAITING ||
 		    e->job[i].state == SIM_PREFILL)
 			r->prefill_backlog += e->job[i].left;
-	r->prefill_backlog = r->prefill_backlog * told / PERMILLE;
+	r->prefill_backlog = r->prefill_backlog * reported / PERMILLE;
 	r->leaving = e->leaving;
 	r->takes_groups = true;
 	e->snapshot_at[at] = now;
@@ -197,13 +200,13 @@
 bool sim_engine_report(struct sim_engine *e, int64_t now,
 		       struct dl_endpoint_report *out)
 {
-	uint32_t back = e->conf.lag_ms / SIM_REPORT_MS;
+	uint32_t age = e->conf.lag_ms / SIM_REPORT_MS;
 
 	if (e->dead || now % SIM_REPORT_MS)
 		return false;
 	snapshot(e, now);
-	if (back >= e->snapshots)
-		back = e->snapshots - 1;
-	*out = e->snapshot[(e->snapshots - 1 - back) % SIM_SNAPSHOTS];
+	if (age >= e->snapshots)
+		age = e->snapshots - 1;
+	*out = e->snapshot[(e->snapshots - 1 - age) % SIM_SNAPSHOTS];
 	return true;
 }
--- a/test/fake/sim_engine.h
+++ b/test/fake/sim_engine.h
@@ -16,10 +16,11 @@
 	uint32_t slots;
 	uint32_t prefill_rate;
 	uint32_t decode_rate;
-	uint32_t chunk;	       /* tokens read without interruption */
-	uint32_t lag_ms;       /* of its reports */
-	bool no_priority;      /* first come, first served */
-	uint32_t lie_permille; /* of its load that it reports; 0 is the truth */
+	uint32_t chunk;			 /* tokens read without interruption */
+	uint32_t lag_ms;		 /* of its reports */
+	bool no_priority;		 /* first come, first served */
+	uint32_t reported_load_permille; /* of its load that it reports; 0 is
+					    the truth */
 };
 
 enum sim_state {
@@ -60,11 +61,11 @@
 	bool leaving;
 	struct sim_job *job;
 	uint32_t jobs; /* places used so far */
-	uint64_t orders;
+	uint64_t next_order;
 	uint64_t used;
 	uint64_t used_peak;
 	uint32_t running;
-	int reading; /* index of the job whose chunk is under way, or -1 */
+	int prefilling; /* index of the job whose chunk is under way, or -1 */
 	double chunk_ends;
 	double clock;
 	struct dl_endpoint_report snapshot[SIM_SNAPSHOTS];
--- a/test/test_backoff.c
+++ b/test/test_backoff.c
@@ -37,7 +37,7 @@
 	ck_assert_int_eq(dl_pool_report(pool, &r, now), 0);
 }
 
-static void open_pool(bool model)
+static void setup_pool(bool model)
 {
 	struct dl_pool_conf conf = {
 		.kind = model ? DL_POOL_MODEL : DL_POOL_PLAIN,
@@ -60,7 +60,7 @@
 		report(i, 1);
 }
 
-static void end(void)
+static void teardown(void)
 {
 	ck_assert_ptr_null(dl_pool_broken(pool));
 	dl_pool_free(pool);
@@ -84,7 +84,7 @@
 	return out;
 }
 
-static bool is_at(const struct dl_answer *a, const char *endpoint)
+static bool uses_endpoint(const struct dl_answer *a, const char *endpoint)
 {
 	for (uint8_t i = 0; i < a->endpoints; i++) {
 		if (dl_name_eq(&a->endpoint[i], dl_str_of(endpoint)))
@@ -94,8 +94,8 @@
 }
 
 /* Give a grant back; one of its endpoints asked the VM to wait so long. */
-static void turned_away(const struct dl_answer *a, const char *endpoint,
-			uint32_t ms)
+static void release_with_backoff(const struct dl_answer *a,
+				 const char *endpoint, uint32_t ms)
 {
 	struct dl_usage usage = { .wait_ms = ms };
 
@@ -103,7 +103,7 @@
 	ck_assert_int_eq(dl_pool_release(pool, a->grant, &usage, now), 0);
 }
 
-static void done(const struct dl_answer *a)
+static void release_done(const struct dl_answer *a)
 {
 	struct dl_usage usage = { .ran = true, .ttft_ms = 20, .total_ms = 40 };
 
@@ -111,24 +111,25 @@
 }
 
 /* An endpoint asks a VM to wait, as soon as it is granted to it. */
-static void ask_to_wait(uint64_t vm, const char *endpoint, uint32_t ms)
+static void make_endpoint_back_off(uint64_t vm, const char *endpoint,
+				   uint32_t ms)
 {
 	struct dl_answer a = { 0 };
 
 	for (int i = 0; i < 100; i++) {
 		a = ask(vm, 5000);
 		ck_assert_int_eq(a.verdict, DL_GRANTED);
-		if (is_at(&a, endpoint)) {
-			turned_away(&a, endpoint, ms);
+		if (uses_endpoint(&a, endpoint)) {
+			release_with_backoff(&a, endpoint, ms);
 			return;
 		}
 		now += STEP_MS;
-		done(&a);
+		release_done(&a);
 	}
 	ck_abort_msg("%s is not granted", endpoint);
 }
 
-static uint32_t granted_at(uint64_t vm, const char *endpoint, int64_t ms)
+static uint32_t count_grants_at(uint64_t vm, const char *endpoint, int64_t ms)
 {
 	uint32_t n = 0;
 
@@ -136,55 +137,55 @@
 		struct dl_answer a = ask(vm, 5000);
 
 		ck_assert_int_eq(a.verdict, DL_GRANTED);
-		n += is_at(&a, endpoint);
-		done(&a);
+		n += uses_endpoint(&a, endpoint);
+		release_done(&a);
 	}
 	return n;
 }
 
-START_TEST(a_vm_that_was_asked_to_wait_is_served_by_others)
+START_TEST(vm_in_backoff_is_served_by_other_endpoints)
 {
-	open_pool(_i);
-	ask_to_wait(7, BUSY, WAIT_MS);
-	ck_assert_uint_eq(granted_at(7, BUSY, WAIT_MS - STEP_MS), 0);
-	ck_assert_uint_gt(granted_at(7, BUSY, 2000), 0);
+	setup_pool(_i);
+	make_endpoint_back_off(7, BUSY, WAIT_MS);
+	ck_assert_uint_eq(count_grants_at(7, BUSY, WAIT_MS - STEP_MS), 0);
+	ck_assert_uint_gt(count_grants_at(7, BUSY, 2000), 0);
 }
 END_TEST
 
-START_TEST(other_vms_were_not_asked_to_wait)
+START_TEST(backoff_applies_to_one_vm)
 {
-	open_pool(_i);
-	ask_to_wait(7, BUSY, WAIT_MS);
-	ck_assert_uint_gt(granted_at(8, BUSY, WAIT_MS - STEP_MS), 0);
+	setup_pool(_i);
+	make_endpoint_back_off(7, BUSY, WAIT_MS);
+	ck_assert_uint_gt(count_grants_at(8, BUSY, WAIT_MS - STEP_MS), 0);
 }
 END_TEST
 
-START_TEST(a_new_start_has_asked_nobody)
+START_TEST(endpoint_restart_clears_backoff)
 {
-	open_pool(_i);
-	ask_to_wait(7, BUSY, WAIT_MS);
+	setup_pool(_i);
+	make_endpoint_back_off(7, BUSY, WAIT_MS);
 	report(0, 2);
-	ck_assert_uint_gt(granted_at(7, BUSY, WAIT_MS - STEP_MS), 0);
+	ck_assert_uint_gt(count_grants_at(7, BUSY, WAIT_MS - STEP_MS), 0);
 }
 END_TEST
 
 /* All ask a VM to wait, the first for the least time. */
-static void ask_all_to_wait(uint64_t vm, uint32_t least_ms)
+static void make_all_endpoints_back_off(uint64_t vm, uint32_t least_ms)
 {
 	for (int i = 0; i < ENDPOINTS; i++) {
 		char id[32];
 
 		snprintf(id, sizeof(id), "10.0.0.%d:80", i + 1);
-		ask_to_wait(vm, id, i ? WAIT_MS : least_ms);
+		make_endpoint_back_off(vm, id, i ? WAIT_MS : least_ms);
 	}
 }
 
-START_TEST(where_all_asked_to_wait_callers_are_told_when_to_come_back)
+START_TEST(refused_with_retry_after_when_all_endpoints_back_off)
 {
 	struct dl_answer a;
 
-	open_pool(_i);
-	ask_all_to_wait(7, 2900);
+	setup_pool(_i);
+	make_all_endpoints_back_off(7, 2900);
 	a = ask(7, 5000);
 	ck_assert_int_eq(a.verdict, DL_REFUSED);
 	ck_assert_int_eq(a.reason, DL_REASON_BACKOFF);
@@ -193,12 +194,12 @@
 	now += a.retry_after_ms;
 	a = ask(7, 5000);
 	ck_assert_int_eq(a.verdict, DL_GRANTED);
-	ck_assert(is_at(&a, BUSY));
+	ck_assert(uses_endpoint(&a, BUSY));
 }
 END_TEST
 
 /* Take all slots for a VM. */
-static uint32_t fill(uint64_t vm, struct dl_answer *out, uint32_t max)
+static uint32_t take_all_slots(uint64_t vm, struct dl_answer *out, uint32_t max)
 {
 	uint32_t n = 0;
 
@@ -211,17 +212,17 @@
 	return n;
 }
 
-START_TEST(who_waits_in_the_queue_is_told_too)
+START_TEST(queued_request_is_refused_on_backoff)
 {
 	struct dl_answer held[ENDPOINTS * SLOTS + 1], a;
 	uint32_t n, refused = 0;
 
-	open_pool(_i);
-	n = fill(7, held, ENDPOINTS * SLOTS + 1);
+	setup_pool(_i);
+	n = take_all_slots(7, held, ENDPOINTS * SLOTS + 1);
 	ck_assert_uint_lt(n, ENDPOINTS * SLOTS + 1);
 	ck_assert_int_eq(held[n].verdict, DL_QUEUED);
 	for (uint32_t i = 0; i < n; i++)
-		turned_away(&held[i], held[i].endpoint[0].s, WAIT_MS);
+		release_with_backoff(&held[i], held[i].endpoint[0].s, WAIT_MS);
 	now += STEP_MS;
 	while (dl_pool_next(pool, now, &a)) {
 		ck_assert_int_eq(a.verdict, DL_REFUSED);
@@ -232,16 +233,16 @@
 }
 END_TEST
 
-START_TEST(a_vm_that_waits_does_not_hold_up_others)
+START_TEST(vm_in_backoff_does_not_block_other_vms)
 {
 	struct dl_answer held[ENDPOINTS * SLOTS + 1], a;
 	const uint32_t others = (ENDPOINTS - 1) * SLOTS;
 	uint64_t waiting;
 	uint32_t n;
 
-	open_pool(_i);
-	ask_to_wait(7, BUSY, WAIT_MS);
-	n = fill(7, held, ENDPOINTS * SLOTS + 1);
+	setup_pool(_i);
+	make_endpoint_back_off(7, BUSY, WAIT_MS);
+	n = take_all_slots(7, held, ENDPOINTS * SLOTS + 1);
 	ck_assert_uint_eq(n, others);
 	waiting = held[n].request;
 	a = ask(8, 1000);
@@ -250,35 +251,35 @@
 		ck_assert(dl_pool_next(pool, now, &a));
 	}
 	ck_assert_int_eq(a.verdict, DL_GRANTED);
-	ck_assert(is_at(&a, BUSY));
+	ck_assert(uses_endpoint(&a, BUSY));
 	ck_assert_uint_eq(a.entry, 8);
 	/* It is the next to be served where it may go. */
-	done(&held[0]);
+	release_done(&held[0]);
 	now += STEP_MS;
 	ck_assert(dl_pool_next(pool, now, &a));
 	ck_assert_uint_eq(a.request, waiting);
 }
 END_TEST
 
-START_TEST(parts_of_a_prompt_go_elsewhere_too)
+START_TEST(split_prompt_avoids_endpoint_in_backoff)
 {
 	struct dl_answer a;
 
-	open_pool(true);
-	ask_to_wait(7, BUSY, WAIT_MS);
+	setup_pool(true);
+	make_endpoint_back_off(7, BUSY, WAIT_MS);
 	a = ask(8, LONG);
 	ck_assert_int_eq(a.verdict, DL_GRANTED);
 	ck_assert_uint_gt(a.endpoints, 1);
-	ck_assert(is_at(&a, BUSY));
-	done(&a);
+	ck_assert(uses_endpoint(&a, BUSY));
+	release_done(&a);
 	a = ask(7, LONG);
 	ck_assert_int_eq(a.verdict, DL_GRANTED);
 	ck_assert_uint_gt(a.endpoints, 1);
-	ck_assert(!is_at(&a, BUSY));
+	ck_assert(!uses_endpoint(&a, BUSY));
 }
 END_TEST
 
-START_TEST(the_later_of_two_times_holds)
+START_TEST(later_expiry_wins)
 {
 	struct dl_backoff *b = dl_backoff_new();
 
@@ -295,7 +296,7 @@
 }
 END_TEST
 
-START_TEST(times_that_are_over_make_room)
+START_TEST(expired_entries_make_room)
 {
 	struct dl_backoff *b = dl_backoff_new();
 
@@ -314,20 +315,19 @@
 	Suite *s = suite_create("backoff");
 	TCase *t = tcase_create("pool"), *times = tcase_create("times");
 
-	tcase_add_checked_fixture(t, NULL, end);
-	tcase_add_loop_test(t, a_vm_that_was_asked_to_wait_is_served_by_others,
-			    0, 2);
-	tcase_add_loop_test(t, other_vms_were_not_asked_to_wait, 0, 2);
-	tcase_add_loop_test(t, a_new_start_has_asked_nobody, 0, 2);
+	tcase_add_checked_fixture(t, NULL, teardown);
+	tcase_add_loop_test(t, vm_in_backoff_is_served_by_other_endpoints, 0,
+			    2);
+	tcase_add_loop_test(t, backoff_applies_to_one_vm, 0, 2);
+	tcase_add_loop_test(t, endpoint_restart_clears_backoff, 0, 2);
 	tcase_add_loop_test(
-		t, where_all_asked_to_wait_callers_are_told_when_to_come_back,
-		0, 2);
-	tcase_add_loop_test(t, who_waits_in_the_queue_is_told_too, 0, 2);
-	tcase_add_loop_test(t, a_vm_that_waits_does_not_hold_up_others, 0, 2);
-	tcase_add_test(t, parts_of_a_prompt_go_elsewhere_too);
+		t, refused_with_retry_after_when_all_endpoints_back_off, 0, 2);
+	tcase_add_loop_test(t, queued_request_is_refused_on_backoff, 0, 2);
+	tcase_add_loop_test(t, vm_in_backoff_does_not_block_other_vms, 0, 2);
+	tcase_add_test(t, split_prompt_avoids_endpoint_in_backoff);
 	suite_add_tcase(s, t);
-	tcase_add_test(times, the_later_of_two_times_holds);
-	tcase_add_test(times, times_that_are_over_make_room);
+	tcase_add_test(times, later_expiry_wins);
+	tcase_add_test(times, expired_entries_make_room);
 	suite_add_tcase(s, times);
 	return suite_run(s);
 }
--- a/test/test_engine.c
+++ b/test/test_engine.c
@@ -16,7 +16,7 @@
 
 static struct dl_engine engine;
 
-static void begin(void)
+static void setup(void)
 {
 	dl_engine_init(&engine);
 }
@@ -47,27 +47,27 @@
 	return f;
 }
 
-struct reading {
+struct prefill_case {
 	uint64_t tokens;
 	double ms;
 };
 
 /* Tokens over the rate, and half the square of them in pairs. */
-static const struct reading readings[] = {
+static const struct prefill_case prefill_cases[] = {
 	{ 0, 0 },	    { 4960, 30.3 },	 { 45000, 440.5 },
 	{ 154000, 3051.9 }, { 315000, 10908.3 }, { 700000, 49034.8 },
 };
 
-START_TEST(reading_takes_its_pairs)
+START_TEST(prefill_time_includes_token_pairs)
 {
-	const struct reading *r = &readings[_i];
+	const struct prefill_case *r = &prefill_cases[_i];
 
 	ck_assert_double_eq_tol(dl_engine_prefill_ms(&model, r->tokens), r->ms,
 				0.1 + r->ms * 0.001);
 }
 END_TEST
 
-START_TEST(writing_takes_a_stride)
+START_TEST(decode_pass_takes_one_stride)
 {
 	ck_assert_double_eq_tol(dl_engine_decode_pass_ms(&model, 0, 0), 0,
 				0.001);
@@ -78,14 +78,14 @@
 }
 END_TEST
 
-START_TEST(idle_engine_reads_at_once)
+START_TEST(idle_engine_prefills_at_once)
 {
 	ck_assert_int_eq(forecast(28, 1000).prefilled_at, 1028);
 }
 END_TEST
 
 /* Reading alone goes on step by step: the next prompt is read behind it. */
-START_TEST(reading_alone_is_joined)
+START_TEST(prompt_joins_a_pass_without_streams)
 {
 	add(1, 100, true, 1000);
 	ck_assert_int_eq(forecast(28, 1010).prefilled_at, 1128);
@@ -93,7 +93,7 @@
 END_TEST
 
 /* Beside writers a prompt waits for the pass under way, and its own pass. */
-START_TEST(writers_hold_a_pass)
+START_TEST(prompt_waits_for_a_pass_with_streams)
 {
 	struct dl_engine_forecast f;
 
@@ -107,7 +107,7 @@
 END_TEST
 
 /* All that was admitted during a pass is read in the next one. */
-START_TEST(what_waits_is_read_together)
+START_TEST(waiting_prompts_share_one_pass)
 {
 	add(1, 10, true, 1000);
 	dl_engine_advance(&engine, &model, 1011);
@@ -118,7 +118,7 @@
 END_TEST
 
 /* A part that was read for another engine leaves nothing behind. */
-START_TEST(parts_end_with_their_pass)
+START_TEST(prefill_only_items_end_with_their_pass)
 {
 	add(1, 50, false, 1000);
 	dl_engine_advance(&engine, &model, 1051);
@@ -128,7 +128,7 @@
 END_TEST
 
 /* For a request of ten seconds' reading whose caller leaves. */
-START_TEST(what_is_given_up_is_not_read)
+START_TEST(removed_prompt_is_not_prefilled)
 {
 	add(1, 10000, true, 1000);
 	dl_engine_remove(&engine, 1, 2000);
@@ -136,7 +136,7 @@
 }
 END_TEST
 
-START_TEST(slow_engines_take_longer)
+START_TEST(slowdown_scales_pass_time)
 {
 	engine.slowdown = 3;
 	add(1, 100, true, 1000);
@@ -147,29 +147,30 @@
 /* The pass that read it ended sooner, later or much later than foreseen. */
 static const struct {
 	int64_t seen, begins;
-} firsts[] = {
+} first_event_cases[] = {
 	{ 20, 20 }, /* foreseen at 30 */
 	{ 30, 30 }, /* as foreseen */
 	{ 40, 40 }, /* the pass after it began 10 ms later */
 	{ 65, 65 }, /* nearer to the end of that pass: it has ended */
 };
 
-START_TEST(a_first_event_shows_where_a_pass_ends)
+START_TEST(first_event_corrects_the_pass_start)
 {
 	double stride = dl_engine_decode_pass_ms(&model, 1, 0);
 
 	add(1, 30, true, 0);
-	dl_engine_observe_first_event(&engine, &model, 1, firsts[_i].seen);
-	ck_assert_int_eq(engine.pass_began, firsts[_i].begins);
+	dl_engine_observe_first_event(&engine, &model, 1,
+				      first_event_cases[_i].seen);
+	ck_assert_int_eq(engine.pass_began, first_event_cases[_i].begins);
 	ck_assert_int_eq(engine.pass_ends,
-			 firsts[_i].begins + (int64_t)(stride + 1));
+			 first_event_cases[_i].begins + (int64_t)(stride + 1));
 	ck_assert(engine.decoding);
 	ck_assert(!engine.item[0].prefilling && !engine.item[0].waiting);
 }
 END_TEST
 
 /* What was taken in before one that was read has been read as well. */
-START_TEST(a_first_event_may_be_of_one_that_was_thought_to_wait)
+START_TEST(first_event_of_a_waiting_item_marks_it_prefilled)
 {
 	add(1, 30, true, 0);
 	forecast(0, 31);
@@ -185,7 +186,7 @@
 }
 END_TEST
 
-START_TEST(full_is_told)
+START_TEST(full_engine_returns_enospc)
 {
 	struct dl_engine_item item = item_of(99, 1, true);
 
@@ -195,12 +196,12 @@
 }
 END_TEST
 
-struct pause {
+struct pause_case {
 	double from_ms, to_ms;
-	bool harms, gravely;
+	bool costs, abandoned;
 };
 
-static const struct pause pauses[] = {
+static const struct pause_case pause_cases[] = {
 	{ 50, 200, false, false }, /* within what is borne */
 	{ 50, 300, true, false },
 	{ 300, 300, false, false }, /* late already, and no worse */
@@ -208,20 +209,20 @@
 	{ 50, 1200, true, true },   /* callers give up */
 };
 
-START_TEST(harm_grows_with_the_pause)
+START_TEST(gap_cost_grows_with_the_pause)
 {
-	const struct pause *p = &pauses[_i];
-	double harm;
+	const struct pause_case *p = &pause_cases[_i];
+	double cost;
 
 	add(1, 0, true, 1000);
-	harm = dl_engine_gap_cost(&engine, p->from_ms, p->to_ms, 1);
-	ck_assert_int_eq(harm > 0, p->harms);
-	ck_assert_int_eq(harm > 1000, p->gravely);
+	cost = dl_engine_gap_cost(&engine, p->from_ms, p->to_ms, 1);
+	ck_assert_int_eq(cost > 0, p->costs);
+	ck_assert_int_eq(cost > 1000, p->abandoned);
 }
 END_TEST
 
 /* However it is driven, it neither hangs nor forgets an item. */
-START_TEST(random_events)
+START_TEST(invariants_hold_under_random_events)
 {
 	int64_t now = 0;
 
@@ -247,7 +248,7 @@
  * What is being read where nobody writes is out at the pass's end only: who
  * makes it longer makes that late.  Beside writers the next pass counts.
  */
-START_TEST(delay_counts_those_it_makes_late)
+START_TEST(delay_cost_counts_newly_late_items)
 {
 	struct dl_engine_item item = item_of(1, 200, true);
 
@@ -275,24 +276,25 @@
 	TCase *t = tcase_create("engine");
 
 	suite_add_tcase(s, t);
-	tcase_add_checked_fixture(t, begin, NULL);
-	tcase_add_test(t, delay_counts_those_it_makes_late);
-	tcase_add_loop_test(t, reading_takes_its_pairs, 0,
-			    sizeof(readings) / sizeof(readings[0]));
-	tcase_add_test(t, writing_takes_a_stride);
-	tcase_add_test(t, idle_engine_reads_at_once);
-	tcase_add_test(t, reading_alone_is_joined);
-	tcase_add_test(t, writers_hold_a_pass);
-	tcase_add_test(t, what_waits_is_read_together);
-	tcase_add_test(t, parts_end_with_their_pass);
-	tcase_add_test(t, what_is_given_up_is_not_read);
-	tcase_add_test(t, slow_engines_take_longer);
-	tcase_add_loop_test(t, a_first_event_shows_where_a_pass_ends, 0,
-			    sizeof(firsts) / sizeof(firsts[0]));
-	tcase_add_test(t, a_first_event_may_be_of_one_that_was_thought_to_wait);
-	tcase_add_test(t, full_is_told);
-	tcase_add_loop_test(t, harm_grows_with_the_pause, 0,
-			    sizeof(pauses) / sizeof(pauses[0]));
-	tcase_add_test(t, random_events);
+	tcase_add_checked_fixture(t, setup, NULL);
+	tcase_add_test(t, delay_cost_counts_newly_late_items);
+	tcase_add_loop_test(t, prefill_time_includes_token_pairs, 0,
+			    sizeof(prefill_cases) / sizeof(prefill_cases[0]));
+	tcase_add_test(t, decode_pass_takes_one_stride);
+	tcase_add_test(t, idle_engine_prefills_at_once);
+	tcase_add_test(t, prompt_joins_a_pass_without_streams);
+	tcase_add_test(t, prompt_waits_for_a_pass_with_streams);
+	tcase_add_test(t, waiting_prompts_share_one_pass);
+	tcase_add_test(t, prefill_only_items_end_with_their_pass);
+	tcase_add_test(t, removed_prompt_is_not_prefilled);
+	tcase_add_test(t, slowdown_scales_pass_time);
+	tcase_add_loop_test(t, first_event_corrects_the_pass_start, 0,
+			    sizeof(first_event_cases) /
+				    sizeof(first_event_cases[0]));
+	tcase_add_test(t, first_event_of_a_waiting_item_marks_it_prefilled);
+	tcase_add_test(t, full_engine_returns_enospc);
+	tcase_add_loop_test(t, gap_cost_grows_with_the_pause, 0,
+			    sizeof(pause_cases) / sizeof(pause_cases[0]));
+	tcase_add_test(t, invariants_hold_under_random_events);
 	return suite_run(s);
 }
--- a/test/test_placing.c
+++ b/test/test_placing.c
@@ -12,7 +12,7 @@
 #include "fake/suite.h"
 
 #define ENGINES	      8
-#define FAR	      60000
+#define DEADLINE_MS   60000
 #define LEASE_MS      20000
 #define ROUND_TRIP_MS 4 /* to an engine and back, in a forecast */
 
@@ -56,7 +56,7 @@
 	}
 }
 
-static void begin(void)
+static void setup(void)
 {
 	now = 1000;
 	next_request = 1;
@@ -65,7 +65,7 @@
 	report_engines(false);
 }
 
-static void end(void)
+static void teardown(void)
 {
 	ck_assert_ptr_null(dl_pool_broken(pool));
 	dl_pool_free(pool);
@@ -80,7 +80,7 @@
 			    .class = DL_CLASS_INTERACTIVE,
 			    .prompt_tokens = prompt,
 			    .output_tokens = 200,
-			    .deadline = now + FAR,
+			    .deadline = now + DEADLINE_MS,
 			    .target_ms = target_ms,
 			    .gap_ms = gap_ms };
 	struct dl_answer out;
@@ -92,7 +92,7 @@
 	return out;
 }
 
-static bool is_in(const struct dl_name *endpoint, const char *domain)
+static bool in_domain(const struct dl_name *endpoint, const char *domain)
 {
 	int engine = atoi(endpoint->s + strlen("10.0.0.")) - 1;
 
@@ -118,7 +118,8 @@
 	return false;
 }
 
-static bool names(const struct dl_answer *a, const struct dl_name *endpoint)
+static bool uses_endpoint(const struct dl_answer *a,
+			  const struct dl_name *endpoint)
 {
 	for (uint8_t i = 0; i < a->endpoints; i++) {
 		if (dl_name_eq(&a->endpoint[i], dl_name_str(endpoint)))
@@ -128,12 +129,12 @@
 }
 
 /* When the first prompt, granted at 1000, has been read at the latest. */
-static int64_t first_read(const struct dl_answer *a)
+static int64_t first_prefill_end(const struct dl_answer *a)
 {
 	return 1000 + a->predicted_ttft_ms;
 }
 
-START_TEST(short_prompt_is_read_by_one)
+START_TEST(short_prompt_uses_one_engine)
 {
 	struct dl_answer a = ask_short();
 
@@ -143,7 +144,7 @@
 }
 END_TEST
 
-START_TEST(long_prompt_is_parted)
+START_TEST(long_prompt_is_split)
 {
 	struct dl_answer a = ask_long(154000);
 
@@ -157,7 +158,7 @@
  * A dispatcher that has just taken over may not know yet what runs: long
  * prompts wait for as long as it takes to be told, short ones do not.
  */
-START_TEST(long_prompts_wait_at_a_new_dispatcher)
+START_TEST(long_prompts_wait_after_takeover)
 {
 	struct dl_answer a, granted;
 
@@ -177,7 +178,7 @@
  * A part that takes longer than half of what an entry waits for a silent engine
  * is not given to any: who writes there may not be known.
  */
-START_TEST(parts_are_no_longer_than_a_silence)
+START_TEST(refuses_parts_longer_than_the_silence_timeout)
 {
 	struct dl_answer a = ask_long(480000);
 
@@ -189,7 +190,7 @@
  * The next long prompt waits in the queue while engines read one, and is
  * granted once they can begin: its forecast holds then.
  */
-START_TEST(long_prompt_waits_for_engines_that_read)
+START_TEST(long_prompt_waits_for_busy_engines)
 {
 	struct dl_answer first = ask_long(250000), second, granted;
 
@@ -204,11 +205,11 @@
 END_TEST
 
 /*
- * Engines on which nobody writes give out what they read at the end only: a
- * part that would follow does not keep a prompt that is being read waiting past
- * its target.
+ * Engines on which nobody writes give out what they read at the end only:
+ * a part that would follow does not keep a prompt that is being read waiting
+ * past its target.
  */
-START_TEST(parts_do_not_delay_those_being_read)
+START_TEST(parts_do_not_delay_running_prefill)
 {
 	struct dl_answer first = ask(154000, 1100, 1000), next;
 
@@ -218,13 +219,13 @@
 	ck_assert_int_eq(next.verdict, DL_QUEUED);
 	ck_assert(next_within(3000, &next));
 	ck_assert_int_eq(next.verdict, DL_GRANTED);
-	ck_assert_int_ge(now, first_read(&first) - ROUND_TRIP_MS);
+	ck_assert_int_ge(now, first_prefill_end(&first) - ROUND_TRIP_MS);
 }
 END_TEST
 
 /* One stream of a short prompt is not spread: the engine that has some gets it.
  */
-START_TEST(short_streams_stay_together)
+START_TEST(short_streams_share_an_engine)
 {
 	struct dl_answer a = ask_short();
 
@@ -242,7 +243,7 @@
 END_TEST
 
 /* A short prompt is not parted, however late its first event is foreseen. */
-START_TEST(short_prompts_are_never_parted)
+START_TEST(short_prompts_are_never_split)
 {
 	for (int i = 0; i < 200; i++) {
 		struct dl_answer a = ask_short();
@@ -257,7 +258,7 @@
  * A helper that its lead cannot reach gets nothing until it is heard again; the
  * lead stays in use.
  */
-START_TEST(unreachable_helper_is_left_out)
+START_TEST(unreachable_helper_is_excluded)
 {
 	struct dl_answer first = ask_long(154000), next;
 	struct dl_usage usage = { .at_fault = first.endpoint[1] };
@@ -271,17 +272,17 @@
 	ck_assert_int_eq(dl_pool_release(pool, first.grant, &usage, now), 0);
 	next = ask_long(154000);
 	ck_assert_int_eq(next.verdict, DL_GRANTED);
-	ck_assert(!names(&next, &first.endpoint[1]));
-	ck_assert(names(&next, &first.endpoint[0]));
+	ck_assert(!uses_endpoint(&next, &first.endpoint[1]));
+	ck_assert(uses_endpoint(&next, &first.endpoint[0]));
 	ck_assert_int_eq(dl_pool_release(pool, next.grant, NULL, now), 0);
 	ck_assert_int_eq(dl_pool_report(pool, &r, now), 0);
 	next = ask_long(154000);
-	ck_assert(names(&next, &first.endpoint[1]));
+	ck_assert(uses_endpoint(&next, &first.endpoint[1]));
 }
 END_TEST
 
 /* While one long prompt waits, a short one does not. */
-START_TEST(short_prompt_passes_a_waiting_long_one)
+START_TEST(short_prompt_overtakes_a_queued_long_one)
 {
 	ask_long(250000);
 	ck_assert_int_eq(ask_long(250000).verdict, DL_QUEUED);
@@ -291,7 +292,7 @@
 END_TEST
 
 /* One that even all engines cannot read in time is refused at once. */
-START_TEST(too_much_is_refused_at_once)
+START_TEST(infeasible_prompt_is_refused_at_once)
 {
 	struct dl_answer a = ask(900000, 1500, 600), late;
 
@@ -305,7 +306,7 @@
 END_TEST
 
 /* In a burst nobody is granted more engines once the target has passed. */
-START_TEST(overdue_prompts_are_not_parted_further)
+START_TEST(overdue_prompts_get_no_extra_engines)
 {
 	struct dl_answer a;
 	uint32_t most = 0;
@@ -330,7 +331,7 @@
 		entry_domain = i % 3 ? "north" : "south";
 		a = ask_short();
 		ck_assert_int_eq(a.verdict, DL_GRANTED);
-		ck_assert(is_in(&a.endpoint[0], entry_domain));
+		ck_assert(in_domain(&a.endpoint[0], entry_domain));
 		ck_assert_uint_eq(a.away, 0);
 		now += 20;
 	}
@@ -338,7 +339,7 @@
 END_TEST
 
 /* A burst in one domain that would be late there is served by the others. */
-START_TEST(what_is_late_at_home_goes_elsewhere)
+START_TEST(burst_spills_to_other_domains)
 {
 	int away = 0, in_time = 0, granted = 0;
 
@@ -352,7 +353,7 @@
 		granted++;
 		in_time += a.predicted_ttft_ms <= 300;
 		away += a.away;
-		ck_assert_int_eq(a.away, is_in(&a.endpoint[0], "south"));
+		ck_assert_int_eq(a.away, in_domain(&a.endpoint[0], "south"));
 	}
 	ck_assert_int_gt(away, 10);
 	ck_assert_int_ge(in_time, granted * 9 / 10);
@@ -360,7 +361,7 @@
 END_TEST
 
 /* A domain that has VMs and no engines is served by the others at once. */
-START_TEST(domain_without_engines_is_served)
+START_TEST(domain_without_engines_is_served_remotely)
 {
 	struct dl_answer a;
 
@@ -373,7 +374,7 @@
 END_TEST
 
 /* Where nobody says where it is, every engine is as near as the next. */
-START_TEST(unknown_domains_are_all_near)
+START_TEST(unknown_domains_count_as_local)
 {
 	struct dl_answer a;
 
@@ -390,22 +391,22 @@
 	TCase *t = tcase_create("placing");
 
 	suite_add_tcase(s, t);
-	tcase_add_checked_fixture(t, begin, end);
-	tcase_add_test(t, short_prompt_is_read_by_one);
-	tcase_add_test(t, long_prompt_is_parted);
-	tcase_add_test(t, long_prompts_wait_at_a_new_dispatcher);
-	tcase_add_test(t, parts_are_no_longer_than_a_silence);
-	tcase_add_test(t, long_prompt_waits_for_engines_that_read);
-	tcase_add_test(t, short_prompt_passes_a_waiting_long_one);
-	tcase_add_test(t, parts_do_not_delay_those_being_read);
-	tcase_add_test(t, short_streams_stay_together);
-	tcase_add_test(t, short_prompts_are_never_parted);
-	tcase_add_test(t, unreachable_helper_is_left_out);
-	tcase_add_test(t, too_much_is_refused_at_once);
-	tcase_add_test(t, overdue_prompts_are_not_parted_further);
+	tcase_add_checked_fixture(t, setup, teardown);
+	tcase_add_test(t, short_prompt_uses_one_engine);
+	tcase_add_test(t, long_prompt_is_split);
+	tcase_add_test(t, long_prompts_wait_after_takeover);
+	tcase_add_test(t, refuses_parts_longer_than_the_silence_timeout);
+	tcase_add_test(t, long_prompt_waits_for_busy_engines);
+	tcase_add_test(t, short_prompt_overtakes_a_queued_long_one);
+	tcase_add_test(t, parts_do_not_delay_running_prefill);
+	tcase_add_test(t, short_streams_share_an_engine);
+	tcase_add_test(t, short_prompts_are_never_split);
+	tcase_add_test(t, unreachable_helper_is_excluded);
+	tcase_add_test(t, infeasible_prompt_is_refused_at_once);
+	tcase_add_test(t, overdue_prompts_get_no_extra_engines);
 	tcase_add_test(t, short_streams_stay_in_their_domain);
-	tcase_add_test(t, what_is_late_at_home_goes_elsewhere);
-	tcase_add_test(t, domain_without_engines_is_served);
-	tcase_add_test(t, unknown_domains_are_all_near);
+	tcase_add_test(t, burst_spills_to_other_domains);
+	tcase_add_test(t, domain_without_engines_is_served_remotely);
+	tcase_add_test(t, unknown_domains_count_as_local);
 	return suite_run(s);
 }
--- a/test/test_pool_load.c
+++ b/test/test_pool_load.c
@@ -199,7 +199,7 @@
 {
 	uint32_t given = 0;
 
-	load.engine[5].conf.lie_permille = 100;
+	load.engine[5].conf.reported_load_permille = 100;
 	add_mix(60000, 0.8, true);
 	load_run(&load, 400000);
 	check_clean();
