--- a/src/coordination/engine.c
+++ b/src/coordination/engine.c
@@ -1,4 +1,4 @@
-/* The time of an engine: what passes take, and which is under way. */
+/* The engine timing model: durations of passes, and the pass in progress. */
 #include "daisyledge/engine.h"
 
 #include <errno.h>
@@ -7,10 +7,13 @@
 
 #define TOKEN_PAIRS    1e6
 #define CONTEXT_TOKENS 1000.0
-/* Pauses of so many times what is on time make callers give up (of eight). */
+/*
+ * A gap of this many times the tolerated one makes callers give up; they do at
+ * eight times, so half of that is left as a margin.
+ */
 #define ABANDON_GAPS	  4.0
 #define ABANDONED_PENALTY 1000.0
-/* A stream that is late already is still hurt by a longer pause. */
+/* A stream whose gap is exceeded already still suffers from a longer one. */
 #define PENALTY_PER_MULTIPLE 0.5
 
 static double gap_penalty(double pass_ms, double gap_ms);
@@ -21,7 +24,7 @@
 static void count_streams(const struct dl_engine *e, uint32_t *streams,
 			  uint64_t *context);
 
-/* The time that reading a prompt takes, on one engine and alone. */
+/* Prefill time of a prompt on one otherwise idle engine. */
 double dl_engine_prefill_ms(const struct dl_engine_model *m, uint64_t tokens)
 {
 	double n = (double)tokens;
@@ -30,7 +33,7 @@
 	return n / rate + n * n / 2 / TOKEN_PAIRS * m->per_pairs_ms;
 }
 
-/* One pass of some streams that waiting_ms nothing. */
+/* Duration of a pass that decodes some streams and prefills nothing. */
 double dl_engine_decode_pass_ms(const struct dl_engine_model *m,
 				uint32_t streams, uint64_t context)
 {
@@ -40,7 +43,7 @@
 	return streams ? m->stride * step : 0;
 }
 
-/* An engine that has nothing to do. */
+/* Initialises an idle engine. */
 void dl_engine_init(struct dl_engine *e)
 {
 	memset(e, 0, sizeof(*e));
@@ -71,7 +74,10 @@
 	}
 }
 
-/* What was read writes from now on; parts for other engines are done. */
+/*
+ * Ends the current pass: prefilled requests decode from now on, and parts that
+ * were prefilled for other engines are removed.
+ */
 static void end_pass(struct dl_engine *e)
 {
 	uint32_t n = 0;
@@ -87,7 +93,7 @@
 	e->count = n;
 }
 
-/* Take in what waits. */
+/* Begins a pass that admits the waiting prompts. */
 static void begin_pass(struct dl_engine *e, const struct dl_engine_model *m,
 		       int64_t at)
 {
@@ -109,7 +115,7 @@
 	e->pass_ends = at + (int64_t)ceil(ms * e->slowdown);
 }
 
-/* Follow the engine up to now. */
+/* Advances the engine to the given time. */
 void dl_engine_advance(struct dl_engine *e, const struct dl_engine_model *m,
 		       int64_t now)
 {
@@ -123,13 +129,13 @@
 		if (!streams && !any_waiting(e))
 			break;
 		begin_pass(e, m, at);
-		/* A pass takes time, or this would never end. */
+		/* A pass of zero length would make this loop endless. */
 		if (e->pass_ends <= at)
 			e->pass_ends = at + 1;
 	}
 }
 
-/* Give the engine a request, or a part to read for another one. */
+/* Adds a request, or a prompt part to prefill for another engine. */
 int dl_engine_add(struct dl_engine *e, const struct dl_engine_model *m,
 		  const struct dl_engine_item *item, int64_t now)
 {
@@ -145,7 +151,10 @@
 	if (e->pass_ends <= now) {
 		begin_pass(e, m, now);
 	} else if (!e->decoding) {
-		/* Reading alone goes on step by step: it joins at once. */
+		/*
+		 * A pass without decoding runs step by step and admits new
+		 * prompts at once.
+		 */
 		to->waiting = false;
 		to->prefilling = true;
 		e->pass_ends += (int64_t)ceil(to->prefill_ms * e->slowdown);
@@ -153,7 +162,10 @@
 	return 0;
 }
 
-/* What was taken in up to one of those that wait has been read with it. */
+/*
+ * Marks the waiting items up to the last one as prefilling in the current pass,
+ * since items are admitted in order of arrival.
+ */
 static void mark_prefilled_until(struct dl_engine *e,
 				 const struct dl_engine_item *last)
 {
@@ -164,12 +176,12 @@
 }
 
 /*
- * A first event shows where one pass ended and the next began.
+ * Corrects the forecast by a first event, which shows when one pass ended and
+ * the next began.
  *
- * Load: passes of 120 to 150 ms on engines with a dozen short streams and parts
- * of long prompts.  A forecast that is wrong by half a pass made short streams
- * late that were taken to be in time (120 a day, on the average 220 ms later
- * than was foreseen).
+ * On engines with a dozen short streams and parts of long prompts, passes take
+ * 120 to 150 ms.  A forecast wrong by half a pass made short streams late that
+ * were expected on time: 120 a day, 220 ms later than forecast on average.
  */
 void dl_engine_observe_first_event(struct dl_engine *e,
 				   const struct dl_engine_model *m, uint64_t id,
@@ -188,7 +200,7 @@
 	late = at - e->pass_began;
 	if (!item->prefilling && !item->waiting &&
 	    late < (e->pass_ends - e->pass_began) / 2) {
-		/* The pass before took longer, by so much. */
+		/* The previous pass ended later than forecast. */
 		e->pass_began = at;
 		e->pass_ends += late;
 		return;
@@ -200,8 +212,8 @@
 }
 
 /*
- * It ended, or was given up; what the pass under way had still to read of it
- * is not read any more.
+ * Removes a request that ended or was cancelled.  If it is being prefilled, the
+ * current pass becomes shorter by its prefill.
  */
 void dl_engine_remove(struct dl_engine *e, uint64_t id, int64_t now)
 {
@@ -224,8 +236,8 @@
 }
 
 /*
- * How badly a pause is borne: 0 within gap_ms, 1 beyond, and more with each
- * multiple, up to where callers give up.
+ * Penalty of a gap: 0 up to the tolerated gap, at least 1 beyond it, rising
+ * with each multiple up to the gap at which callers give up.
  */
 static double gap_penalty(double pass_ms, double gap_ms)
 {
@@ -236,7 +248,7 @@
 	return 1 + PENALTY_PER_MULTIPLE * (pass_ms / gap_ms - 1);
 }
 
-/* The weight of those that a longer pass would pause for too long. */
+/* Weighted cost to the streams that a longer pass would pause for too long. */
 double dl_engine_gap_cost(const struct dl_engine *e, double from_ms,
 			  double to_ms, double share)
 {
@@ -254,13 +266,13 @@
 }
 
 /*
- * The weight of those whose first event a longer pass makes late.
+ * Weighted cost to the requests whose first event a longer pass makes late.
  *
- * Load: long prompts parted among engines on which nobody writes.  Such a pass
- * takes in what arrives, and what it waiting_ms is out only at its end: parts
- * that follow each other keep the first of them waiting (47,000 tokens foreseen
- * in 0.24 s came after 2.3 s, with five parts that joined one after the other).
- * While somebody writes, what arrives waits for the next pass instead.
+ * A pass without decoding admits prompts as they arrive, but its results are
+ * available only at its end, so each part that joins delays all others in the
+ * pass: a first event forecast after 0.24 s, of a prompt of 47,000 tokens, came
+ * after 2.3 s because five parts joined one after the other.  While an engine
+ * decodes, new prompts wait for the next pass instead.
  */
 double dl_engine_delay_cost(const struct dl_engine *e, int64_t from, int64_t to,
 			    int64_t now)
@@ -283,7 +295,10 @@
 	return sum;
 }
 
-/* What to expect of one more prompt, or part of one; advance before. */
+/*
+ * Forecasts one more prompt, or part of one.  The engine must have been
+ * advanced to now.
+ */
 void dl_engine_forecast(const struct dl_engine *e,
 			const struct dl_engine_model *m, double prefill_ms,
 			int64_t now, struct dl_engine_forecast *out)
@@ -302,7 +317,7 @@
 			continue;
 		out->streams++;
 		out->context += item->context;
-		/* Those that wait write in the pass after it only. */
+		/* Waiting requests decode after the pass that prefills them. */
 		streams += !item->waiting;
 		if (item->gap_ms &&
 		    (!out->gap_ms || item->gap_ms < out->gap_ms))
