--- a/src/coordination/pool_engine.c
+++ b/src/coordination/pool_engine.c
@@ -1,61 +1,62 @@
 /*
- * Placing by the engine model: which engine takes a request, and how many
- * others read its prompt with it.
+ * Placement by the engine model: selects the engine that takes a request and
+ * the engines that prefill parts of its prompt.
  *
- * Load: prompts from a thousand to some hundred thousand tokens on engines
- * that work in passes.  Harm: a long prompt that is read beside streams of
- * short ones stops all of them for as long as it is read, longer than the pause
- * that they bear; one that is read by a single engine is late by itself.  So a
- * prompt is parted among engines that each can read their part without a pause
- * that their writers would not bear; and streams of short prompts are put
- * together, as far as their pauses allow, so that other engines stay free for
- * the long.
- * Parting costs no work in sum: each part has its share of the pairs.
+ * Prompts range from a thousand to several hundred thousand tokens.  A long
+ * prompt that is prefilled beside streams of short ones pauses all of them for
+ * longer than they tolerate, and on a single engine its own first event is
+ * late.  A prompt is therefore split among engines that can each prefill their
+ * part without exceeding the gaps of their streams.  Streams of short prompts
+ * are consolidated on few engines, as far as their gaps allow, so that the
+ * other engines stay free for long prompts.
+ * Splitting adds no work in total: the parts share the attention work evenly.
  */
 #include "pool_engine.h"
 
 #include <math.h>
 
 /*
- * Of the pause that a stream bears, what a pass may take; the rest is for
- * what is not foreseen: the way to the caller, retries, other dispatchers.
+ * Share of a stream's tolerated gap that a pass may use.  The rest is a margin
+ * for what the forecast leaves out: network latency to the caller, retries and
+ * grants of other dispatchers.
  */
 #define GAP_SHARE 0.72
-/* Where a request has waited, what is foreseen may take more of it. */
+/* The same share for a request that has waited. */
 #define GAP_SHARE_RELAXED 0.92
-/* Nobody writes for a caller without a target within a fixed time. */
+/* Target of a request that names none. */
 #define TARGET_DEFAULT_MS 1000
 /*
- * Of a target, what one engine may be kept by a part of one prompt.  A longer
- * part keeps a stream there waiting for as long as its entry takes for silence,
- * where this dispatcher does not know of the stream.
+ * Share of the target that prefilling one part may take on an engine.  A longer
+ * part could pause a stream that this dispatcher does not know of until its
+ * entry takes the endpoint for silent.
  */
 #define PART_TARGET_SHARE 0.4
 /*
- * How long before engines begin to read it a long prompt is granted at most.
- * For many long prompts at once: engines read the parts that they have in
- * turn, so parts sent early end together, and late; a prompt that waits here
- * goes where it is read at once.
+ * A long prompt is granted only if its prefill can begin within this time.
+ * Engines prefill their parts in order, so with many long prompts at once parts
+ * that are sent early all end late, while a prompt that stays in the queue can
+ * go to engines that begin at once.
  */
 #define START_WITHIN_MS 150
 /*
- * And of the time that it has waited, so much more: it needs several engines at
- * once, of which one or other always reads for a shorter prompt.
+ * Share of the time waited that is added to START_WITHIN_MS.  A long prompt
+ * needs several engines at once, and one of them is usually busy with a shorter
+ * prompt.
  */
 #define START_WITHIN_WAITED_SHARE 0.3
 /*
- * Past this share of the time in which a first event is asked, a request that
- * found no place without harm takes one that delays others' events.
+ * A request that has waited for this share of its target may be placed where it
+ * delays events of others.
  */
 #define PATIENCE_SHARE 0.25
 /*
- * A dispatcher that has just taken over is told of the grants of the one before
- * by their entries, within some ticks of 20 ms and the news of the change.
- * Until then it takes engines for idle on which streams run: a long prompt that
- * it parts among them stops those streams until they are given up as silent.
+ * After a takeover, long prompts wait this long.  Entries report the grants of
+ * the previous dispatcher within a few ticks of 20 ms after they learn of the
+ * change.  Until then busy engines look idle, and a long prompt split among
+ * them would pause their streams until their endpoints are taken for silent.
  */
 #define TAKEOVER_MS 250
-/* However long an engine's grants are overdue, it is no slower than this. */
+/* Bound on the slowdown that overdue grants can give an engine. */
 #define SLOWDOWN_MAX 6.0
 
 static enum pool_found pool_engine_choose(struct dl_pool *pool,
@@ -76,9 +77,9 @@
 			      const struct dl_usage *usage);
 
 /*
- * Whether a prompt is so long that even all engines together would each be at
- * it for most of what anybody is given: its work grows with the square of its
- * length, and while it is read nothing else begins.
+ * Whether a prompt is too long even if it is split among as many engines as
+ * possible.  Prefill work grows with the square of its length, and nothing else
+ * begins on these engines meanwhile.
  */
 static bool exceeds_engines(const struct engine_search *s)
 {
@@ -87,7 +88,10 @@
 	return n && s->prefill_ms / n > s->target_ms * PART_TARGET_SHARE;
 }
 
-/* The best place for a request that has waited and would still be late. */
+/*
+ * Chooses the best placement at a cost to others for a request that has waited
+ * and would otherwise be late.
+ */
 static bool choose_with_cost(struct engine_search *s, struct pool_choice *out)
 {
 	struct pool_choice place = { 0 };
@@ -106,11 +110,11 @@
 }
 
 /*
- * Choose for a request: without harm to others at first; once it has waited
- * for a part of its time, with as much harm as it is worth itself.  A request
- * that will be late anyway is worth a quarter of that, and a long one is not
- * begun late while others wait: each second of it would make one of them late
- * as well.
+ * Chooses a placement for a request, at first only without a cost to others.
+ * Once it has waited for PATIENCE_SHARE of its target, the cost may be as high
+ * as its own weight, or a quarter of that if its target has passed.  A long
+ * prompt is not started late while others wait, since each second of it would
+ * make another request late as well.
  */
 static enum pool_found pool_engine_choose(struct dl_pool *pool,
 					  const struct pool_want *want,
@@ -160,7 +164,7 @@
 	return POOL_CHOSEN;
 }
 
-/* The whole time of a request on engines that have nothing else to do. */
+/* Total service time of a request on idle engines. */
 static int64_t pool_engine_service_ms(const struct dl_pool *pool,
 				      const struct pool_want *want)
 {
@@ -175,9 +179,9 @@
 }
 
 /*
- * When one that was refused may find a place: once the engines have read what
- * they have, and half its target for what came meanwhile.  Told too early,
- * callers use their one return for another refusal.
+ * Retry delay of a refused request: the mean time until the engines end their
+ * passes, plus half its target for the requests that arrive meanwhile.  Callers
+ * retry once, so with a shorter delay they would only be refused again.
  */
 static int64_t pool_engine_retry_ms(const struct dl_pool *pool,
 				    const struct pool_want *want, int64_t now)
@@ -199,8 +203,8 @@
 }
 
 /*
- * A grant was made, or taken over from another dispatcher: its engines have
- * more to do.  read_ms: of the part that each one reads, 0 where it has.
+ * Adds a grant, made here or adopted from another dispatcher, to the model of
+ * its engines.  prefill_ms is the prefill time of each part, 0 if it is done.
  */
 static void pool_engine_granted(struct dl_pool *pool,
 				const struct pool_grant *g, double prefill_ms,
@@ -225,13 +229,16 @@
 	}
 }
 
-/* Long prompts wait until the engines are known. */
+/* Holds back long prompts until the grants on the engines are known. */
 static void pool_engine_take_over(struct dl_pool *pool, int64_t now)
 {
 	pool->strange_until = now + TAKEOVER_MS;
 }
 
-/* Of a prompt that others read as well it shows the last of them only. */
+/*
+ * Corrects the engine model by a first event.  A split prompt is left out: its
+ * first event shows only when the last part was prefilled.
+ */
 static void pool_engine_first_event(struct dl_pool *pool,
 				    const struct pool_grant *g, int64_t now)
 {
@@ -244,9 +251,10 @@
 }
 
 /*
- * Bound an engine's pace, which overdue grants raise.  First events say nothing
- * of it: how late one is shows its company as much as its engine, and a pace
- * that was learnt from them fed on itself (forecasts of 10 s for 0.5 s).
+ * Bounds the slowdown of an engine, which overdue grants raise.  It is not
+ * learnt from first events: their delay depends on the other requests in the
+ * pass as much as on the engine, and a slowdown learnt from them reinforced
+ * itself until 10 s were forecast for 0.5 s.
  */
 static void pool_engine_learn(struct pool_endpoint *e,
 			      const struct pool_grant *g,
--- a/src/coordination/pool_engine.h
+++ b/src/coordination/pool_engine.h
@@ -1,27 +1,27 @@
 /*
- * Inside placing by the engine model: one search for one request.
- * pool_engine_place.c finds places and what they cost others, pool_engine.c
- * decides which a request may have, and when.
+ * Internals of placement by the engine model: the search for one request.
+ * pool_engine_place.c finds placements and their cost to other requests;
+ * pool_engine.c decides which cost a request may cause, and when.
  */
 #ifndef DL_COORDINATION_POOL_ENGINE_H
 #define DL_COORDINATION_POOL_ENGINE_H
 
 #include "pool_int.h"
 
-/* The way to an engine and back, and its connection. */
+/* Network round trip to an engine, including the connection setup. */
 #define ROUND_TRIP_MS 4
 /*
- * A part that is read in this time, and the pass that it is read in, are within
- * what streams of longer prompts bear (600 ms and more).
+ * Prefill time of one part at which the pass that contains it stays within the
+ * gap that streams of longer prompts tolerate (600 ms and more).
  */
 #define PART_PREFILL_MS 300.0
-/* The most engines that are looked at for one request. */
+/* The most engines considered for one request. */
 #define POOL_ENGINE_CANDIDATES_MAX 1024
 
 struct candidate {
 	struct pool_endpoint *endpoint;
-	struct dl_engine_forecast forecast; /* of no reading at all */
-	bool can_decode;		    /* has the slot to write */
+	struct dl_engine_forecast forecast; /* without this request */
+	bool can_decode;		    /* has a free slot */
 };
 
 struct engine_search {
@@ -33,9 +33,8 @@
 	double target_ms;
 	double prefill_ms;
 	double weight;
-	uint32_t engines_min; /* engines, for the memory alone; 1: the lead has
-				 it */
-	double gap_share;     /* of a pause that a pass may take */
+	uint32_t engines_min; /* for the memory; 1: the lead holds all of it */
+	double gap_share;     /* of a tolerated gap that a pass may use */
 	uint32_t count;
 	struct candidate candidate[POOL_ENGINE_CANDIDATES_MAX];
 };
--- a/src/coordination/pool_engine_place.c
+++ b/src/coordination/pool_engine_place.c
@@ -1,32 +1,35 @@
 /*
- * Places of a request on engines that work in passes: which have read its
- * prompt first, alone or in parts, within what others on them bear.
+ * Search for the engines that prefill a prompt earliest, whole or in parts,
+ * within the cost that this may cause to other requests on them.
  */
 #include "pool_engine.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Of the target of a request, what its first event may be forecast to take. */
+/* No engines are added once the first event is forecast within this share. */
 #define TARGET_SHARE 0.5
 /*
- * Short prompts stay together: an engine without writers counts as if it were
- * later by this share of the target, so that it is kept for long prompts.  With
- * less they open engines that long ones need, with more they wait for each
- * other.
+ * Streams of short prompts are consolidated: an engine without streams is
+ * ranked as if it were later by this share of the target, so that it stays free
+ * for long prompts.  A lower share spreads short prompts over engines that long
+ * ones need; a higher one makes short prompts wait for each other.
  */
 #define CONSOLIDATION_SHARE 1.2
-/* With so many writers similar an engine is one for them. */
+/* An engine with this many similar streams gets no penalty. */
 #define CONSOLIDATED_STREAMS 6
-/* A token written takes an engine about as long as ten that are read. */
+/* Decoding a token takes an engine about as long as prefilling ten. */
 #define DECODED_TOKEN_WEIGHT 10.0
-/* More engines are not asked to read a prompt of one part. */
+/* The most engines that prefill a prompt short enough for one part. */
 #define SHORT_PARTS_MAX 4
-/* A prompt that is read in this time is not parted at all. */
+/* A prompt with a shorter prefill is never split. */
 #define UNSPLIT_PREFILL_MS 60.0
-/* Memory is written in blocks, and an answer may be longer than said. */
+/*
+ * Usable share of an engine's memory: it is allocated in blocks, and an answer
+ * may be longer than announced.
+ */
 #define MEMORY_SHARE 0.97
-/* Of an engine's memory, what a prompt that needs several takes on each. */
+/* Share of an engine's memory that a prompt may use if it needs several. */
 #define SPREAD_MEMORY_SHARE 0.35
 
 static void place_memory_on_lead(struct engine_search *s);
@@ -49,23 +52,20 @@
 static bool choose_group_size(struct engine_search *s, double budget,
 			      struct pool_choice *out);
 
-/*
- * What a request counts for against others: its tokens, those written ten
- * times, as they take an engine about ten times as long.
- */
+/* Weight of a request against others: its tokens by the time they take. */
 double pool_engine_weight(const struct pool_want *want)
 {
 	return (double)want->prompt +
 	       DECODED_TOKEN_WEIGHT * (double)want->output;
 }
 
-/* Until when a first event is on time; 0: at any time. */
+/* Time by which the first event is due; 0 if there is no target. */
 int64_t pool_engine_target_at(const struct pool_want *want)
 {
 	return want->target_ms ? want->asked + want->target_ms : 0;
 }
 
-/* Requests that write on an engine, or will. */
+/* Number of requests that decode on an engine now or after their prefill. */
 static uint32_t count_led_grants(const struct pool_endpoint *e)
 {
 	uint32_t n = 0;
@@ -83,9 +83,8 @@
 }
 
 /*
- * How many engines a prompt needs for its memory alone: one holds all of it
- * where it can, since memory on others has to be reserved before and costs a
- * round of orders.
+ * Places the memory on the lead alone if it fits there, since memory on other
+ * engines has to be reserved first, which costs a round trip.
  */
 static void place_memory_on_lead(struct engine_search *s)
 {
@@ -96,7 +95,7 @@
 		place_memory_on_group(s);
 }
 
-/* Each engine of a group holds a part of the memory. */
+/* Spreads the memory over the engines of the group. */
 static void place_memory_on_group(struct engine_search *s)
 {
 	double one = (double)s->model->memory_tokens * MEMORY_SHARE;
@@ -106,15 +105,15 @@
 }
 
 /*
- * What each engine of a group of n holds: where memory is spread an even part,
- * also of a group that is larger than the memory alone asks for.
+ * Memory on each engine of a group of n.  Spread memory is divided evenly, also
+ * in a group that is larger than the memory requires.
  */
 static uint64_t memory_per_engine(const struct engine_search *s, uint32_t n)
 {
 	return s->engines_min > 1 ? s->want->need / n + 1 : s->want->need;
 }
 
-/* Look at every engine once. */
+/* Collects the engines that may take the request, with their forecasts. */
 void pool_engine_collect(struct engine_search *s)
 {
 	s->count = 0;
@@ -145,7 +144,9 @@
 	       (int64_t)ceil(part_ms * c->endpoint->engine.slowdown);
 }
 
-/* Those on an engine whom reading a part there would pause or delay too long.
+/*
+ * Cost to the other requests on an engine whose streams pause for too long, or
+ * whose first events become late, if it prefills a part.
  */
 static double cost_to_others(const struct engine_search *s,
 			     const struct candidate *c, double part_ms)
@@ -160,8 +161,9 @@
 }
 
 /*
- * How much later an engine counts for having few writers that bear as little as
- * this request: short streams fill some engines and leave the others free.
+ * Penalty of an engine with few streams whose tolerated gaps are as short as
+ * this request's, so that short streams fill some engines and leave the others
+ * free.
  */
 static int64_t consolidation_penalty_ms(const struct engine_search *s,
 					const struct candidate *c)
@@ -180,10 +182,9 @@
 }
 
 /*
- * How much later an engine of another failure domain counts than one of the
- * entry's own: by the target, so that a stream leaves its domain only where it
- * would be late there.  Guards streams against a cut between the domains: those
- * that stay at home are not broken by it.
+ * Penalty of an engine in another failure domain: the whole target, so that a
+ * stream leaves the entry's domain only if it would be late there.  A partition
+ * between the domains does not break streams that stay within one.
  */
 static int64_t remote_penalty_ms(const struct engine_search *s,
 				 const struct candidate *c)
@@ -192,8 +193,8 @@
 }
 
 /*
- * The whole prompt on one engine: the first to have read it, where those that
- * already have writers similar are taken for earlier.
+ * Chooses one engine for the whole prompt: the one that ends its prefill first,
+ * penalties included.
  */
 static bool choose_single(struct engine_search *s, double budget,
 			  struct pool_choice *out)
@@ -209,7 +210,7 @@
 		    cost_to_others(s, c, s->prefill_ms) > budget)
 			continue;
 		at += consolidation_penalty_ms(s, c) + remote_penalty_ms(s, c);
-		/* Its own writing would be paused by what others bear. */
+		/* Passes that other streams tolerate would pause this one. */
 		if (s->want->gap_ms &&
 		    c->forecast.pass_ms > s->want->gap_ms * s->gap_share)
 			at += (int64_t)(s->target_ms * CONSOLIDATION_SHARE);
@@ -231,7 +232,10 @@
 	return true;
 }
 
-/* Order candidates by when they have read a part; the last one may fall out. */
+/*
+ * Inserts a candidate into the list of the n that end their prefill of a part
+ * earliest; the last one is dropped if the list is full.
+ */
 static void insert_earliest(const struct candidate **chosen, uint32_t *count,
 			    uint32_t n, const struct candidate *c,
 			    double part_ms)
@@ -251,8 +255,9 @@
 }
 
 /*
- * The one that writes: of a prompt of one part where writers similar are, of a
- * longer one where pauses are borne that others' reading makes.
+ * Chooses the engine that decodes.  A prompt of one part goes to similar
+ * streams; a longer one to an engine without streams or with those that
+ * tolerate the longest gaps, since prefills there pause it.
  */
 static const struct candidate *choose_lead(const struct engine_search *s,
 					   const struct candidate **chosen,
@@ -278,7 +283,10 @@
 	return lead;
 }
 
-/* The n engines that have read their part first, one of which can write. */
+/*
+ * Chooses the n engines that end the prefill of their part earliest, one of
+ * which can decode.
+ */
 static bool choose_group(struct engine_search *s, uint32_t n, double budget,
 			 struct pool_choice *out)
 {
@@ -322,7 +330,7 @@
 	return true;
 }
 
-/* When all is written: a pass for each stride of tokens. */
+/* Predicts the end of the request: one pass per stride of tokens. */
 void pool_engine_predict_end(const struct engine_search *s,
 			     struct pool_choice *out)
 {
@@ -334,7 +342,7 @@
 	out->total_ms = out->ttft_ms + (int64_t)(passes * pass);
 }
 
-/* The number of engines for a prompt whose parts are all short. */
+/* Number of engines with which no part exceeds PART_PREFILL_MS. */
 static uint32_t parts_wanted(const struct engine_search *s)
 {
 	double n = ceil(s->prefill_ms / PART_PREFILL_MS);
@@ -347,14 +355,15 @@
 }
 
 /*
- * The number of engines by which a prompt is read first.  A prompt of one part
- * goes to one engine that has room, and to more only where that one is too
- * late, or free of writers: it is read by some that have writers, and written
- * by one of them.  A short one goes to one alone: single streams of short
- * prompts on many engines leave none for parts of long ones.  A longer one
- * takes more engines than its parts need only while it is not on time, and none
- * once its target has passed: in a burst each would take a dozen engines for
- * nothing.
+ * Chooses the number of engines with which the prefill ends first.
+ *
+ * A prompt up to UNSPLIT_PREFILL_MS goes to a single engine, since single
+ * streams of short prompts on many engines would leave none free for parts of
+ * long ones.  A prompt of one part goes to a single engine with room, and is
+ * split among engines with streams, one of which decodes it, only if that
+ * engine is too late or has no streams.  A longer prompt takes more engines
+ * than its parts need only while it would be late, and not once its target has
+ * passed: in a burst each prompt would take a dozen engines without a benefit.
  */
 static bool choose_group_size(struct engine_search *s, double budget,
 			      struct pool_choice *out)
@@ -396,8 +405,9 @@
 }
 
 /*
- * The memory on one engine, as that needs no orders; where none has it free and
- * bears to lead, spread over the group.
+ * Finds a placement.  The memory goes to one engine, which needs no reservation
+ * elsewhere; if no engine can hold it all and lead, it is spread over the
+ * group.
  */
 bool pool_engine_place(struct engine_search *s, double budget,
 		       struct pool_choice *out)
