--- a/src/coordination/pool_place.c
+++ b/src/coordination/pool_place.c
@@ -1,11 +1,11 @@
 /*
- * Which endpoint takes a request.
+ * Selection of the endpoint for a request.
  *
- * The pool keeps for each endpoint when its prefill work of each level ends,
- * as if it were a queue drained at a known rate with short prompts first.
- * Own grants move that time at once, reports and answers correct it later, so
- * that a lag of reports doesn't make the pool send everything to whatever
- * looked idle a second ago.
+ * For each endpoint and priority level the pool tracks when the prefill work
+ * ends, as for a queue that is drained at a known rate with short prompts
+ * first.  Grants of this dispatcher advance that time at once; reports and
+ * answers correct it later.  A lag of the reports therefore does not send every
+ * request to an endpoint that was idle a second ago.
  */
 #include "pool_int.h"
 
@@ -13,35 +13,35 @@
 #include <math.h>
 
 /*
- * How early before an endpoint is free it gets its next request.  For the load
- * just under saturation: without it every request would leave the engine idle
- * for the way of a grant and of the prompt, about one round trip.  Longer
- * would bind a request to an endpoint while another one becomes free first.
+ * A request is bound to an endpoint this early before the endpoint is free.
+ * Otherwise, just below saturation, each engine would be idle between requests
+ * for about one round trip, while the grant and the prompt travel.  A longer
+ * time would bind a request to an endpoint while another becomes free first.
  */
 #define BIND_AHEAD_MS 20
 
 /*
- * What a prediction keeps in hand, as a share of it: at least MARGIN_MIN for
- * the steps between reports, twice the measured deviation for an endpoint that
- * varies, at most as much again as the prediction itself, so that one wild
- * sample doesn't refuse everything.
+ * Safety margin of a prediction, as a share of it: at least MARGIN_MIN for the
+ * changes between reports, twice the measured deviation, and at most the
+ * prediction itself, so that one outlier does not make the pool refuse every
+ * request.
  */
 #define MARGIN_MIN	  0.05
 #define MARGIN_MAX	  1.0
 #define MARGIN_DEVIATIONS 2.0
-/* Both ways between entry and endpoint, and the dispatcher's own queue. */
+/* Round trip between entry and endpoint, and time in the dispatcher's queue. */
 #define OVERHEAD_MS 10
-/* Assumed until an endpoint says or shows its rate. */
+/* Assumed tokens per second until an endpoint reports or shows its rate. */
 #define PREFILL_RATE_UNKNOWN 4000.0
 #define DECODE_RATE_UNKNOWN  40.0
 #define MS_PER_S	     1000.0
 
 /*
- * A medium prompt on an endpoint clear of lower work holds up the short ones
- * that come meanwhile by a step of the engine each.  Where engines take large
- * steps (learnt, as half of one on the average) medium prompts go before a
- * long one instead, unless that costs them more than this share of their own
- * time.  With small steps it would only slow long prompts down.
+ * A medium prompt on an endpoint without lower-priority work delays each short
+ * prompt that arrives meanwhile by one engine step.  If engine steps are long
+ * (interference_ms, learnt as half a step on average), a medium prompt goes
+ * ahead of a long one instead, unless that costs it more than this share of its
+ * own prefill time.  With short steps this would only slow long prompts down.
  */
 #define KEEP_FOR_SHORT_FROM_MS 40.0
 #define KEEP_FOR_SHORT_SHARE   0.5
@@ -58,7 +58,7 @@
 	double best_cost;
 	int64_t now;
 	uint8_t level;
-	bool only_long; /* the long share is used up */
+	bool only_long; /* use only endpoints that hold a long prompt already */
 };
 
 static int64_t max_time(int64_t a, int64_t b);
@@ -88,7 +88,7 @@
 	return a > b ? a : b;
 }
 
-/* Whether an endpoint takes new work at all. */
+/* Whether an endpoint accepts new requests. */
 bool pool_endpoint_open(const struct dl_pool *pool,
 			const struct pool_endpoint *e)
 {
@@ -97,7 +97,7 @@
 	       !e->unreachable && e->shift != POOL_OUT;
 }
 
-/* Milliseconds of prefill a token, as reported and corrected by answers. */
+/* Prefill milliseconds per token, as reported and corrected by answers. */
 double pool_ms_per_token(const struct dl_pool *pool,
 			 const struct pool_endpoint *e)
 {
@@ -110,7 +110,7 @@
 	return e->slow * MS_PER_S / rate;
 }
 
-/* Milliseconds between tokens of one stream. */
+/* Decode milliseconds per token of one stream. */
 double pool_decode_ms(const struct pool_endpoint *e)
 {
 	double rate = e->last.decode_rate;
@@ -120,7 +120,7 @@
 	return e->decode_slow * MS_PER_S / rate;
 }
 
-/* Memory that no grant, no hold and nobody unknown has. */
+/* Memory not used by grants, holds or requests unknown to this dispatcher. */
 uint64_t pool_place_free_memory(const struct pool_endpoint *e)
 {
 	return free_memory_besides(e, e->reserved);
@@ -137,11 +137,11 @@
 }
 
 /*
- * How many endpoints may hold long prompts.  For the mix with one in fifty
- * over a hundred thousand tokens, which alone would cover every endpoint for
- * seconds.  Beyond the configured share a long one waits; at least one
- * endpoint may hold one, or long ones would never run, and at least one of
- * several stays free, or short ones would depend on each engine's preemption.
+ * Number of endpoints that may hold long prompts.  If one prompt in fifty
+ * exceeds a hundred thousand tokens, these alone would occupy every endpoint
+ * for seconds, so beyond the configured share long prompts wait.  At least one
+ * endpoint may hold one, or long prompts would never run; at least one of
+ * several stays free, or short prompts would depend on the engines' preemption.
  */
 uint32_t pool_place_long_max(const struct dl_pool *pool)
 {
@@ -207,7 +207,7 @@
 		update_memory_max(pool);
 }
 
-/* Bring sums and index up to date after any change of an endpoint. */
+/* Updates the pool's totals and its index after a change of an endpoint. */
 void pool_place_refresh(struct dl_pool *pool, struct pool_endpoint *e,
 			int64_t now)
 {
@@ -228,7 +228,7 @@
 	pool_index_set(&pool->index, e->slot, &leaf);
 }
 
-/* Whether a request already failed on this endpoint. */
+/* Whether an earlier attempt of the request failed on this endpoint. */
 bool pool_place_failed_before(const struct pool_want *want,
 			      const struct pool_endpoint *e)
 {
@@ -239,8 +239,8 @@
 }
 
 /*
- * Whether nothing that an endpoint has said or done keeps a request away from
- * it, however free it is.
+ * Whether a request may go to an endpoint regardless of its load: no attempt
+ * failed there, and neither its rate limit nor a backoff excludes it.
  */
 bool pool_place_allowed(const struct dl_pool *pool,
 			const struct pool_want *want,
@@ -252,10 +252,10 @@
 }
 
 /*
- * Whether work of a higher level may still be put before what an endpoint has
- * of lower levels.  For short prompts that arrive while a long one is being
- * read: each of them delays it, and without this sum of delays a stream of
- * short ones would carry the long one past the deadline it was granted for.
+ * Whether a request may overtake an endpoint's work of lower levels.  Each
+ * short prompt that arrives during the prefill of a long one delays it, and
+ * without a bound on the sum of these delays the long one would miss the
+ * deadline for which it was granted.
  */
 static bool lower_levels_allow(const struct pool_endpoint *e, uint8_t level,
 			       int64_t prefill_ms, int64_t now)
@@ -267,9 +267,9 @@
 }
 
 /*
- * Whether a request would be over before the hold on an endpoint is expected
- * to be ready.  For giants: their engines are rarely free at the same time, and
- * the first ones would idle until the last one is.
+ * Whether a request is expected to end before the hold on an endpoint is ready
+ * (backfilling).  The engines of a group are rarely free at the same time, and
+ * the first would be idle until the last one is free.
  */
 static bool ends_before_hold(const struct dl_pool *pool,
 			     const struct pool_want *want,
@@ -281,7 +281,7 @@
 	return now + choice.total_ms <= e->hold->ready;
 }
 
-/* Whether a request could go to an endpoint now, but for its deadline. */
+/* Whether an endpoint can take a request now, regardless of its deadline. */
 bool pool_place_fits(const struct dl_pool *pool, const struct pool_want *want,
 		     const struct pool_endpoint *e, int64_t now)
 {
@@ -305,7 +305,7 @@
 	return lower_levels_allow(e, level, (int64_t)ceil(prefill), now);
 }
 
-/* What to keep in hand of a prediction, as a share of it. */
+/* Safety margin of a prediction, as a share of it. */
 double pool_margin(double deviation)
 {
 	double margin = deviation * MARGIN_DEVIATIONS;
@@ -316,9 +316,9 @@
 }
 
 /*
- * What to expect of a request on an endpoint.  The time to the first token
- * counts on the cache, the time by which all is done does not and has a
- * margin: it is what admission promises.
+ * Predicts the times of a request on an endpoint.  The time to the first token
+ * relies on the prefix cache.  The total time does not and includes a margin,
+ * since admission guarantees it.
  */
 void pool_place_expect(const struct dl_pool *pool,
 		       const struct pool_endpoint *e,
@@ -345,9 +345,9 @@
 }
 
 /*
- * Whether a choice keeps the request's deadline.  For every load: what is
- * granted without this would occupy an engine for an answer that nobody waits
- * for any more, which is what makes goodput collapse past saturation.
+ * Whether a placement meets the request's deadline.  A request granted without
+ * this check could occupy an engine after its caller has given up, which makes
+ * goodput collapse past saturation.
  */
 bool pool_place_in_time(const struct pool_choice *choice,
 			const struct pool_want *want, int64_t now)
@@ -355,7 +355,7 @@
 	return now + choice->total_ms <= want->deadline;
 }
 
-/* Whether an endpoint is free for a level, or so soon that it may be bound. */
+/* Whether an endpoint is free for a level now or within BIND_AHEAD_MS. */
 bool pool_place_ready(const struct pool_endpoint *e, uint8_t level, int64_t now)
 {
 	return e->until[level] <= now + BIND_AHEAD_MS;
@@ -381,8 +381,8 @@
 	double cost = (double)start + prefill * (1 + margin);
 
 	/*
-	 * One of another failure domain only where the own would be late: a
-	 * cut between the domains does not break what stays at home.
+	 * Use another failure domain only if the request's own would be late: a
+	 * partition does not break requests that stay within one domain.
 	 */
 	if (pool_is_away(s->want, e))
 		cost += s->want->target_ms;
@@ -419,7 +419,7 @@
 	s->best_cost = cost;
 }
 
-/* Endpoints in a hold: the index counts their gathered memory as taken. */
+/* Considers endpoints with a hold; in the index their memory is in use. */
 static void consider_holds(struct search *s)
 {
 	for (int i = 0; i < POOL_HOLDS; i++) {
@@ -431,9 +431,9 @@
 }
 
 /*
- * Walk the index, the better half first, and leave out whatever cannot beat
- * the best found.  Between equals the one that became free first is taken,
- * which spreads a light load over all of them.
+ * Branch and bound over the index: descends into the better half first and
+ * skips subtrees that cannot beat the best endpoint found.  Among equals the
+ * endpoint that became free first wins, which spreads a light load evenly.
  */
 static void search_subtree(struct search *s, uint32_t node)
 {
@@ -482,21 +482,18 @@
 }
 
 /*
- * Choose for a request that waits or has just come: where its first token is
- * expected earliest among the endpoints that have the memory.  False where
- * that one is not free yet; the request then waits in the pool's one queue and
- * not in an engine's, which is what keeps it from standing behind a long
- * prompt while another engine becomes free.  So a short prompt rather waits
- * tens of milliseconds for an endpoint without long work than lies behind a
- * step of it.
+ * Chooses the endpoint with enough memory on which a request's first token is
+ * expected earliest.  If it is not free yet, returns POOL_WAIT: the request
+ * waits in the pool's queue and not in the engine's, where it could be stuck
+ * behind a long prompt while another engine becomes free.  A short prompt may
+ * thus wait some tens of milliseconds for an endpoint without long work instead
+ * of a step of a long prompt.
  *
- * The endpoint that was last given the same start of a prompt is looked at
- * before the others and taken where its cache is expected to make up for a
- * later start.
+ * The endpoint that last had the same prompt prefix is considered first and
+ * wins if the expected cache hit outweighs a later start.
  *
- * A request whose best endpoint would end past its deadline is late: waiting
- * betters nothing, and while it waited it would stand before others that can
- * still make it.
+ * Returns POOL_LATE if the best endpoint would miss the deadline.  Waiting
+ * would not help, and the request would block others that can still be on time.
  */
 enum pool_found pool_place_choose(struct dl_pool *pool,
 				  const struct pool_want *want, int64_t now,
@@ -541,10 +538,11 @@
 }
 
 /*
- * The priority given to the engine, 0 first: by length, so that a short prompt
- * overtakes the long one under way; by class; and by how much of its time is
- * to spare, so that among equals the tightest goes first.  In quarters only:
- * finer steps reorder what came a few milliseconds apart for no one's good.
+ * Priority passed to the engine; 0 is the highest.  It is made up of the prompt
+ * length, so that a short prompt overtakes a running long one, the class, and
+ * the slack to the deadline, least slack first.  Slack is in quarters only:
+ * finer steps would reorder requests that arrived a few milliseconds apart
+ * without a benefit.
  */
 uint8_t pool_place_priority(const struct pool_want *want,
 			    const struct pool_choice *choice, int64_t now)
