--- a/src/coordination/pool_group.c
+++ b/src/coordination/pool_group.c
@@ -1,31 +1,34 @@
 /*
- * Prompts longer than one engine's memory: several engines take a share each.
+ * Groups of engines for prompts longer than one engine's memory; each engine
+ * takes a share.
  *
- * A group is taken whole or not at all, in one event, so nothing is ever held
- * by half a group.  Where it does not fit at once, memory is gathered for it
- * as engines free it (a hold).  A hold names all its engines when it begins
- * and no engine is in two holds, so that a hold waits for running grants only
- * and never for another hold: two giants cannot have half each.
+ * A group is allocated whole or not at all, in one event, so a partial group
+ * never holds memory.  If it does not fit at once, a hold reserves memory for
+ * it as engines free it.  A hold selects all its engines when it begins and no
+ * engine is in two holds, so a hold waits only for running grants, never for
+ * another hold.  This rules out a deadlock in which two requests each hold half
+ * of the engines that they need.
  */
 #include "pool_int.h"
 
 #include <string.h>
 
 /*
- * A hold ends after this many leases: the memory it keeps idle is then given
- * to the next in turn.  Long enough for the grants in its way to end in the
- * ordinary case, short enough that a giant which cannot get its last engine
- * does not idle the others until its deadline.
+ * Lifetime of a hold in grant leases; its memory then goes to the next request.
+ * It is long enough for the grants that occupy its engines to end normally, and
+ * short enough that a request that does not get its last engine does not keep
+ * the others idle until its deadline.
  */
 #define HOLD_LEASES 4
-/* The exchange between the engines of a group, a share of the prefill. */
+/* Communication between the engines of a group, relative to the prefill. */
 #define GROUP_OVERHEAD_PERCENT 10
 #define PERCENT		       100
 
-/* After a hold could not begin, so long until the next is tried. */
+/* Delay before the next attempt after a hold could not begin. */
 #define HOLD_RETRY_MS 100
 
-/* How members are chosen: what is ready soonest, or long ones first. */
+/* Preference among members: earliest ready, or those with long prompts first.
+ */
 enum member_order {
 	BY_READY_TIME,
 	LONG_FIRST,
@@ -66,8 +69,9 @@
 static struct pool_hold *find_free_hold(struct dl_pool *pool);
 
 /*
- * A group alone may pass the share for long prompts, since the longest need
- * several engines of a small pool; one engine is still kept free of them.
+ * Largest group.  A single group may exceed the share of the pool for long
+ * prompts, since the longest need several engines of a small pool; one engine
+ * still stays free.
  */
 static uint32_t group_max(const struct dl_pool *pool)
 {
@@ -97,8 +101,8 @@
 }
 
 /*
- * The smallest group whose engines could hold the request if they were empty,
- * and each one's share; 0 where none could.
+ * Returns the size of the smallest group whose engines could hold the request
+ * if they were empty, and the share of each; 0 if there is none.
  */
 uint32_t pool_group_size(const struct dl_pool *pool,
 			 const struct pool_want *want, uint64_t *share)
@@ -150,8 +154,8 @@
 }
 
 /*
- * When an engine is expected to have read what it has and to have a share of
- * memory free: as its grants end, oldest first, at their predicted times.
+ * Time at which an engine is expected to have finished its prefills and to have
+ * a share of memory free, if its grants end at their predicted times.
  */
 static int64_t ready_at(const struct pool_endpoint *e, uint64_t share,
 			int64_t now)
@@ -199,8 +203,8 @@
 }
 
 /*
- * The members that are ready soonest, or, where those would pass the share of
- * the pool for long prompts, the ones that are in it already.
+ * Selects the members that are ready earliest or, if these would exceed the
+ * share of the pool for long prompts, those that hold long prompts already.
  */
 static bool select_within_long_share(struct dl_pool *pool,
 				     const struct pool_want *want, uint32_t n,
@@ -229,7 +233,7 @@
 	return pool->long_endpoints + added <= max;
 }
 
-/* Every dispatcher names a group's engines in the same order. */
+/* Sorts a group's engines by name, so that all dispatchers use one order. */
 static void order_by_name(struct pool_endpoint **members, uint32_t n)
 {
 	for (uint32_t i = 1; i < n; i++) {
@@ -270,8 +274,8 @@
 }
 
 /*
- * Choose a group that is free now.  The smallest that holds the request and
- * ends in time: each further engine is one more that short prompts share.
+ * Chooses a group that is free now: the smallest that holds the request and
+ * meets its deadline, since each further engine is taken from short prompts.
  */
 enum pool_found pool_group_choose(struct dl_pool *pool,
 				  const struct pool_want *want, int64_t now,
@@ -297,7 +301,7 @@
 	return POOL_WAIT;
 }
 
-/* The hold for a request, or NULL. */
+/* Returns the hold for a request, or NULL. */
 struct pool_hold *pool_hold_of(struct dl_pool *pool,
 			       const struct pool_want *want)
 {
@@ -308,7 +312,7 @@
 	return NULL;
 }
 
-/* Choose the members of a hold once each has its share free. */
+/* Chooses the members of a hold once each has its share of memory free. */
 enum pool_found pool_hold_choose(struct dl_pool *pool, struct pool_hold *hold,
 				 int64_t now, struct pool_choice *out)
 {
@@ -342,11 +346,11 @@
 }
 
 /*
- * Begin to gather memory for a request at the head of its lane that fits
- * nowhere.  For long prompts under a steady load of short ones, which would
- * otherwise take each freed piece before enough of them lie together.  Short
- * ones go on in what is left of the members' memory.  A few holds at a time:
- * each idles some memory until its last member is ready.
+ * Begins to reserve memory for a request at the head of its lane that fits on
+ * no endpoint.  Under a steady load of short prompts these would otherwise take
+ * each freed piece of memory before a long prompt fits.  Short prompts continue
+ * in the rest of the members' memory.  The number of holds is limited, since
+ * each keeps memory idle until its last member is ready.
  */
 bool pool_hold_begin(struct dl_pool *pool, struct pool_request *req,
 		     int64_t now)
@@ -384,7 +388,7 @@
 	return true;
 }
 
-/* Give up what was gathered. */
+/* Ends a hold and releases its reserved memory. */
 void pool_hold_end(struct dl_pool *pool, struct pool_hold *hold)
 {
 	uint8_t n = hold->n;
@@ -400,7 +404,7 @@
 	}
 }
 
-/* End the holds whose time is over; the next giant has its turn. */
+/* Ends expired holds, so that the next request can begin one. */
 void pool_hold_expire(struct dl_pool *pool, int64_t now)
 {
 	for (int i = 0; i < POOL_HOLDS; i++) {
@@ -413,7 +417,7 @@
 	}
 }
 
-/* When the first hold ends, INT64_MAX for never. */
+/* Time at which the first hold expires, INT64_MAX if there is none. */
 int64_t pool_hold_expiry(const struct dl_pool *pool)
 {
 	int64_t at = INT64_MAX;
@@ -424,7 +428,7 @@
 	return at;
 }
 
-/* A member was lost or closed: gather elsewhere. */
+/* Ends the hold of an endpoint that was lost or closed. */
 void pool_hold_lost(struct dl_pool *pool, const struct pool_endpoint *e)
 {
 	if (e->hold)
