--- a/src/coordination/pool_heap.c
+++ b/src/coordination/pool_heap.c
@@ -1,4 +1,4 @@
-/* A binary heap whose nodes stand inside what they order. */
+/* An intrusive binary min-heap. */
 #include "pool_int.h"
 
 #include <stdlib.h>
@@ -10,7 +10,7 @@
 static void sift_up(struct pool_heap *heap, struct pool_heap_node *node);
 static void sift_down(struct pool_heap *heap, struct pool_heap_node *node);
 
-/* Free the heap, not what its nodes stand in. */
+/* Frees the heap, but not the structures that contain its nodes. */
 void pool_heap_free(struct pool_heap *heap)
 {
 	free((void *)heap->at);
@@ -51,7 +51,7 @@
 	place_node(heap, pos, node);
 }
 
-/* Put a node in under a key, or move it to another key. */
+/* Inserts a node, or changes its key if it is in the heap. */
 void pool_heap_set(struct pool_heap *heap, struct pool_heap_node *node,
 		   int64_t key)
 {
@@ -72,7 +72,7 @@
 	sift_down(heap, node);
 }
 
-/* Take a node out; nothing happens where it is not in. */
+/* Removes a node; does nothing if it is not in the heap. */
 void pool_heap_remove(struct pool_heap *heap, struct pool_heap_node *node)
 {
 	struct pool_heap_node *last;
@@ -89,7 +89,7 @@
 	sift_down(heap, last);
 }
 
-/* The node with the smallest key, or NULL. */
+/* Returns the node with the smallest key, or NULL. */
 struct pool_heap_node *pool_heap_top(const struct pool_heap *heap)
 {
 	return heap->n ? heap->at[1] : NULL;
--- a/src/coordination/pool_index.c
+++ b/src/coordination/pool_index.c
@@ -1,7 +1,7 @@
 /*
- * An index over the endpoints, so that finding one costs the logarithm of
- * their number: a complete binary tree whose inner nodes hold the best of
- * everything below.  A search prunes by them, see pool_place.c.
+ * An index over the endpoints that makes a search logarithmic in their number:
+ * a complete binary tree in which each inner node holds the best values of its
+ * subtree.  pool_place.c prunes its search by these values.
  */
 #include "pool_int.h"
 
@@ -18,7 +18,6 @@
 
 static void update_inner_node(struct pool_index *index, uint32_t at);
 
-/* Free the index. */
 void pool_index_free(struct pool_index *index)
 {
 	free(index->at);
@@ -26,7 +25,7 @@
 	index->room = 0;
 }
 
-/* Make room for this many endpoints; those known keep their leaves. */
+/* Grows the index for this many endpoints; existing leaves are kept. */
 void pool_index_resize(struct pool_index *index, uint32_t endpoints)
 {
 	uint32_t room = index->room ? index->room : INDEX_FIRST_ROOM;
@@ -66,7 +65,7 @@
 							       b->ms_per_token;
 }
 
-/* Set an endpoint's leaf; NULL closes it. */
+/* Sets an endpoint's leaf; NULL marks the endpoint unavailable. */
 void pool_index_set(struct pool_index *index, uint32_t slot,
 		    const struct pool_index_node *leaf)
 {
@@ -77,7 +76,7 @@
 		update_inner_node(index, at);
 }
 
-/* The best of all endpoints. */
+/* Returns the best values over all endpoints. */
 const struct pool_index_node *pool_index_root(const struct pool_index *index)
 {
 	return index->room ? &index->at[1] : &unavailable_leaf;
--- a/src/coordination/pool_map.c
+++ b/src/coordination/pool_map.c
@@ -1,4 +1,4 @@
-/* A chained hash table whose nodes stand inside what is looked up. */
+/* An intrusive chained hash table. */
 #include "pool_int.h"
 
 #include <stdlib.h>
@@ -7,7 +7,7 @@
 
 static void grow(struct pool_map *map);
 
-/* Begin an empty table. */
+/* Initialises an empty table. */
 void pool_map_init(struct pool_map *map)
 {
 	map->n = 0;
@@ -17,7 +17,7 @@
 		abort();
 }
 
-/* Free the table, not what its nodes stand in. */
+/* Frees the table, but not the structures that contain its nodes. */
 void pool_map_free(struct pool_map *map)
 {
 	free(map->bucket);
@@ -48,7 +48,7 @@
 	map->mask = room - 1;
 }
 
-/* Add a node that is not in yet. */
+/* Adds a node that is not in the table yet. */
 void pool_map_add(struct pool_map *map, struct pool_map_node *node,
 		  uint64_t hash)
 {
@@ -60,7 +60,7 @@
 	map->n++;
 }
 
-/* Take a node out that is in. */
+/* Removes a node that is in the table. */
 void pool_map_remove(struct pool_map *map, struct pool_map_node *node)
 {
 	struct pool_map_node **link = &map->bucket[node->hash & map->mask];
@@ -71,7 +71,7 @@
 	map->n--;
 }
 
-/* The first node of this hash, or NULL. */
+/* Returns the first node with this hash, or NULL. */
 struct pool_map_node *pool_map_first(const struct pool_map *map, uint64_t hash)
 {
 	struct pool_map_node *node = map->bucket[hash & map->mask];
@@ -81,7 +81,7 @@
 	return node;
 }
 
-/* The next node of the same hash, or NULL. */
+/* Returns the next node with the same hash, or NULL. */
 struct pool_map_node *pool_map_next(const struct pool_map_node *node)
 {
 	uint64_t hash = node->hash;
--- a/src/coordination/pool_prefix.c
+++ b/src/coordination/pool_prefix.c
@@ -1,13 +1,13 @@
 /*
- * Where the start of a prompt was last read, and how much of it may still be
- * in that engine's cache.  Cache events come late and with gaps, so this is an
- * estimate that fades; nothing is promised on it.
+ * Tracks which endpoint last prefilled a prompt prefix, and estimates how much
+ * of it is still in that engine's cache.  Cache events arrive late and with
+ * gaps, so the estimate decays with time and no guarantee depends on it.
  */
 #include "pool_int.h"
 
 /*
- * After this long without use nothing is expected of a cache: memory for
- * prefixes is limited and goes to whoever comes next.
+ * A prefix unused for this long is expected to be evicted: cache memory is
+ * limited and goes to later requests.
  */
 #define PREFIX_DECAY_MS 120000
 
@@ -20,7 +20,7 @@
 	return &pool->prefixes[pool_mix(prefix) % POOL_PREFIXES];
 }
 
-/* Tokens of a prompt that an endpoint is expected not to read again. */
+/* Estimates the prompt tokens that an endpoint has in its cache. */
 uint32_t pool_prefix_cached_tokens(const struct dl_pool *pool,
 				   const struct pool_want *want,
 				   const struct pool_endpoint *e, int64_t now)
@@ -45,7 +45,7 @@
 	return (uint32_t)(tokens * (uint64_t)left / PREFIX_DECAY_MS);
 }
 
-/* The endpoint that last read this start of a prompt, or NULL. */
+/* Returns the endpoint that last prefilled this prompt prefix, or NULL. */
 struct pool_endpoint *pool_prefix_endpoint(const struct dl_pool *pool,
 					   const struct pool_want *want)
 {
@@ -61,7 +61,7 @@
 	return node ? POOL_OF(node, struct pool_endpoint, by_name) : NULL;
 }
 
-/* An endpoint reads, or says that it holds, this start of a prompt. */
+/* Records that an endpoint prefills a prompt prefix or reports it as cached. */
 void pool_prefix_note(struct dl_pool *pool, uint64_t prefix, uint32_t tokens,
 		      const struct pool_endpoint *e, int64_t now)
 {
@@ -76,7 +76,10 @@
 				   .tokens = tokens };
 }
 
-/* An endpoint says, or showed by its time, that it does not hold it. */
+/*
+ * Removes a prefix that an endpoint reports as evicted, or whose prefill time
+ * shows that it was not cached.
+ */
 void pool_prefix_forget(struct dl_pool *pool, uint64_t prefix,
 			const struct pool_endpoint *e)
 {
--- a/src/coordination/pool_tree.c
+++ b/src/coordination/pool_tree.c
@@ -1,7 +1,7 @@
 /*
- * A treap: requests of one flow by deadline, with the sum of the work before
- * any of them in logarithmic time.  Depth is logarithmic as long as ranks are
- * random, which pool_queue.c sees to.
+ * A treap of the requests of one flow by deadline, which sums the work ahead of
+ * a request in logarithmic time.  Its depth is logarithmic as long as the ranks
+ * are random; pool_queue.c sets them.
  */
 #include "pool_int.h"
 
@@ -63,7 +63,7 @@
 	return right;
 }
 
-/* Insert a node whose key, order, weight and rank are set. */
+/* Inserts a node whose key, order, weight and rank are set. */
 void pool_tree_insert(struct pool_tree_node **root, struct pool_tree_node *node)
 {
 	struct pool_tree_node *left, *right;
@@ -75,7 +75,7 @@
 	*root = merge(merge(left, node), right);
 }
 
-/* Remove a node that is in the tree. */
+/* Removes a node that is in the tree. */
 void pool_tree_remove(struct pool_tree_node **root, struct pool_tree_node *node)
 {
 	struct pool_tree_node **link = root;
@@ -91,7 +91,7 @@
 		*link = merge(node->left, node->right);
 }
 
-/* The node of the smallest key, or NULL. */
+/* Returns the node with the smallest key, or NULL. */
 struct pool_tree_node *pool_tree_first(struct pool_tree_node *root)
 {
 	while (root && root->left)
@@ -99,7 +99,7 @@
 	return root;
 }
 
-/* The node of the largest key, or NULL. */
+/* Returns the node with the largest key, or NULL. */
 struct pool_tree_node *pool_tree_last(struct pool_tree_node *root)
 {
 	while (root && root->right)
@@ -107,7 +107,7 @@
 	return root;
 }
 
-/* The node next after another one of the tree, or NULL. */
+/* Returns the node that follows another one of the tree, or NULL. */
 struct pool_tree_node *pool_tree_next(struct pool_tree_node *root,
 				      const struct pool_tree_node *node)
 {
@@ -125,7 +125,7 @@
 	return next;
 }
 
-/* The weights of all nodes before (key, order), added up. */
+/* Returns the sum of the weights of all nodes before (key, order). */
 uint64_t pool_tree_sum_before(const struct pool_tree_node *root, int64_t key,
 			      uint64_t order)
 {
