--- a/src/coordination/pool_group.c
+++ b/src/coordination/pool_group.c
@@ -27,7 +27,8 @@
 /* Delay before the next attempt after a hold could not begin. */
 #define HOLD_RETRY_MS 100
 
-/* Preference among members: earliest ready, or those with long prompts first.
+/*
+ * Preference among members: earliest ready, or those with long prompts first.
  */
 enum member_order {
 	BY_READY_TIME,
