--- a/test/fake/verdict.c
+++ b/test/fake/verdict.c
@@ -1,4 +1,4 @@
-/* Compare what callers were told with what endpoints ran. */
+/* Compares the outcomes reported to callers with what endpoints executed. */
 #include <errno.h>
 #include <inttypes.h>
 #include <math.h>
@@ -8,10 +8,12 @@
 #include "verdict.h"
 
 #define LEAVING_MAX_MS 2000
-/* The script notes the time just before or after the kill itself. */
+/* The test script logs the time just before or after the kill itself. */
 #define OUTAGE_SLACK_MS 50
-#define VIOLATIONS_MAX	20 /* told in full; the rest is counted */
-#define RECORD_FIELDS	9
+#define VIOLATIONS_MAX                                                         \
+	20 /* printed per guarantee; the rest is only counted                  \
+	    */
+#define RECORD_FIELDS 9
 
 enum record_field {
 	FIELD_KIND,
@@ -143,7 +145,7 @@
 	return 0;
 }
 
-/* Whether its entry was away at some time between its start and its end. */
+/* Whether the request's entry had an outage while the request ran. */
 static bool had_outage(const struct verdict *v, const struct verdict_result *r)
 {
 	double end = r->wall_start + (r->ended - r->start);
@@ -173,8 +175,8 @@
 	g_string_append_printf(
 		v->violations,
 		"%s: request %" PRIu64 " id %s hash %016" PRIx64
-		" through %s status %d told %s reason %s took %.0f of %u ms, "
-		"ttft %.0f, begun %u times, end %d\n",
+		" through %s status %d outcome %s reason %s took %.0f of %u "
+		"ms, ttft %.0f, executed %u times, end %d\n",
 		guarantee_texts[guarantee], r->number, r->id[0] ? r->id : "-",
 		r->hash, dl_vm_text(r->entry, vm), r->status,
 		outcome_names[r->outcome], r->reason[0] ? r->reason : "-",
@@ -221,14 +223,15 @@
 	if (v->memory_left)
 		g_string_append_printf(v->violations,
 				       "memory: %" PRIu64
-				       " tokens are still held\n",
+				       " tokens are still allocated\n",
 				       v->memory_left);
 	v->checked[GUARANTEE_LEAVING] = v->leaving_reports;
 	v->violated[GUARANTEE_LEAVING] = v->late_dispatches;
 	if (v->late_dispatches)
 		g_string_append_printf(v->violations,
-				       "leaving: %u requests came later than "
-				       "%d ms after it was said\n",
+				       "leaving: %u requests arrived more than "
+				       "%d ms after the endpoint said that it "
+				       "leaves\n",
 				       v->late_dispatches, LEAVING_MAX_MS);
 }
 
@@ -270,7 +273,8 @@
 	g_array_free(ttft, TRUE);
 }
 
-/* "held", "broken", or "not tested" where nothing was there to judge. */
+/* Prints a line per guarantee: held, broken, or untested if nothing was
+ * checked. */
 void verdict_print(const struct verdict *v, FILE *to)
 {
 	for (int i = 0; i < GUARANTEE_COUNT; i++) {
--- a/test/fake/verdict.h
+++ b/test/fake/verdict.h
@@ -1,5 +1,6 @@
 /*
- * The judge: what callers were told against what endpoints recorded.
+ * Checks the outcomes reported to callers against the requests that endpoints
+ * recorded as executed.
  */
 #ifndef DL_TEST_FAKE_VERDICT_H
 #define DL_TEST_FAKE_VERDICT_H
@@ -9,7 +10,7 @@
 
 #include "daisyledge/base.h"
 
-/* What a caller was told; nothing where its connection broke. */
+/* Outcome reported to a caller; none if its connection broke. */
 enum verdict_outcome {
 	VERDICT_DONE,
 	VERDICT_FAILED,
@@ -22,16 +23,16 @@
 struct verdict_result {
 	guint class;
 	uint64_t number;
-	uint64_t hash; /* of the prompt, or of the plain body or query */
+	uint64_t hash; /* of the prompt, the plain body or the query */
 	char id[64];
 	char workspace[64];
 	char reason[64];
 	uint64_t entry;
 	bool idempotent;
 	bool keyed;
-	bool complete;	/* the whole answer and this one's */
-	bool is_prefix; /* what came is the answer's beginning */
-	bool garbled;	/* an event that is no JSON */
+	bool complete;	/* the whole answer to this request arrived */
+	bool is_prefix; /* what arrived is a prefix of the answer */
+	bool garbled;	/* an event was not valid JSON */
 	bool cut_done_mark;
 	bool retry_after;
 	bool excused; /* its entry was killed or frozen meanwhile */
@@ -41,13 +42,13 @@
 	guint resent;
 	uint64_t tokens;
 	uint32_t deadline_ms;
-	double wall_start; /* ms, by the time of day */
-	double start;	   /* ms */
+	double wall_start; /* milliseconds, wall clock */
+	double start;	   /* milliseconds, monotonic clock */
 	double ttft;
 	double ended;
 };
 
-/* The promises judged here, one line each. */
+/* The guarantees checked here, printed one per line. */
 enum verdict_guarantee {
 	GUARANTEE_DEADLINE,
 	GUARANTEE_OUTCOME,
@@ -59,10 +60,10 @@
 	GUARANTEE_COUNT
 };
 
-/* When an entry was killed or frozen: nobody can be answered by it then. */
+/* Interval in which an entry was killed or frozen and cannot answer callers. */
 struct verdict_outage {
 	uint64_t entry;
-	double from; /* ms, by the time of day */
+	double from; /* milliseconds, wall clock */
 	double to;
 };
 
@@ -71,8 +72,8 @@
 	uint64_t memory_left;
 	guint engines_alive;
 	GArray *outages;	/* of struct verdict_outage */
-	GHashTable *executions; /* hash to executions begun */
-	guint late_dispatches;	/* too long after leaving was said */
+	GHashTable *executions; /* request hash to number of executions */
+	guint late_dispatches;	/* received too long after leaving */
 	guint leaving_reports;	/* endpoints that said that they leave */
 	guint records;
 	guint violated[GUARANTEE_COUNT];
@@ -83,12 +84,12 @@
 struct verdict_row {
 	guint offered;
 	guint outcomes[VERDICT_OUTCOMES];
-	double ttft[3]; /* p50, p95, p99 of those done */
+	double ttft[3]; /* p50, p95, p99 of completed requests */
 };
 
 enum verdict_outcome verdict_parse_outcome(const char *outcome);
 const char *verdict_outcome_name(enum verdict_outcome outcome);
-/* Lines of "IP:PORT away MS" and "IP:PORT back MS". */
+/* Reads lines of "IP:PORT away MS" and "IP:PORT back MS". */
 int verdict_read_outages(struct verdict *v, const char *file);
 int verdict_read_execution_log(struct verdict *v, const char *file);
 void verdict_check(struct verdict *v, GPtrArray *results);
--- a/test/test_verdict.c
+++ b/test/test_verdict.c
@@ -1,4 +1,4 @@
-/* The judge of the load tool: it must see each kind of broken promise. */
+/* The load tool's checks must detect a violation of each guarantee. */
 #include <check.h>
 #include <stdlib.h>
 #include <string.h>
@@ -13,7 +13,7 @@
 #define SLACK_MS    250
 #define WALL	    5000.0
 
-/* One request, what was recorded of it, and the promise that it breaks. */
+/* A request, its execution log, and the guarantee that it violates. */
 struct verdict_case {
 	const char *name;
 	enum verdict_outcome outcome;
@@ -24,7 +24,7 @@
 	double took;
 	const char *record;
 	const char *away;
-	int violates; /* a promise, or GUARANTEE_COUNT for none */
+	int violates; /* a guarantee, or GUARANTEE_COUNT for none */
 };
 
 #define BEGUN "B 1 127.0.0.1:9 r - 00000000000000ab /p -1 begun\n"
@@ -44,38 +44,38 @@
 	  GUARANTEE_DEADLINE },
 	{ "late, another VM was killed", VERDICT_DONE, true, true, true, 200,
 	  1300, BEGUN, "127.0.0.2:1 away 5100\n", GUARANTEE_DEADLINE },
-	{ "told nothing", VERDICT_NO_OUTCOME, true, false, true, 0, 10, "", "",
+	{ "no outcome", VERDICT_NO_OUTCOME, true, false, true, 0, 10, "", "",
 	  GUARANTEE_OUTCOME },
-	{ "told nothing by a killed VM", VERDICT_NO_OUTCOME, true, false, true,
+	{ "no outcome from a killed VM", VERDICT_NO_OUTCOME, true, false, true,
 	  0, 300, "", "127.0.0.1:1 away 5290\n", GUARANTEE_COUNT },
-	{ "done without the whole answer", VERDICT_DONE, true, false, true, 200,
-	  10, BEGUN, "", GUARANTEE_CONTENT },
-	{ "done, but nowhere run", VERDICT_DONE, true, true, true, 200, 10, "",
-	  "", GUARANTEE_CONTENT },
-	{ "failed after another's bytes", VERDICT_FAILED, true, false, false,
+	{ "done with an incomplete answer", VERDICT_DONE, true, false, true,
 	  200, 10, BEGUN, "", GUARANTEE_CONTENT },
-	{ "failed after a part", VERDICT_FAILED, true, false, true, 200, 10,
-	  BEGUN, "", GUARANTEE_COUNT },
-	{ "not-run, yet it ran", VERDICT_NOT_RUN, true, false, false, 503, 10,
+	{ "done, but not executed", VERDICT_DONE, true, true, true, 200, 10, "",
+	  "", GUARANTEE_CONTENT },
+	{ "failed after bytes of another answer", VERDICT_FAILED, true, false,
+	  false, 200, 10, BEGUN, "", GUARANTEE_CONTENT },
+	{ "failed after a part of the answer", VERDICT_FAILED, true, false,
+	  true, 200, 10, BEGUN, "", GUARANTEE_COUNT },
+	{ "not-run, but executed", VERDICT_NOT_RUN, true, false, false, 503, 10,
 	  BEGUN, "", GUARANTEE_NOT_RUN },
-	{ "a confirmation run twice", VERDICT_DONE, false, true, true, 200, 10,
-	  BEGUN BEGUN, "", GUARANTEE_AT_MOST_ONCE },
-	{ "a ping run twice", VERDICT_DONE, true, true, true, 200, 10,
+	{ "not idempotent, executed twice", VERDICT_DONE, false, true, true,
+	  200, 10, BEGUN BEGUN, "", GUARANTEE_AT_MOST_ONCE },
+	{ "idempotent, executed twice", VERDICT_DONE, true, true, true, 200, 10,
 	  BEGUN BEGUN, "", GUARANTEE_COUNT },
-	{ "run by one that left long ago", VERDICT_DONE, true, true, true, 200,
+	{ "executed long after leaving", VERDICT_DONE, true, true, true, 200,
 	  10, "B 1 127.0.0.1:9 r - 00000000000000ab /p 2001 begun\n", "",
 	  GUARANTEE_LEAVING },
-	{ "sent to one that left long ago", VERDICT_NOT_RUN, true, false, false,
+	{ "rejected long after leaving", VERDICT_NOT_RUN, true, false, false,
 	  503, 10, "X 1 127.0.0.1:9 r - 00000000000000ab /p 2001 leaving\n", "",
 	  GUARANTEE_LEAVING },
-	{ "run by one that leaves just now", VERDICT_DONE, true, true, true,
-	  200, 10, "B 1 127.0.0.1:9 r - 00000000000000ab /p 1999 begun\n", "",
+	{ "executed just after leaving", VERDICT_DONE, true, true, true, 200,
+	  10, "B 1 127.0.0.1:9 r - 00000000000000ab /p 1999 begun\n", "",
 	  GUARANTEE_COUNT },
 };
 
 #define CASES (sizeof(cases) / sizeof(cases[0]))
 
-/* A file with this text, whose name is the caller's. */
+/* Writes the text to a temporary file; the caller frees its name. */
 static char *write_temp_file(const char *text)
 {
 	char *name = NULL;
@@ -130,7 +130,7 @@
 	check_case(&v, c);
 	for (int i = 0; i < GUARANTEE_COUNT; i++)
 		ck_assert_msg((v.violated[i] > 0) == (i == c->violates),
-			      "%s: promise %d broken %u times", c->name, i,
+			      "%s: guarantee %d violated %u times", c->name, i,
 			      v.violated[i]);
 	ck_assert_int_eq(verdict_passed(&v), c->violates == GUARANTEE_COUNT);
 	verdict_free(&v);
