--- a/test/fake/deployment_sim.c
+++ b/test/fake/deployment_sim.c
@@ -1,4 +1,4 @@
-/* A load played over the dispatcher and emulated engines; see the header. */
+/* Load simulation of a deployment; see the header. */
 #include "deployment_sim.h"
 
 #include <glib.h>
@@ -12,10 +12,10 @@
 #define DRAIN_S	  20
 #define MS_PER_S  1000
 #define RETRIES	  1
-#define REPORT_MS 200 /* as late as the reports of engines are */
+#define REPORT_MS 200 /* reporting interval of real engines */
 #define RENEW_MS  1000
 #define OUTPUT_LIMIT_FACTOR                                                    \
-	2.5 /* output that callers allow, of what they use */
+	2.5 /* max_tokens of callers over their actual output */
 #define LATE_VALUE	     0.25
 #define LONGEST_SHARE	     0.2
 #define DECODED_TOKEN_WEIGHT 10.0
@@ -38,7 +38,7 @@
 	char workspace[WORKSPACE_NAME_MAX];
 };
 
-/* One run; the callbacks of the engines need it. */
+/* State of the current run; global because engine callbacks use it. */
 static const struct sim_deployment *current;
 static struct dl_pool *pool;
 static struct pass_engine engines[SIM_ENGINES_MAX];
@@ -84,7 +84,7 @@
 	       tokens * tokens / 2 / 1e6 * m->per_pairs_ms;
 }
 
-/* The engines of a grant begin. */
+/* Submits a granted prompt to its engines. */
 static void start_on_engines(struct caller *c, const struct dl_answer *a)
 {
 	double part = prefill_ms((double)c->tokens) / a->endpoints;
@@ -119,7 +119,7 @@
 		c->done = true;
 		return;
 	}
-	/* Told to come back, and not past a third of the time that is left. */
+	/* Retry when told, but within a third of the time left. */
 	c->retry_at = now + MIN((int64_t)a->retry_after_ms, left / 3);
 }
 
@@ -147,7 +147,7 @@
 	handle_answer(&a);
 }
 
-/* Of a logarithm that is spread normally, about a mean. */
+/* Draws from a log-normal distribution with this mean. */
 static double draw_lognormal(double mean, double spread)
 {
 	double u = g_rand_double(rnd), v = g_rand_double(rnd);
@@ -199,7 +199,7 @@
 	c->late = !c->in_time && at - c->arrived <= k->patience_ms;
 }
 
-/* When the callers that count begin to come. */
+/* Start of the measured interval, after the warm-up. */
 static int64_t counted_from(const struct sim_load *load)
 {
 	return (int64_t)load->warmup_s * MS_PER_S;
@@ -210,7 +210,7 @@
 	return counted_from(load) + (int64_t)load->seconds * MS_PER_S;
 }
 
-/* Requests of a kind that come in a second, at this moment. */
+/* Current arrival rate of a kind, in requests per second. */
 static double arrival_rate(const struct sim_load *load, uint32_t kind)
 {
 	return now < counted_from(load) ? load->warmup_rate[kind] :
@@ -253,14 +253,14 @@
 	return x < y ? 1 : x > y ? -1 : 0;
 }
 
-/* What an answer counts: a token written takes as long as ten that are read. */
+/* Value of an answer; decoding a token takes as long as prefilling ten. */
 static double value_of(const struct caller *c)
 {
 	return (double)c->tokens + DECODED_TOKEN_WEIGHT * (double)c->events *
 					   current->engine.stride;
 }
 
-/* What the callers of one kind got. */
+/* Summarises the results of one kind. */
 static void summarize(const struct sim_load *load, uint32_t kind,
 		      struct sim_count *out, double *got, double *asked)
 {
@@ -300,7 +300,7 @@
 	g_ptr_array_free(of, TRUE);
 }
 
-/* Play a load under one way to dispatch. */
+/* Simulates a load under a dispatch policy. */
 void sim_run(const struct sim_deployment *deployment,
 	     const struct sim_load *load, const struct dl_pool_policy *policy,
 	     struct sim_result *out)
@@ -337,7 +337,7 @@
 	dl_pool_free(pool);
 }
 
-/* Of a thousand of one kind, those in time. */
+/* Permille of the requests of a kind that were served in time. */
 uint32_t sim_in_time_permille(const struct sim_result *result, uint32_t kind)
 {
 	const struct sim_count *c = &result->kind[kind];
@@ -345,7 +345,7 @@
 	return c->asked ? c->in_time * 1000 / c->asked : 1000;
 }
 
-/* One line of what came of a load. */
+/* Prints the results of a load on one line. */
 void sim_print(const struct sim_load *load, const char *way,
 	       const struct sim_deployment *deployment,
 	       const struct sim_result *result)
--- a/test/fake/engine.c
+++ b/test/fake/engine.c
@@ -1,4 +1,4 @@
-/* The model of time and memory of one fake engine. */
+/* Timing and memory model of one fake engine. */
 #include <errno.h>
 
 #include "engine.h"
@@ -65,8 +65,10 @@
 	return (uint64_t)seq->decoded;
 }
 
-/* Spend the step's prefill on sequences in their order; the first token
- * comes with the end of the prefill. */
+/*
+ * Spends the step's prefill budget on the sequences in order.  The end of a
+ * prefill yields the first token.
+ */
 static void step_prefill(struct fake_engine *e, double share)
 {
 	for (guint i = 0; i < e->seqs->len && share > 0; i++) {
--- a/test/fake/load.c
+++ b/test/fake/load.c
@@ -1,4 +1,4 @@
-/* Callers, entries and engines around pools; one step a millisecond. */
+/* Simulated callers, entries and engines; one step per millisecond. */
 #include "load.h"
 
 #include <math.h>
@@ -8,7 +8,7 @@
 
 #define ENTRIES		  6
 #define RENEW_MS	  500
-#define TRAVEL_MS	  1 /* of a grant and its prompt */
+#define TRAVEL_MS	  1 /* from the dispatcher to the engine */
 #define PERMILLE	  1000
 #define US_PER_MS	  1000
 #define WORKSPACES	  10
@@ -106,7 +106,7 @@
 		->tag = tag;
 }
 
-/* Time to the next arrival, in microseconds. */
+/* Random time to the next arrival, in microseconds. */
 static int64_t arrival_gap_us(GRand *rnd, double per_ms)
 {
 	return (int64_t)(-log(1 - g_rand_double(rnd)) / per_ms * US_PER_MS);
--- a/test/fake/load.h
+++ b/test/fake/load.h
@@ -1,6 +1,6 @@
 /*
- * Callers, entries and engines around pools, in simulated time: requests are
- * asked for, granted ones run on fake engines, and each one's outcome is kept.
+ * Simulates callers, entries and engines around dispatcher pools: submits
+ * requests, runs granted ones on simulated engines and records each outcome.
  */
 #ifndef SIM_LOAD_H
 #define SIM_LOAD_H
@@ -19,28 +19,28 @@
 	LOAD_RUNNING,
 	LOAD_DONE,
 	LOAD_REFUSED,
-	LOAD_LATE, /* granted, not done by its deadline */
+	LOAD_LATE, /* granted, but not done by its deadline */
 	LOAD_LOST, /* its engine or entry died */
 	LOAD_CANCELLED,
 };
 
-/* Lengths and kinds of requests, for counting them. */
+/* Kinds of requests, counted separately. */
 enum load_tag {
-	LOAD_SHORT,  /* about a thousand tokens */
-	LOAD_MEDIUM, /* ten thousand */
-	LOAD_LONG,   /* from a hundred thousand on */
-	LOAD_GIANT,  /* a million */
+	LOAD_SHORT,  /* about 1,000 tokens */
+	LOAD_MEDIUM, /* about 10,000 */
+	LOAD_LONG,   /* 100,000 or more */
+	LOAD_GIANT,  /* 1,000,000 */
 	LOAD_FLOOD,
 };
 
-/* Demand over a stretch of time. */
+/* Demand over a time interval. */
 struct load_demand {
 	int64_t from;
 	int64_t to;
 	double tokens_per_ms;
-	bool with_long;	  /* in a mix */
-	uint32_t skew;	  /* permille that workspace 0 asks for, tagged flood */
-	int64_t short_ms; /* a short one's time */
+	bool with_long;	  /* load_add_mix adds long prompts */
+	uint32_t skew;	  /* permille of workspace 0, tagged LOAD_FLOOD */
+	int64_t short_ms; /* time to the deadline of a short request */
 };
 
 struct load_request {
@@ -52,7 +52,7 @@
 	uint32_t prefix_tokens;
 	uint32_t workspace;
 	enum dl_class class;
-	uint32_t tag; /* the test's own */
+	uint32_t tag; /* enum load_tag, or a value of the test */
 
 	enum load_outcome outcome;
 	enum dl_reason reason;
@@ -65,26 +65,26 @@
 	uint8_t engines;
 	uint8_t engine[DL_GROUP_MAX];
 	uint8_t first_events;
-	int64_t decode_ends; /* a group's decoding ends */
+	int64_t decode_ends; /* end of decoding by a group */
 	struct dl_answer answer;
 };
 
 struct load {
-	struct dl_pool *pool[LOAD_POOLS]; /* asked in turn */
+	struct dl_pool *pool[LOAD_POOLS]; /* used in turn */
 	uint32_t pools;
 	const struct dl_pool_policy *policy;
 	struct dl_pool_conf conf;
 	struct sim_engine engine[LOAD_ENGINES];
 	uint32_t engines;
-	bool check; /* assert the invariants after every event */
+	bool check; /* check the invariants after each event */
 	const char *broken;
-	uint32_t cut; /* engines from here on are not heard (cut off) */
+	uint32_t cut; /* engines from this index on do not report */
 
 	struct load_request *request;
 	uint32_t requests;
 	uint32_t room;
 	uint32_t asked;
-	uint32_t oldest; /* all before are over */
+	uint32_t oldest; /* all requests before this one have ended */
 	int64_t now;
 };
 
@@ -93,29 +93,31 @@
 	       const struct dl_pool_conf *conf,
 	       const struct dl_pool_policy *policy, uint32_t pools);
 void load_fini(struct load *load);
-/* Add a request; arrivals must be in order of time. */
+/* Adds a request; calls must be in order of arrival time. */
 struct load_request *load_add(struct load *load, int64_t at,
 			      enum dl_class class, uint32_t workspace,
 			      uint64_t prompt, uint64_t output,
 			      int64_t within_ms);
-/* A short request of 500 to 1,500 tokens. */
+/* Adds a short request of 500 to 1,500 tokens. */
 void load_add_short(struct load *load, GRand *rnd, int64_t at,
 		    uint32_t workspace, uint32_t tag, int64_t within_ms);
-/* Short requests of ten workspaces. */
+/* Adds short requests from ten workspaces. */
 void load_add_shorts(struct load *load, GRand *rnd,
 		     const struct load_demand *demand);
 /*
- * Mixed lengths of ten workspaces, one in fifty from a hundred thousand tokens
- * on; without long ones the others stay as they are.
+ * Adds requests of mixed lengths from ten workspaces.  One in fifty has a
+ * hundred thousand tokens or more; without with_long these are left out and the
+ * others stay the same.
  */
 void load_add_mix(struct load *load, GRand *rnd,
 		  const struct load_demand *demand);
-/* Run until this time. */
+/* Runs the simulation until this time. */
 void load_run(struct load *load, int64_t until);
-/* Kill the dispatchers; new ones are told of what runs and asked again. */
+/* Replaces the dispatchers; running grants are adopted, queued requests
+ * repeated. */
 void load_fail_over(struct load *load);
 
-/* The given part of the requests' times to the first token since asking. */
+/* Quantile, in permille, of the time from arrival to the first token. */
 int64_t load_ttft(const struct load *load, uint32_t tag, int permille);
 uint64_t load_count(const struct load *load, uint32_t tag,
 		    enum load_outcome outcome);
--- a/test/fake/pass_engine.c
+++ b/test/fake/pass_engine.c
@@ -1,4 +1,4 @@
-/* An engine that works in passes; see the header. */
+/* Simulated engine that works in passes; see the header. */
 #include "pass_engine.h"
 
 #include <math.h>
@@ -7,7 +7,7 @@
 
 static void begin_pass(struct pass_engine *e, int64_t now);
 
-/* An engine that has nothing to do; the model must outlast it. */
+/* Initialises an idle engine; the model must outlive it. */
 void pass_engine_init(struct pass_engine *e,
 		      const struct dl_engine_model *model)
 {
@@ -16,7 +16,7 @@
 	e->slots = model->slots;
 }
 
-/* Those that have a slot: the ones that lead. */
+/* Number of slots in use; only items that decode need one. */
 static uint32_t used_slots(const struct pass_engine *e)
 {
 	uint32_t n = 0;
@@ -26,7 +26,7 @@
 	return n;
 }
 
-/* Give queued ones the slots that are free, first come first. */
+/* Gives free slots to queued items in order of arrival. */
 static void admit(struct pass_engine *e)
 {
 	uint32_t n = used_slots(e);
@@ -40,9 +40,9 @@
 }
 
 /*
- * A request, or a part to be read for one, arrives.  While nobody writes the
- * engine goes on step by step and takes it in at once; what it reads is out
- * when all that it took in is read.
+ * Adds a request, or a part of its prompt.  A pass without decoding runs step
+ * by step and admits it at once, but its results are available only when the
+ * prefill of everything admitted is complete.
  */
 void pass_engine_submit(struct pass_engine *e, struct pass_stream *s,
 			double prefill_ms, double context, bool decodes,
@@ -106,7 +106,7 @@
 	s->events_left--;
 }
 
-/* What was read is out, and each writer has an event. */
+/* Ends a pass: prefills are complete, and each stream has an event. */
 static void end_pass(struct pass_engine *e, int64_t now,
 		     void (*done)(struct pass_stream *s, int64_t now))
 {
@@ -117,7 +117,7 @@
 		struct pass_item item = e->item[i];
 
 		if (item.state == PASS_PREFILL) {
-			/* The first token follows the last part. */
+			/* The last part yields the first token. */
 			if (--item.stream->parts_left == 0)
 				emit_event(item.stream, now);
 			item.state = PASS_PREFILLED;
@@ -138,7 +138,9 @@
 		done(ended[i], now);
 }
 
-/* Whether something can begin now: a lead whose last part was read elsewhere.
+/*
+ * Whether a pass can begin now, also for a stream whose last part was prefilled
+ * by another engine.
  */
 static bool can_begin(const struct pass_engine *e)
 {
@@ -152,7 +154,7 @@
 	return false;
 }
 
-/* Let time pass, in steps that are no longer than a pass. */
+/* Advances to now; must be called at least once per pass. */
 void pass_engine_run(struct pass_engine *e, int64_t now,
 		     void (*done)(struct pass_stream *s, int64_t now))
 {
--- a/test/fake/pass_engine.h
+++ b/test/fake/pass_engine.h
@@ -1,7 +1,7 @@
 /*
- * An engine that works in passes, for tests that play a load over the
- * dispatcher: written from the published description and not from the
- * product's model, so that a fault of that one shows.  Times in milliseconds.
+ * Simulated engine that works in passes, for load simulations.  It follows the
+ * published description and shares no code with the model in engine.c, so that
+ * a fault of that model shows.  Times in milliseconds.
  */
 #ifndef TEST_FAKE_PASS_ENGINE_H
 #define TEST_FAKE_PASS_ENGINE_H
@@ -13,10 +13,10 @@
 
 #define PASS_ENGINE_ITEMS 2048
 
-/* One caller's stream, over all the engines that work on it. */
+/* One caller's stream, shared by all engines that work on it. */
 struct pass_stream {
 	uint64_t id;
-	uint32_t parts_left; /* of its prompt, not yet read */
+	uint32_t parts_left; /* parts of its prompt not prefilled yet */
 	uint32_t events_left;
 	int64_t asked, granted;
 	int64_t first, last; /* events; 0: none yet */
@@ -25,27 +25,26 @@
 	void *owner;
 };
 
-/* What an engine has to do for a stream: read a part, and write, or only read.
- */
+/* Work of an engine for a stream: prefill a part and, if decodes, decode. */
 struct pass_item {
 	struct pass_stream *stream;
 	double prefill_ms;
-	double context; /* tokens that each step of its writing costs */
+	double context; /* tokens in context at each decode step */
 	bool decodes;
 	enum {
-		PASS_QUEUED,  /* no slot */
+		PASS_QUEUED,  /* for a slot */
 		PASS_WAITING, /* for the next pass */
 		PASS_PREFILL,
-		PASS_PREFILLED, /* other engines still read their parts */
+		PASS_PREFILLED, /* other engines still prefill their parts */
 		PASS_DECODE,
 	} state;
 };
 
 struct pass_engine {
-	const struct dl_engine_model *model; /* as they are published */
+	const struct dl_engine_model *model; /* published figures */
 	uint32_t slots;
-	int64_t ends;  /* of the pass under way */
-	bool decoding; /* somebody writes in it */
+	int64_t ends;  /* end of the current pass; 0 or past: idle */
+	bool decoding; /* in the current pass */
 	uint32_t count;
 	struct pass_item item[PASS_ENGINE_ITEMS];
 };
@@ -55,7 +54,7 @@
 void pass_engine_submit(struct pass_engine *e, struct pass_stream *s,
 			double prefill_ms, double context, bool decodes,
 			int64_t now);
-/* Let time pass; done is called for each stream that ends. */
+/* Advances to now; calls done for each stream that ends. */
 void pass_engine_run(struct pass_engine *e, int64_t now,
 		     void (*done)(struct pass_stream *s, int64_t now));
 
--- a/test/fake/sim_engine.c
+++ b/test/fake/sim_engine.c
@@ -1,4 +1,4 @@
-/* The fake engine; time is the caller's, in milliseconds. */
+/* Simulated engine; the caller supplies the time in milliseconds. */
 #include "sim_engine.h"
 
 #include <float.h>
@@ -15,7 +15,7 @@
 static void begin_chunk(struct sim_engine *e, double at);
 static void snapshot(struct sim_engine *e, int64_t now);
 
-/* Begin an idle engine. */
+/* Initialises an idle engine. */
 void sim_engine_init(struct sim_engine *e, const char *name,
 		     const struct sim_engine_conf *conf)
 {
@@ -30,7 +30,6 @@
 		abort();
 }
 
-/* Free it. */
 void sim_engine_fini(struct sim_engine *e)
 {
 	free(e->job);
--- a/test/fake/sim_engine.h
+++ b/test/fake/sim_engine.h
@@ -1,6 +1,7 @@
 /*
- * A model engine as the pool sees one: reads prompts at a rate, in chunks and
- * by priority; answers at a rate; has memory and slots; reports with a lag.
+ * Simulated engine for tests of the pool.  It prefills prompts at a fixed rate,
+ * in chunks and by priority, decodes at a fixed rate, has a limited memory and
+ * number of slots, and reports its load with a lag.
  */
 #ifndef SIM_ENGINE_H
 #define SIM_ENGINE_H
@@ -16,11 +17,10 @@
 	uint32_t slots;
 	uint32_t prefill_rate;
 	uint32_t decode_rate;
-	uint32_t chunk;			 /* tokens read without interruption */
-	uint32_t lag_ms;		 /* of its reports */
-	bool no_priority;		 /* first come, first served */
-	uint32_t reported_load_permille; /* of its load that it reports; 0 is
-					    the truth */
+	uint32_t chunk;			 /* prefill tokens per step */
+	uint32_t lag_ms;		 /* delay of its reports */
+	bool no_priority;		 /* serve in order of arrival */
+	uint32_t reported_load_permille; /* of its true load; 0: all of it */
 };
 
 enum sim_state {
@@ -28,7 +28,7 @@
 	SIM_WAITING, /* for memory or a slot */
 	SIM_PREFILL,
 	SIM_DECODE,
-	SIM_HELD, /* a group's share, read; kept until cancelled */
+	SIM_HELD, /* group share after prefill, until cancelled */
 };
 
 struct sim_job {
@@ -44,10 +44,10 @@
 	double done;
 };
 
-/* What became of a job. */
+/* Progress of a job. */
 struct sim_event {
 	uint64_t id;
-	bool done; /* else its first token */
+	bool done; /* completed; otherwise its first token */
 	int64_t at;
 };
 
@@ -55,17 +55,17 @@
 	struct sim_engine_conf conf;
 	struct dl_name name;
 	uint64_t incarnation;
-	double slow; /* takes this many times as long */
-	bool frozen; /* makes no progress, goes on reporting */
-	bool dead;   /* neither */
+	double slow; /* slowdown factor */
+	bool frozen; /* makes no progress, but reports */
+	bool dead;   /* neither makes progress nor reports */
 	bool leaving;
 	struct sim_job *job;
-	uint32_t jobs; /* places used so far */
+	uint32_t jobs; /* entries of job in use or used before */
 	uint64_t next_order;
 	uint64_t used;
 	uint64_t used_peak;
 	uint32_t running;
-	int prefilling; /* index of the job whose chunk is under way, or -1 */
+	int prefilling; /* index of the job being prefilled, or -1 */
 	double chunk_ends;
 	double clock;
 	struct dl_endpoint_report snapshot[SIM_SNAPSHOTS];
@@ -76,14 +76,14 @@
 void sim_engine_init(struct sim_engine *e, const char *name,
 		     const struct sim_engine_conf *conf);
 void sim_engine_fini(struct sim_engine *e);
-/* Lose everything and come back as a new incarnation. */
+/* Restarts the engine: drops all jobs, with a new incarnation. */
 void sim_engine_restart(struct sim_engine *e, int64_t now);
 void sim_engine_submit(struct sim_engine *e, const struct sim_job *job,
 		       int64_t now);
 void sim_engine_cancel(struct sim_engine *e, uint64_t id, int64_t now);
-/* Take what happened up to now, one event a call. */
+/* Returns the next event up to now; false if there is none. */
 bool sim_engine_next(struct sim_engine *e, int64_t now, struct sim_event *out);
-/* The report that arrives now; false where none is due. */
+/* Returns the report that arrives now; false if none is due. */
 bool sim_engine_report(struct sim_engine *e, int64_t now,
 		       struct dl_endpoint_report *out);
 
