--- a/test/test_backoff.c
+++ b/test/test_backoff.c
@@ -1,6 +1,6 @@
 /*
- * Endpoints that have asked a VM to wait: what that VM and the others are
- * granted meanwhile, and what those are told that cannot be served.
+ * Backoff of endpoints towards a VM: which endpoints that VM and the others are
+ * granted meanwhile, and how requests that cannot be served are refused.
  */
 #include <check.h>
 #include <stdio.h>
@@ -18,7 +18,7 @@
 #define WAIT_MS	  3000
 #define LEASE_MS  60000
 #define SLOTS	  2
-#define LONG	  100000 /* tokens: read by several engines */
+#define LONG	  100000 /* tokens; prefilled by several engines */
 
 static struct dl_pool *pool;
 static int64_t now;
@@ -66,7 +66,7 @@
 	dl_pool_free(pool);
 }
 
-/* What a VM is told that asks for a place. */
+/* Requests a grant for a VM. */
 static struct dl_answer ask(uint64_t vm, uint64_t prompt)
 {
 	struct dl_ask a = { .request = next_request++,
@@ -93,7 +93,7 @@
 	return false;
 }
 
-/* Give a grant back; one of its endpoints asked the VM to wait so long. */
+/* Releases a grant after one of its endpoints asked the VM to wait. */
 static void release_with_backoff(const struct dl_answer *a,
 				 const char *endpoint, uint32_t ms)
 {
@@ -110,7 +110,7 @@
 	ck_assert_int_eq(dl_pool_release(pool, a->grant, &usage, now), 0);
 }
 
-/* An endpoint asks a VM to wait, as soon as it is granted to it. */
+/* Makes an endpoint ask a VM to wait when it is next granted to that VM. */
 static void make_endpoint_back_off(uint64_t vm, const char *endpoint,
 				   uint32_t ms)
 {
@@ -169,7 +169,7 @@
 }
 END_TEST
 
-/* All ask a VM to wait, the first for the least time. */
+/* Makes all endpoints ask a VM to wait, the first for the shortest time. */
 static void make_all_endpoints_back_off(uint64_t vm, uint32_t least_ms)
 {
 	for (int i = 0; i < ENDPOINTS; i++) {
@@ -198,7 +198,7 @@
 }
 END_TEST
 
-/* Take all slots for a VM. */
+/* Takes all slots for a VM; returns the number of grants. */
 static uint32_t take_all_slots(uint64_t vm, struct dl_answer *out, uint32_t max)
 {
 	uint32_t n = 0;
@@ -253,7 +253,7 @@
 	ck_assert_int_eq(a.verdict, DL_GRANTED);
 	ck_assert(uses_endpoint(&a, BUSY));
 	ck_assert_uint_eq(a.entry, 8);
-	/* It is the next to be served where it may go. */
+	/* The queued request is served next, on another endpoint. */
 	release_done(&held[0]);
 	now += STEP_MS;
 	ck_assert(dl_pool_next(pool, now, &a));
--- a/test/test_engine.c
+++ b/test/test_engine.c
@@ -1,6 +1,6 @@
 /*
- * The model of an engine, against what its published figures give by hand, and
- * the forecast that follows an engine pass by pass.
+ * Engine model: durations against values calculated by hand from the published
+ * figures, and the forecast of an engine pass by pass.
  */
 #include <check.h>
 #include <errno.h>
@@ -52,7 +52,9 @@
 	double ms;
 };
 
-/* Tokens over the rate, and half the square of them in pairs. */
+/*
+ * Tokens divided by the rate, plus time for half their square in token pairs.
+ */
 static const struct prefill_case prefill_cases[] = {
 	{ 0, 0 },	    { 4960, 30.3 },	 { 45000, 440.5 },
 	{ 154000, 3051.9 }, { 315000, 10908.3 }, { 700000, 49034.8 },
@@ -84,7 +86,7 @@
 }
 END_TEST
 
-/* Reading alone goes on step by step: the next prompt is read behind it. */
+/* Without decoding a prompt joins the current pass behind the others. */
 START_TEST(prompt_joins_a_pass_without_streams)
 {
 	add(1, 100, true, 1000);
@@ -92,7 +94,9 @@
 }
 END_TEST
 
-/* Beside writers a prompt waits for the pass under way, and its own pass. */
+/*
+ * While an engine decodes, a prompt waits for the current and for its own pass.
+ */
 START_TEST(prompt_waits_for_a_pass_with_streams)
 {
 	struct dl_engine_forecast f;
@@ -106,7 +110,7 @@
 }
 END_TEST
 
-/* All that was admitted during a pass is read in the next one. */
+/* All prompts that arrive during a pass are prefilled in the next one. */
 START_TEST(waiting_prompts_share_one_pass)
 {
 	add(1, 10, true, 1000);
@@ -117,7 +121,7 @@
 }
 END_TEST
 
-/* A part that was read for another engine leaves nothing behind. */
+/* A part for another engine is removed after its prefill. */
 START_TEST(prefill_only_items_end_with_their_pass)
 {
 	add(1, 50, false, 1000);
@@ -127,7 +131,7 @@
 }
 END_TEST
 
-/* For a request of ten seconds' reading whose caller leaves. */
+/* A caller cancels a request with a prefill of ten seconds. */
 START_TEST(removed_prompt_is_not_prefilled)
 {
 	add(1, 10000, true, 1000);
@@ -144,14 +148,16 @@
 }
 END_TEST
 
-/* The pass that read it ended sooner, later or much later than foreseen. */
+/*
+ * The pass with the prefill ended earlier, later or much later than forecast.
+ */
 static const struct {
 	int64_t seen, begins;
 } first_event_cases[] = {
-	{ 20, 20 }, /* foreseen at 30 */
-	{ 30, 30 }, /* as foreseen */
-	{ 40, 40 }, /* the pass after it began 10 ms later */
-	{ 65, 65 }, /* nearer to the end of that pass: it has ended */
+	{ 20, 20 }, /* forecast: 30 */
+	{ 30, 30 }, /* as forecast */
+	{ 40, 40 }, /* the next pass began 10 ms later */
+	{ 65, 65 }, /* closer to the end of the next pass, which has ended */
 };
 
 START_TEST(first_event_corrects_the_pass_start)
@@ -169,7 +175,7 @@
 }
 END_TEST
 
-/* What was taken in before one that was read has been read as well. */
+/* Items that were admitted earlier have been prefilled as well. */
 START_TEST(first_event_of_a_waiting_item_marks_it_prefilled)
 {
 	add(1, 30, true, 0);
@@ -180,7 +186,7 @@
 	ck_assert(!engine.item[1].prefilling && !engine.item[1].waiting);
 	ck_assert(engine.item[2].prefilling);
 	ck_assert_int_eq(engine.pass_began, 60);
-	/* One that is not there, and a part, show nothing. */
+	/* The event of an unknown request changes nothing. */
 	dl_engine_observe_first_event(&engine, &model, 9, 70);
 	ck_assert_int_eq(engine.pass_began, 60);
 }
@@ -202,10 +208,10 @@
 };
 
 static const struct pause_case pause_cases[] = {
-	{ 50, 200, false, false }, /* within what is borne */
+	{ 50, 200, false, false }, /* within the tolerated gap */
 	{ 50, 300, true, false },
-	{ 300, 300, false, false }, /* late already, and no worse */
-	{ 300, 600, true, false },  /* late already, and worse */
+	{ 300, 300, false, false }, /* gap exceeded already, and unchanged */
+	{ 300, 600, true, false },  /* gap exceeded already, and longer */
 	{ 50, 1200, true, true },   /* callers give up */
 };
 
@@ -221,7 +227,7 @@
 }
 END_TEST
 
-/* However it is driven, it neither hangs nor forgets an item. */
+/* Under random events the model neither hangs nor loses an item. */
 START_TEST(invariants_hold_under_random_events)
 {
 	int64_t now = 0;
@@ -245,8 +251,9 @@
 END_TEST
 
 /*
- * What is being read where nobody writes is out at the pass's end only: who
- * makes it longer makes that late.  Beside writers the next pass counts.
+ * In a pass without decoding, results are available only at its end, so a
+ * prompt that makes it longer delays all others in it.  While an engine
+ * decodes, only the next pass becomes longer.
  */
 START_TEST(delay_cost_counts_newly_late_items)
 {
@@ -259,12 +266,12 @@
 	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1200, 1240, 1000), 0);
 	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1200, 1260, 1000),
 			    10);
-	/* Past its caller's patience it is worth nothing any more. */
+	/* Past first_by its remaining value is lost as well. */
 	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1200, 2100, 1000),
 			    12.5);
-	/* It is late already: only the patience is left to lose. */
+	/* It is late already; only passing first_by would add a cost. */
 	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1300, 1900, 1000), 0);
-	/* Once it writes, another prompt is read in a later pass. */
+	/* Once it decodes, another prompt is prefilled in a later pass. */
 	dl_engine_advance(&engine, &model, 1200);
 	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1200, 2100, 1200), 0);
 }
--- a/test/test_placing.c
+++ b/test/test_placing.c
@@ -1,6 +1,6 @@
 /*
- * Placing by the engine model, decision by decision: what is parted,
- * what waits, and what is refused, as callers see it.
+ * Placement by the engine model: which prompts are split, queued or refused,
+ * as seen by callers.
  */
 #include <check.h>
 #include <stdio.h>
@@ -14,7 +14,7 @@
 #define ENGINES	      8
 #define DEADLINE_MS   60000
 #define LEASE_MS      20000
-#define ROUND_TRIP_MS 4 /* to an engine and back, in a forecast */
+#define ROUND_TRIP_MS 4 /* network round trip in a forecast */
 
 static const struct dl_pool_conf conf = {
 	.kind = DL_POOL_MODEL,
@@ -30,15 +30,15 @@
 static struct dl_pool *pool;
 static int64_t now;
 static uint64_t next_request;
-static const char *entry_domain; /* of the VM that asks; NULL: not said */
+static const char *entry_domain; /* of the requesting VM; NULL: unknown */
 
-/* Every other engine is in the north, the rest in the south. */
+/* Engines alternate between two failure domains. */
 static const char *domain_of(int engine)
 {
 	return engine % 2 ? "south" : "north";
 }
 
-/* All engines report; apart: and say where they are. */
+/* All engines report, with their failure domain if apart is set. */
 static void report_engines(bool apart)
 {
 	for (int i = 0; i < ENGINES; i++) {
@@ -109,7 +109,7 @@
 	return ask(prompt, 3000, 1000);
 }
 
-/* What becomes of a queued request, and when, in steps of 10 ms. */
+/* Polls for the next answer in steps of 10 ms, for up to ms. */
 static bool next_within(int64_t ms, struct dl_answer *out)
 {
 	for (int64_t until = now + ms; now < until; now += 10)
@@ -128,7 +128,7 @@
 	return false;
 }
 
-/* When the first prompt, granted at 1000, has been read at the latest. */
+/* Predicted end of the prefill of a prompt granted at 1000. */
 static int64_t first_prefill_end(const struct dl_answer *a)
 {
 	return 1000 + a->predicted_ttft_ms;
@@ -155,8 +155,8 @@
 END_TEST
 
 /*
- * A dispatcher that has just taken over may not know yet what runs: long
- * prompts wait for as long as it takes to be told, short ones do not.
+ * After a takeover the dispatcher may not know all running grants yet.  Long
+ * prompts wait until entries have reported them; short prompts do not.
  */
 START_TEST(long_prompts_wait_after_takeover)
 {
@@ -175,8 +175,9 @@
 END_TEST
 
 /*
- * A part that takes longer than half of what an entry waits for a silent engine
- * is not given to any: who writes there may not be known.
+ * A part whose prefill takes longer than half the time after which an entry
+ * takes an engine for silent is refused: it could pause streams that the
+ * dispatcher does not know of.
  */
 START_TEST(refuses_parts_longer_than_the_silence_timeout)
 {
@@ -187,8 +188,8 @@
 END_TEST
 
 /*
- * The next long prompt waits in the queue while engines read one, and is
- * granted once they can begin: its forecast holds then.
+ * A long prompt waits in the queue while the engines prefill another one.  It
+ * is granted once they can begin, so that its forecast is accurate.
  */
 START_TEST(long_prompt_waits_for_busy_engines)
 {
@@ -205,9 +206,9 @@
 END_TEST
 
 /*
- * Engines on which nobody writes give out what they read at the end only:
- * a part that would follow does not keep a prompt that is being read waiting
- * past its target.
+ * An engine that does not decode has results only at the end of its pass, so a
+ * part that joined would delay the prompt in prefill.  It must not make that
+ * prompt late.
  */
 START_TEST(parts_do_not_delay_running_prefill)
 {
@@ -223,8 +224,7 @@
 }
 END_TEST
 
-/* One stream of a short prompt is not spread: the engine that has some gets it.
- */
+/* Streams of short prompts are consolidated on one engine. */
 START_TEST(short_streams_share_an_engine)
 {
 	struct dl_answer a = ask_short();
@@ -242,7 +242,7 @@
 }
 END_TEST
 
-/* A short prompt is not parted, however late its first event is foreseen. */
+/* A short prompt is not split, however late its first event is forecast. */
 START_TEST(short_prompts_are_never_split)
 {
 	for (int i = 0; i < 200; i++) {
@@ -255,7 +255,7 @@
 END_TEST
 
 /*
- * A helper that its lead cannot reach gets nothing until it is heard again; the
+ * A helper that its lead cannot reach gets no work until it reports again.  The
  * lead stays in use.
  */
 START_TEST(unreachable_helper_is_excluded)
@@ -281,7 +281,7 @@
 }
 END_TEST
 
-/* While one long prompt waits, a short one does not. */
+/* A queued long prompt does not hold up short ones. */
 START_TEST(short_prompt_overtakes_a_queued_long_one)
 {
 	ask_long(250000);
@@ -291,7 +291,9 @@
 }
 END_TEST
 
-/* One that even all engines cannot read in time is refused at once. */
+/*
+ * A prompt that all engines together cannot prefill in time is refused at once.
+ */
 START_TEST(infeasible_prompt_is_refused_at_once)
 {
 	struct dl_answer a = ask(900000, 1500, 600), late;
@@ -305,7 +307,7 @@
 }
 END_TEST
 
-/* In a burst nobody is granted more engines once the target has passed. */
+/* In a burst a prompt past its target gets no additional engines. */
 START_TEST(overdue_prompts_get_no_extra_engines)
 {
 	struct dl_answer a;
@@ -321,7 +323,7 @@
 }
 END_TEST
 
-/* Short streams run in the failure domain of the VM that asks for them. */
+/* Short streams run in the failure domain of the requesting VM. */
 START_TEST(short_streams_stay_in_their_domain)
 {
 	report_engines(true);
@@ -338,7 +340,7 @@
 }
 END_TEST
 
-/* A burst in one domain that would be late there is served by the others. */
+/* Requests of a burst that would be late in their domain go to others. */
 START_TEST(burst_spills_to_other_domains)
 {
 	int away = 0, in_time = 0, granted = 0;
@@ -360,7 +362,7 @@
 }
 END_TEST
 
-/* A domain that has VMs and no engines is served by the others at once. */
+/* Requests from a domain without engines go to others at once. */
 START_TEST(domain_without_engines_is_served_remotely)
 {
 	struct dl_answer a;
@@ -373,7 +375,7 @@
 }
 END_TEST
 
-/* Where nobody says where it is, every engine is as near as the next. */
+/* Engines without a known failure domain count as local. */
 START_TEST(unknown_domains_count_as_local)
 {
 	struct dl_answer a;
--- a/test/test_placing_load.c
+++ b/test/test_placing_load.c
@@ -1,7 +1,7 @@
 /*
- * The load of a day's bursts played over the dispatcher and emulated engines,
- * and what callers get of it: streams in time by length, the product's way
- * beside round robin and least load in one run.
+ * Simulates bursts of load on several deployments, and compares the share of
+ * streams in time, by prompt length, under the engine policy with round robin
+ * and least load.
  */
 #include <check.h>
 #include <stdio.h>
@@ -12,11 +12,11 @@
 #include "fake/suite.h"
 
 #define SECONDS 24
-/* As long as such a burst lasts. */
+/* Duration of the bursts of long prompts. */
 #define BURST_S 10
 #define SEED	11
 
-/* Sixteen engines of 315,000 tokens. */
+/* Sixteen engines with 315,000 tokens. */
 static const struct sim_deployment sixteen = {
 	.engines = 16,
 	.engine = { PUBLISHED_ENGINE, .hop_ms = 0.05, .usual_output = 1622 },
@@ -27,7 +27,7 @@
 	},
 };
 
-/* Of 232,000 tokens: one in twelve of the long prompts needs several. */
+/* Engines with 232,000 tokens: one in twelve long prompts needs several. */
 #define SMALLER(n)                                                               \
 	{                                                                        \
 		.engines = (n),                                                \
@@ -44,12 +44,12 @@
 	}
 
 static const struct sim_deployment twenty_one = SMALLER(21);
-/* The same after the loss of some. */
+/* The same deployment after the loss of four engines. */
 static const struct sim_deployment seventeen = SMALLER(17);
 
 /*
- * Of 197,200 tokens: three in eight of the long prompts need several.  What is
- * left of 69 engines when eleven have gone.
+ * Engines with 197,200 tokens: three in eight of the long prompts need several.
+ * 58 engines are left of 69 after the loss of eleven.
  */
 static const struct sim_deployment fifty_eight = {
 	.engines = 58,
@@ -64,7 +64,7 @@
 	.workspaces = 24,
 };
 
-/* As much reading as they can do, right after a burst of short ones. */
+/* Prefill load at capacity, right after a burst of short prompts. */
 static const struct sim_load overload = {
 	"58, full", { 37, 10, 13.5 }, BURST_S, SEED, { 287, 3.9, 0.24 }, 8,
 };
@@ -73,7 +73,7 @@
 struct load_case {
 	const struct sim_deployment *deployment;
 	struct sim_load load;
-	/* Of a thousand, in time at least, by the product's way. */
+	/* Required permille in time under the engine policy. */
 	uint32_t in_time_min[SIM_KINDS];
 };
 
@@ -96,7 +96,7 @@
 	{ &twenty_one,
 	  { "21, short burst", { 103, 1.17, 0.1 }, SECONDS, SEED, { 0 }, 0 },
 	  { 980, 950, 500 } },
-	/* Streams of a burst are left on all engines. */
+	/* Streams of a preceding burst still run on all engines. */
 	{ &seventeen,
 	  { "17, after one",
 	    { 44.6, 2.44, 2.05 },
@@ -134,9 +134,8 @@
 END_TEST
 
 /*
- * Where not all can be served, the longest are not the ones that always go: the
- * longest tenth and the fifth below it are served half as often as their kind
- * at the least.
+ * Under overload the longest prompts must not be starved: the longest tenth and
+ * the fifth below it are served at least half as often as all long prompts.
  */
 START_TEST(serves_longest_prompts)
 {
--- a/test/test_placing_random.c
+++ b/test/test_placing_random.c
@@ -1,7 +1,7 @@
 /*
- * Deployments that nobody has seen: their engines, prompts, targets and rates
- * are drawn, and none may be served worse by the product's way than by a
- * baseline.
+ * Simulates random deployments (engines, prompts, targets and rates).  On none
+ * may the engine policy serve less value than a baseline policy, so that it is
+ * not tuned to the known deployments only.
  */
 #include <check.h>
 #include <glib.h>
@@ -14,22 +14,22 @@
 
 #define DEPLOYMENTS 40
 #define SECONDS	    10
-/* Of the engines' time for reading, and of their slots, what is asked for. */
+/* Bounds of the demand, as shares of the prefill capacity and of the slots. */
 #define PREFILL_LOAD_MIN 0.3
 #define PREFILL_LOAD_MAX 0.75
 #define SLOT_LOAD_MAX	 0.5
-/* Played to the stream: two of a hundred of the value is one long prompt. */
+/* Tolerance: a single long prompt can be 2 % of the value of a run. */
 #define SLACK_PERMILLE 20
 
 static GRand *rnd;
 
-/* Between two values, evenly in their logarithms. */
+/* Draws between two values, uniform in the logarithm. */
 static double draw_log_uniform(double min, double max)
 {
 	return exp(g_rand_double_range(rnd, log(min), log(max)));
 }
 
-/* Speeds over a factor of four. */
+/* Engine speeds vary by a factor of four. */
 static void draw_engine(struct dl_engine_model *m)
 {
 	*m = (struct dl_engine_model){
@@ -75,7 +75,7 @@
 				      15000 };
 }
 
-/* The mean time that one engine takes to read a prompt of a kind. */
+/* Mean prefill time of a kind of prompt on one engine. */
 static double mean_prefill_ms(const struct dl_engine_model *m,
 			      const struct sim_kind *k)
 {
@@ -84,14 +84,14 @@
 	return k->tokens / m->read_per_ms + square / 2 / 1e6 * m->per_pairs_ms;
 }
 
-/* How long a stream of a kind has a slot, where nothing else is done. */
+/* Mean time that a stream of a kind occupies a slot on an idle engine. */
 static double mean_decode_ms(const struct dl_engine_model *m,
 			     const struct sim_kind *k)
 {
 	return k->events * m->stride * m->step_ms;
 }
 
-/* Each kind has a part of the reading, as far as there are slots for it. */
+/* Draws the share of each kind in the prefill load, limited by the slots. */
 static void draw_rates(const struct sim_deployment *d, struct sim_load *load)
 {
 	double share[SIM_KINDS], sum = 0, slots = 0;
