--- a/src/coordination/pool_engine.c
+++ b/src/coordination/pool_engine.c
@@ -81,7 +81,7 @@
  * possible.  Prefill work grows with the square of its length, and nothing else
  * begins on these engines meanwhile.
  */
-static bool exceeds_engines(const struct engine_search *s)
+static bool is_too_long(const struct engine_search *s)
 {
 	uint32_t n = s->count < DL_GROUP_MAX ? s->count : DL_GROUP_MAX;
 
@@ -134,7 +134,7 @@
 	s.prefill_ms = dl_engine_prefill_ms(s.model, want->prompt);
 	s.weight = pool_engine_weight(want);
 	pool_engine_collect(&s);
-	if (exceeds_engines(&s))
+	if (is_too_long(&s))
 		return POOL_LATE;
 	if (s.prefill_ms > PART_PREFILL_MS && now < pool->strange_until)
 		return POOL_WAIT;
