--- a/test/fake/load.c
+++ b/test/fake/load.c
@@ -53,7 +53,7 @@
 	load->conf = *conf;
 	load->pools = pools;
 	load->engines = engines;
-	load->cut = engines;
+	load->reporting_engines = engines;
 	for (uint32_t i = 0; i < engines; i++) {
 		snprintf(name, sizeof(name), "10.0.0.%u:80", i + 1);
 		sim_engine_init(&load->engine[i], name, engine);
@@ -169,8 +169,8 @@
 
 static void check_invariants(struct load *load, uint32_t pool)
 {
-	if (load->check && !load->broken)
-		load->broken = dl_pool_broken(load->pool[pool]);
+	if (load->check && !load->violation)
+		load->violation = dl_pool_broken(load->pool[pool]);
 }
 
 static void ask_of(const struct load *load, uint32_t i, struct dl_ask *out,
@@ -289,7 +289,8 @@
 
 		while (sim_engine_next(e, load->now, &ev))
 			on_event(load, i, &ev);
-		if (!sim_engine_report(e, load->now, &report) || i >= load->cut)
+		if (!sim_engine_report(e, load->now, &report) ||
+		    i >= load->reporting_engines)
 			continue;
 		for (uint32_t k = 0; k < load->pools; k++) {
 			dl_pool_report(load->pool[k], &report, load->now);
@@ -378,7 +379,7 @@
 			      load->now);
 		check_invariants(load, pool_of(load, i));
 	}
-	for (uint32_t e = 0; e < load->cut; e++) {
+	for (uint32_t e = 0; e < load->reporting_engines; e++) {
 		struct dl_endpoint_report report;
 
 		for (uint32_t k = 0; k < load->pools; k++)
--- a/test/fake/load.h
+++ b/test/fake/load.h
@@ -76,9 +76,9 @@
 	struct dl_pool_conf conf;
 	struct sim_engine engine[LOAD_ENGINES];
 	uint32_t engines;
-	bool check; /* check the invariants after each event */
-	const char *broken;
-	uint32_t cut; /* engines from this index on do not report */
+	bool check;		    /* check the invariants after each event */
+	const char *violation;	    /* the first invariant violated, or NULL */
+	uint32_t reporting_engines; /* engines that report; the others do not */
 
 	struct load_request *request;
 	uint32_t requests;
--- a/test/test_pool_load.c
+++ b/test/test_pool_load.c
@@ -48,7 +48,7 @@
 
 static void end(void)
 {
-	ck_assert_ptr_null(load.broken);
+	ck_assert_ptr_null(load.violation);
 	load_fini(&load);
 	g_rand_free(rnd);
 }
@@ -322,9 +322,9 @@
 
 	add_shorts(90000, 0.8, 0);
 	load_run(&load, 30000);
-	load.cut = ENGINES / 2;
+	load.reporting_engines = ENGINES / 2;
 	load_run(&load, 50000);
-	load.cut = ENGINES;
+	load.reporting_engines = ENGINES;
 	load_run(&load, 110000);
 	check_clean();
 	for (uint32_t i = 0; i < load.requests; i++) {
@@ -357,7 +357,7 @@
 START_TEST(two_giants)
 {
 	load.engines = 4;
-	load.cut = 4;
+	load.reporting_engines = 4;
 	for (int i = 0; i < 2; i++)
 		load_add(&load, 1000, DL_CLASS_BATCH, (uint32_t)i, 1000000, 300,
 			 300000)
@@ -375,7 +375,7 @@
 START_TEST(giant_gets_its_memory)
 {
 	load.engines = 4;
-	load.cut = 4;
+	load.reporting_engines = 4;
 	for (uint32_t i = 0; i < 4; i++)
 		load.engine[i].conf.memory = 100000;
 	for (int i = 0; i < 6000; i++) {
@@ -397,7 +397,7 @@
 START_TEST(long_keeps_its_promise)
 {
 	load.engines = 2;
-	load.cut = 2;
+	load.reporting_engines = 2;
 	load_add(&load, 1000, DL_CLASS_BATCH, 1, 100000, 50, 13000)->tag =
 		LOAD_LONG;
 	for (int i = 0; i < 3000; i++)
