--- a/src/coordination/pool.c
+++ b/src/coordination/pool.c
@@ -261,8 +261,8 @@
 	 * for a dozen engines, and queue behind them within the same workspace.
 	 */
 	if (pool->conf.engine.read_per_ms > 0)
-		return dl_engine_read_ms(&pool->conf.engine, prompt) <=
-				       PART_MS ?
+		return dl_engine_prefill_ms(&pool->conf.engine, prompt) <=
+				       PART_PREFILL_MS ?
 			       POOL_SHORT :
 			       POOL_MEDIUM;
 	if (pool->conf.long_tokens && pool->conf.long_tokens < short_tokens)
@@ -492,7 +492,7 @@
 		if (!e->counted_open)
 			continue;
 		out->memory_tokens += e->last.memory_tokens;
-		out->free_tokens += pool_place_free(e);
+		out->free_tokens += pool_place_free_memory(e);
 	}
 	for (size_t c = 0; c < DL_CLASS_COUNT; c++)
 		tokens += (double)pool->lane[c * (size_t)POOL_BANDS].tokens;
--- a/src/coordination/pool_group.c
+++ b/src/coordination/pool_group.c
@@ -1,34 +1,38 @@
 /*
- * Prompts longer than one engine's memory: several engines take a share each.
+ * Groups of engines for prompts longer than one engine's memory; each engine
+ * takes a share.
  *
- * A group is taken whole or not at all, in one event, so nothing is ever held
- * by half a group.  Where it does not fit at once, memory is gathered for it
- * as engines free it (a hold).  A hold names all its engines when it begins
- * and no engine is in two holds, so that a hold waits for running grants only
- * and never for another hold: two giants cannot have half each.
+ * A group is allocated whole or not at all, in one event, so a partial group
+ * never holds memory.  If it does not fit at once, a hold reserves memory for
+ * it as engines free it.  A hold selects all its engines when it begins and no
+ * engine is in two holds, so a hold waits only for running grants, never for
+ * another hold.  This rules out a deadlock in which two requests each hold half
+ * of the engines that they need.
  */
 #include "pool_int.h"
 
 #include <string.h>
 
 /*
- * A hold ends after this many leases: the memory it keeps idle is then given
- * to the next in turn.  Long enough for the grants in its way to end in the
- * ordinary case, short enough that a giant which cannot get its last engine
- * does not idle the others until its deadline.
+ * Lifetime of a hold in grant leases; its memory then goes to the next request.
+ * It is long enough for the grants that occupy its engines to end normally, and
+ * short enough that a request that does not get its last engine does not keep
+ * the others idle until its deadline.
  */
 #define HOLD_LEASES 4
-/* The exchange between the engines of a group, a share of the prefill. */
+/* Communication between the engines of a group, relative to the prefill. */
 #define GROUP_OVERHEAD_PERCENT 10
 #define PERCENT		       100
 
-/* After a hold could not begin, so long until the next is tried. */
+/* Delay before the next attempt after a hold could not begin. */
 #define HOLD_RETRY_MS 100
 
-/* How members are chosen: what is ready soonest, or long ones first. */
-enum order {
-	BY_TIME,
-	BY_LONG,
+/*
+ * Preference among members: earliest ready, or those with long prompts first.
+ */
+enum member_order {
+	BY_READY_TIME,
+	LONG_FIRST,
 };
 
 struct member {
@@ -40,33 +44,35 @@
 static uint32_t group_max(const struct dl_pool *pool);
 static bool may_join(const struct pool_want *want,
 		     const struct pool_endpoint *e, uint32_t n);
-static bool fits_now(struct dl_pool *pool, const struct pool_want *part,
-		     const struct pool_endpoint *e, int64_t now);
-static uint64_t part_of(uint64_t tokens, uint32_t n);
-static bool better(const struct member *a, const struct member *b,
-		   enum order order);
-static void keep_best(struct member *best, uint32_t *n, uint32_t max,
-		      struct member m, enum order order);
+static bool can_start_now(struct dl_pool *pool, const struct pool_want *part,
+			  const struct pool_endpoint *e, int64_t now);
+static uint64_t share_of(uint64_t tokens, uint32_t n);
+static bool sorts_before(const struct member *a, const struct member *b,
+			 enum member_order order);
+static void insert_best(struct member *best, uint32_t *n, uint32_t max,
+			struct member m, enum member_order order);
 static int64_t ready_at(const struct pool_endpoint *e, uint64_t share,
 			int64_t now);
 static uint32_t select_members(struct dl_pool *pool,
 			       const struct pool_want *want, uint32_t n,
-			       bool at_once, enum order order, int64_t now,
-			       struct member *best);
-static bool select_within(struct dl_pool *pool, const struct pool_want *want,
-			  uint32_t n, bool at_once, int64_t now,
-			  struct member *best);
+			       bool at_once, enum member_order order,
+			       int64_t now, struct member *best);
+static bool select_within_long_share(struct dl_pool *pool,
+				     const struct pool_want *want, uint32_t n,
+				     bool at_once, int64_t now,
+				     struct member *best);
 static void fill_choice(struct dl_pool *pool, const struct pool_want *want,
 			struct pool_endpoint **members, uint32_t n, int64_t now,
 			struct pool_choice *out);
-static bool within_share(const struct dl_pool *pool,
-			 const struct member *members, uint32_t n);
+static bool within_long_share(const struct dl_pool *pool,
+			      const struct member *members, uint32_t n);
 static void order_by_name(struct pool_endpoint **members, uint32_t n);
-static struct pool_hold *unused_hold(struct dl_pool *pool);
+static struct pool_hold *find_free_hold(struct dl_pool *pool);
 
 /*
- * A group alone may pass the share for long prompts, since the longest need
- * several engines of a small pool; one engine is still kept free of them.
+ * Largest group.  A single group may exceed the share of the pool for long
+ * prompts, since the longest need several engines of a small pool; one engine
+ * still stays free.
  */
 static uint32_t group_max(const struct dl_pool *pool)
 {
@@ -81,24 +87,24 @@
 {
 	if (n > 1 && !e->last.takes_groups)
 		return false;
-	return e->counted_open && !pool_place_tried(want, e);
+	return e->counted_open && !pool_place_failed_before(want, e);
 }
 
-static bool fits_now(struct dl_pool *pool, const struct pool_want *part,
-		     const struct pool_endpoint *e, int64_t now)
+static bool can_start_now(struct dl_pool *pool, const struct pool_want *part,
+			  const struct pool_endpoint *e, int64_t now)
 {
 	return pool_place_fits(pool, part, e, now) &&
 	       pool_place_ready(e, pool_level(part), now);
 }
 
-static uint64_t part_of(uint64_t tokens, uint32_t n)
+static uint64_t share_of(uint64_t tokens, uint32_t n)
 {
 	return n ? (tokens + n - 1) / n : tokens;
 }
 
 /*
- * The smallest group whose engines could hold the request if they were empty,
- * and each one's share; 0 where none could.
+ * Returns the size of the smallest group whose engines could hold the request
+ * if they were empty, and the share of each; 0 if there is none.
  */
 uint32_t pool_group_size(const struct dl_pool *pool,
 			 const struct pool_want *want, uint64_t *share)
@@ -108,7 +114,7 @@
 	for (uint32_t n = 1; n <= max; n++) {
 		uint32_t able = 0;
 
-		*share = part_of(want->need, n);
+		*share = share_of(want->need, n);
 		for (uint32_t i = 0; i < pool->endpoints_n; i++) {
 			const struct pool_endpoint *e = pool->endpoints[i];
 
@@ -122,41 +128,41 @@
 	return 0;
 }
 
-static bool better(const struct member *a, const struct member *b,
-		   enum order order)
+static bool sorts_before(const struct member *a, const struct member *b,
+			 enum member_order order)
 {
-	if (order == BY_LONG && a->is_long != b->is_long)
+	if (order == LONG_FIRST && a->is_long != b->is_long)
 		return a->is_long;
 	if (a->ready != b->ready)
 		return a->ready < b->ready;
 	return a->endpoint->by_name.hash < b->endpoint->by_name.hash;
 }
 
-static void keep_best(struct member *best, uint32_t *n, uint32_t max,
-		      struct member m, enum order order)
+static void insert_best(struct member *best, uint32_t *n, uint32_t max,
+			struct member m, enum member_order order)
 {
 	uint32_t at = *n;
 
 	if (at == max) {
-		if (!better(&m, &best[max - 1], order))
+		if (!sorts_before(&m, &best[max - 1], order))
 			return;
 		at--;
 	} else {
 		(*n)++;
 	}
-	for (; at > 0 && better(&m, &best[at - 1], order); at--)
+	for (; at > 0 && sorts_before(&m, &best[at - 1], order); at--)
 		best[at] = best[at - 1];
 	best[at] = m;
 }
 
 /*
- * When an engine is expected to have read what it has and to have a share of
- * memory free: as its grants end, oldest first, at their predicted times.
+ * Time at which an engine is expected to have finished its prefills and to have
+ * a share of memory free, if its grants end at their predicted times.
  */
 static int64_t ready_at(const struct pool_endpoint *e, uint64_t share,
 			int64_t now)
 {
-	uint64_t free = pool_place_free(e);
+	uint64_t free = pool_place_free_memory(e);
 	int64_t at = e->busy_until[POOL_LEVELS - 1];
 
 	if (at < now)
@@ -174,14 +180,14 @@
 
 static uint32_t select_members(struct dl_pool *pool,
 			       const struct pool_want *want, uint32_t n,
-			       bool at_once, enum order order, int64_t now,
-			       struct member *best)
+			       bool at_once, enum member_order order,
+			       int64_t now, struct member *best)
 {
 	struct pool_want part = *want;
 	uint32_t found = 0;
 
-	part.need = part_of(want->need, n);
-	part.prompt = part_of(want->prompt, n);
+	part.need = share_of(want->need, n);
+	part.prompt = share_of(want->prompt, n);
 	for (uint32_t i = 0; i < pool->endpoints_n; i++) {
 		struct pool_endpoint *e = pool->endpoints[i];
 		struct member m = { .endpoint = e, .is_long = e->counted_long };
@@ -190,32 +196,34 @@
 		    e->last.memory_tokens < part.need ||
 		    pool_backoff_active(pool, want, e, now))
 			continue;
-		if (at_once && !fits_now(pool, &part, e, now))
+		if (at_once && !can_start_now(pool, &part, e, now))
 			continue;
 		m.ready = ready_at(e, part.need, now);
-		keep_best(best, &found, n, m, order);
+		insert_best(best, &found, n, m, order);
 	}
 	return found;
 }
 
 /*
- * The members that are ready soonest, or, where those would pass the share of
- * the pool for long prompts, the ones that are in it already.
+ * Selects the members that are ready earliest or, if these would exceed the
+ * share of the pool for long prompts, those that hold long prompts already.
  */
-static bool select_within(struct dl_pool *pool, const struct pool_want *want,
-			  uint32_t n, bool at_once, int64_t now,
-			  struct member *best)
+static bool select_within_long_share(struct dl_pool *pool,
+				     const struct pool_want *want, uint32_t n,
+				     bool at_once, int64_t now,
+				     struct member *best)
 {
-	if (select_members(pool, want, n, at_once, BY_TIME, now, best) < n)
+	if (select_members(pool, want, n, at_once, BY_READY_TIME, now, best) <
+	    n)
 		return false;
-	if (want->band < POOL_LONG || within_share(pool, best, n))
+	if (want->band < POOL_LONG || within_long_share(pool, best, n))
 		return true;
-	select_members(pool, want, n, at_once, BY_LONG, now, best);
-	return within_share(pool, best, n);
+	select_members(pool, want, n, at_once, LONG_FIRST, now, best);
+	return within_long_share(pool, best, n);
 }
 
-static bool within_share(const struct dl_pool *pool,
-			 const struct member *members, uint32_t n)
+static bool within_long_share(const struct dl_pool *pool,
+			      const struct member *members, uint32_t n)
 {
 	uint32_t max = pool_place_long_max(pool);
 	uint32_t added = 0;
@@ -227,7 +235,7 @@
 	return pool->long_endpoints + added <= max;
 }
 
-/* Every dispatcher names a group's engines in the same order. */
+/* Sorts a group's engines by name, so that all dispatchers use one order. */
 static void order_by_name(struct pool_endpoint **members, uint32_t n)
 {
 	for (uint32_t i = 1; i < n; i++) {
@@ -246,12 +254,12 @@
 			struct pool_endpoint **members, uint32_t n, int64_t now,
 			struct pool_choice *out)
 {
-	uint64_t tokens = part_of(want->prompt, n);
+	uint64_t tokens = share_of(want->prompt, n);
 
 	if (n > 1)
 		tokens += tokens * GROUP_OVERHEAD_PERCENT / PERCENT;
 	*out = (struct pool_choice){ .n = (uint8_t)n,
-				     .share = part_of(want->need, n) };
+				     .share = share_of(want->need, n) };
 	order_by_name(members, n);
 	for (uint32_t i = 0; i < n; i++) {
 		struct pool_choice part = { 0 };
@@ -268,8 +276,8 @@
 }
 
 /*
- * Choose a group that is free now.  The smallest that holds the request and
- * ends in time: each further engine is one more that short prompts share.
+ * Chooses a group that is free now: the smallest that holds the request and
+ * meets its deadline, since each further engine is taken from short prompts.
  */
 enum pool_found pool_group_choose(struct dl_pool *pool,
 				  const struct pool_want *want, int64_t now,
@@ -284,7 +292,7 @@
 	if (n == 0)
 		return POOL_WAIT;
 	for (; n <= max; n++) {
-		if (!select_within(pool, want, n, true, now, best))
+		if (!select_within_long_share(pool, want, n, true, now, best))
 			continue;
 		for (uint32_t i = 0; i < n; i++)
 			members[i] = best[i].endpoint;
@@ -295,7 +303,7 @@
 	return POOL_WAIT;
 }
 
-/* The hold for a request, or NULL. */
+/* Returns the hold for a request, or NULL. */
 struct pool_hold *pool_hold_of(struct dl_pool *pool,
 			       const struct pool_want *want)
 {
@@ -306,7 +314,7 @@
 	return NULL;
 }
 
-/* Choose the members of a hold once each has its share free. */
+/* Chooses the members of a hold once each has its share of memory free. */
 enum pool_found pool_hold_choose(struct dl_pool *pool, struct pool_hold *hold,
 				 int64_t now, struct pool_choice *out)
 {
@@ -314,14 +322,14 @@
 	struct pool_want part = *want;
 
 	part.need = hold->share;
-	part.prompt = part_of(want->prompt, hold->n);
+	part.prompt = share_of(want->prompt, hold->n);
 	for (uint32_t i = 0; i < hold->n; i++) {
 		struct pool_endpoint *e = hold->endpoint[i];
 		bool fits;
 
 		e->hold = NULL;
 		e->reserved = 0;
-		fits = fits_now(pool, &part, e, now);
+		fits = can_start_now(pool, &part, e, now);
 		e->hold = hold;
 		e->reserved = hold->share;
 		if (!fits)
@@ -331,7 +339,7 @@
 	return pool_place_in_time(out, want, now) ? POOL_CHOSEN : POOL_LATE;
 }
 
-static struct pool_hold *unused_hold(struct dl_pool *pool)
+static struct pool_hold *find_free_hold(struct dl_pool *pool)
 {
 	for (int i = 0; i < POOL_HOLDS; i++)
 		if (!pool->hold[i].request)
@@ -340,16 +348,16 @@
 }
 
 /*
- * Begin to gather memory for a request at the head of its lane that fits
- * nowhere.  For long prompts under a steady load of short ones, which would
- * otherwise take each freed piece before enough of them lie together.  Short
- * ones go on in what is left of the members' memory.  A few holds at a time:
- * each idles some memory until its last member is ready.
+ * Begins to reserve memory for a request at the head of its lane that fits on
+ * no endpoint.  Under a steady load of short prompts these would otherwise take
+ * each freed piece of memory before a long prompt fits.  Short prompts continue
+ * in the rest of the members' memory.  The number of holds is limited, since
+ * each keeps memory idle until its last member is ready.
  */
 bool pool_hold_begin(struct dl_pool *pool, struct pool_request *req,
 		     int64_t now)
 {
-	struct pool_hold *hold = unused_hold(pool);
+	struct pool_hold *hold = find_free_hold(pool);
 	const struct pool_want *want = &req->want;
 	struct member best[DL_GROUP_MAX];
 	uint64_t share = want->need;
@@ -360,7 +368,8 @@
 	pool->hold_at = now + HOLD_RETRY_MS;
 	if (want->band == POOL_OVERSIZED)
 		n = pool_group_size(pool, want, &share);
-	if (n == 0 || !select_within(pool, want, n, false, now, best))
+	if (n == 0 ||
+	    !select_within_long_share(pool, want, n, false, now, best))
 		return false;
 	pool->hold_at = now;
 	hold->request = req;
@@ -381,7 +390,7 @@
 	return true;
 }
 
-/* Give up what was gathered. */
+/* Ends a hold and releases its reserved memory. */
 void pool_hold_end(struct dl_pool *pool, struct pool_hold *hold)
 {
 	uint8_t n = hold->n;
@@ -397,7 +406,7 @@
 	}
 }
 
-/* End the holds whose time is over; the next giant has its turn. */
+/* Ends expired holds, so that the next request can begin one. */
 void pool_hold_expire(struct dl_pool *pool, int64_t now)
 {
 	for (int i = 0; i < POOL_HOLDS; i++) {
@@ -410,7 +419,7 @@
 	}
 }
 
-/* When the first hold ends, INT64_MAX for never. */
+/* Time at which the first hold expires, INT64_MAX if there is none. */
 int64_t pool_hold_expiry(const struct dl_pool *pool)
 {
 	int64_t at = INT64_MAX;
@@ -421,7 +430,7 @@
 	return at;
 }
 
-/* A member was lost or closed: gather elsewhere. */
+/* Ends the hold of an endpoint that was lost or closed. */
 void pool_hold_lost(struct dl_pool *pool, const struct pool_endpoint *e)
 {
 	if (e->hold)
--- a/src/coordination/pool_heap.c
+++ b/src/coordination/pool_heap.c
@@ -1,24 +1,24 @@
-/* A binary heap whose nodes stand inside what they order. */
+/* An intrusive binary min-heap. */
 #include "pool_int.h"
 
 #include <stdlib.h>
 
 #define HEAP_FIRST_ROOM 16
 
-static void put(struct pool_heap *heap, uint32_t pos,
-		struct pool_heap_node *node);
+static void place_node(struct pool_heap *heap, uint32_t pos,
+		       struct pool_heap_node *node);
 static void sift_up(struct pool_heap *heap, struct pool_heap_node *node);
 static void sift_down(struct pool_heap *heap, struct pool_heap_node *node);
 
-/* Free the heap, not what its nodes stand in. */
+/* Frees the heap, but not the structures that contain its nodes. */
 void pool_heap_free(struct pool_heap *heap)
 {
 	free((void *)heap->at);
 	*heap = (struct pool_heap){ 0 };
 }
 
-static void put(struct pool_heap *heap, uint32_t pos,
-		struct pool_heap_node *node)
+static void place_node(struct pool_heap *heap, uint32_t pos,
+		       struct pool_heap_node *node)
 {
 	heap->at[pos] = node;
 	node->pos = pos;
@@ -29,10 +29,10 @@
 	uint32_t pos = node->pos;
 
 	while (pos > 1 && heap->at[pos / 2]->key > node->key) {
-		put(heap, pos, heap->at[pos / 2]);
+		place_node(heap, pos, heap->at[pos / 2]);
 		pos /= 2;
 	}
-	put(heap, pos, node);
+	place_node(heap, pos, node);
 }
 
 static void sift_down(struct pool_heap *heap, struct pool_heap_node *node)
@@ -45,13 +45,13 @@
 			child++;
 		if (heap->at[child]->key >= node->key)
 			break;
-		put(heap, pos, heap->at[child]);
+		place_node(heap, pos, heap->at[child]);
 		pos = child;
 	}
-	put(heap, pos, node);
+	place_node(heap, pos, node);
 }
 
-/* Put a node in under a key, or move it to another key. */
+/* Inserts a node, or changes its key if it is in the heap. */
 void pool_heap_set(struct pool_heap *heap, struct pool_heap_node *node,
 		   int64_t key)
 {
@@ -66,13 +66,13 @@
 			if (!heap->at)
 				abort();
 		}
-		put(heap, ++heap->n, node);
+		place_node(heap, ++heap->n, node);
 	}
 	sift_up(heap, node);
 	sift_down(heap, node);
 }
 
-/* Take a node out; nothing happens where it is not in. */
+/* Removes a node; does nothing if it is not in the heap. */
 void pool_heap_remove(struct pool_heap *heap, struct pool_heap_node *node)
 {
 	struct pool_heap_node *last;
@@ -84,12 +84,12 @@
 	last = heap->at[heap->n--];
 	if (last == node)
 		return;
-	put(heap, pos, last);
+	place_node(heap, pos, last);
 	sift_up(heap, last);
 	sift_down(heap, last);
 }
 
-/* The node with the smallest key, or NULL. */
+/* Returns the node with the smallest key, or NULL. */
 struct pool_heap_node *pool_heap_top(const struct pool_heap *heap)
 {
 	return heap->n ? heap->at[1] : NULL;
--- a/src/coordination/pool_index.c
+++ b/src/coordination/pool_index.c
@@ -1,7 +1,7 @@
 /*
- * An index over the endpoints, so that finding one costs the logarithm of
- * their number: a complete binary tree whose inner nodes hold the best of
- * everything below.  A search prunes by them, see pool_place.c.
+ * An index over the endpoints that makes a search logarithmic in their number:
+ * a complete binary tree in which each inner node holds the best values of its
+ * subtree.  pool_place.c prunes its search by these values.
  */
 #include "pool_int.h"
 
@@ -11,14 +11,13 @@
 
 #define INDEX_FIRST_ROOM 16
 
-static const struct pool_index_node closed = {
+static const struct pool_index_node unavailable_leaf = {
 	.ready = { INT64_MAX, INT64_MAX, INT64_MAX },
 	.ms_per_token = DBL_MAX,
 };
 
-static void combine(struct pool_index *index, uint32_t at);
+static void update_inner_node(struct pool_index *index, uint32_t at);
 
-/* Free the index. */
 void pool_index_free(struct pool_index *index)
 {
 	free(index->at);
@@ -26,7 +25,7 @@
 	index->room = 0;
 }
 
-/* Make room for this many endpoints; those known keep their leaves. */
+/* Grows the index for this many endpoints; existing leaves are kept. */
 void pool_index_resize(struct pool_index *index, uint32_t endpoints)
 {
 	uint32_t room = index->room ? index->room : INDEX_FIRST_ROOM;
@@ -41,16 +40,16 @@
 	if (!index->at)
 		abort();
 	for (size_t i = 0; i < 2 * (size_t)room; i++)
-		index->at[i] = closed;
+		index->at[i] = unavailable_leaf;
 	if (old.room)
 		memcpy(&index->at[room], &old.at[old.room],
 		       old.room * sizeof(*index->at));
 	for (uint32_t i = room - 1; i > 0; i--)
-		combine(index, i);
+		update_inner_node(index, i);
 	free(old.at);
 }
 
-static void combine(struct pool_index *index, uint32_t at)
+static void update_inner_node(struct pool_index *index, uint32_t at)
 {
 	const struct pool_index_node *a = &index->at[2 * (size_t)at];
 	const struct pool_index_node *b = &index->at[2 * (size_t)at + 1];
@@ -66,19 +65,19 @@
 							       b->ms_per_token;
 }
 
-/* Set an endpoint's leaf; NULL closes it. */
+/* Sets an endpoint's leaf; NULL marks the endpoint unavailable. */
 void pool_index_set(struct pool_index *index, uint32_t slot,
 		    const struct pool_index_node *leaf)
 {
 	uint32_t at = index->room + slot;
 
-	index->at[at] = leaf ? *leaf : closed;
+	index->at[at] = leaf ? *leaf : unavailable_leaf;
 	for (at /= 2; at > 0; at /= 2)
-		combine(index, at);
+		update_inner_node(index, at);
 }
 
-/* The best of all endpoints. */
+/* Returns the best values over all endpoints. */
 const struct pool_index_node *pool_index_root(const struct pool_index *index)
 {
-	return index->room ? &index->at[1] : &closed;
+	return index->room ? &index->at[1] : &unavailable_leaf;
 }
--- a/src/coordination/pool_place.c
+++ b/src/coordination/pool_place.c
@@ -1,11 +1,11 @@
 /*
- * Which endpoint takes a request.
+ * Selection of the endpoint for a request.
  *
- * The pool keeps for each endpoint when its prefill work of each level ends,
- * as if it were a queue drained at a known rate with short prompts first.
- * Own grants move that time at once, reports and answers correct it later, so
- * that a lag of reports doesn't make the pool send everything to whatever
- * looked idle a second ago.
+ * For each endpoint and priority level the pool tracks when the prefill work
+ * ends, as for a queue that is drained at a known rate with short prompts
+ * first.  Grants of this dispatcher advance that time at once; reports and
+ * answers correct it later.  A lag of the reports therefore does not send every
+ * request to an endpoint that was idle a second ago.
  */
 #include "pool_int.h"
 
@@ -13,38 +13,38 @@
 #include <math.h>
 
 /*
- * How early before an endpoint is free it gets its next request.  For the load
- * just under saturation: without it every request would leave the engine idle
- * for the way of a grant and of the prompt, about one round trip.  Longer
- * would bind a request to an endpoint while another one becomes free first.
+ * A request is bound to an endpoint this early before the endpoint is free.
+ * Otherwise, just below saturation, each engine would be idle between requests
+ * for about one round trip, while the grant and the prompt travel.  A longer
+ * time would bind a request to an endpoint while another becomes free first.
  */
 #define BIND_AHEAD_MS 20
 
 /*
- * What a prediction keeps in hand, as a share of it: at least MARGIN_MIN for
- * the steps between reports, twice the measured deviation for an endpoint that
- * varies, at most as much again as the prediction itself, so that one wild
- * sample doesn't refuse everything.
+ * Safety margin of a prediction, as a share of it: at least MARGIN_MIN for the
+ * changes between reports, twice the measured deviation, and at most the
+ * prediction itself, so that one outlier does not make the pool refuse every
+ * request.
  */
 #define MARGIN_MIN	  0.05
 #define MARGIN_MAX	  1.0
 #define MARGIN_DEVIATIONS 2.0
-/* Both ways between entry and endpoint, and the dispatcher's own queue. */
+/* Round trip between entry and endpoint, and time in the dispatcher's queue. */
 #define OVERHEAD_MS 10
-/* Assumed until an endpoint says or shows its rate. */
+/* Assumed tokens per second until an endpoint reports or shows its rate. */
 #define PREFILL_RATE_UNKNOWN 4000.0
 #define DECODE_RATE_UNKNOWN  40.0
 #define MS_PER_S	     1000.0
 
 /*
- * A medium prompt on an endpoint clear of lower work holds up the short ones
- * that come meanwhile by a step of the engine each.  Where engines take large
- * steps (learnt, as half of one on the average) medium prompts go before a
- * long one instead, unless that costs them more than this share of their own
- * time.  With small steps it would only slow long prompts down.
+ * A medium prompt on an endpoint without lower-priority work delays each short
+ * prompt that arrives meanwhile by one engine step.  If engine steps are long
+ * (interference_ms, learnt as half a step on average), a medium prompt goes
+ * ahead of a long one instead, unless that costs it more than this share of its
+ * own prefill time.  With short steps this would only slow long prompts down.
  */
-#define KEEP_CLEAR_FROM_MS 40.0
-#define KEEP_CLEAR_SHARE   0.5
+#define KEEP_FOR_SHORT_FROM_MS 40.0
+#define KEEP_FOR_SHORT_SHARE   0.5
 
 #define PRIORITY_BAND	 64
 #define PRIORITY_CLASS	 16
@@ -58,34 +58,37 @@
 	double best_cost;
 	int64_t now;
 	uint8_t level;
-	bool only_long; /* the long share is used up */
+	bool only_long; /* use only endpoints that hold a long prompt already */
 };
 
 static int64_t max_time(int64_t a, int64_t b);
-static bool levels_allow(const struct pool_endpoint *e, uint8_t level,
-			 int64_t prefill_ms, int64_t now);
-static void wait_for(struct dl_pool *pool, const struct pool_endpoint *e,
-		     uint8_t level);
-static uint64_t free_beside(const struct pool_endpoint *e, uint64_t reserved);
-static bool backfills(const struct dl_pool *pool, const struct pool_want *want,
-		      const struct pool_endpoint *e, int64_t now);
-static void consider_held(struct search *s);
-static double cost_at(const struct search *s, const struct pool_endpoint *e);
-static double bound_at(const struct search *s, uint32_t node);
-static void visit(struct search *s, uint32_t node);
+static bool lower_levels_allow(const struct pool_endpoint *e, uint8_t level,
+			       int64_t prefill_ms, int64_t now);
+static void schedule_bind(struct dl_pool *pool, const struct pool_endpoint *e,
+			  uint8_t level);
+static uint64_t free_memory_besides(const struct pool_endpoint *e,
+				    uint64_t reserved);
+static bool ends_before_hold(const struct dl_pool *pool,
+			     const struct pool_want *want,
+			     const struct pool_endpoint *e, int64_t now);
+static void consider_holds(struct search *s);
+static double placement_cost(const struct search *s,
+			     const struct pool_endpoint *e);
+static double cost_lower_bound(const struct search *s, uint32_t node);
+static void search_subtree(struct search *s, uint32_t node);
 static void consider(struct search *s, struct pool_endpoint *e);
-static bool probe_choose(struct dl_pool *pool, const struct pool_want *want,
+static bool choose_probe(struct dl_pool *pool, const struct pool_want *want,
 			 int64_t now, struct pool_choice *out);
-static bool is_held_long(const struct pool_endpoint *e);
-static void count(struct dl_pool *pool, struct pool_endpoint *e);
-static void find_memory_max(struct dl_pool *pool);
+static bool held_for_long(const struct pool_endpoint *e);
+static void update_totals(struct dl_pool *pool, struct pool_endpoint *e);
+static void update_memory_max(struct dl_pool *pool);
 
 static int64_t max_time(int64_t a, int64_t b)
 {
 	return a > b ? a : b;
 }
 
-/* Whether an endpoint takes new work at all. */
+/* Whether an endpoint accepts new requests. */
 bool pool_endpoint_open(const struct dl_pool *pool,
 			const struct pool_endpoint *e)
 {
@@ -94,7 +97,7 @@
 	       !e->unreachable && e->ejection != POOL_EJECTED;
 }
 
-/* Milliseconds of prefill a token, as reported and corrected by answers. */
+/* Prefill milliseconds per token, as reported and corrected by answers. */
 double pool_ms_per_token(const struct dl_pool *pool,
 			 const struct pool_endpoint *e)
 {
@@ -107,7 +110,7 @@
 	return e->prefill_slowdown * MS_PER_S / rate;
 }
 
-/* Milliseconds between tokens of one stream. */
+/* Decode milliseconds per token of one stream. */
 double pool_decode_ms(const struct pool_endpoint *e)
 {
 	double rate = e->last.decode_rate;
@@ -117,13 +120,14 @@
 	return e->decode_slowdown * MS_PER_S / rate;
 }
 
-/* Memory that no grant, no hold and nobody unknown has. */
-uint64_t pool_place_free(const struct pool_endpoint *e)
+/* Memory not used by grants, holds or requests unknown to this dispatcher. */
+uint64_t pool_place_free_memory(const struct pool_endpoint *e)
 {
-	return free_beside(e, e->reserved);
+	return free_memory_besides(e, e->reserved);
 }
 
-static uint64_t free_beside(const struct pool_endpoint *e, uint64_t reserved)
+static uint64_t free_memory_besides(const struct pool_endpoint *e,
+				    uint64_t reserved)
 {
 	uint64_t taken =
 		e->held + reserved + pool_excess_min(&e->memory_excess);
@@ -133,11 +137,11 @@
 }
 
 /*
- * How many endpoints may hold long prompts.  For the mix with one in fifty
- * over a hundred thousand tokens, which alone would cover every endpoint for
- * seconds.  Beyond the configured share a long one waits; at least one
- * endpoint may hold one, or long ones would never run, and at least one of
- * several stays free, or short ones would depend on each engine's preemption.
+ * Number of endpoints that may hold long prompts.  If one prompt in fifty
+ * exceeds a hundred thousand tokens, these alone would occupy every endpoint
+ * for seconds, so beyond the configured share long prompts wait.  At least one
+ * endpoint may hold one, or long prompts would never run; at least one of
+ * several stays free, or short prompts would depend on the engines' preemption.
  */
 uint32_t pool_place_long_max(const struct dl_pool *pool)
 {
@@ -153,7 +157,7 @@
 	return (uint32_t)max;
 }
 
-static void find_memory_max(struct dl_pool *pool)
+static void update_memory_max(struct dl_pool *pool)
 {
 	pool->memory_max = 0;
 	for (uint32_t i = 0; i < pool->endpoints_n; i++) {
@@ -164,15 +168,15 @@
 	}
 }
 
-static bool is_held_long(const struct pool_endpoint *e)
+static bool held_for_long(const struct pool_endpoint *e)
 {
 	return e->hold && e->hold->request->want.band >= POOL_LONG;
 }
 
-static void count(struct dl_pool *pool, struct pool_endpoint *e)
+static void update_totals(struct dl_pool *pool, struct pool_endpoint *e)
 {
 	bool open = pool_endpoint_open(pool, e);
-	bool is_long = open && (e->long_grants > 0 || is_held_long(e));
+	bool is_long = open && (e->long_grants > 0 || held_for_long(e));
 	uint64_t memory = open ? e->last.memory_tokens : 0;
 	uint64_t before = e->counted_memory;
 	double rate = 0, decode;
@@ -200,17 +204,17 @@
 	if (memory > pool->memory_max)
 		pool->memory_max = memory;
 	else if (before == pool->memory_max && memory < before)
-		find_memory_max(pool);
+		update_memory_max(pool);
 }
 
-/* Bring sums and index up to date after any change of an endpoint. */
+/* Updates the pool's totals and its index after a change of an endpoint. */
 void pool_place_refresh(struct dl_pool *pool, struct pool_endpoint *e,
 			int64_t now)
 {
 	struct pool_index_node leaf;
 	uint64_t running = e->grants + pool_excess_min(&e->running_excess);
 
-	count(pool, e);
+	update_totals(pool, e);
 	if (!pool_endpoint_open(pool, e) ||
 	    running >= pool_outlier_slots(e, now)) {
 		pool_index_set(&pool->index, e->index, NULL);
@@ -218,15 +222,15 @@
 	}
 	for (int i = 0; i < POOL_LEVELS; i++)
 		leaf.ready[i] = e->busy_until[i];
-	leaf.free = pool_place_free(e);
+	leaf.free = pool_place_free_memory(e);
 	leaf.free_long = e->long_grants > 0 ? leaf.free : 0;
 	leaf.ms_per_token = pool_ms_per_token(pool, e);
 	pool_index_set(&pool->index, e->index, &leaf);
 }
 
-/* Whether a request already failed on this endpoint. */
-bool pool_place_tried(const struct pool_want *want,
-		      const struct pool_endpoint *e)
+/* Whether an earlier attempt of the request failed on this endpoint. */
+bool pool_place_failed_before(const struct pool_want *want,
+			      const struct pool_endpoint *e)
 {
 	for (int i = 0; i < want->tried_n; i++)
 		if (want->tried[i] == e->by_name.hash)
@@ -235,25 +239,26 @@
 }
 
 /*
- * Whether nothing that an endpoint has said or done keeps a request away from
- * it, however free it is.
+ * Whether a request may go to an endpoint regardless of its load: no attempt
+ * failed there, and neither its rate limit nor a backoff excludes it.
  */
-bool pool_place_lets(const struct dl_pool *pool, const struct pool_want *want,
-		     const struct pool_endpoint *e, int64_t now)
+bool pool_place_allowed(const struct dl_pool *pool,
+			const struct pool_want *want,
+			const struct pool_endpoint *e, int64_t now)
 {
-	return !pool_place_tried(want, e) &&
+	return !pool_place_failed_before(want, e) &&
 	       pool_throttle_allows(e, want, now) &&
 	       !pool_backoff_active(pool, want, e, now);
 }
 
 /*
- * Whether work of a higher level may still be put before what an endpoint has
- * of lower levels.  For short prompts that arrive while a long one is being
- * read: each of them delays it, and without this sum of delays a stream of
- * short ones would carry the long one past the deadline it was granted for.
+ * Whether a request may overtake an endpoint's work of lower levels.  Each
+ * short prompt that arrives during the prefill of a long one delays it, and
+ * without a bound on the sum of these delays the long one would miss the
+ * deadline for which it was granted.
  */
-static bool levels_allow(const struct pool_endpoint *e, uint8_t level,
-			 int64_t prefill_ms, int64_t now)
+static bool lower_levels_allow(const struct pool_endpoint *e, uint8_t level,
+			       int64_t prefill_ms, int64_t now)
 {
 	for (int i = level + 1; i < POOL_LEVELS; i++)
 		if (e->busy_until[i] > now && e->slack[i] < prefill_ms)
@@ -262,12 +267,13 @@
 }
 
 /*
- * Whether a request would be over before the hold on an endpoint is expected
- * to be ready.  For giants: their engines are rarely free at the same time, and
- * the first ones would idle until the last one is.
+ * Whether a request is expected to end before the hold on an endpoint is ready
+ * (backfilling).  The engines of a group are rarely free at the same time, and
+ * the first would be idle until the last one is free.
  */
-static bool backfills(const struct dl_pool *pool, const struct pool_want *want,
-		      const struct pool_endpoint *e, int64_t now)
+static bool ends_before_hold(const struct dl_pool *pool,
+			     const struct pool_want *want,
+			     const struct pool_endpoint *e, int64_t now)
 {
 	struct pool_choice choice = { 0 };
 
@@ -275,31 +281,31 @@
 	return now + choice.total_ms <= e->hold->ready;
 }
 
-/* Whether a request could go to an endpoint now, but for its deadline. */
+/* Whether an endpoint can take a request now, regardless of its deadline. */
 bool pool_place_fits(const struct dl_pool *pool, const struct pool_want *want,
 		     const struct pool_endpoint *e, int64_t now)
 {
 	uint8_t level = pool_level(want);
 	double prefill = (double)want->prompt * pool_ms_per_token(pool, e);
-	uint64_t room = pool_place_free(e);
+	uint64_t room = pool_place_free_memory(e);
 
 	if (!pool_endpoint_open(pool, e) ||
-	    !pool_place_lets(pool, want, e, now))
+	    !pool_place_allowed(pool, want, e, now))
 		return false;
 	if (e->hold && level > POOL_SHORT) {
-		if (!backfills(pool, want, e, now))
+		if (!ends_before_hold(pool, want, e, now))
 			return false;
-		room = free_beside(e, 0);
+		room = free_memory_besides(e, 0);
 	}
 	if (want->need > room)
 		return false;
 	if (e->grants + pool_excess_min(&e->running_excess) >=
 	    pool_outlier_slots(e, now))
 		return false;
-	return levels_allow(e, level, (int64_t)ceil(prefill), now);
+	return lower_levels_allow(e, level, (int64_t)ceil(prefill), now);
 }
 
-/* What to keep in hand of a prediction, as a share of it. */
+/* Safety margin of a prediction, as a share of it. */
 double pool_margin(double deviation)
 {
 	double margin = deviation * MARGIN_DEVIATIONS;
@@ -310,9 +316,9 @@
 }
 
 /*
- * What to expect of a request on an endpoint.  The time to the first token
- * counts on the cache, the time by which all is done does not and has a
- * margin: it is what admission promises.
+ * Predicts the times of a request on an endpoint.  The time to the first token
+ * relies on the prefix cache.  The total time does not and includes a margin,
+ * since admission guarantees it.
  */
 void pool_place_expect(const struct dl_pool *pool,
 		       const struct pool_endpoint *e,
@@ -340,9 +346,9 @@
 }
 
 /*
- * Whether a choice keeps the request's deadline.  For every load: what is
- * granted without this would occupy an engine for an answer that nobody waits
- * for any more, which is what makes goodput collapse past saturation.
+ * Whether a placement meets the request's deadline.  A request granted without
+ * this check could occupy an engine after its caller has given up, which makes
+ * goodput collapse past saturation.
  */
 bool pool_place_in_time(const struct pool_choice *choice,
 			const struct pool_want *want, int64_t now)
@@ -350,14 +356,14 @@
 	return now + choice->total_ms <= want->deadline;
 }
 
-/* Whether an endpoint is free for a level, or so soon that it may be bound. */
+/* Whether an endpoint is free for a level now or within BIND_AHEAD_MS. */
 bool pool_place_ready(const struct pool_endpoint *e, uint8_t level, int64_t now)
 {
 	return e->busy_until[level] <= now + BIND_AHEAD_MS;
 }
 
-static void wait_for(struct dl_pool *pool, const struct pool_endpoint *e,
-		     uint8_t level)
+static void schedule_bind(struct dl_pool *pool, const struct pool_endpoint *e,
+			  uint8_t level)
 {
 	int64_t at = e->busy_until[level] - BIND_AHEAD_MS;
 
@@ -365,9 +371,10 @@
 		pool->bind_at = at;
 }
 
-static double cost_at(const struct search *s, const struct pool_endpoint *e)
+static double placement_cost(const struct search *s,
+			     const struct pool_endpoint *e)
 {
-	uint32_t saved = pool_prefix_saved(s->pool, s->want, e, s->now);
+	uint32_t saved = pool_prefix_cached_tokens(s->pool, s->want, e, s->now);
 	double tokens = (double)(s->want->prompt - saved);
 	double prefill = tokens * pool_ms_per_token(s->pool, e);
 	double margin = pool_margin(e->deviation);
@@ -375,8 +382,8 @@
 	double cost = (double)start + prefill * (1 + margin);
 
 	/*
-	 * One of another failure domain only where the own would be late: a
-	 * cut between the domains does not break what stays at home.
+	 * Use another failure domain only if the request's own would be late: a
+	 * partition does not break requests that stay within one domain.
 	 */
 	if (pool_in_other_domain(s->want, e))
 		cost += s->want->target_ms;
@@ -384,12 +391,12 @@
 	if (e->busy_until[POOL_LEVELS - 1] > start)
 		cost += e->interference_ms * (1 + margin);
 	else if (s->level == POOL_MEDIUM &&
-		 e->interference_ms >= KEEP_CLEAR_FROM_MS)
-		cost += prefill * KEEP_CLEAR_SHARE;
+		 e->interference_ms >= KEEP_FOR_SHORT_FROM_MS)
+		cost += prefill * KEEP_FOR_SHORT_SHARE;
 	return cost;
 }
 
-static double bound_at(const struct search *s, uint32_t node)
+static double cost_lower_bound(const struct search *s, uint32_t node)
 {
 	const struct pool_index_node *n = &s->pool->index.at[node];
 	uint64_t room = s->only_long ? n->free_long : n->free;
@@ -406,15 +413,15 @@
 
 	if (!pool_place_fits(s->pool, s->want, e, s->now))
 		return;
-	cost = cost_at(s, e);
+	cost = placement_cost(s, e);
 	if (cost >= s->best_cost)
 		return;
 	s->best = e;
 	s->best_cost = cost;
 }
 
-/* Endpoints in a hold: the index counts their gathered memory as taken. */
-static void consider_held(struct search *s)
+/* Considers endpoints with a hold; in the index their memory is in use. */
+static void consider_holds(struct search *s)
 {
 	for (int i = 0; i < POOL_HOLDS; i++) {
 		const struct pool_hold *hold = &s->pool->hold[i];
@@ -425,11 +432,11 @@
 }
 
 /*
- * Walk the index, the better half first, and leave out whatever cannot beat
- * the best found.  Between equals the one that became free first is taken,
- * which spreads a light load over all of them.
+ * Branch and bound over the index: descends into the better half first and
+ * skips subtrees that cannot beat the best endpoint found.  Among equals the
+ * endpoint that became free first wins, which spreads a light load evenly.
  */
-static void visit(struct search *s, uint32_t node)
+static void search_subtree(struct search *s, uint32_t node)
 {
 	const struct pool_index *index = &s->pool->index;
 	uint32_t first = 2 * node, second = 2 * node + 1;
@@ -440,8 +447,8 @@
 			consider(s, s->pool->endpoints[node - index->room]);
 		return;
 	}
-	a = bound_at(s, first);
-	b = bound_at(s, second);
+	a = cost_lower_bound(s, first);
+	b = cost_lower_bound(s, second);
 	if (b < a || (b <= a && index->at[second].ready[s->level] <
 					index->at[first].ready[s->level])) {
 		double swap = a;
@@ -452,12 +459,12 @@
 		second = 4 * node + 1 - first;
 	}
 	if (a < s->best_cost)
-		visit(s, first);
+		search_subtree(s, first);
 	if (b < s->best_cost)
-		visit(s, second);
+		search_subtree(s, second);
 }
 
-static bool probe_choose(struct dl_pool *pool, const struct pool_want *want,
+static bool choose_probe(struct dl_pool *pool, const struct pool_want *want,
 			 int64_t now, struct pool_choice *out)
 {
 	struct pool_endpoint *e = pool_outlier_probe(pool, want, now);
@@ -476,21 +483,18 @@
 }
 
 /*
- * Choose for a request that waits or has just come: where its first token is
- * expected earliest among the endpoints that have the memory.  False where
- * that one is not free yet; the request then waits in the pool's one queue and
- * not in an engine's, which is what keeps it from standing behind a long
- * prompt while another engine becomes free.  So a short prompt rather waits
- * tens of milliseconds for an endpoint without long work than lies behind a
- * step of it.
+ * Chooses the endpoint with enough memory on which a request's first token is
+ * expected earliest.  If it is not free yet, returns POOL_WAIT: the request
+ * waits in the pool's queue and not in the engine's, where it could be stuck
+ * behind a long prompt while another engine becomes free.  A short prompt may
+ * thus wait some tens of milliseconds for an endpoint without long work instead
+ * of a step of a long prompt.
  *
- * The endpoint that was last given the same start of a prompt is looked at
- * before the others and taken where its cache is expected to make up for a
- * later start.
+ * The endpoint that last had the same prompt prefix is considered first and
+ * wins if the expected cache hit outweighs a later start.
  *
- * A request whose best endpoint would end past its deadline is late: waiting
- * betters nothing, and while it waited it would stand before others that can
- * still make it.
+ * Returns POOL_LATE if the best endpoint would miss the deadline.  Waiting
+ * would not help, and the request would block others that can still be on time.
  */
 enum pool_found pool_place_choose(struct dl_pool *pool,
 				  const struct pool_want *want, int64_t now,
@@ -505,7 +509,7 @@
 		return pool_hold_choose(pool, hold, now, out);
 	if (want->band == POOL_OVERSIZED)
 		return pool_group_choose(pool, want, now, out);
-	if (pool->ejected && probe_choose(pool, want, now, out))
+	if (pool->ejected && choose_probe(pool, want, now, out))
 		return POOL_CHOSEN;
 	if (pool->index.room == 0)
 		return POOL_WAIT;
@@ -517,11 +521,11 @@
 	if (cached && (!s.only_long || cached->long_grants > 0))
 		consider(&s, cached);
 	if (s.level > POOL_SHORT)
-		consider_held(&s);
-	visit(&s, 1);
+		consider_holds(&s);
+	search_subtree(&s, 1);
 	if (!s.best)
 		return POOL_WAIT;
-	out->cached_tokens = pool_prefix_saved(pool, want, s.best, now);
+	out->cached_tokens = pool_prefix_cached_tokens(pool, want, s.best, now);
 	pool_place_expect(pool, s.best, want, want->prompt, now, out);
 	out->endpoint[0] = s.best;
 	out->n = 1;
@@ -530,15 +534,16 @@
 		return POOL_LATE;
 	if (pool_place_ready(s.best, s.level, now))
 		return POOL_CHOSEN;
-	wait_for(pool, s.best, s.level);
+	schedule_bind(pool, s.best, s.level);
 	return POOL_WAIT;
 }
 
 /*
- * The priority given to the engine, 0 first: by length, so that a short prompt
- * overtakes the long one under way; by class; and by how much of its time is
- * to spare, so that among equals the tightest goes first.  In quarters only:
- * finer steps reorder what came a few milliseconds apart for no one's good.
+ * Priority passed to the engine; 0 is the highest.  It is made up of the prompt
+ * length, so that a short prompt overtakes a running long one, the class, and
+ * the slack to the deadline, least slack first.  Slack is in quarters only:
+ * finer steps would reorder requests that arrived a few milliseconds apart
+ * without a benefit.
  */
 uint8_t pool_place_priority(const struct pool_want *want,
 			    const struct pool_choice *choice, int64_t now)
--- a/src/coordination/pool_prefix.c
+++ b/src/coordination/pool_prefix.c
@@ -1,27 +1,29 @@
 /*
- * Where the start of a prompt was last read, and how much of it may still be
- * in that engine's cache.  Cache events come late and with gaps, so this is an
- * estimate that fades; nothing is promised on it.
+ * Tracks which endpoint last prefilled a prompt prefix, and estimates how much
+ * of it is still in that engine's cache.  Cache events arrive late and with
+ * gaps, so the estimate decays with time and no guarantee depends on it.
  */
 #include "pool_int.h"
 
 /*
- * After this long without use nothing is expected of a cache: memory for
- * prefixes is limited and goes to whoever comes next.
+ * A prefix unused for this long is expected to be evicted: cache memory is
+ * limited and goes to later requests.
  */
-#define PREFIX_FADE_MS 120000
+#define PREFIX_DECAY_MS 120000
 
-static struct pool_prefix *slot_of(const struct dl_pool *pool, uint64_t prefix);
+static struct pool_prefix *prefix_slot(const struct dl_pool *pool,
+				       uint64_t prefix);
 
-static struct pool_prefix *slot_of(const struct dl_pool *pool, uint64_t prefix)
+static struct pool_prefix *prefix_slot(const struct dl_pool *pool,
+				       uint64_t prefix)
 {
 	return &pool->prefixes[pool_mix(prefix) % POOL_PREFIXES];
 }
 
-/* Tokens of a prompt that an endpoint is expected not to read again. */
-uint32_t pool_prefix_saved(const struct dl_pool *pool,
-			   const struct pool_want *want,
-			   const struct pool_endpoint *e, int64_t now)
+/* Estimates the prompt tokens that an endpoint has in its cache. */
+uint32_t pool_prefix_cached_tokens(const struct dl_pool *pool,
+				   const struct pool_want *want,
+				   const struct pool_endpoint *e, int64_t now)
 {
 	const struct pool_prefix *p;
 	uint64_t tokens;
@@ -29,8 +31,8 @@
 
 	if (want->prefix == 0)
 		return 0;
-	p = slot_of(pool, want->prefix);
-	left = p->at + PREFIX_FADE_MS - now;
+	p = prefix_slot(pool, want->prefix);
+	left = p->at + PREFIX_DECAY_MS - now;
 	if (p->prefix != want->prefix || p->endpoint != e->by_name.hash ||
 	    left <= 0)
 		return 0;
@@ -38,12 +40,12 @@
 						   want->prefix_tokens;
 	if (tokens >= want->prompt)
 		tokens = want->prompt - 1;
-	if (left > PREFIX_FADE_MS)
-		left = PREFIX_FADE_MS;
-	return (uint32_t)(tokens * (uint64_t)left / PREFIX_FADE_MS);
+	if (left > PREFIX_DECAY_MS)
+		left = PREFIX_DECAY_MS;
+	return (uint32_t)(tokens * (uint64_t)left / PREFIX_DECAY_MS);
 }
 
-/* The endpoint that last read this start of a prompt, or NULL. */
+/* Returns the endpoint that last prefilled this prompt prefix, or NULL. */
 struct pool_endpoint *pool_prefix_endpoint(const struct dl_pool *pool,
 					   const struct pool_want *want)
 {
@@ -52,7 +54,7 @@
 
 	if (want->prefix == 0)
 		return NULL;
-	p = slot_of(pool, want->prefix);
+	p = prefix_slot(pool, want->prefix);
 	if (p->prefix != want->prefix)
 		return NULL;
 	node = pool_map_first(&pool->endpoint_by_name, p->endpoint);
@@ -60,7 +62,7 @@
 		      NULL;
 }
 
-/* An endpoint reads, or says that it holds, this start of a prompt. */
+/* Records that an endpoint prefills a prompt prefix or reports it as cached. */
 void pool_prefix_note(struct dl_pool *pool, uint64_t prefix, uint32_t tokens,
 		      const struct pool_endpoint *e, int64_t now)
 {
@@ -68,18 +70,21 @@
 
 	if (prefix == 0)
 		return;
-	p = slot_of(pool, prefix);
+	p = prefix_slot(pool, prefix);
 	*p = (struct pool_prefix){ .prefix = prefix,
 				   .endpoint = e->by_name.hash,
 				   .at = now,
 				   .tokens = tokens };
 }
 
-/* An endpoint says, or showed by its time, that it does not hold it. */
+/*
+ * Removes a prefix that an endpoint reports as evicted, or whose prefill time
+ * shows that it was not cached.
+ */
 void pool_prefix_forget(struct dl_pool *pool, uint64_t prefix,
 			const struct pool_endpoint *e)
 {
-	struct pool_prefix *p = slot_of(pool, prefix);
+	struct pool_prefix *p = prefix_slot(pool, prefix);
 
 	if (p->prefix == prefix && p->endpoint == e->by_name.hash)
 		*p = (struct pool_prefix){ 0 };
--- a/src/coordination/pool_tree.c
+++ b/src/coordination/pool_tree.c
@@ -1,23 +1,25 @@
 /*
- * A treap: requests of one flow by deadline, with the sum of the work before
- * any of them in logarithmic time.  Depth is logarithmic as long as ranks are
- * random, which pool_queue.c sees to.
+ * A treap of the requests of one flow by deadline, which sums the work ahead of
+ * a request in logarithmic time.  Its depth is logarithmic as long as the ranks
+ * are random; pool_queue.c sets them.
  */
 #include "pool_int.h"
 
-static bool before(const struct pool_tree_node *a, int64_t key, uint64_t order);
-static void add_up(struct pool_tree_node *node);
+static bool sorts_before(const struct pool_tree_node *a, int64_t key,
+			 uint64_t order);
+static void update_sum(struct pool_tree_node *node);
 static void split(struct pool_tree_node *root, int64_t key, uint64_t order,
 		  struct pool_tree_node **left, struct pool_tree_node **right);
 static struct pool_tree_node *merge(struct pool_tree_node *left,
 				    struct pool_tree_node *right);
 
-static bool before(const struct pool_tree_node *a, int64_t key, uint64_t order)
+static bool sorts_before(const struct pool_tree_node *a, int64_t key,
+			 uint64_t order)
 {
 	return a->key < key || (a->key == key && a->order < order);
 }
 
-static void add_up(struct pool_tree_node *node)
+static void update_sum(struct pool_tree_node *node)
 {
 	node->sum = node->weight;
 	if (node->left)
@@ -34,14 +36,14 @@
 		*right = NULL;
 		return;
 	}
-	if (before(root, key, order)) {
+	if (sorts_before(root, key, order)) {
 		split(root->right, key, order, &root->right, right);
 		*left = root;
 	} else {
 		split(root->left, key, order, left, &root->left);
 		*right = root;
 	}
-	add_up(root);
+	update_sum(root);
 }
 
 static struct pool_tree_node *merge(struct pool_tree_node *left,
@@ -53,34 +55,34 @@
 		return left;
 	if (left->rank > right->rank) {
 		left->right = merge(left->right, right);
-		add_up(left);
+		update_sum(left);
 		return left;
 	}
 	right->left = merge(left, right->left);
-	add_up(right);
+	update_sum(right);
 	return right;
 }
 
-/* Insert a node whose key, order, weight and rank are set. */
+/* Inserts a node whose key, order, weight and rank are set. */
 void pool_tree_insert(struct pool_tree_node **root, struct pool_tree_node *node)
 {
 	struct pool_tree_node *left, *right;
 
 	node->left = NULL;
 	node->right = NULL;
-	add_up(node);
+	update_sum(node);
 	split(*root, node->key, node->order, &left, &right);
 	*root = merge(merge(left, node), right);
 }
 
-/* Remove a node that is in the tree. */
+/* Removes a node that is in the tree. */
 void pool_tree_remove(struct pool_tree_node **root, struct pool_tree_node *node)
 {
 	struct pool_tree_node **link = root;
 
 	while (*link && *link != node) {
 		(*link)->sum -= node->weight;
-		if (before(*link, node->key, node->order))
+		if (sorts_before(*link, node->key, node->order))
 			link = &(*link)->right;
 		else
 			link = &(*link)->left;
@@ -89,7 +91,7 @@
 		*link = merge(node->left, node->right);
 }
 
-/* The node of the smallest key, or NULL. */
+/* Returns the node with the smallest key, or NULL. */
 struct pool_tree_node *pool_tree_first(struct pool_tree_node *root)
 {
 	while (root && root->left)
@@ -97,7 +99,7 @@
 	return root;
 }
 
-/* The node of the largest key, or NULL. */
+/* Returns the node with the largest key, or NULL. */
 struct pool_tree_node *pool_tree_last(struct pool_tree_node *root)
 {
 	while (root && root->right)
@@ -105,14 +107,15 @@
 	return root;
 }
 
-/* The node next after another one of the tree, or NULL. */
+/* Returns the node that follows another one of the tree, or NULL. */
 struct pool_tree_node *pool_tree_next(struct pool_tree_node *root,
 				      const struct pool_tree_node *node)
 {
 	struct pool_tree_node *next = NULL;
 
 	while (root) {
-		if (root == node || before(root, node->key, node->order)) {
+		if (root == node ||
+		    sorts_before(root, node->key, node->order)) {
 			root = root->right;
 			continue;
 		}
@@ -122,14 +125,14 @@
 	return next;
 }
 
-/* The weights of all nodes before (key, order), added up. */
+/* Returns the sum of the weights of all nodes before (key, order). */
 uint64_t pool_tree_sum_before(const struct pool_tree_node *root, int64_t key,
 			      uint64_t order)
 {
 	uint64_t sum = 0;
 
 	while (root) {
-		if (!before(root, key, order)) {
+		if (!sorts_before(root, key, order)) {
 			root = root->left;
 			continue;
 		}
--- a/test/test_engine.c
+++ b/test/test_engine.c
@@ -1,6 +1,6 @@
 /*
- * The model of an engine, against what its published figures give by hand, and
- * the forecast that follows an engine pass by pass.
+ * Engine model: durations against values calculated by hand from the published
+ * figures, and the forecast of an engine pass by pass.
  */
 #include <check.h>
 #include <errno.h>
@@ -16,95 +16,102 @@
 
 static struct dl_engine engine;
 
-static void begin(void)
+static void setup(void)
 {
 	dl_engine_init(&engine);
 }
 
-static struct dl_engine_item item_of(uint64_t id, float read_ms, bool writes)
+static struct dl_engine_item item_of(uint64_t id, float prefill_ms,
+				     bool decodes)
 {
 	return (struct dl_engine_item){ .id = id,
-					.read_ms = read_ms,
-					.writes = writes,
+					.prefill_ms = prefill_ms,
+					.decodes = decodes,
 					.gap_ms = 250,
 					.weight = 10 };
 }
 
-static void add(uint64_t id, float read_ms, bool writes, int64_t now)
+static void add(uint64_t id, float prefill_ms, bool decodes, int64_t now)
 {
-	struct dl_engine_item item = item_of(id, read_ms, writes);
+	struct dl_engine_item item = item_of(id, prefill_ms, decodes);
 
 	ck_assert_int_eq(dl_engine_add(&engine, &model, &item, now), 0);
 }
 
-static struct dl_engine_forecast forecast(double read_ms, int64_t now)
+static struct dl_engine_forecast forecast(double prefill_ms, int64_t now)
 {
 	struct dl_engine_forecast f;
 
 	dl_engine_advance(&engine, &model, now);
-	dl_engine_forecast(&engine, &model, read_ms, now, &f);
+	dl_engine_forecast(&engine, &model, prefill_ms, now, &f);
 	return f;
 }
 
-struct reading {
+struct prefill_case {
 	uint64_t tokens;
 	double ms;
 };
 
-/* Tokens over the rate, and half the square of them in pairs. */
-static const struct reading readings[] = {
+/*
+ * Tokens divided by the rate, plus time for half their square in token pairs.
+ */
+static const struct prefill_case prefill_cases[] = {
 	{ 0, 0 },	    { 4960, 30.3 },	 { 45000, 440.5 },
 	{ 154000, 3051.9 }, { 315000, 10908.3 }, { 700000, 49034.8 },
 };
 
-START_TEST(reading_takes_its_pairs)
+START_TEST(prefill_time_includes_token_pairs)
 {
-	const struct reading *r = &readings[_i];
+	const struct prefill_case *r = &prefill_cases[_i];
 
-	ck_assert_double_eq_tol(dl_engine_read_ms(&model, r->tokens), r->ms,
+	ck_assert_double_eq_tol(dl_engine_prefill_ms(&model, r->tokens), r->ms,
 				0.1 + r->ms * 0.001);
 }
 END_TEST
 
-START_TEST(writing_takes_a_stride)
+START_TEST(decode_pass_takes_one_stride)
 {
-	ck_assert_double_eq_tol(dl_engine_write_ms(&model, 0, 0), 0, 0.001);
-	ck_assert_double_eq_tol(dl_engine_write_ms(&model, 1, 0), 43.57, 0.01);
-	ck_assert_double_eq_tol(dl_engine_write_ms(&model, 16, 80000), 58.45,
+	ck_assert_double_eq_tol(dl_engine_decode_pass_ms(&model, 0, 0), 0,
+				0.001);
+	ck_assert_double_eq_tol(dl_engine_decode_pass_ms(&model, 1, 0), 43.57,
 				0.01);
+	ck_assert_double_eq_tol(dl_engine_decode_pass_ms(&model, 16, 80000),
+				58.45, 0.01);
 }
 END_TEST
 
-START_TEST(idle_engine_reads_at_once)
+START_TEST(idle_engine_prefills_at_once)
 {
-	ck_assert_int_eq(forecast(28, 1000).read_at, 1028);
+	ck_assert_int_eq(forecast(28, 1000).prefilled_at, 1028);
 }
 END_TEST
 
-/* Reading alone goes on step by step: the next prompt is read behind it. */
-START_TEST(reading_alone_is_joined)
+/* Without decoding a prompt joins the current pass behind the others. */
+START_TEST(prompt_joins_a_pass_without_streams)
 {
 	add(1, 100, true, 1000);
-	ck_assert_int_eq(forecast(28, 1010).read_at, 1128);
+	ck_assert_int_eq(forecast(28, 1010).prefilled_at, 1128);
 }
 END_TEST
 
-/* Beside writers a prompt waits for the pass under way, and its own pass. */
-START_TEST(writers_hold_a_pass)
+/*
+ * While an engine decodes, a prompt waits for the current and for its own pass.
+ */
+START_TEST(prompt_waits_for_a_pass_with_streams)
 {
 	struct dl_engine_forecast f;
 
 	add(1, 100, true, 1000);
 	f = forecast(28, 1101);
 	ck_assert_int_eq(engine.pass_ends, 1144);
-	ck_assert_uint_eq(f.writers, 1);
+	ck_assert_uint_eq(f.streams, 1);
 	ck_assert_uint_eq(f.gap_ms, 250);
-	ck_assert_int_eq(f.read_at, 1144 + 72);
+	ck_assert_int_eq(f.prefilled_at, 1144 + 72);
 }
 END_TEST
 
-/* All that was admitted during a pass is read in the next one. */
-START_TEST(what_waits_is_read_together)
+/* All prompts that arrive during a pass are prefilled in the next one. */
+START_TEST(waiting_prompts_share_one_pass)
 {
 	add(1, 10, true, 1000);
 	dl_engine_advance(&engine, &model, 1011);
@@ -114,75 +121,78 @@
 }
 END_TEST
 
-/* A part that was read for another engine leaves nothing behind. */
-START_TEST(parts_end_with_their_pass)
+/* A part for another engine is removed after its prefill. */
+START_TEST(prefill_only_items_end_with_their_pass)
 {
 	add(1, 50, false, 1000);
 	dl_engine_advance(&engine, &model, 1051);
 	ck_assert_uint_eq(engine.count, 0);
-	ck_assert_int_eq(forecast(10, 1100).read_at, 1110);
+	ck_assert_int_eq(forecast(10, 1100).prefilled_at, 1110);
 }
 END_TEST
 
-/* For a request of ten seconds' reading whose caller leaves. */
-START_TEST(what_is_given_up_is_not_read)
+/* A caller cancels a request with a prefill of ten seconds. */
+START_TEST(removed_prompt_is_not_prefilled)
 {
 	add(1, 10000, true, 1000);
 	dl_engine_remove(&engine, 1, 2000);
-	ck_assert_int_eq(forecast(28, 2000).read_at, 2028);
+	ck_assert_int_eq(forecast(28, 2000).prefilled_at, 2028);
 }
 END_TEST
 
-START_TEST(slow_engines_take_longer)
+START_TEST(slowdown_scales_pass_time)
 {
-	engine.pace = 3;
+	engine.slowdown = 3;
 	add(1, 100, true, 1000);
 	ck_assert_int_eq(engine.pass_ends, 1300);
 }
 END_TEST
 
-/* The pass that read it ended sooner, later or much later than foreseen. */
+/*
+ * The pass with the prefill ended earlier, later or much later than forecast.
+ */
 static const struct {
 	int64_t seen, begins;
-} firsts[] = {
-	{ 20, 20 }, /* foreseen at 30 */
-	{ 30, 30 }, /* as foreseen */
-	{ 40, 40 }, /* the pass after it began 10 ms later */
-	{ 65, 65 }, /* nearer to the end of that pass: it has ended */
+} first_event_cases[] = {
+	{ 20, 20 }, /* forecast: 30 */
+	{ 30, 30 }, /* as forecast */
+	{ 40, 40 }, /* the next pass began 10 ms later */
+	{ 65, 65 }, /* closer to the end of the next pass, which has ended */
 };
 
-START_TEST(a_first_event_shows_where_a_pass_ends)
+START_TEST(first_event_corrects_the_pass_start)
 {
-	double stride = dl_engine_write_ms(&model, 1, 0);
+	double stride = dl_engine_decode_pass_ms(&model, 1, 0);
 
 	add(1, 30, true, 0);
-	dl_engine_seen(&engine, &model, 1, firsts[_i].seen);
-	ck_assert_int_eq(engine.pass_began, firsts[_i].begins);
+	dl_engine_observe_first_event(&engine, &model, 1,
+				      first_event_cases[_i].seen);
+	ck_assert_int_eq(engine.pass_began, first_event_cases[_i].begins);
 	ck_assert_int_eq(engine.pass_ends,
-			 firsts[_i].begins + (int64_t)(stride + 1));
-	ck_assert(engine.writing);
-	ck_assert(!engine.item[0].reading && !engine.item[0].waiting);
+			 first_event_cases[_i].begins + (int64_t)(stride + 1));
+	ck_assert(engine.decoding);
+	ck_assert(!engine.item[0].prefilling && !engine.item[0].waiting);
 }
 END_TEST
 
-/* What was taken in before one that was read has been read as well. */
-START_TEST(a_first_event_may_be_of_one_that_was_thought_to_wait)
+/* Items that were admitted earlier have been prefilled as well. */
+START_TEST(first_event_of_a_waiting_item_marks_it_prefilled)
 {
 	add(1, 30, true, 0);
 	forecast(0, 31);
 	add(2, 20, true, 35);
 	add(3, 20, true, 36);
-	dl_engine_seen(&engine, &model, 2, 60);
-	ck_assert(!engine.item[1].reading && !engine.item[1].waiting);
-	ck_assert(engine.item[2].reading);
+	dl_engine_observe_first_event(&engine, &model, 2, 60);
+	ck_assert(!engine.item[1].prefilling && !engine.item[1].waiting);
+	ck_assert(engine.item[2].prefilling);
 	ck_assert_int_eq(engine.pass_began, 60);
-	/* One that is not there, and a part, show nothing. */
-	dl_engine_seen(&engine, &model, 9, 70);
+	/* The event of an unknown request changes nothing. */
+	dl_engine_observe_first_event(&engine, &model, 9, 70);
 	ck_assert_int_eq(engine.pass_began, 60);
 }
 END_TEST
 
-START_TEST(full_is_told)
+START_TEST(full_engine_returns_enospc)
 {
 	struct dl_engine_item item = item_of(99, 1, true);
 
@@ -192,33 +202,33 @@
 }
 END_TEST
 
-struct pause {
+struct pause_case {
 	double from_ms, to_ms;
-	bool harms, gravely;
+	bool costs, abandoned;
 };
 
-static const struct pause pauses[] = {
-	{ 50, 200, false, false }, /* within what is borne */
+static const struct pause_case pause_cases[] = {
+	{ 50, 200, false, false }, /* within the tolerated gap */
 	{ 50, 300, true, false },
-	{ 300, 300, false, false }, /* late already, and no worse */
-	{ 300, 600, true, false },  /* late already, and worse */
+	{ 300, 300, false, false }, /* gap exceeded already, and unchanged */
+	{ 300, 600, true, false },  /* gap exceeded already, and longer */
 	{ 50, 1200, true, true },   /* callers give up */
 };
 
-START_TEST(harm_grows_with_the_pause)
+START_TEST(gap_cost_grows_with_the_pause)
 {
-	const struct pause *p = &pauses[_i];
-	double harm;
+	const struct pause_case *p = &pause_cases[_i];
+	double cost;
 
 	add(1, 0, true, 1000);
-	harm = dl_engine_harm(&engine, p->from_ms, p->to_ms, 1);
-	ck_assert_int_eq(harm > 0, p->harms);
-	ck_assert_int_eq(harm > 1000, p->gravely);
+	cost = dl_engine_gap_cost(&engine, p->from_ms, p->to_ms, 1);
+	ck_assert_int_eq(cost > 0, p->costs);
+	ck_assert_int_eq(cost > 1000, p->abandoned);
 }
 END_TEST
 
-/* However it is driven, it neither hangs nor forgets an item. */
-START_TEST(random_events)
+/* Under random events the model neither hangs nor loses an item. */
+START_TEST(invariants_hold_under_random_events)
 {
 	int64_t now = 0;
 
@@ -234,35 +244,36 @@
 		if (engine.count)
 			ck_assert_int_gt(engine.pass_ends, now - 1);
 		for (uint32_t k = 0; k < engine.count; k++)
-			ck_assert(!engine.item[k].reading ||
+			ck_assert(!engine.item[k].prefilling ||
 				  !engine.item[k].waiting);
 	}
 }
 END_TEST
 
 /*
- * What is being read where nobody writes is out at the pass's end only: who
- * makes it longer makes that late.  Beside writers the next pass counts.
+ * In a pass without decoding, results are available only at its end, so a
+ * prompt that makes it longer delays all others in it.  While an engine
+ * decodes, only the next pass becomes longer.
  */
-START_TEST(delay_counts_those_it_makes_late)
+START_TEST(delay_cost_counts_newly_late_items)
 {
 	struct dl_engine_item item = item_of(1, 200, true);
 
-	item.due = 1250;
-	item.last = 2000;
+	item.target_at = 1250;
+	item.first_by = 2000;
 	ck_assert_int_eq(dl_engine_add(&engine, &model, &item, 1000), 0);
 	ck_assert_int_eq(engine.pass_ends, 1200);
-	ck_assert_double_eq(dl_engine_delay_harm(&engine, 1200, 1240, 1000), 0);
-	ck_assert_double_eq(dl_engine_delay_harm(&engine, 1200, 1260, 1000),
+	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1200, 1240, 1000), 0);
+	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1200, 1260, 1000),
 			    10);
-	/* Past its caller's patience it is worth nothing any more. */
-	ck_assert_double_eq(dl_engine_delay_harm(&engine, 1200, 2100, 1000),
+	/* Past first_by its remaining value is lost as well. */
+	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1200, 2100, 1000),
 			    12.5);
-	/* It is late already: only the patience is left to lose. */
-	ck_assert_double_eq(dl_engine_delay_harm(&engine, 1300, 1900, 1000), 0);
-	/* Once it writes, another prompt is read in a later pass. */
+	/* It is late already; only passing first_by would add a cost. */
+	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1300, 1900, 1000), 0);
+	/* Once it decodes, another prompt is prefilled in a later pass. */
 	dl_engine_advance(&engine, &model, 1200);
-	ck_assert_double_eq(dl_engine_delay_harm(&engine, 1200, 2100, 1200), 0);
+	ck_assert_double_eq(dl_engine_delay_cost(&engine, 1200, 2100, 1200), 0);
 }
 END_TEST
 
@@ -272,24 +283,25 @@
 	TCase *t = tcase_create("engine");
 
 	suite_add_tcase(s, t);
-	tcase_add_checked_fixture(t, begin, NULL);
-	tcase_add_test(t, delay_counts_those_it_makes_late);
-	tcase_add_loop_test(t, reading_takes_its_pairs, 0,
-			    sizeof(readings) / sizeof(readings[0]));
-	tcase_add_test(t, writing_takes_a_stride);
-	tcase_add_test(t, idle_engine_reads_at_once);
-	tcase_add_test(t, reading_alone_is_joined);
-	tcase_add_test(t, writers_hold_a_pass);
-	tcase_add_test(t, what_waits_is_read_together);
-	tcase_add_test(t, parts_end_with_their_pass);
-	tcase_add_test(t, what_is_given_up_is_not_read);
-	tcase_add_test(t, slow_engines_take_longer);
-	tcase_add_loop_test(t, a_first_event_shows_where_a_pass_ends, 0,
-			    sizeof(firsts) / sizeof(firsts[0]));
-	tcase_add_test(t, a_first_event_may_be_of_one_that_was_thought_to_wait);
-	tcase_add_test(t, full_is_told);
-	tcase_add_loop_test(t, harm_grows_with_the_pause, 0,
-			    sizeof(pauses) / sizeof(pauses[0]));
-	tcase_add_test(t, random_events);
+	tcase_add_checked_fixture(t, setup, NULL);
+	tcase_add_test(t, delay_cost_counts_newly_late_items);
+	tcase_add_loop_test(t, prefill_time_includes_token_pairs, 0,
+			    sizeof(prefill_cases) / sizeof(prefill_cases[0]));
+	tcase_add_test(t, decode_pass_takes_one_stride);
+	tcase_add_test(t, idle_engine_prefills_at_once);
+	tcase_add_test(t, prompt_joins_a_pass_without_streams);
+	tcase_add_test(t, prompt_waits_for_a_pass_with_streams);
+	tcase_add_test(t, waiting_prompts_share_one_pass);
+	tcase_add_test(t, prefill_only_items_end_with_their_pass);
+	tcase_add_test(t, removed_prompt_is_not_prefilled);
+	tcase_add_test(t, slowdown_scales_pass_time);
+	tcase_add_loop_test(t, first_event_corrects_the_pass_start, 0,
+			    sizeof(first_event_cases) /
+				    sizeof(first_event_cases[0]));
+	tcase_add_test(t, first_event_of_a_waiting_item_marks_it_prefilled);
+	tcase_add_test(t, full_engine_returns_enospc);
+	tcase_add_loop_test(t, gap_cost_grows_with_the_pause, 0,
+			    sizeof(pause_cases) / sizeof(pause_cases[0]));
+	tcase_add_test(t, invariants_hold_under_random_events);
 	return suite_run(s);
 }
--- a/test/test_placing_load.c
+++ b/test/test_placing_load.c
@@ -1,23 +1,23 @@
 /*
- * The load of a day's bursts played over the dispatcher and emulated engines,
- * and what callers get of it: streams in time by length, the product's way
- * beside round robin and least load in one run.
+ * Simulates bursts of load on several deployments, and compares the share of
+ * streams in time, by prompt length, under the engine policy with round robin
+ * and least load.
  */
 #include <check.h>
 #include <stdio.h>
 #include <stdlib.h>
 
-#include "fake/play.h"
+#include "fake/deployment_sim.h"
 #include "fake/published_engine.h"
 #include "fake/suite.h"
 
 #define SECONDS 24
-/* As long as such a burst lasts. */
+/* Duration of the bursts of long prompts. */
 #define BURST_S 10
 #define SEED	11
 
-/* Sixteen engines of 315,000 tokens. */
-static const struct play_deployment sixteen = {
+/* Sixteen engines with 315,000 tokens. */
+static const struct sim_deployment sixteen = {
 	.engines = 16,
 	.engine = { PUBLISHED_ENGINE, .hop_ms = 0.05, .usual_output = 1622 },
 	.kind = {
@@ -27,7 +27,7 @@
 	},
 };
 
-/* Of 232,000 tokens: one in twelve of the long prompts needs several. */
+/* Engines with 232,000 tokens: one in twelve long prompts needs several. */
 #define SMALLER(n)                                                               \
 	{                                                                        \
 		.engines = (n),                                                \
@@ -43,15 +43,15 @@
 		.events_spread = 0.6, \
 	}
 
-static const struct play_deployment twenty_one = SMALLER(21);
-/* The same after the loss of some. */
-static const struct play_deployment seventeen = SMALLER(17);
+static const struct sim_deployment twenty_one = SMALLER(21);
+/* The same deployment after the loss of four engines. */
+static const struct sim_deployment seventeen = SMALLER(17);
 
 /*
- * Of 197,200 tokens: three in eight of the long prompts need several.  What is
- * left of 69 engines when eleven have gone.
+ * Engines with 197,200 tokens: three in eight of the long prompts need several.
+ * 58 engines are left of 69 after the loss of eleven.
  */
-static const struct play_deployment fifty_eight = {
+static const struct sim_deployment fifty_eight = {
 	.engines = 58,
 	.engine = { PUBLISHED_ENGINE_SMALLEST, .hop_ms = 0.075,
 		    .usual_output = 1500 },
@@ -64,20 +64,20 @@
 	.workspaces = 24,
 };
 
-/* As much reading as they can do, right after a burst of short ones. */
-static const struct play_load full = {
+/* Prefill load at capacity, right after a burst of short prompts. */
+static const struct sim_load overload = {
 	"58, full", { 37, 10, 13.5 }, BURST_S, SEED, { 287, 3.9, 0.24 }, 8,
 };
-#define FULL_SEEDS 8
+#define OVERLOAD_SEEDS 8
 
-struct play_case {
-	const struct play_deployment *deployment;
-	struct play_load load;
-	/* Of a thousand, in time at least, by the product's way. */
-	uint32_t least[PLAY_KINDS];
+struct load_case {
+	const struct sim_deployment *deployment;
+	struct sim_load load;
+	/* Required permille in time under the engine policy. */
+	uint32_t in_time_min[SIM_KINDS];
 };
 
-static const struct play_case cases[] = {
+static const struct load_case cases[] = {
 	{ &sixteen,
 	  { "steady", { 32.6, 1.66, 1.0 }, SECONDS, SEED, { 0 }, 0 },
 	  { 980, 950, 900 } },
@@ -96,7 +96,7 @@
 	{ &twenty_one,
 	  { "21, short burst", { 103, 1.17, 0.1 }, SECONDS, SEED, { 0 }, 0 },
 	  { 980, 950, 500 } },
-	/* Streams of a burst are left on all engines. */
+	/* Streams of a preceding burst still run on all engines. */
 	{ &seventeen,
 	  { "17, after one",
 	    { 44.6, 2.44, 2.05 },
@@ -107,47 +107,49 @@
 	  { 970, 920, 880 } },
 };
 
-START_TEST(bursts_are_served_in_time)
+START_TEST(serves_bursts_in_time)
 {
-	const struct play_case *c = &cases[_i];
-	struct play_result ours, robin, least;
-
-	play(c->deployment, &c->load, &dl_policy_engine, &ours);
-	play_print(&c->load, "engine", c->deployment, &ours);
-	play(c->deployment, &c->load, &dl_policy_round_robin, &robin);
-	play_print(&c->load, "round robin", c->deployment, &robin);
-	play(c->deployment, &c->load, &dl_policy_least_load, &least);
-	play_print(&c->load, "least load", c->deployment, &least);
-	for (uint32_t k = 0; k < PLAY_KINDS; k++) {
-		uint32_t of = play_permille(&ours, k);
-
-		ck_assert_msg(of >= c->least[k],
+	const struct load_case *c = &cases[_i];
+	struct sim_result engine, round_robin, least_load;
+
+	sim_run(c->deployment, &c->load, &dl_policy_engine, &engine);
+	sim_print(&c->load, "engine", c->deployment, &engine);
+	sim_run(c->deployment, &c->load, &dl_policy_round_robin, &round_robin);
+	sim_print(&c->load, "round robin", c->deployment, &round_robin);
+	sim_run(c->deployment, &c->load, &dl_policy_least_load, &least_load);
+	sim_print(&c->load, "least load", c->deployment, &least_load);
+	for (uint32_t k = 0; k < SIM_KINDS; k++) {
+		uint32_t permille = sim_in_time_permille(&engine, k);
+
+		ck_assert_msg(permille >= c->in_time_min[k],
 			      "%s: %u of a thousand %s ones in time",
-			      c->load.name, of, c->deployment->kind[k].name);
-		ck_assert_uint_ge(of, play_permille(&robin, k));
-		ck_assert_uint_ge(of, play_permille(&least, k));
+			      c->load.name, permille,
+			      c->deployment->kind[k].name);
+		ck_assert_uint_ge(permille,
+				  sim_in_time_permille(&round_robin, k));
+		ck_assert_uint_ge(permille,
+				  sim_in_time_permille(&least_load, k));
 	}
 }
 END_TEST
 
 /*
- * Where not all can be served, the longest are not the ones that always go: the
- * longest tenth and the fifth below it are served half as often as their kind
- * at the least.
+ * Under overload the longest prompts must not be starved: the longest tenth and
+ * the fifth below it are served at least half as often as all long prompts.
  */
-START_TEST(the_longest_get_their_share)
+START_TEST(serves_longest_prompts)
 {
-	struct play_count sum = { 0 };
-	struct play_load load = full;
+	struct sim_count sum = { 0 };
+	struct sim_load load = overload;
 
-	for (uint32_t i = 0; i < FULL_SEEDS; i++) {
-		const struct play_count *c;
-		struct play_result result;
+	for (uint32_t i = 0; i < OVERLOAD_SEEDS; i++) {
+		const struct sim_count *c;
+		struct sim_result result;
 
 		load.seed = SEED + i;
-		play(&fifty_eight, &load, &dl_policy_engine, &result);
-		play_print(&load, "engine", &fifty_eight, &result);
-		c = &result.kind[PLAY_KINDS - 1];
+		sim_run(&fifty_eight, &load, &dl_policy_engine, &result);
+		sim_print(&load, "engine", &fifty_eight, &result);
+		c = &result.kind[SIM_KINDS - 1];
 		sum.asked += c->asked;
 		sum.in_time += c->in_time + c->late;
 		sum.tenth_asked += c->tenth_asked;
@@ -170,9 +172,9 @@
 	Suite *suite = suite_create("placing load");
 	TCase *tc = tcase_create("load");
 
-	tcase_add_loop_test(tc, bursts_are_served_in_time, 0,
+	tcase_add_loop_test(tc, serves_bursts_in_time, 0,
 			    sizeof(cases) / sizeof(cases[0]));
-	tcase_add_test(tc, the_longest_get_their_share);
+	tcase_add_test(tc, serves_longest_prompts);
 	tcase_set_timeout(tc, 300);
 	suite_add_tcase(suite, tc);
 	return suite_run(suite);
--- a/test/test_pool_load.c
+++ b/test/test_pool_load.c
@@ -48,7 +48,7 @@
 
 static void end(void)
 {
-	ck_assert_ptr_null(load.broken);
+	ck_assert_ptr_null(load.violation);
 	load_fini(&load);
 	g_rand_free(rnd);
 }
@@ -200,7 +200,7 @@
 {
 	uint32_t given = 0;
 
-	load.engine[5].conf.lie_permille = 100;
+	load.engine[5].conf.reported_load_permille = 100;
 	add_mix(60000, 0.8, true);
 	load_run(&load, 400000);
 	check_clean();
@@ -324,9 +324,9 @@
 
 	add_shorts(90000, 0.8, 0);
 	load_run(&load, 30000);
-	load.cut = ENGINES / 2;
+	load.reporting_engines = ENGINES / 2;
 	load_run(&load, 50000);
-	load.cut = ENGINES;
+	load.reporting_engines = ENGINES;
 	load_run(&load, 110000);
 	check_clean();
 	for (uint32_t i = 0; i < load.requests; i++) {
@@ -348,7 +348,7 @@
 	add_shorts(20000, 2, 0);
 	load_run(&load, 10000);
 	ck_assert_uint_gt(load_count(&load, LOAD_ANY, LOAD_QUEUED), 100);
-	load_hand_over(&load);
+	load_fail_over(&load);
 	load_run(&load, 40000);
 	check_clean();
 	ck_assert_uint_eq(load_count(&load, LOAD_ANY, LOAD_LOST), 0);
@@ -362,7 +362,7 @@
 START_TEST(two_giants)
 {
 	load.engines = 4;
-	load.cut = 4;
+	load.reporting_engines = 4;
 	for (int i = 0; i < 2; i++)
 		load_add(&load, 1000, DL_CLASS_BATCH, (uint32_t)i, 1000000, 300,
 			 300000)
@@ -380,7 +380,7 @@
 START_TEST(giant_gets_its_memory)
 {
 	load.engines = 4;
-	load.cut = 4;
+	load.reporting_engines = 4;
 	for (uint32_t i = 0; i < 4; i++)
 		load.engine[i].conf.memory = 100000;
 	for (int i = 0; i < 6000; i++) {
@@ -402,7 +402,7 @@
 START_TEST(long_keeps_its_promise)
 {
 	load.engines = 2;
-	load.cut = 2;
+	load.reporting_engines = 2;
 	load_add(&load, 1000, DL_CLASS_BATCH, 1, 100000, 50, 13000)->tag =
 		LOAD_LONG;
 	for (int i = 0; i < 3000; i++)
