--- a/include/daisyledge/rlog.h
+++ b/include/daisyledge/rlog.h
@@ -58,8 +58,8 @@
 };
 
 enum dl_rlog_msg_kind {
-	DL_RLOG_HELLO = 1, /* an identity without a log asks for one */
-	DL_RLOG_BIRTH = 2, /* the members that begin a log */
+	DL_RLOG_JOIN = 1,      /* an identity without a log asks for one */
+	DL_RLOG_BOOTSTRAP = 2, /* the members that begin a log */
 	DL_RLOG_PREVOTE = 3,
 	DL_RLOG_PREVOTE_REPLY = 4,
 	DL_RLOG_VOTE = 5,
@@ -69,8 +69,9 @@
 	DL_RLOG_SNAPSHOT = 9, /* one piece of it */
 	DL_RLOG_SNAPSHOT_REPLY = 10,
 	DL_RLOG_TRANSFER = 11, /* begin an election now */
-	DL_RLOG_STARTED = 12,  /* this replica has started: who leads not? */
-	DL_RLOG_STARTED_REPLY = 13, /* the one that answers does not lead */
+	DL_RLOG_STARTUP_QUERY =
+		12, /* this replica has started: who leads not? */
+	DL_RLOG_STARTUP_REPLY = 13, /* the one that answers does not lead */
 	DL_RLOG_MSG_KIND_COUNT,
 };
 
@@ -172,8 +173,8 @@
 };
 
 enum dl_rlog_role {
-	DL_RLOG_HALTED, /* damaged or failed disk; answers nobody */
-	DL_RLOG_UNBORN, /* has an identity, and no log yet */
+	DL_RLOG_HALTED,	       /* damaged or failed disk; answers nobody */
+	DL_RLOG_UNINITIALIZED, /* has an identity, and no log yet */
 	DL_RLOG_FOLLOWER,
 	DL_RLOG_PRECANDIDATE,
 	DL_RLOG_CANDIDATE,
--- a/src/main/replica_query.c
+++ b/src/main/replica_query.c
@@ -27,7 +27,7 @@
 
 static const char *const role_names[DL_RLOG_ROLE_COUNT] = {
 	[DL_RLOG_HALTED] = "halted",
-	[DL_RLOG_UNBORN] = "waiting to become a member",
+	[DL_RLOG_UNINITIALIZED] = "waiting to become a member",
 	[DL_RLOG_FOLLOWER] = "follower",
 	[DL_RLOG_PRECANDIDATE] = "candidate",
 	[DL_RLOG_CANDIDATE] = "candidate",
--- a/src/state/rlog.c
+++ b/src/state/rlog.c
@@ -46,8 +46,8 @@
 static void (*const on_msg[DL_RLOG_MSG_KIND_COUNT])(struct dl_rlog *r,
 						    const struct dl_rlog_msg *m,
 						    int64_t now) = {
-	[DL_RLOG_HELLO] = rlog_on_hello,
-	[DL_RLOG_BIRTH] = rlog_on_birth,
+	[DL_RLOG_JOIN] = rlog_on_hello,
+	[DL_RLOG_BOOTSTRAP] = rlog_on_birth,
 	[DL_RLOG_PREVOTE] = rlog_on_prevote,
 	[DL_RLOG_PREVOTE_REPLY] = rlog_on_prevote_reply,
 	[DL_RLOG_VOTE] = rlog_on_vote,
@@ -57,8 +57,8 @@
 	[DL_RLOG_SNAPSHOT] = on_append,
 	[DL_RLOG_SNAPSHOT_REPLY] = rlog_on_snapshot_reply,
 	[DL_RLOG_TRANSFER] = rlog_on_transfer,
-	[DL_RLOG_STARTED] = rlog_on_started,
-	[DL_RLOG_STARTED_REPLY] = rlog_on_started_reply,
+	[DL_RLOG_STARTUP_QUERY] = rlog_on_started,
+	[DL_RLOG_STARTUP_REPLY] = rlog_on_started_reply,
 };
 
 /* Settings for failure domains some milliseconds apart. */
@@ -111,7 +111,7 @@
 	r->dirty_from = rlog_last(&r->log) + 1;
 	r->synced_index = rlog_last(&r->log);
 	r->hello_at = now;
-	r->role = r->cluster ? DL_RLOG_FOLLOWER : DL_RLOG_UNBORN;
+	r->role = r->cluster ? DL_RLOG_FOLLOWER : DL_RLOG_UNINITIALIZED;
 	rlog_start(r, now);
 	rlog_reset_election(r, now);
 	rlog_members_refresh(r);
@@ -246,7 +246,7 @@
 {
 	struct dl_rlog_msg reply;
 
-	if (r->role == DL_RLOG_UNBORN) {
+	if (r->role == DL_RLOG_UNINITIALIZED) {
 		rlog_on_unborn(r, m, now);
 		return;
 	}
@@ -273,12 +273,12 @@
 
 static bool is_for_us(const struct dl_rlog *r, const struct dl_rlog_msg *m)
 {
-	if (m->kind == DL_RLOG_HELLO)
+	if (m->kind == DL_RLOG_JOIN)
 		return m->from_id != r->id;
 	if (m->to_id != r->id || m->from_id == r->id)
 		return false;
-	if (r->role == DL_RLOG_UNBORN)
-		return m->kind == DL_RLOG_BIRTH || is_leaders(m->kind);
+	if (r->role == DL_RLOG_UNINITIALIZED)
+		return m->kind == DL_RLOG_BOOTSTRAP || is_leaders(m->kind);
 	return m->cluster == r->cluster;
 }
 
@@ -292,10 +292,10 @@
 	switch (m->kind) {
 	case DL_RLOG_PREVOTE:
 	case DL_RLOG_VOTE:
-	case DL_RLOG_HELLO:
-	case DL_RLOG_BIRTH:
-	case DL_RLOG_STARTED:
-	case DL_RLOG_STARTED_REPLY:
+	case DL_RLOG_JOIN:
+	case DL_RLOG_BOOTSTRAP:
+	case DL_RLOG_STARTUP_QUERY:
+	case DL_RLOG_STARTUP_REPLY:
 		return false;
 	case DL_RLOG_PREVOTE_REPLY:
 		return !m->ok;
@@ -318,7 +318,8 @@
 	peer = rlog_peer_find(r, m->from_id);
 	if (peer)
 		peer->heard = now;
-	if (m->term > r->term && raises_term(m) && r->role != DL_RLOG_UNBORN)
+	if (m->term > r->term && raises_term(m) &&
+	    r->role != DL_RLOG_UNINITIALIZED)
 		rlog_follow(r, m->term, now);
 	on_msg[m->kind](r, m, now);
 	return 0;
@@ -330,7 +331,7 @@
 	switch (r->role) {
 	case DL_RLOG_HALTED:
 		return;
-	case DL_RLOG_UNBORN:
+	case DL_RLOG_UNINITIALIZED:
 		if (now >= r->hello_at)
 			rlog_hello(r, now);
 		return;
@@ -357,7 +358,7 @@
 	switch (r->role) {
 	case DL_RLOG_HALTED:
 		return INT64_MAX;
-	case DL_RLOG_UNBORN:
+	case DL_RLOG_UNINITIALIZED:
 		return r->hello_at;
 	case DL_RLOG_LEADER:
 		return rlog_lead_wakeup(r);
@@ -416,10 +417,10 @@
 static bool stale(const struct dl_rlog *r, const struct rlog_queued *q)
 {
 	switch (q->msg.kind) {
-	case DL_RLOG_HELLO:
-	case DL_RLOG_BIRTH:
+	case DL_RLOG_JOIN:
+	case DL_RLOG_BOOTSTRAP:
 		return false;
-	case DL_RLOG_STARTED_REPLY:
+	case DL_RLOG_STARTUP_REPLY:
 		return r->role == DL_RLOG_LEADER;
 	case DL_RLOG_PREVOTE:
 		return r->role != DL_RLOG_PRECANDIDATE ||
@@ -429,7 +430,8 @@
 	case DL_RLOG_PREVOTE_REPLY:
 		return !q->msg.ok && q->msg.term != r->term;
 	default:
-		return r->role != DL_RLOG_UNBORN && q->msg.term != r->term;
+		return r->role != DL_RLOG_UNINITIALIZED &&
+		       q->msg.term != r->term;
 	}
 }
 
--- a/src/state/rlog_birth.c
+++ b/src/state/rlog_birth.c
@@ -88,13 +88,13 @@
 
 static void hello_to(struct dl_rlog *r, uint64_t vm)
 {
-	struct dl_rlog_msg m = rlog_msg_to(r, DL_RLOG_HELLO, vm, 0);
+	struct dl_rlog_msg m = rlog_msg_to(r, DL_RLOG_JOIN, vm, 0);
 
 	if (vm == r->conf.self)
 		return;
 	m.index = listed_digest(r);
 	m.commit = r->conf.self;
-	m.fresh = r->role == DL_RLOG_UNBORN;
+	m.fresh = r->role == DL_RLOG_UNINITIALIZED;
 	rlog_queue(r, &m, 0);
 }
 
@@ -113,7 +113,7 @@
 		if (!is_listed(r, r->peers[i].member.vm))
 			hello_to(r, r->peers[i].member.vm);
 	}
-	if (r->role != DL_RLOG_UNBORN || !collect(r, now, &members))
+	if (r->role != DL_RLOG_UNINITIALIZED || !collect(r, now, &members))
 		return;
 	begin_log(r, &members);
 	rlog_reset_election(r, now);
@@ -176,10 +176,10 @@
 		relay.to_vm = r->leader_vm;
 		rlog_queue(r, &relay, 0);
 	}
-	if (r->role == DL_RLOG_UNBORN || r->snap.index > 0 ||
+	if (r->role == DL_RLOG_UNINITIALIZED || r->snap.index > 0 ||
 	    !rlog_member_find(&r->snap.members, m->from_id))
 		return;
-	birth = rlog_msg_to(r, DL_RLOG_BIRTH, m->commit, m->from_id);
+	birth = rlog_msg_to(r, DL_RLOG_BOOTSTRAP, m->commit, m->from_id);
 	birth.snapshot.members = r->snap.members;
 	rlog_queue(r, &birth, r->state_gate);
 }
@@ -187,7 +187,7 @@
 /* The log begins; this identity is one of its first members. */
 void rlog_on_birth(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now)
 {
-	if (r->role != DL_RLOG_UNBORN ||
+	if (r->role != DL_RLOG_UNINITIALIZED ||
 	    !rlog_member_find(&m->snapshot.members, r->id) ||
 	    rlog_cluster_of(&m->snapshot.members) != m->cluster)
 		return;
--- a/src/state/rlog_follow.c
+++ b/src/state/rlog_follow.c
@@ -173,7 +173,7 @@
 	const struct dl_rlog_snapshot *s = &m->snapshot;
 	uint64_t term = 0;
 
-	if (r->role == DL_RLOG_UNBORN) {
+	if (r->role == DL_RLOG_UNINITIALIZED) {
 		r->role = DL_RLOG_FOLLOWER;
 		r->cluster = m->cluster;
 		r->term = m->term;
@@ -205,7 +205,8 @@
 {
 	struct dl_rlog_msg reply = rlog_reply_to(r, DL_RLOG_SNAPSHOT_REPLY, m);
 
-	if (r->role != DL_RLOG_UNBORN && m->snapshot.index <= r->commit) {
+	if (r->role != DL_RLOG_UNINITIALIZED &&
+	    m->snapshot.index <= r->commit) {
 		reply.kind = DL_RLOG_APPEND_REPLY;
 		reply.ok = true;
 		reply.index = MIN(m->snapshot.index, r->synced_index);
@@ -226,7 +227,7 @@
 	reply.ok = true;
 	reply.term = m->term;
 	reply.index = m->snapshot.index;
-	reply.fresh = r->role == DL_RLOG_UNBORN;
+	reply.fresh = r->role == DL_RLOG_UNINITIALIZED;
 	reply.offset = r->incoming.data->len;
 	rlog_queue(r, &reply, r->state_gate);
 }
--- a/src/state/rlog_start.c
+++ b/src/state/rlog_start.c
@@ -75,7 +75,8 @@
 
 		if (!p->member.voter || p->leads_not)
 			continue;
-		m = rlog_msg_to(r, DL_RLOG_STARTED, p->member.vm, p->member.id);
+		m = rlog_msg_to(r, DL_RLOG_STARTUP_QUERY, p->member.vm,
+				p->member.id);
 		m.stamp = r->start_stamp;
 		rlog_queue(r, &m, 0);
 	}
@@ -119,7 +120,7 @@
 
 	if (r->role == DL_RLOG_LEADER)
 		return;
-	reply = rlog_reply_to(r, DL_RLOG_STARTED_REPLY, m);
+	reply = rlog_reply_to(r, DL_RLOG_STARTUP_REPLY, m);
 	rlog_queue(r, &reply, 0);
 }
 
--- a/test/test_rlog_codec.c
+++ b/test/test_rlog_codec.c
@@ -14,8 +14,8 @@
 };
 
 static const struct dl_rlog_msg messages[] = {
-	{ .kind = DL_RLOG_HELLO, .from_id = 5, .index = 77, .commit = 1 },
-	{ .kind = DL_RLOG_BIRTH,
+	{ .kind = DL_RLOG_JOIN, .from_id = 5, .index = 77, .commit = 1 },
+	{ .kind = DL_RLOG_BOOTSTRAP,
 	  .cluster = UINT64_MAX,
 	  .snapshot = { .members = { 2,
 				     { { 1, 2, true }, { 3, 4, false } } } } },
