--- a/bench/bench_rlog.c
+++ b/bench/bench_rlog.c
@@ -231,7 +231,7 @@
 static uint64_t fill(struct dl_rlog_store *store, struct fake_disk *disk,
 		     const char *text, size_t text_n, uint64_t *payload)
 {
-	struct dl_rlog_unit unit = { .cluster = 1, .term = 1 };
+	struct dl_rlog_record unit = { .cluster = 1, .term = 1 };
 	uint64_t begin;
 	int code = 0;
 
--- a/src/main/replica.c
+++ b/src/main/replica.c
@@ -205,7 +205,7 @@
 
 static void write_next(struct replica *r)
 {
-	struct dl_rlog_unit unit;
+	struct dl_rlog_record unit;
 
 	if (!dl_rlog_write(r->rlog, &unit))
 		return;
--- a/src/main/rescue.c
+++ b/src/main/rescue.c
@@ -91,7 +91,7 @@
 		.term = r->last_term,
 		.members = { 1, { { r->settings.peer, r->image.id, true } } },
 	};
-	struct dl_rlog_unit unit = {
+	struct dl_rlog_record unit = {
 		.term = r->image.term + 1,
 		.base_index = r->last,
 		.base_term = r->last_term,
--- a/src/state/rlog.c
+++ b/src/state/rlog.c
@@ -459,7 +459,7 @@
 }
 
 /* Give what is to be written, one unit at a time. */
-bool dl_rlog_write(struct dl_rlog *r, struct dl_rlog_unit *unit)
+bool dl_rlog_write(struct dl_rlog *r, struct dl_rlog_record *unit)
 {
 	uint64_t from = r->dirty_from;
 
--- a/src/state/rlog_store.c
+++ b/src/state/rlog_store.c
@@ -93,9 +93,11 @@
 static void begin_unit(struct dl_rlog_store *s);
 static void seal_unit(struct dl_rlog_store *s);
 static void make_mark(struct dl_rlog_store *s);
-static void pack_entries(msgpack_packer *pk, const struct dl_rlog_unit *unit);
-static void pack_root(struct dl_rlog_store *s, const struct dl_rlog_unit *unit);
-static void pack_unit(struct dl_rlog_store *s, const struct dl_rlog_unit *unit);
+static void pack_entries(msgpack_packer *pk, const struct dl_rlog_record *unit);
+static void pack_root(struct dl_rlog_store *s,
+		      const struct dl_rlog_record *unit);
+static void pack_unit(struct dl_rlog_store *s,
+		      const struct dl_rlog_record *unit);
 static void name_of(uint64_t generation, char out[NAME_MAX_N]);
 static void each_name(void *arg, const char *name);
 static int read_journal(struct dl_rlog_store *s, struct dl_rlog_image *image,
@@ -164,7 +166,7 @@
 	s->mark.hash = hash_of(&s->mark, "");
 }
 
-static void pack_entries(msgpack_packer *pk, const struct dl_rlog_unit *unit)
+static void pack_entries(msgpack_packer *pk, const struct dl_rlog_record *unit)
 {
 	msgpack_pack_array(pk, unit->count);
 	for (uint32_t i = 0; i < unit->count; i++) {
@@ -180,7 +182,8 @@
 }
 
 /* [id, cluster, term, vote, base, snapshot or nil, entries] */
-static void pack_root(struct dl_rlog_store *s, const struct dl_rlog_unit *unit)
+static void pack_root(struct dl_rlog_store *s,
+		      const struct dl_rlog_record *unit)
 {
 	const struct dl_rlog_snapshot *snap = unit->snapshot;
 	struct dl_str members = rlog_members_encode(&snap->members);
@@ -207,7 +210,8 @@
 }
 
 /* [cluster, term, vote, first index, entries] */
-static void pack_unit(struct dl_rlog_store *s, const struct dl_rlog_unit *unit)
+static void pack_unit(struct dl_rlog_store *s,
+		      const struct dl_rlog_record *unit)
 {
 	msgpack_packer pk;
 
@@ -222,7 +226,7 @@
 
 /* Begin to write a unit; done is called once it is synced, or has failed. */
 void dl_rlog_store_write(struct dl_rlog_store *s,
-			 const struct dl_rlog_unit *unit,
+			 const struct dl_rlog_record *unit,
 			 struct dl_disk_done done)
 {
 	s->done = done;
@@ -322,7 +326,7 @@
 void dl_rlog_store_start(struct dl_rlog_store *s, struct dl_disk_done done)
 {
 	struct dl_rlog_snapshot none = { 0 };
-	struct dl_rlog_unit unit = { .snapshot = &none };
+	struct dl_rlog_record unit = { .snapshot = &none };
 
 	if (s->begin) {
 		s->begin = false;
--- a/test/fake/group.c
+++ b/test/fake/group.c
@@ -399,7 +399,7 @@
 {
 	struct dl_rlog_status s;
 	struct dl_rlog_apply a;
-	struct dl_rlog_unit u;
+	struct dl_rlog_record u;
 
 	while (dl_rlog_apply(n->rlog, &a))
 		apply(n, &a);
--- a/test/test_disk.c
+++ b/test/test_disk.c
@@ -120,11 +120,11 @@
 	struct dl_rlog_snapshot snap = { .index = 1,
 					 .term = 1,
 					 .data = DL_STR("state") };
-	struct dl_rlog_unit unit = { .cluster = 5,
-				     .term = 1,
-				     .vote = 9,
-				     .count = 2,
-				     .entries = entries };
+	struct dl_rlog_record unit = { .cluster = 5,
+				       .term = 1,
+				       .vote = 9,
+				       .count = 2,
+				       .entries = entries };
 	struct dl_rlog_image image;
 	struct dl_rlog_store *store;
 	struct dl_err err;
--- a/test/test_rlog.c
+++ b/test/test_rlog.c
@@ -416,7 +416,7 @@
 		.ok = !fresh,
 		.fresh = fresh,
 	};
-	struct dl_rlog_unit u;
+	struct dl_rlog_record u;
 
 	dl_rlog_in(r, &m, now);
 	if (dl_rlog_write(r, &u))
