--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -373,7 +373,7 @@
 		.sync_min_ms = 1,
 		.sync_max_ms = 2,
 		.snapshot_entries = 10000,
-		.piece_bytes = 65536,
+		.chunk_bytes = 65536,
 	};
 	struct group *g = group_new(&conf);
 	struct fake_link_count before;
--- a/include/daisyledge/rlog.h
+++ b/include/daisyledge/rlog.h
@@ -151,14 +151,14 @@
 	uint32_t election_ms;
 	/* Shorter than election_ms by what clocks may drift apart in it. */
 	uint32_t lease_ms;
-	uint32_t hello_ms;
+	uint32_t join_interval_ms;
 	uint32_t snapshot_entries; /* a snapshot is wanted after so many */
 	uint64_t snapshot_bytes;   /* or after so many, and its own size */
 	uint32_t keep_entries;	   /* kept for followers that lag a little */
 	uint64_t keep_bytes;
 	uint64_t append_bytes;	 /* in one message, but for one entry alone */
 	uint64_t inflight_bytes; /* sent to one follower, not acknowledged */
-	uint32_t piece_bytes;	 /* of a snapshot, in one message */
+	uint32_t chunk_bytes;	 /* of a snapshot, in one message */
 	uint64_t uncommitted_bytes; /* more is refused */
 	/* The replicas of the first start; each of them has the same list. */
 	uint32_t listed_count;
@@ -169,7 +169,7 @@
 	 * 0 for none, see rlog_group.c.
 	 */
 	uint32_t voters_wanted;
-	uint32_t voter_lost_ms; /* a voter unheard for so long makes room */
+	uint32_t voter_timeout_ms; /* a voter unheard for so long makes room */
 };
 
 enum dl_rlog_role {
@@ -208,8 +208,9 @@
 	bool current;
 	uint32_t count; /* peers, as the leader knows them */
 	struct dl_rlog_peer_status peers[DL_RLOG_MEMBERS_MAX];
-	char waits[160]; /* what a repair waits for; empty where it does not */
-	char halted[224];
+	char waiting_for[160]; /* what a repair waits for; empty where it does
+				  not */
+	char halt_reason[224];
 };
 
 enum dl_rlog_apply_kind {
@@ -268,10 +269,11 @@
  * The replicas as the operators want them; the leader carries it out one
  * change at a time.  None stands for those there are.
  */
-void dl_rlog_want(struct dl_rlog *rlog, const uint64_t *vms, uint32_t count);
+void dl_rlog_set_replicas(struct dl_rlog *rlog, const uint64_t *vms,
+			  uint32_t count);
 /* 0, or -EINVAL and why such a list would lose the quorum. */
-int dl_rlog_want_check(const struct dl_rlog *rlog, const uint64_t *vms,
-		       uint32_t count, int64_t now, struct dl_err *err);
+int dl_rlog_check_replicas(const struct dl_rlog *rlog, const uint64_t *vms,
+			   uint32_t count, int64_t now, struct dl_err *err);
 void dl_rlog_get_status(const struct dl_rlog *rlog, int64_t now,
 			struct dl_rlog_status *out);
 /* The members in force; for what else goes by them. */
--- a/src/main/replica.c
+++ b/src/main/replica.c
@@ -246,10 +246,10 @@
 
 static void say_halted(const struct dl_rlog_status *s)
 {
-	bool damaged = strstr(s->halted, "damaged") != NULL;
+	bool damaged = strstr(s->halt_reason, "damaged") != NULL;
 
 	dl_msg(damaged ? DL_MSG_REPLICA_DAMAGED : DL_MSG_REPLICA_DISK,
-	       "reason=\"%s\"", s->halted);
+	       "reason=\"%s\"", s->halt_reason);
 }
 
 /* Log a change of role, once. */
@@ -396,7 +396,7 @@
 	if (s->failures_max) {
 		conf.joins_only = !s->found;
 		conf.voters_wanted = 2 * s->failures_max + 1;
-		conf.voter_lost_ms = VOTER_LOST_MS;
+		conf.voter_timeout_ms = VOTER_LOST_MS;
 	}
 	disk = dl_disk_file_disk(r->disk);
 	replica_quarantine_open(r, disk);
--- a/src/main/replica_cmd.c
+++ b/src/main/replica_cmd.c
@@ -76,8 +76,9 @@
 	for (uint32_t i = 0; i < conf->replicas_count; i++)
 		vms[i] = conf->replicas[i].vm;
 	if (!same_replicas(dl_cstore_conf(r->cstore), conf))
-		code = dl_rlog_want_check(r->rlog, vms, conf->replicas_count,
-					  replica_now(r), err);
+		code = dl_rlog_check_replicas(r->rlog, vms,
+					      conf->replicas_count,
+					      replica_now(r), err);
 	dl_conf_free(conf);
 	return code;
 }
--- a/src/main/replica_conf.c
+++ b/src/main/replica_conf.c
@@ -145,7 +145,7 @@
 
 	/* Its leader has found that it lists none: it need not be read. */
 	if (dl_cstore_unread(r->cstore)) {
-		dl_rlog_want(r->rlog, NULL, 0);
+		dl_rlog_set_replicas(r->rlog, NULL, 0);
 		return;
 	}
 	conf = dl_cstore_conf(r->cstore);
@@ -153,7 +153,7 @@
 		return;
 	for (uint32_t i = 0; i < conf->replicas_count; i++)
 		vms[i] = conf->replicas[i].vm;
-	dl_rlog_want(r->rlog, vms, conf->replicas_count);
+	dl_rlog_set_replicas(r->rlog, vms, conf->replicas_count);
 }
 
 /*
--- a/src/main/replica_query.c
+++ b/src/main/replica_query.c
@@ -141,10 +141,10 @@
 	set_u64(root, "snapshot", s.snapshot);
 	set_u64(root, "journal_bytes", dl_rlog_store_bytes(r->store));
 	set_u64(root, "version", dl_cstore_version(r->cstore));
-	if (s.waits[0])
-		json_object_set_new(root, "waits", json_string(s.waits));
-	if (s.halted[0])
-		json_object_set_new(root, "halted", json_string(s.halted));
+	if (s.waiting_for[0])
+		json_object_set_new(root, "waits", json_string(s.waiting_for));
+	if (s.halt_reason[0])
+		json_object_set_new(root, "halted", json_string(s.halt_reason));
 	for (uint32_t i = 0; i < s.count; i++)
 		json_array_append_new(list, peer_json(&s.peers[i]));
 	json_object_set_new(root, "others", list);
--- a/src/state/rlog.c
+++ b/src/state/rlog.c
@@ -68,14 +68,14 @@
 	conf->heartbeat_ms = HEARTBEAT_MS;
 	conf->election_ms = ELECTION_MS;
 	conf->lease_ms = LEASE_MS;
-	conf->hello_ms = HELLO_MS;
+	conf->join_interval_ms = HELLO_MS;
 	conf->snapshot_entries = SNAPSHOT_ENTRIES;
 	conf->snapshot_bytes = SNAPSHOT_BYTES;
 	conf->keep_entries = KEEP_ENTRIES;
 	conf->keep_bytes = KEEP_BYTES;
 	conf->append_bytes = APPEND_BYTES;
 	conf->inflight_bytes = INFLIGHT_BYTES;
-	conf->piece_bytes = PIECE_BYTES;
+	conf->chunk_bytes = PIECE_BYTES;
 	conf->uncommitted_bytes = UNCOMMITTED_BYTES;
 }
 
@@ -150,7 +150,7 @@
 		return;
 	r->role = DL_RLOG_HALTED;
 	r->leader_vm = DL_VM_NONE;
-	snprintf(r->halted, sizeof(r->halted), "%s: %s",
+	snprintf(r->halt_reason, sizeof(r->halt_reason), "%s: %s",
 		 dl_step_name(why->step), why->text);
 	g_queue_clear_full(&r->queue, g_free);
 }
@@ -220,7 +220,7 @@
 	r->leader_vm = DL_VM_NONE;
 	r->leader_id = 0;
 	r->transferring = false;
-	r->waits[0] = '\0';
+	r->waiting_for[0] = '\0';
 	if (led)
 		rlog_reset_election(r, now);
 }
@@ -676,6 +676,6 @@
 		s->match = p->match;
 		s->heard_ms_ago = p->heard == INT64_MIN ? -1 : now - p->heard;
 	}
-	memcpy(out->waits, r->waits, sizeof(out->waits));
-	memcpy(out->halted, r->halted, sizeof(out->halted));
+	memcpy(out->waiting_for, r->waiting_for, sizeof(out->waiting_for));
+	memcpy(out->halt_reason, r->halt_reason, sizeof(out->halt_reason));
 }
--- a/src/state/rlog_birth.c
+++ b/src/state/rlog_birth.c
@@ -106,7 +106,7 @@
 {
 	struct dl_rlog_members members;
 
-	r->hello_at = now + r->conf.hello_ms;
+	r->hello_at = now + r->conf.join_interval_ms;
 	for (uint32_t i = 0; i < r->conf.listed_count; i++)
 		hello_to(r, r->conf.listed[i]);
 	for (uint32_t i = 0; i < r->peers_count; i++) {
@@ -123,7 +123,8 @@
 static bool collect(const struct dl_rlog *r, int64_t now,
 		    struct dl_rlog_members *out)
 {
-	int64_t oldest = now - (int64_t)r->conf.hello_ms * HELLO_PERIODS;
+	int64_t oldest =
+		now - (int64_t)r->conf.join_interval_ms * HELLO_PERIODS;
 
 	if (r->conf.joins_only || !is_listed(r, r->conf.self))
 		return false;
--- a/src/state/rlog_group.c
+++ b/src/state/rlog_group.c
@@ -79,7 +79,7 @@
 		const struct dl_rlog_member *m = &r->members.at[i];
 		int64_t silent = now - voter_heard(r, m->id, now);
 
-		if (!m->voter || silent < (int64_t)r->conf.voter_lost_ms)
+		if (!m->voter || silent < (int64_t)r->conf.voter_timeout_ms)
 			continue;
 		vm = newcomer(r, vms, n, now);
 		if (vm == DL_VM_NONE)
@@ -96,12 +96,13 @@
 		int64_t silent = now - voter_heard(r, m->id, now);
 
 		for (uint32_t k = 0;
-		     silent >= (int64_t)r->conf.voter_lost_ms && k < n; k++) {
+		     silent >= (int64_t)r->conf.voter_timeout_ms && k < n;
+		     k++) {
 			if (vms[k] == m->vm) {
 				vms[k] = vms[--n];
 				break;
 			}
 		}
 	}
-	dl_rlog_want(r, vms, n);
+	dl_rlog_set_replicas(r, vms, n);
 }
--- a/src/state/rlog_int.h
+++ b/src/state/rlog_int.h
@@ -71,7 +71,7 @@
 	struct dl_rlog_conf conf;
 	GRand *rand;
 	enum dl_rlog_role role;
-	char halted[224];
+	char halt_reason[224];
 
 	uint64_t id;
 	uint64_t cluster;
@@ -112,7 +112,7 @@
 	struct rlog_seen seen[DL_RLOG_MEMBERS_MAX];
 	uint32_t wanted_count;
 	uint64_t wanted[DL_RLOG_MEMBERS_MAX];
-	char waits[160];
+	char waiting_for[160];
 
 	GQueue queue; /* of struct rlog_queued */
 
--- a/src/state/rlog_lead.c
+++ b/src/state/rlog_lead.c
@@ -284,7 +284,7 @@
 	msg->kind = DL_RLOG_SNAPSHOT;
 	msg->snapshot = r->snap;
 	msg->snapshot.data = (struct dl_str){ r->snap.data.s + p->snap_offset,
-					      MIN(left, r->conf.piece_bytes) };
+					      MIN(left, r->conf.chunk_bytes) };
 	msg->index = r->snap.index;
 	msg->offset = p->snap_offset;
 	msg->total = r->snap.data.n;
--- a/src/state/rlog_repair.c
+++ b/src/state/rlog_repair.c
@@ -131,9 +131,9 @@
 {
 	char text[24];
 
-	if (s->r->waits[0])
+	if (s->r->waiting_for[0])
 		return;
-	snprintf(s->r->waits, sizeof(s->r->waits), "%s %s", what,
+	snprintf(s->r->waiting_for, sizeof(s->r->waiting_for), "%s %s", what,
 		 dl_vm_text(vm, text));
 }
 
@@ -262,7 +262,7 @@
 	struct repair s = { .r = r, .now = now };
 	struct dl_str data;
 
-	r->waits[0] = '\0';
+	r->waiting_for[0] = '\0';
 	rlog_group_decide(r, now);
 	if (r->commit < r->term_start || r->members_index > r->commit) {
 		if (r->members_index > r->commit)
@@ -278,7 +278,8 @@
 }
 
 /* Name the replicas that are wanted from now on. */
-void dl_rlog_want(struct dl_rlog *r, const uint64_t *vms, uint32_t count)
+void dl_rlog_set_replicas(struct dl_rlog *r, const uint64_t *vms,
+			  uint32_t count)
 {
 	r->wanted_count = MIN(count, DL_RLOG_MEMBERS_MAX);
 	if (r->wanted_count)
@@ -289,8 +290,8 @@
  * Whether a list could be carried out: a majority of it must be heard now, as
  * members or by their hello, or the group would be left without a quorum.
  */
-int dl_rlog_want_check(const struct dl_rlog *r, const uint64_t *vms,
-		       uint32_t count, int64_t now, struct dl_err *err)
+int dl_rlog_check_replicas(const struct dl_rlog *r, const uint64_t *vms,
+			   uint32_t count, int64_t now, struct dl_err *err)
 {
 	uint32_t live = 0;
 	char text[24], silent[24] = "none";
--- a/test/fake/group.c
+++ b/test/fake/group.c
@@ -149,7 +149,7 @@
 		dl_rlog_halt(n->rlog, &err);
 		return;
 	}
-	dl_rlog_want(n->rlog, n->group->wanted, n->group->wanted_count);
+	dl_rlog_set_replicas(n->rlog, n->group->wanted, n->group->wanted_count);
 }
 
 void group_start(struct group *g, uint64_t vm)
@@ -171,8 +171,8 @@
 		conf.snapshot_entries = g->conf.snapshot_entries;
 		conf.keep_entries = g->conf.snapshot_entries / 4;
 	}
-	if (g->conf.piece_bytes)
-		conf.piece_bytes = g->conf.piece_bytes;
+	if (g->conf.chunk_bytes)
+		conf.chunk_bytes = g->conf.chunk_bytes;
 	for (uint32_t i = 0; i < g->conf.listed; i++)
 		conf.listed[i] = i + 1;
 	n->chain = (struct chain){ 0 };
@@ -414,8 +414,8 @@
 	dl_rlog_get_status(n->rlog, local(n), &s);
 	check_leader(n, &s);
 	check_lease(n);
-	if (s.role == DL_RLOG_HALTED && strstr(s.halted, "invariant"))
-		violated(n->group, n, s.halted);
+	if (s.role == DL_RLOG_HALTED && strstr(s.halt_reason, "invariant"))
+		violated(n->group, n, s.halt_reason);
 }
 
 static bool runs(const struct node *n)
@@ -659,7 +659,7 @@
 	g->wanted_count = n;
 	for (uint64_t vm = 1; vm <= GROUP_MAX; vm++) {
 		if (g->nodes[vm].rlog)
-			dl_rlog_want(g->nodes[vm].rlog, vms, n);
+			dl_rlog_set_replicas(g->nodes[vm].rlog, vms, n);
 	}
 }
 
--- a/test/fake/group.h
+++ b/test/fake/group.h
@@ -20,7 +20,7 @@
 	uint32_t sync_min_ms;
 	uint32_t sync_max_ms;
 	uint32_t snapshot_entries;
-	uint32_t piece_bytes;
+	uint32_t chunk_bytes;
 	uint32_t snapshot_padding; /* bytes added to each snapshot */
 	bool drift;		   /* clocks differ in rate and offset */
 };
--- a/test/test_rlog.c
+++ b/test/test_rlog.c
@@ -18,7 +18,7 @@
 		.sync_min_ms = 1,
 		.sync_max_ms = 3,
 		.snapshot_entries = 40,
-		.piece_bytes = 64,
+		.chunk_bytes = 64,
 		.snapshot_padding = 200,
 	});
 
@@ -227,10 +227,10 @@
 	group_want(g, with_six, 3);
 	group_run(g, 5000);
 	ck_assert(group_members_are(g, first_three, 3));
-	ck_assert_str_ne(status_of(g, group_leader(g)).waits, "");
-	ck_assert_int_eq(dl_rlog_want_check(group_rlog(g, group_leader(g)),
-					    (uint64_t[]){ 6, 7, 8 }, 3,
-					    group_now(g), &err),
+	ck_assert_str_ne(status_of(g, group_leader(g)).waiting_for, "");
+	ck_assert_int_eq(dl_rlog_check_replicas(group_rlog(g, group_leader(g)),
+						(uint64_t[]){ 6, 7, 8 }, 3,
+						group_now(g), &err),
 			 -EINVAL);
 	finish(g);
 }
@@ -299,7 +299,7 @@
 	group_propose(g, bad, 20);
 	group_run(g, 50);
 	ck_assert_int_eq(status_of(g, bad).role, DL_RLOG_HALTED);
-	ck_assert_str_ne(status_of(g, bad).halted, "");
+	ck_assert_str_ne(status_of(g, bad).halt_reason, "");
 	ck_assert(group_settle(g, 5000));
 	changes(g, 5);
 	group_kill(g, bad);
--- a/test/test_rlog_random.c
+++ b/test/test_rlog_random.c
@@ -70,7 +70,7 @@
 		return false;
 	dl_rlog_get_status(group_rlog(t->group, leader),
 			   group_local(t->group, leader), &s);
-	if (!s.voter || !s.lease || s.waits[0] || s.last != s.commit)
+	if (!s.voter || !s.lease || s.waiting_for[0] || s.last != s.commit)
 		return false;
 	for (uint32_t i = 0; i < s.count; i++) {
 		if (!s.peers[i].member.voter ||
@@ -254,8 +254,8 @@
 		       "%u applied %u snapshot %u waits \"%s\" %s\n",
 		       (unsigned)vm, (unsigned)s.id, s.role, (unsigned)s.term,
 		       (unsigned)s.commit, (unsigned)s.last, (unsigned)s.synced,
-		       (unsigned)s.applied, (unsigned)s.snapshot, s.waits,
-		       s.halted);
+		       (unsigned)s.applied, (unsigned)s.snapshot, s.waiting_for,
+		       s.halt_reason);
 		for (uint32_t i = 0; i < s.count; i++)
 			printf("   peer %u id %x voter %d match %u heard %lld\n",
 			       (unsigned)s.peers[i].member.vm,
@@ -276,7 +276,7 @@
 		.link = { .delay_min_ms = 1, .delay_max_ms = 4 },
 		.sync_max_ms = 1 + seed % 20,
 		.snapshot_entries = 10 + seed % 50,
-		.piece_bytes = 50 + seed % 300,
+		.chunk_bytes = 50 + seed % 300,
 		.snapshot_padding = seed % 700,
 		.drift = true,
 	};
