--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -424,7 +424,7 @@
 	dl_name_set(&e.models[0], DL_STR("m"));
 	dl_name_set(&e.version, dl_str_of(version));
 	dl_name_set(&e.role, DL_STR("both"));
-	dl_orders_endpoint(orders, &e, now);
+	dl_orders_update_endpoint(orders, &e, now);
 }
 
 /* The endpoint's number out of the address in an order. */
@@ -450,11 +450,11 @@
 	dl_orders_defaults(&oc);
 	orders = dl_orders_new(&oc);
 	dl_orders_configure(orders, conf, now);
-	must(dl_orders_lead(orders, 1, now + 900, now));
+	must(dl_orders_set_leader(orders, 1, now + 900, now));
 	for (uint32_t i = 0; i < endpoints; i++)
 		announce(orders, i, "1", now);
 	for (end = now + 3600000; now < end && done < endpoints; now += 250) {
-		must(dl_orders_lead(orders, 1, now + 900, now));
+		must(dl_orders_set_leader(orders, 1, now + 900, now));
 		while (dl_orders_next(orders, now, &order)) {
 			dl_orders_result(orders, order.id, DL_ORDER_ACCEPTED,
 					 now);
--- a/include/daisyledge/orders.h
+++ b/include/daisyledge/orders.h
@@ -21,13 +21,15 @@
 #define DL_ORDER_MODELS_MAX 8
 
 struct dl_orders_conf {
-	uint32_t lease_ms;     /* the longest that a leader's lease lasts */
-	uint32_t under_way_ms; /* the sender gives an order up after this */
-	uint32_t network_ms;   /* what was sent arrives within this, or never */
-	uint32_t drift_permille; /* how much faster one clock may run */
-	uint32_t settle_ms; /* accepted, yet not announced: ordered again */
-	uint32_t retry_ms;  /* pause after one that failed */
-	uint32_t load_mb;   /* what one load takes from the weight store */
+	uint32_t lease_ms;	   /* the longest that a leader's lease lasts */
+	uint32_t send_timeout_ms;  /* the sender gives an order up after this */
+	uint32_t network_delay_ms; /* what was sent arrives within this, or
+				      never */
+	uint32_t drift_permille;   /* how much faster one clock may run */
+	uint32_t announce_timeout_ms; /* accepted, yet not announced: ordered
+					 again */
+	uint32_t retry_ms;	      /* pause after one that failed */
+	uint32_t load_mb; /* what one load takes from the weight store */
 };
 
 /* What an endpoint announces; empty version or role where it tells none. */
@@ -51,7 +53,7 @@
 	struct dl_name version;
 	struct dl_name role;
 	uint64_t fence;
-	int64_t give_up; /* close the connection then */
+	int64_t deadline; /* close the connection then */
 };
 
 enum dl_order_result {
@@ -68,9 +70,9 @@
 	bool fenced;	    /* an endpoint knew a later leader */
 	int64_t hold_until; /* for endpoints that ignore fencing */
 	uint32_t endpoints;
-	uint32_t wished; /* endpoints that an order is for */
-	uint32_t done;	 /* of them as wished */
-	uint32_t under_way;
+	uint32_t assigned;  /* endpoints that an order is for */
+	uint32_t completed; /* of them as wished */
+	uint32_t in_progress;
 	int64_t store_mb; /* that may be loaded now */
 };
 
@@ -83,16 +85,17 @@
  * whenever the lease is renewed.  The fencing entry of the term must have
  * been committed before.  -ESTALE for a term below one that was seen.
  */
-int dl_orders_lead(struct dl_orders *orders, uint64_t term, int64_t lease_until,
-		   int64_t now);
+int dl_orders_set_leader(struct dl_orders *orders, uint64_t term,
+			 int64_t lease_until, int64_t now);
 /* It leads no longer. */
-void dl_orders_lost(struct dl_orders *orders);
+void dl_orders_clear_leader(struct dl_orders *orders);
 
 void dl_orders_configure(struct dl_orders *orders, const struct dl_conf *conf,
 			 int64_t now);
-void dl_orders_endpoint(struct dl_orders *orders,
-			const struct dl_order_endpoint *endpoint, int64_t now);
-void dl_orders_endpoint_gone(struct dl_orders *orders, struct dl_str id);
+void dl_orders_update_endpoint(struct dl_orders *orders,
+			       const struct dl_order_endpoint *endpoint,
+			       int64_t now);
+void dl_orders_remove_endpoint(struct dl_orders *orders, struct dl_str id);
 
 /* The next order to send; false where none may be sent now. */
 bool dl_orders_next(struct dl_orders *orders, int64_t now,
@@ -111,6 +114,6 @@
 void dl_orders_summarize(const struct dl_orders *orders, int64_t now,
 			 struct dl_orders_summary *out);
 /* Assert the invariants; NULL, or what is broken. */
-const char *dl_orders_broken(const struct dl_orders *orders);
+const char *dl_orders_check(const struct dl_orders *orders);
 
 #endif
--- a/src/main/replica_orders.c
+++ b/src/main/replica_orders.c
@@ -114,7 +114,7 @@
 				    .headers = &json,
 				    .headers_count = 1 };
 	struct order_call *c = g_new0(struct order_call, 1);
-	int64_t left = order->give_up - replica_now(r);
+	int64_t left = order->deadline - replica_now(r);
 
 	c->r = r;
 	c->order = *order;
@@ -212,7 +212,7 @@
 			 json_array_get(models, i));
 	*heard = now;
 	g_hash_table_replace(o->heard, g_strdup(e.id.s), heard);
-	dl_orders_endpoint(o->plan, &e, now);
+	dl_orders_update_endpoint(o->plan, &e, now);
 }
 
 /* A dispatcher's answer; false where the reply is to another question. */
@@ -239,7 +239,7 @@
 	while (g_hash_table_iter_next(&it, &id, &heard)) {
 		if (now - *(int64_t *)heard <= GONE_MS)
 			continue;
-		dl_orders_endpoint_gone(o->plan, dl_str_of(id));
+		dl_orders_remove_endpoint(o->plan, dl_str_of(id));
 		g_hash_table_iter_remove(&it);
 	}
 }
@@ -286,7 +286,7 @@
 
 	dl_rlog_get_status(r->rlog, now, &s);
 	if (s.role != DL_RLOG_LEADER || !r->started) {
-		dl_orders_lost(o->plan);
+		dl_orders_clear_leader(o->plan);
 		return;
 	}
 	if (dl_cstore_fence(r->cstore) < s.term) {
@@ -305,7 +305,7 @@
 		return;
 	configure(r, conf, now);
 	if (!dl_rlog_lease(r->rlog, now, &until) ||
-	    dl_orders_lead(o->plan, s.term, until, now))
+	    dl_orders_set_leader(o->plan, s.term, until, now))
 		return;
 	if (now - o->asked_at >= ASK_EVERY_MS) {
 		o->asked_at = now;
@@ -326,9 +326,9 @@
 	dl_orders_summarize(r->orders->plan, now, &s);
 	json_object_set_new(root, "term", json_integer((json_int_t)s.term));
 	json_object_set_new(root, "fenced", json_boolean(s.fenced));
-	json_object_set_new(root, "wished", json_integer(s.wished));
-	json_object_set_new(root, "done", json_integer(s.done));
-	json_object_set_new(root, "under_way", json_integer(s.under_way));
+	json_object_set_new(root, "wished", json_integer(s.assigned));
+	json_object_set_new(root, "done", json_integer(s.completed));
+	json_object_set_new(root, "under_way", json_integer(s.in_progress));
 	if (s.hold_until > now)
 		json_object_set_new(root, "waits_ms",
 				    json_integer(s.hold_until - now));
--- a/src/state/orders.c
+++ b/src/state/orders.c
@@ -40,10 +40,10 @@
 {
 	*conf = (struct dl_orders_conf){
 		.lease_ms = 2000,
-		.under_way_ms = 5000,
-		.network_ms = 2000,
+		.send_timeout_ms = 5000,
+		.network_delay_ms = 2000,
 		.drift_permille = 10,
-		.settle_ms = 600000,
+		.announce_timeout_ms = 600000,
 		.retry_ms = 2000,
 		.load_mb = 16000,
 	};
@@ -109,14 +109,16 @@
  * earlier leader may have emptied it, and with nothing known of orders under
  * way.  For endpoints that ignore fencing it holds back: an earlier leader's
  * lease ends at most lease_ms from now, its last order is given up by its
- * sender under_way_ms later, and what was sent arrives within network_ms; all
- * of this on a clock that may run slower than ours by the drift.
+ * sender send_timeout_ms later, and what was sent arrives within
+ * network_delay_ms; all of this on a clock that may run slower than ours by the
+ * drift.
  */
-int dl_orders_lead(struct dl_orders *orders, uint64_t term, int64_t lease_until,
-		   int64_t now)
+int dl_orders_set_leader(struct dl_orders *orders, uint64_t term,
+			 int64_t lease_until, int64_t now)
 {
 	const struct dl_orders_conf *c = &orders->conf;
-	int64_t wait = (int64_t)c->lease_ms + c->under_way_ms + c->network_ms;
+	int64_t wait =
+		(int64_t)c->lease_ms + c->send_timeout_ms + c->network_delay_ms;
 
 	if (term < orders->term_seen || term == 0)
 		return -ESTALE;
@@ -136,7 +138,7 @@
 }
 
 /* Give no more orders; what is under way is the next leader's to wait for. */
-void dl_orders_lost(struct dl_orders *orders)
+void dl_orders_clear_leader(struct dl_orders *orders)
 {
 	orders->term = 0;
 }
@@ -174,7 +176,7 @@
 			orders_service(orders, &t->says.service);
 
 		if (s)
-			s->under_way += is_under_way(t);
+			s->in_progress += is_under_way(t);
 	}
 	orders_plan(orders);
 }
@@ -191,7 +193,7 @@
 	struct order_service *s = orders_service(orders, &t->says.service);
 
 	if (is_under_way(t) && s)
-		s->under_way--;
+		s->in_progress--;
 	t->state = TARGET_IDLE;
 	t->not_before = MAX(t->not_before, until);
 }
@@ -224,8 +226,9 @@
  * accepted; an order to the old one may still arrive, so its time is waited
  * out all the same.
  */
-void dl_orders_endpoint(struct dl_orders *orders,
-			const struct dl_order_endpoint *endpoint, int64_t now)
+void dl_orders_update_endpoint(struct dl_orders *orders,
+			       const struct dl_order_endpoint *endpoint,
+			       int64_t now)
 {
 	struct target *t = g_hash_table_lookup(orders->by_id, endpoint->id.s);
 
@@ -246,7 +249,8 @@
 	}
 	if (!dl_name_eq(&t->says.service, dl_name_str(&endpoint->service)))
 		rest(orders, t,
-		     now + orders->conf.under_way_ms + orders->conf.network_ms);
+		     now + orders->conf.send_timeout_ms +
+			     orders->conf.network_delay_ms);
 	if (t->gone || !says_same(&t->says, endpoint))
 		orders->replan = true;
 	t->gone = false;
@@ -267,7 +271,7 @@
  * An endpoint is gone.  While an order to it may still arrive it is kept, as
  * it may come back sooner than that.
  */
-void dl_orders_endpoint_gone(struct dl_orders *orders, struct dl_str id)
+void dl_orders_remove_endpoint(struct dl_orders *orders, struct dl_str id)
 {
 	struct dl_name name = { 0 };
 	struct target *t;
@@ -324,7 +328,7 @@
 	if (!s)
 		return false;
 	most = s->endpoints * s->out_share_permille / PERMILLE;
-	return s->under_way < MAX(most, 1);
+	return s->in_progress < MAX(most, 1);
 }
 
 /* Whether an endpoint may be sent an order now, but for the weight store. */
@@ -361,14 +365,14 @@
 	out->version = wish->version;
 	out->role = wish->role;
 	out->fence = orders->term;
-	out->give_up = now + orders->conf.under_way_ms;
+	out->deadline = now + orders->conf.send_timeout_ms;
 	if (s)
-		s->under_way++;
+		s->in_progress++;
 	t->state = TARGET_UNDER_WAY;
 	t->order = out->id;
 	t->had = 0;
 	t->asked = orders_wish_hash(wish);
-	t->not_before = out->give_up + orders->conf.network_ms;
+	t->not_before = out->deadline + orders->conf.network_delay_ms;
 }
 
 /*
@@ -410,7 +414,7 @@
 			const struct dl_order *order, int64_t now)
 {
 	return has_lease(orders, now) && order->fence == orders->term &&
-	       now < order->give_up;
+	       now < order->deadline;
 }
 
 /* The endpoint whose latest order is this one, or NULL. */
@@ -443,7 +447,7 @@
 	case DL_ORDER_ACCEPTED:
 		t->state = TARGET_ACCEPTED;
 		t->had = t->asked;
-		t->not_before = now + orders->conf.settle_ms;
+		t->not_before = now + orders->conf.announce_timeout_ms;
 		settle(orders, t);
 		if (t->state == TARGET_IDLE)
 			t->not_before = now;
@@ -499,16 +503,16 @@
 	for (guint i = 0; i < orders->targets->len; i++) {
 		const struct target *t = g_ptr_array_index(orders->targets, i);
 
-		out->under_way += is_under_way(t);
+		out->in_progress += is_under_way(t);
 		if (t->wish == WISH_NONE)
 			continue;
-		out->wished++;
-		out->done += orders_is_done(orders, t);
+		out->assigned++;
+		out->completed += orders_is_done(orders, t);
 	}
 }
 
 /* What the counts must always say; NULL, or what is broken. */
-const char *dl_orders_broken(const struct dl_orders *orders)
+const char *dl_orders_check(const struct dl_orders *orders)
 {
 	if (g_hash_table_size(orders->by_id) != orders->targets->len)
 		return "the table of endpoints and their list differ";
@@ -526,7 +530,7 @@
 			     dl_name_eq(&t->says.service,
 					dl_name_str(&s->name));
 		}
-		if (n != s->under_way)
+		if (n != s->in_progress)
 			return "orders under way are miscounted";
 	}
 	return NULL;
--- a/src/state/orders_int.h
+++ b/src/state/orders_int.h
@@ -12,7 +12,7 @@
 
 enum target_state {
 	TARGET_IDLE,	  /* nothing under way */
-	TARGET_UNDER_WAY, /* until a result, or give_up and the network's time
+	TARGET_UNDER_WAY, /* until a result, or deadline and the network's time
 			   */
 	TARGET_ACCEPTED,  /* until it announces the wished end */
 };
@@ -35,8 +35,8 @@
 	struct dl_name name;
 	bool ignores_fencing;
 	uint32_t out_share_permille;
-	uint32_t endpoints; /* that take orders */
-	uint32_t under_way; /* orders sent and not seen done */
+	uint32_t endpoints;   /* that take orders */
+	uint32_t in_progress; /* orders sent and not seen done */
 };
 
 struct dl_orders {
--- a/test/test_orders.c
+++ b/test/test_orders.c
@@ -32,7 +32,7 @@
 
 	dl_orders_defaults(&c);
 	c.load_mb = LOAD_MB;
-	c.settle_ms = 40000;
+	c.announce_timeout_ms = 40000;
 	return c;
 }
 
@@ -85,7 +85,7 @@
 
 	dl_orders_configure(o, conf, 0);
 	dl_conf_free(conf);
-	ck_assert_int_eq(dl_orders_lead(o, 1, 1000000, 0), 0);
+	ck_assert_int_eq(dl_orders_set_leader(o, 1, 1000000, 0), 0);
 	return o;
 }
 
@@ -104,15 +104,15 @@
 	dl_name_set(&e[3].role, DL_STR("both"));
 	dl_name_set(&e[2].role, DL_STR("both"));
 	for (int i = 0; i < 4; i++)
-		dl_orders_endpoint(o, &e[i], 0);
+		dl_orders_update_endpoint(o, &e[i], 0);
 	ck_assert(dl_orders_next(o, 10000, &order));
 	ck_assert_str_eq(order.endpoint.s, "10.0.0.2:1");
 	ck_assert_str_eq(order.version.s, "1");
 	ck_assert_uint_eq(order.fence, 1);
 	ck_assert(!dl_orders_next(o, 10000, &order));
 	dl_orders_summarize(o, 10000, &s);
-	ck_assert_uint_eq(s.wished, 2);
-	ck_assert_uint_eq(s.done, 1);
+	ck_assert_uint_eq(s.assigned, 2);
+	ck_assert_uint_eq(s.completed, 1);
 	dl_orders_free(o);
 }
 END_TEST
@@ -129,7 +129,7 @@
 
 		snprintf(id, sizeof(id), "10.0.1.%d:1", i + 1);
 		e = announce(id, "strict", "", "");
-		dl_orders_endpoint(o, &e, 0);
+		dl_orders_update_endpoint(o, &e, 0);
 	}
 	for (int64_t t = 0; t < 10000 && second < 0; t += 10) {
 		if (!dl_orders_next(o, t, &order))
@@ -138,7 +138,7 @@
 			first = t;
 		else
 			second = t;
-		ck_assert_ptr_null(dl_orders_broken(o));
+		ck_assert_ptr_null(dl_orders_check(o));
 	}
 	/* An empty bucket at first, one load each two seconds after. */
 	ck_assert_int_eq(first, 2000);
@@ -160,7 +160,7 @@
 
 		snprintf(id, sizeof(id), "10.0.1.%d:1", i + 1);
 		e = announce(id, "strict", "a", "0");
-		dl_orders_endpoint(o, &e, 0);
+		dl_orders_update_endpoint(o, &e, 0);
 	}
 	for (int64_t t = 0; t < 30000; t += 100) {
 		if (!dl_orders_next(o, t, &order))
@@ -181,8 +181,8 @@
 	struct dl_order_endpoint b = announce("10.0.0.2:1", "strict", "", "");
 	struct dl_order order;
 
-	dl_orders_endpoint(o, &a, 0);
-	dl_orders_endpoint(o, &b, 0);
+	dl_orders_update_endpoint(o, &a, 0);
+	dl_orders_update_endpoint(o, &b, 0);
 	ck_assert(dl_orders_next(o, 5000, &order));
 	ck_assert_str_eq(order.endpoint.s, "10.0.0.1:1");
 	dl_orders_result(o, order.id, DL_ORDER_ACCEPTED, 5100);
@@ -190,10 +190,10 @@
 	ck_assert_str_eq(order.endpoint.s, "10.0.0.2:1");
 	dl_orders_result(o, order.id, DL_ORDER_ACCEPTED, 7200);
 	a.incarnation++;
-	dl_orders_endpoint(o, &a, 9000);
+	dl_orders_update_endpoint(o, &a, 9000);
 	ck_assert(!dl_orders_next(o, 9200, &order)); /* b has the one place */
 	b = announce("10.0.0.2:1", "strict", "a", "");
-	dl_orders_endpoint(o, &b, 9300);
+	dl_orders_update_endpoint(o, &b, 9300);
 	ck_assert(dl_orders_next(o, 9400, &order));
 	ck_assert_str_eq(order.endpoint.s, "10.0.0.1:1");
 	dl_orders_free(o);
@@ -213,11 +213,12 @@
 	struct dl_order_endpoint e = announce("10.0.0.1:1", "loose", "", "");
 	double slow = 1.0 - c.drift_permille / 2000.0;
 	double fast = 1.0 + c.drift_permille / 2000.0;
-	double latest = (c.lease_ms + c.under_way_ms) / slow + c.network_ms;
+	double latest =
+		(c.lease_ms + c.send_timeout_ms) / slow + c.network_delay_ms;
 	struct dl_order order;
 	int64_t t = 0;
 
-	dl_orders_endpoint(o, &e, 0);
+	dl_orders_update_endpoint(o, &e, 0);
 	while (!dl_orders_next(o, t, &order))
 		t++;
 	ck_assert_double_ge((double)t / fast, latest);
@@ -232,20 +233,20 @@
 	struct dl_order_endpoint e = announce("10.0.0.1:1", "strict", "", "");
 	struct dl_order order, again;
 
-	dl_orders_endpoint(o, &e, 0);
+	dl_orders_update_endpoint(o, &e, 0);
 	ck_assert(dl_orders_next(o, 5000, &order));
 	ck_assert(dl_orders_may_send(o, &order, 5000));
-	ck_assert(!dl_orders_may_send(o, &order, order.give_up));
+	ck_assert(!dl_orders_may_send(o, &order, order.deadline));
 	dl_orders_result(o, order.id, DL_ORDER_FENCED, 5001);
 	ck_assert(!dl_orders_may_send(o, &order, 5001));
 	ck_assert(!dl_orders_next(o, 50000, &again));
 	ck_assert_int_eq(dl_orders_wakeup(o, 50000), INT64_MAX);
-	ck_assert_int_eq(dl_orders_lead(o, 0, 0, 0), -ESTALE);
-	ck_assert_int_eq(dl_orders_lead(o, 3, 1000000, 50000), 0);
-	ck_assert_int_eq(dl_orders_lead(o, 2, 1000000, 50000), -ESTALE);
+	ck_assert_int_eq(dl_orders_set_leader(o, 0, 0, 0), -ESTALE);
+	ck_assert_int_eq(dl_orders_set_leader(o, 3, 1000000, 50000), 0);
+	ck_assert_int_eq(dl_orders_set_leader(o, 2, 1000000, 50000), -ESTALE);
 	ck_assert(dl_orders_next(o, 60000, &again));
 	ck_assert_uint_eq(again.fence, 3);
-	dl_orders_lost(o);
+	dl_orders_clear_leader(o);
 	ck_assert(!dl_orders_may_send(o, &again, 60000));
 	dl_orders_free(o);
 }
@@ -259,19 +260,19 @@
 	struct dl_conf *conf = make_conf("2", 0);
 	struct dl_order order, again;
 
-	dl_orders_endpoint(o, &e, 0);
+	dl_orders_update_endpoint(o, &e, 0);
 	ck_assert(dl_orders_next(o, 5000, &order));
 	dl_orders_configure(o, conf, 5100);
 	dl_orders_result(o, order.id, DL_ORDER_UNKNOWN, 5200);
-	dl_orders_endpoint_gone(o, DL_STR("10.0.0.1:1"));
+	dl_orders_remove_endpoint(o, DL_STR("10.0.0.1:1"));
 	e.incarnation++;
-	dl_orders_endpoint(o, &e, 5300);
+	dl_orders_update_endpoint(o, &e, 5300);
 	ck_assert(!dl_orders_next(o, 11999, &again));
 	ck_assert(dl_orders_next(o, 12000, &again));
 	ck_assert_str_eq(again.version.s, "2");
-	dl_orders_endpoint_gone(o, DL_STR("10.0.0.1:1"));
+	dl_orders_remove_endpoint(o, DL_STR("10.0.0.1:1"));
 	ck_assert(!dl_orders_next(o, 30000, &again));
-	ck_assert_ptr_null(dl_orders_broken(o));
+	ck_assert_ptr_null(dl_orders_check(o));
 	dl_conf_free(conf);
 	dl_orders_free(o);
 }
@@ -305,7 +306,7 @@
 	int from;
 	int64_t arrives;
 	int64_t answer_at; /* 0: not arrived yet */
-	int64_t give_up;
+	int64_t deadline;
 	bool lost;
 	enum dl_order_result result;
 };
@@ -386,7 +387,8 @@
 	local = clock_of(w, w->leader);
 	if (p->paused_until > w->now || chance(w, 300))
 		return;
-	dl_orders_lead(p->orders, w->term, local + limits().lease_ms, local);
+	dl_orders_set_leader(p->orders, w->term, local + limits().lease_ms,
+			     local);
 }
 
 /* Send what was planned, if it may still be sent after whatever pause. */
@@ -405,13 +407,14 @@
 	memset(f, 0, sizeof(*f));
 	f->order = p->held;
 	f->from = from;
-	f->give_up =
-		w->now + (int64_t)((double)(p->held.give_up - local) / p->rate);
+	f->deadline = w->now +
+		      (int64_t)((double)(p->held.deadline - local) / p->rate);
 	f->arrives = w->now + g_rand_int_range(w->rand, 0, 50);
 	if (chance(w, 200))
-		f->arrives = f->give_up +
-			     g_rand_int_range(w->rand, 0,
-					      (gint32)limits().network_ms);
+		f->arrives =
+			f->deadline +
+			g_rand_int_range(w->rand, 0,
+					 (gint32)limits().network_delay_ms);
 	f->lost = chance(w, 100);
 	w->flights++;
 	w->orders++;
@@ -476,10 +479,11 @@
 			f->lost = f->lost || chance(w, 100);
 		}
 		if (p->paused_until > w->now || !f->answer_at ||
-		    (f->answer_at > w->now || (f->lost && f->give_up > w->now)))
+		    (f->answer_at > w->now ||
+		     (f->lost && f->deadline > w->now)))
 			continue;
 		dl_orders_result(p->orders, f->order.id,
-				 f->lost || f->answer_at > f->give_up ?
+				 f->lost || f->answer_at > f->deadline ?
 					 DL_ORDER_UNKNOWN :
 					 f->result,
 				 clock_of(w, f->from));
@@ -514,8 +518,8 @@
 			if (w->process[p].paused_until > w->now ||
 			    g_rand_int_range(w->rand, 0, 10))
 				continue;
-			dl_orders_endpoint(w->process[p].orders, &e->says,
-					   clock_of(w, p));
+			dl_orders_update_endpoint(w->process[p].orders,
+						  &e->says, clock_of(w, p));
 		}
 	}
 }
@@ -529,7 +533,7 @@
 			w->process[p].paused_until =
 				w->now + g_rand_int_range(w->rand, 0, 60000);
 		plan(w, p);
-		ck_assert_ptr_null(dl_orders_broken(w->process[p].orders));
+		ck_assert_ptr_null(dl_orders_check(w->process[p].orders));
 	}
 	fly(w);
 	live(w);
@@ -545,16 +549,18 @@
 	while (w.now < CHAOS_MS)
 		step(&w);
 	w.calm = true;
-	while (w.now < CHAOS_MS + CALM_MS && (!s.wished || s.done < s.wished)) {
+	while (w.now < CHAOS_MS + CALM_MS &&
+	       (!s.assigned || s.completed < s.assigned)) {
 		step(&w);
 		dl_orders_summarize(w.process[w.leader].orders,
 				    clock_of(&w, w.leader), &s);
-		s.wished = s.wished < ENDPOINTS || w.now < CHAOS_MS + 120000 ?
-				   0 :
-				   s.wished;
+		s.assigned = s.assigned < ENDPOINTS ||
+					     w.now < CHAOS_MS + 120000 ?
+				     0 :
+				     s.assigned;
 	}
-	ck_assert_uint_eq(s.wished, ENDPOINTS);
-	ck_assert_uint_eq(s.done, ENDPOINTS);
+	ck_assert_uint_eq(s.assigned, ENDPOINTS);
+	ck_assert_uint_eq(s.completed, ENDPOINTS);
 	for (int i = 0; i < ENDPOINTS; i++)
 		ck_assert_str_eq(w.endpoint[i].loading.version.s, "1");
 	most = (uint64_t)(w.now + (int64_t)w.term * limits().lease_ms) *
