--- a/bench/bench_rlog.c
+++ b/bench/bench_rlog.c
@@ -50,7 +50,7 @@
 
 	for (uint64_t vm = 1; vm <= replicas; vm++)
 		group_start(g, vm);
-	if (!group_settle(g, LONG_MS)) {
+	if (!group_wait_leader(g, LONG_MS)) {
 		fprintf(stderr, "bench_rlog: no leader\n");
 		exit(EXIT_FAILURE);
 	}
@@ -60,8 +60,8 @@
 
 static void stop(struct group *g)
 {
-	steps += group_counted(g)->steps;
-	violations += group_counted(g)->violations;
+	steps += group_get_counters(g)->steps;
+	violations += group_get_counters(g)->violations;
 	group_free(g);
 }
 
@@ -90,7 +90,8 @@
 	}
 	group_run(g, 100);
 	print("config_commit_ms_p99",
-	      (double)percentile(group_counted(g)->commit_ms, 64, 990), "ms");
+	      (double)percentile(group_get_counters(g)->commit_ms, 64, 990),
+	      "ms");
 	stop(g);
 }
 
@@ -111,7 +112,7 @@
 		group_run(g, 13 * i);
 		begin = group_now(g);
 		group_crash(g, group_leader(g));
-		group_settle(g, LONG_MS);
+		group_wait_leader(g, LONG_MS);
 		took[i] = group_now(g) - begin;
 		stop(g);
 	}
@@ -128,7 +129,7 @@
 	int64_t begin = group_now(g);
 
 	dl_rlog_transfer(group_rlog(g, old), begin);
-	while (group_leader(g) == old || !group_settle(g, LONG_MS))
+	while (group_leader(g) == old || !group_wait_leader(g, LONG_MS))
 		group_run(g, 1);
 	print("leader_handover_ms", (double)(group_now(g) - begin), "ms");
 	stop(g);
--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -382,7 +382,7 @@
 
 	for (uint64_t vm = 1; vm <= 5; vm++)
 		group_start(g, vm);
-	if (!group_settle(g, 60000))
+	if (!group_wait_leader(g, 60000))
 		must(-1);
 	leader = group_leader(g);
 	group_run(g, 5000);
@@ -392,7 +392,7 @@
 			group_propose(g, leader, CHANGE_BYTES);
 		group_run(g, 100);
 	}
-	*acked = (double)group_counted(g)->acked;
+	*acked = (double)group_get_counters(g)->acked;
 	out = (double)(fake_link_sent(group_link(g), leader).bytes -
 		       before.bytes) /
 	      60;
--- a/test/fake/disk.c
+++ b/test/fake/disk.c
@@ -142,12 +142,12 @@
 	d->crash_in = ops + 1;
 }
 
-bool fake_disk_down(const struct fake_disk *d)
+bool fake_disk_is_down(const struct fake_disk *d)
 {
 	return d->down;
 }
 
-uint64_t fake_disk_count(const struct fake_disk *d)
+uint64_t fake_disk_op_count(const struct fake_disk *d)
 {
 	return d->count;
 }
@@ -494,7 +494,7 @@
 	return f ? f->now->len : 0;
 }
 
-bool fake_disk_flip(struct fake_disk *d, uint64_t at)
+bool fake_disk_flip_bit(struct fake_disk *d, uint64_t at)
 {
 	struct file *f = largest(d);
 
--- a/test/fake/disk.h
+++ b/test/fake/disk.h
@@ -26,9 +26,9 @@
 /* The VM goes down before the operation after so many more. */
 void fake_disk_crash_after(struct fake_disk *disk, uint32_t ops);
 /* Whether it went down so. */
-bool fake_disk_down(const struct fake_disk *disk);
+bool fake_disk_is_down(const struct fake_disk *disk);
 /* Operations so far. */
-uint64_t fake_disk_count(const struct fake_disk *disk);
+uint64_t fake_disk_op_count(const struct fake_disk *disk);
 
 /*
  * The VM goes down and comes up: nothing under way ends, and of what was not
@@ -40,7 +40,7 @@
 /* The disk is replaced by an empty one. */
 void fake_disk_wipe(struct fake_disk *disk);
 /* A synced bit goes bad, in the largest file; false where there is none. */
-bool fake_disk_flip(struct fake_disk *disk, uint64_t at);
+bool fake_disk_flip_bit(struct fake_disk *disk, uint64_t at);
 /* Bytes of the largest file. */
 uint64_t fake_disk_bytes(const struct fake_disk *disk);
 
--- a/test/fake/group.c
+++ b/test/fake/group.c
@@ -63,7 +63,7 @@
 	uint64_t highest_applied;
 	uint64_t wanted[GROUP_MAX];
 	uint32_t wanted_count;
-	struct group_count count;
+	struct group_counters count;
 	char violation[320];
 };
 
@@ -215,9 +215,9 @@
 	fake_link_pause(g->link, vm, g->now + ms);
 }
 
-bool group_up(const struct group *g, uint64_t vm)
+bool group_is_up(const struct group *g, uint64_t vm)
 {
-	return g->nodes[vm].up && !fake_disk_down(g->nodes[vm].disk);
+	return g->nodes[vm].up && !fake_disk_is_down(g->nodes[vm].disk);
 }
 
 /* --- checks --- */
@@ -420,7 +420,7 @@
 
 static bool runs(const struct node *n)
 {
-	return n->up && n->started && !fake_disk_down(n->disk) &&
+	return n->up && n->started && !fake_disk_is_down(n->disk) &&
 	       !fake_link_paused(n->group->link, n->vm, n->group->now);
 }
 
@@ -530,7 +530,7 @@
 	return best;
 }
 
-bool group_settle(struct group *g, uint32_t max_ms)
+bool group_wait_leader(struct group *g, uint32_t max_ms)
 {
 	int64_t end = g->now + max_ms;
 
@@ -586,7 +586,7 @@
 	       s.synced == s.last && n->chain.hash == leader->chain.hash;
 }
 
-bool group_converge(struct group *g, uint32_t max_ms)
+bool group_wait_converged(struct group *g, uint32_t max_ms)
 {
 	int64_t end = g->now + max_ms;
 
@@ -653,7 +653,7 @@
 	return g->nodes[vm].id;
 }
 
-void group_want(struct group *g, const uint64_t *vms, uint32_t n)
+void group_set_replicas(struct group *g, const uint64_t *vms, uint32_t n)
 {
 	memcpy(g->wanted, vms, n * sizeof(*vms));
 	g->wanted_count = n;
@@ -668,7 +668,7 @@
 	return g->nodes[vm].busy_ns;
 }
 
-const struct group_count *group_counted(const struct group *g)
+const struct group_counters *group_get_counters(const struct group *g)
 {
 	return &g->count;
 }
--- a/test/fake/group.h
+++ b/test/fake/group.h
@@ -25,7 +25,7 @@
 	bool drift;		   /* clocks differ in rate and offset */
 };
 
-struct group_count {
+struct group_counters {
 	uint64_t steps;
 	uint64_t violations;
 	uint64_t acked; /* commands known committed to who proposed them */
@@ -45,7 +45,7 @@
 void group_crash(struct group *group, uint64_t vm);
 void group_wipe(struct group *group, uint64_t vm);
 void group_pause(struct group *group, uint64_t vm, uint32_t ms);
-bool group_up(const struct group *group, uint64_t vm);
+bool group_is_up(const struct group *group, uint64_t vm);
 
 /* Let everything due happen, until this much time has passed. */
 void group_run(struct group *group, uint32_t ms);
@@ -55,11 +55,11 @@
 /* A VM that leads, the one of the highest term; DL_VM_NONE. */
 uint64_t group_leader(const struct group *group);
 /* Run until there is a leader that can commit; false after max_ms. */
-bool group_settle(struct group *group, uint32_t max_ms);
+bool group_wait_leader(struct group *group, uint32_t max_ms);
 /* Propose a command at a VM. */
 int group_propose(struct group *group, uint64_t vm, uint32_t bytes);
 /* Every VM that is up has applied everything, before max_ms. */
-bool group_converge(struct group *group, uint32_t max_ms);
+bool group_wait_converged(struct group *group, uint32_t max_ms);
 /* The members are exactly these VMs, all voters, one identity each. */
 bool group_members_are(struct group *group, const uint64_t *vms, uint32_t n);
 
@@ -68,10 +68,10 @@
 struct dl_rlog *group_rlog(struct group *group, uint64_t vm);
 uint64_t group_applied(const struct group *group, uint64_t vm);
 uint64_t group_identity(const struct group *group, uint64_t vm);
-void group_want(struct group *group, const uint64_t *vms, uint32_t n);
+void group_set_replicas(struct group *group, const uint64_t *vms, uint32_t n);
 /* Real time that a VM spent in the log and its codec, for benchmarks. */
 uint64_t group_busy_ns(const struct group *group, uint64_t vm);
-const struct group_count *group_counted(const struct group *group);
+const struct group_counters *group_get_counters(const struct group *group);
 /* The first violation in words; empty where there is none. */
 const char *group_violation(const struct group *group);
 
--- a/test/test_crash_store.c
+++ b/test/test_crash_store.c
@@ -138,7 +138,7 @@
 	uint32_t count;
 
 	save(7, 6);
-	ck_assert(fake_disk_flip(disk, (uint64_t)_i * 16 + 3));
+	ck_assert(fake_disk_flip_bit(disk, (uint64_t)_i * 16 + 3));
 	ck_assert_int_eq(found(&count), -1);
 	ck_assert_uint_eq(count, 0);
 	save(9, 3);
--- a/test/test_rlog.c
+++ b/test/test_rlog.c
@@ -24,7 +24,7 @@
 
 	for (uint64_t vm = 1; vm <= 3; vm++)
 		group_start(g, vm);
-	ck_assert(group_settle(g, 20000));
+	ck_assert(group_wait_leader(g, 20000));
 	return g;
 }
 
@@ -38,7 +38,7 @@
 
 static void finish(struct group *g)
 {
-	ck_assert_msg(group_converge(g, 30000), "does not converge");
+	ck_assert_msg(group_wait_converged(g, 30000), "does not converge");
 	ck_assert_str_eq(group_violation(g), "");
 	group_free(g);
 }
@@ -62,7 +62,7 @@
 
 	changes(g, 100);
 	group_run(g, 100);
-	ck_assert_uint_eq(group_counted(g)->acked, 100);
+	ck_assert_uint_eq(group_get_counters(g)->acked, 100);
 	finish(g);
 }
 END_TEST
@@ -74,7 +74,7 @@
 
 	changes(g, 10);
 	group_crash(g, old);
-	ck_assert(group_settle(g, 4000));
+	ck_assert(group_wait_leader(g, 4000));
 	ck_assert_uint_ne(group_leader(g), old);
 	changes(g, 10);
 	group_start(g, old);
@@ -92,7 +92,7 @@
 	ck_assert(!status_of(g, old).lease);
 	group_run(g, 300);
 	ck_assert_int_ne(status_of(g, old).role, DL_RLOG_LEADER);
-	ck_assert(group_settle(g, 4000));
+	ck_assert(group_wait_leader(g, 4000));
 	fake_link_heal(group_link(g));
 	finish(g);
 }
@@ -186,7 +186,7 @@
 		group_run(g, 1);
 	second = lost == 3 ? 2 : 3;
 	group_wipe(g, second);
-	ck_assert(group_settle(g, 5000));
+	ck_assert(group_wait_leader(g, 5000));
 	changes(g, 10);
 	group_start(g, second);
 	group_run(g, 5000);
@@ -204,10 +204,10 @@
 	changes(g, 50);
 	group_start(g, 4);
 	group_start(g, 5);
-	group_want(g, five, 5);
+	group_set_replicas(g, five, 5);
 	group_run(g, 8000);
 	ck_assert(group_members_are(g, five, 5));
-	group_want(g, others, 3);
+	group_set_replicas(g, others, 3);
 	group_run(g, 8000);
 	ck_assert(group_members_are(g, others, 3));
 	group_kill(g, 1);
@@ -224,7 +224,7 @@
 	struct group *g = three(11);
 	struct dl_err err;
 
-	group_want(g, with_six, 3);
+	group_set_replicas(g, with_six, 3);
 	group_run(g, 5000);
 	ck_assert(group_members_are(g, first_three, 3));
 	ck_assert_str_ne(status_of(g, group_leader(g)).waiting_for, "");
@@ -245,7 +245,7 @@
 		group_crash(g, vm);
 	for (uint64_t vm = 1; vm <= 3; vm++)
 		group_start(g, vm);
-	ck_assert(group_settle(g, 6000));
+	ck_assert(group_wait_leader(g, 6000));
 	changes(g, 5);
 	finish(g);
 }
@@ -273,7 +273,7 @@
 		ck_assert_uint_gt(status_of(g, vm).applied, 0);
 		ck_assert(!status_of(g, vm).current);
 	}
-	ck_assert(group_settle(g, 4000));
+	ck_assert(group_wait_leader(g, 4000));
 	group_run(g, 500);
 	for (uint64_t vm = 1; vm <= 3; vm++)
 		ck_assert(status_of(g, vm).current);
@@ -300,7 +300,7 @@
 	group_run(g, 50);
 	ck_assert_int_eq(status_of(g, bad).role, DL_RLOG_HALTED);
 	ck_assert_str_ne(status_of(g, bad).halt_reason, "");
-	ck_assert(group_settle(g, 5000));
+	ck_assert(group_wait_leader(g, 5000));
 	changes(g, 5);
 	group_kill(g, bad);
 	group_start(g, bad);
@@ -318,12 +318,12 @@
 	changes(g, 30);
 	group_run(g, 50);
 	group_kill(g, bad);
-	ck_assert(fake_disk_flip(disk,
-				 fake_disk_bytes(disk) * (uint64_t)_i / 20));
+	ck_assert(fake_disk_flip_bit(disk, fake_disk_bytes(disk) *
+						   (uint64_t)_i / 20));
 	group_start(g, bad);
 	group_run(g, 50);
 	ck_assert_int_eq(status_of(g, bad).role, DL_RLOG_HALTED);
-	ck_assert_uint_eq(group_counted(g)->damaged, 1);
+	ck_assert_uint_eq(group_get_counters(g)->damaged, 1);
 	group_wipe(g, bad);
 	group_start(g, bad);
 	group_run(g, 3000);
@@ -339,15 +339,15 @@
 	uint64_t vm = _i % 2 ? group_leader(g) : follower(g);
 
 	fake_disk_crash_after(group_disk(g, vm), (uint32_t)_i / 2);
-	for (int i = 0; i < 90 && group_up(g, vm); i++) {
+	for (int i = 0; i < 90 && group_is_up(g, vm); i++) {
 		if (group_leader(g))
 			group_propose(g, group_leader(g), 20);
 		group_run(g, 6);
 	}
-	ck_assert(!group_up(g, vm));
+	ck_assert(!group_is_up(g, vm));
 	group_crash(g, vm);
 	group_start(g, vm);
-	ck_assert_uint_eq(group_counted(g)->damaged, 0);
+	ck_assert_uint_eq(group_get_counters(g)->damaged, 0);
 	finish(g);
 }
 END_TEST
@@ -369,7 +369,7 @@
 	}
 	changes(g, 50);
 	group_run(g, 20);
-	ck_assert(_i == 2 || group_counted(g)->acked == 50);
+	ck_assert(_i == 2 || group_get_counters(g)->acked == 50);
 	group_run(g, 10000);
 	ck_assert_uint_eq(group_leader(g), leader);
 	ck_assert_uint_eq(status_of(g, leader).term, term);
--- a/test/test_rlog_random.c
+++ b/test/test_rlog_random.c
@@ -158,7 +158,7 @@
 			uint32_t i = below(t, G_N_ELEMENTS(lists));
 
 			say(t, "list", i);
-			group_want(g, lists[i], list_sizes[i]);
+			group_set_replicas(g, lists[i], list_sizes[i]);
 		}
 		break;
 	default:
@@ -221,7 +221,7 @@
 			continue;
 		if (rlog)
 			dl_rlog_get_status(rlog, 0, &s);
-		if (rlog && !group_up(t->group, vm))
+		if (rlog && !group_is_up(t->group, vm))
 			group_crash(t->group, vm);
 		else if (s.role == DL_RLOG_HALTED)
 			group_kill(t->group, vm);
@@ -268,7 +268,7 @@
 
 /* One seed: trouble, then calm in which all must come to agree. */
 static void run_seed(uint32_t seed, bool starts, bool aloud,
-		     struct group_count *sum)
+		     struct group_counters *sum)
 {
 	struct group_conf conf = {
 		.seed = seed,
@@ -285,7 +285,7 @@
 			   .say = aloud,
 			   .starts = starts };
 	struct fake_link_conf calm = { .delay_min_ms = 1, .delay_max_ms = 4 };
-	const struct group_count *count = group_counted(t.group);
+	const struct group_counters *count = group_get_counters(t.group);
 	bool same;
 
 	restart_some(&t, true);
@@ -310,10 +310,10 @@
 		group_run(t.group, 500);
 		restart_some(&t, true);
 	}
-	same = group_settle(t.group, CALM_MS);
+	same = group_wait_leader(t.group, CALM_MS);
 	if (same && group_leader(t.group))
 		group_propose(t.group, group_leader(t.group), 8);
-	same = same && group_converge(t.group, CALM_MS);
+	same = same && group_wait_converged(t.group, CALM_MS);
 	show(&t);
 	ck_assert_str_eq(group_violation(t.group), "");
 	ck_assert_msg(same, "seed %u: no agreement in the calm", seed);
@@ -330,7 +330,7 @@
 
 START_TEST(kept)
 {
-	struct group_count sum = { 0 };
+	struct group_counters sum = { 0 };
 
 	run_seed(kept_seeds[_i], false, false, &sum);
 }
@@ -343,7 +343,7 @@
 	uint64_t steps = getenv("DL_SANITIZED") ? SANITIZED_STEPS : CI_STEPS;
 	uint32_t n = seeds ? (uint32_t)strtoul(seeds, NULL, 10) : UINT32_MAX;
 	uint32_t from = one ? (uint32_t)strtoul(one, NULL, 10) : 1, i;
-	struct group_count sum = { 0 };
+	struct group_counters sum = { 0 };
 
 	if (seeds)
 		steps = UINT64_MAX;
