--- a/include/daisyledge/rlog.h
+++ b/include/daisyledge/rlog.h
@@ -166,7 +166,7 @@
 	bool joins_only; /* never begins a log, however empty the others are */
 	/*
 	 * How many voters the group keeps by itself where nobody lists them:
-	 * 0 for none, see rlog_group.c.
+	 * 0 for none, see rlog_voters.c.
 	 */
 	uint32_t voters_wanted;
 	uint32_t voter_timeout_ms; /* a voter unheard for so long makes room */
@@ -242,7 +242,7 @@
 /* The next message; its pointers last until the next call. */
 bool dl_rlog_out(struct dl_rlog *rlog, int64_t now, struct dl_rlog_msg *msg);
 /* The next unit to write; its pointers last until the next call. */
-bool dl_rlog_write(struct dl_rlog *rlog, struct dl_rlog_record *unit);
+bool dl_rlog_write(struct dl_rlog *rlog, struct dl_rlog_record *rec);
 void dl_rlog_written(struct dl_rlog *rlog, uint64_t seq, int code, int64_t now);
 /* The next committed command or snapshot; data lasts until the next call. */
 bool dl_rlog_apply(struct dl_rlog *rlog, struct dl_rlog_apply *out);
@@ -296,7 +296,7 @@
 void dl_rlog_store_start(struct dl_rlog_store *store, struct dl_disk_done done);
 /* One at a time; the unit is copied. */
 void dl_rlog_store_write(struct dl_rlog_store *store,
-			 const struct dl_rlog_record *unit,
+			 const struct dl_rlog_record *rec,
 			 struct dl_disk_done done);
 /* Only while nothing is being written, or where the disk will never answer. */
 void dl_rlog_store_free(struct dl_rlog_store *store);
--- a/src/state/orders.c
+++ b/src/state/orders.c
@@ -18,18 +18,18 @@
 static bool has_lease(const struct dl_orders *orders, int64_t now);
 static int64_t ready_at(const struct dl_orders *orders, const struct target *t);
 static bool has_room(const struct dl_orders *orders, const struct target *t);
-static bool may_order(const struct dl_orders *orders, const struct target *t,
+static bool can_order(const struct dl_orders *orders, const struct target *t,
 		      int64_t now);
-static void settle(struct dl_orders *orders, struct target *t);
-static void forget(struct dl_orders *orders, struct target *t);
-static void rest(struct dl_orders *orders, struct target *t, int64_t until);
+static void release_if_done(struct dl_orders *orders, struct target *t);
+static void remove_target(struct dl_orders *orders, struct target *t);
+static void release(struct dl_orders *orders, struct target *t, int64_t until);
 static void expire(struct dl_orders *orders, struct target *t, int64_t now);
-static void emit(struct dl_orders *orders, struct target *t, int64_t now,
-		 struct dl_order *out);
+static void issue_order(struct dl_orders *orders, struct target *t, int64_t now,
+			struct dl_order *out);
 static struct target *find_order(const struct dl_orders *orders, uint64_t id);
-static bool is_under_way(const struct target *t);
-static bool says_same(const struct dl_order_endpoint *a,
-		      const struct dl_order_endpoint *b);
+static bool is_in_progress(const struct target *t);
+static bool same_announcement(const struct dl_order_endpoint *a,
+			      const struct dl_order_endpoint *b);
 
 /*
  * What holds where nothing else is known: leases of the replicated log under
@@ -78,7 +78,7 @@
 	g_hash_table_destroy(orders->by_id);
 	g_hash_table_destroy(orders->drained);
 	g_ptr_array_free(orders->targets, TRUE);
-	g_free(orders->wishes);
+	g_free(orders->goals);
 	g_free(orders->services);
 	free(orders);
 }
@@ -147,14 +147,13 @@
 void dl_orders_configure(struct dl_orders *orders, const struct dl_conf *conf,
 			 int64_t now)
 {
-	uint32_t wishes = MIN(conf->orders_count, CONF_ORDERS_MAX);
+	uint32_t goals = MIN(conf->orders_count, CONF_ORDERS_MAX);
 
 	refill(orders, now);
 	orders->store_mb_per_s = MAX(conf->weight_store_mb_per_s, STORE_MIN);
-	g_free(orders->wishes);
-	orders->wishes =
-		g_memdup2(conf->orders, wishes * sizeof(*orders->wishes));
-	orders->wishes_count = wishes;
+	g_free(orders->goals);
+	orders->goals = g_memdup2(conf->orders, goals * sizeof(*orders->goals));
+	orders->goals_count = goals;
 	g_free(orders->services);
 	orders->services = g_new0(struct order_service, conf->services_count);
 	orders->services_count = conf->services_count;
@@ -173,41 +172,41 @@
 	for (guint i = 0; i < orders->targets->len; i++) {
 		struct target *t = g_ptr_array_index(orders->targets, i);
 		struct order_service *s =
-			orders_service(orders, &t->says.service);
+			orders_service(orders, &t->announced.service);
 
 		if (s)
-			s->in_progress += is_under_way(t);
+			s->in_progress += is_in_progress(t);
 	}
 	orders_plan(orders);
 }
 
 /* Whether an endpoint holds one of the places that its service has. */
-static bool is_under_way(const struct target *t)
+static bool is_in_progress(const struct target *t)
 {
 	return t->state != TARGET_IDLE;
 }
 
 /* An order is over: its service has room for another. */
-static void rest(struct dl_orders *orders, struct target *t, int64_t until)
+static void release(struct dl_orders *orders, struct target *t, int64_t until)
 {
-	struct order_service *s = orders_service(orders, &t->says.service);
+	struct order_service *s = orders_service(orders, &t->announced.service);
 
-	if (is_under_way(t) && s)
+	if (is_in_progress(t) && s)
 		s->in_progress--;
 	t->state = TARGET_IDLE;
 	t->not_before = MAX(t->not_before, until);
 }
 
 /* An endpoint that announces what it has accepted is done. */
-static void settle(struct dl_orders *orders, struct target *t)
+static void release_if_done(struct dl_orders *orders, struct target *t)
 {
 	if (t->state == TARGET_ACCEPTED && orders_is_done(orders, t))
-		rest(orders, t, t->not_before);
+		release(orders, t, t->not_before);
 }
 
 /* Whether two announcements are the same as far as orders are concerned. */
-static bool says_same(const struct dl_order_endpoint *a,
-		      const struct dl_order_endpoint *b)
+static bool same_announcement(const struct dl_order_endpoint *a,
+			      const struct dl_order_endpoint *b)
 {
 	if (a->incarnation != b->incarnation || a->leaving != b->leaving ||
 	    a->models_count != b->models_count)
@@ -234,35 +233,35 @@
 
 	if (!t) {
 		t = g_new0(struct target, 1);
-		t->says = *endpoint;
-		t->wish = WISH_NONE;
+		t->announced = *endpoint;
+		t->goal = GOAL_NONE;
 		t->not_before = now;
 		g_ptr_array_add(orders->targets, t);
-		g_hash_table_insert(orders->by_id, t->says.id.s, t);
+		g_hash_table_insert(orders->by_id, t->announced.id.s, t);
 		orders->replan = true;
 		return;
 	}
-	if (t->says.incarnation != endpoint->incarnation) {
-		t->had = 0;
+	if (t->announced.incarnation != endpoint->incarnation) {
+		t->accepted_hash = 0;
 		if (t->state == TARGET_ACCEPTED)
-			rest(orders, t, now);
+			release(orders, t, now);
 	}
-	if (!dl_name_eq(&t->says.service, dl_name_str(&endpoint->service)))
-		rest(orders, t,
-		     now + orders->conf.send_timeout_ms +
-			     orders->conf.network_delay_ms);
-	if (t->gone || !says_same(&t->says, endpoint))
+	if (!dl_name_eq(&t->announced.service, dl_name_str(&endpoint->service)))
+		release(orders, t,
+			now + orders->conf.send_timeout_ms +
+				orders->conf.network_delay_ms);
+	if (t->gone || !same_announcement(&t->announced, endpoint))
 		orders->replan = true;
 	t->gone = false;
-	t->says = *endpoint;
-	settle(orders, t);
+	t->announced = *endpoint;
+	release_if_done(orders, t);
 }
 
 /* Forget an endpoint. */
-static void forget(struct dl_orders *orders, struct target *t)
+static void remove_target(struct dl_orders *orders, struct target *t)
 {
-	rest(orders, t, 0);
-	g_hash_table_remove(orders->by_id, t->says.id.s);
+	release(orders, t, 0);
+	g_hash_table_remove(orders->by_id, t->announced.id.s);
 	g_ptr_array_remove(orders->targets, t);
 	orders->replan = true;
 }
@@ -282,8 +281,8 @@
 		return;
 	t->gone = true;
 	orders->replan = true;
-	if (t->state != TARGET_UNDER_WAY)
-		forget(orders, t);
+	if (t->state != TARGET_SENT)
+		remove_target(orders, t);
 }
 
 /* Whether this process may give orders at this moment. */
@@ -295,17 +294,17 @@
 /* Whether an order makes an endpoint read from the weight store. */
 static bool is_load(const struct dl_orders *orders, const struct target *t)
 {
-	const struct dl_order_conf *wish = &orders->wishes[t->wish];
+	const struct dl_order_conf *goal = &orders->goals[t->goal];
 
-	return !orders_has_model(t, wish) || !t->says.version.n ||
-	       !dl_name_eq(&t->says.version, dl_name_str(&wish->version));
+	return !orders_has_model(t, goal) || !t->announced.version.n ||
+	       !dl_name_eq(&t->announced.version, dl_name_str(&goal->version));
 }
 
 /* When an endpoint may get its next order, as far as it alone is concerned. */
 static int64_t ready_at(const struct dl_orders *orders, const struct target *t)
 {
 	const struct order_service *s =
-		orders_service(orders, &t->says.service);
+		orders_service(orders, &t->announced.service);
 	int64_t at = t->not_before;
 
 	if (s && s->ignores_fencing)
@@ -322,7 +321,7 @@
 static bool has_room(const struct dl_orders *orders, const struct target *t)
 {
 	const struct order_service *s =
-		orders_service(orders, &t->says.service);
+		orders_service(orders, &t->announced.service);
 	uint32_t most;
 
 	if (!s)
@@ -332,7 +331,7 @@
 }
 
 /* Whether an endpoint may be sent an order now, but for the weight store. */
-static bool may_order(const struct dl_orders *orders, const struct target *t,
+static bool can_order(const struct dl_orders *orders, const struct target *t,
 		      int64_t now)
 {
 	return t->state == TARGET_IDLE && !orders_is_done(orders, t) &&
@@ -342,36 +341,36 @@
 /* Orders whose result never came, and accepted ones that came to nothing. */
 static void expire(struct dl_orders *orders, struct target *t, int64_t now)
 {
-	if (!is_under_way(t) || t->not_before > now)
+	if (!is_in_progress(t) || t->not_before > now)
 		return;
 	if (t->gone)
-		forget(orders, t);
+		remove_target(orders, t);
 	else
-		rest(orders, t, now);
+		release(orders, t, now);
 }
 
 /* Write down an order and count it as under way. */
-static void emit(struct dl_orders *orders, struct target *t, int64_t now,
-		 struct dl_order *out)
+static void issue_order(struct dl_orders *orders, struct target *t, int64_t now,
+			struct dl_order *out)
 {
-	const struct dl_order_conf *wish = &orders->wishes[t->wish];
-	struct order_service *s = orders_service(orders, &t->says.service);
+	const struct dl_order_conf *goal = &orders->goals[t->goal];
+	struct order_service *s = orders_service(orders, &t->announced.service);
 
 	memset(out, 0, sizeof(*out));
 	out->id = ++orders->next_order;
-	out->endpoint = t->says.id;
-	out->service = wish->service;
-	out->model = wish->model;
-	out->version = wish->version;
-	out->role = wish->role;
+	out->endpoint = t->announced.id;
+	out->service = goal->service;
+	out->model = goal->model;
+	out->version = goal->version;
+	out->role = goal->role;
 	out->fence = orders->term;
 	out->deadline = now + orders->conf.send_timeout_ms;
 	if (s)
 		s->in_progress++;
-	t->state = TARGET_UNDER_WAY;
-	t->order = out->id;
-	t->had = 0;
-	t->asked = orders_wish_hash(wish);
+	t->state = TARGET_SENT;
+	t->last_order = out->id;
+	t->accepted_hash = 0;
+	t->ordered_hash = orders_goal_hash(goal);
 	t->not_before = out->deadline + orders->conf.network_delay_ms;
 }
 
@@ -396,14 +395,14 @@
 	for (guint i = 0; i < orders->targets->len; i++) {
 		struct target *t = g_ptr_array_index(orders->targets, i);
 
-		if (!may_order(orders, t, now))
+		if (!can_order(orders, t, now))
 			continue;
 		if (is_load(orders, t)) {
 			if (!store)
 				continue;
 			orders->store_mb_ms -= load_cost(orders);
 		}
-		emit(orders, t, now, out);
+		issue_order(orders, t, now, out);
 		return true;
 	}
 	return false;
@@ -423,7 +422,7 @@
 	for (guint i = 0; i < orders->targets->len; i++) {
 		struct target *t = g_ptr_array_index(orders->targets, i);
 
-		if (t->order == id && t->state == TARGET_UNDER_WAY)
+		if (t->last_order == id && t->state == TARGET_SENT)
 			return t;
 	}
 	return NULL;
@@ -446,9 +445,9 @@
 	switch (result) {
 	case DL_ORDER_ACCEPTED:
 		t->state = TARGET_ACCEPTED;
-		t->had = t->asked;
+		t->accepted_hash = t->ordered_hash;
 		t->not_before = now + orders->conf.announce_timeout_ms;
-		settle(orders, t);
+		release_if_done(orders, t);
 		if (t->state == TARGET_IDLE)
 			t->not_before = now;
 		break;
@@ -457,7 +456,7 @@
 		break;
 	default:
 		t->not_before = now + orders->conf.retry_ms;
-		rest(orders, t, t->not_before);
+		release(orders, t, t->not_before);
 		break;
 	}
 }
@@ -475,7 +474,7 @@
 		const struct target *t = g_ptr_array_index(orders->targets, i);
 		int64_t ready = ready_at(orders, t);
 
-		if (orders_is_done(orders, t) && !is_under_way(t))
+		if (orders_is_done(orders, t) && !is_in_progress(t))
 			continue;
 		if (t->state == TARGET_IDLE && is_load(orders, t)) {
 			lacks = load_cost(orders) - orders->store_mb_ms;
@@ -484,7 +483,7 @@
 					    (lacks + orders->store_mb_per_s -
 					     1) / orders->store_mb_per_s);
 		}
-		if (is_under_way(t) || has_room(orders, t))
+		if (is_in_progress(t) || has_room(orders, t))
 			at = MIN(at, ready);
 	}
 	return at;
@@ -503,8 +502,8 @@
 	for (guint i = 0; i < orders->targets->len; i++) {
 		const struct target *t = g_ptr_array_index(orders->targets, i);
 
-		out->in_progress += is_under_way(t);
-		if (t->wish == WISH_NONE)
+		out->in_progress += is_in_progress(t);
+		if (t->goal == GOAL_NONE)
 			continue;
 		out->assigned++;
 		out->completed += orders_is_done(orders, t);
@@ -526,8 +525,8 @@
 			const struct target *t =
 				g_ptr_array_index(orders->targets, j);
 
-			n += is_under_way(t) &&
-			     dl_name_eq(&t->says.service,
+			n += is_in_progress(t) &&
+			     dl_name_eq(&t->announced.service,
 					dl_name_str(&s->name));
 		}
 		if (n != s->in_progress)
--- a/src/state/orders_int.h
+++ b/src/state/orders_int.h
@@ -6,26 +6,27 @@
 
 #include "daisyledge/orders.h"
 
-#define WISH_NONE UINT32_MAX
+#define GOAL_NONE UINT32_MAX
 /* The configuration has no more orders than this. */
 #define CONF_ORDERS_MAX 1024
 
 enum target_state {
-	TARGET_IDLE,	  /* nothing under way */
-	TARGET_UNDER_WAY, /* until a result, or deadline and the network's time
-			   */
-	TARGET_ACCEPTED,  /* until it announces the wished end */
+	TARGET_IDLE,	 /* nothing under way */
+	TARGET_SENT,	 /* until a result, or deadline and the network's time
+			  */
+	TARGET_ACCEPTED, /* until it announces the wished end */
 };
 
 /* An endpoint as a target of orders. */
 struct target {
-	struct dl_order_endpoint says;
-	uint32_t wish; /* index into wishes, or WISH_NONE */
+	struct dl_order_endpoint announced;
+	uint32_t goal; /* index into wishes, or GOAL_NONE */
 	enum target_state state;
-	uint64_t order;	    /* the latest one */
-	uint64_t had;	    /* hash of the wished end last accepted, 0: none */
-	uint64_t asked;	    /* hash of what the latest order asked */
-	int64_t not_before; /* no order until then */
+	uint64_t last_order;	/* the latest one */
+	uint64_t accepted_hash; /* hash of the wished end last accepted, 0: none
+				 */
+	uint64_t ordered_hash;	/* hash of what the latest order asked */
+	int64_t not_before;	/* no order until then */
 	bool drained;
 	bool gone; /* kept until what is under way can no longer arrive */
 };
@@ -43,8 +44,8 @@
 	struct dl_orders_conf conf;
 	GHashTable *by_id; /* struct dl_name in struct target -> it */
 	GPtrArray *targets;
-	struct dl_order_conf *wishes;
-	uint32_t wishes_count;
+	struct dl_order_conf *goals;
+	uint32_t goals_count;
 	struct order_service *services;
 	uint32_t services_count;
 	GHashTable *drained; /* names of endpoints under drain */
@@ -62,8 +63,8 @@
 
 void orders_plan(struct dl_orders *orders);
 bool orders_is_done(const struct dl_orders *orders, const struct target *t);
-bool orders_has_model(const struct target *t, const struct dl_order_conf *wish);
-uint64_t orders_wish_hash(const struct dl_order_conf *wish);
+bool orders_has_model(const struct target *t, const struct dl_order_conf *goal);
+uint64_t orders_goal_hash(const struct dl_order_conf *goal);
 struct order_service *orders_service(const struct dl_orders *orders,
 				     const struct dl_name *name);
 
--- a/src/state/orders_plan.c
+++ b/src/state/orders_plan.c
@@ -13,18 +13,18 @@
 
 static bool takes_orders(const struct target *t, const struct dl_name *service);
 static enum fit fit_of(const struct dl_orders *orders, const struct target *t,
-		       const struct dl_order_conf *wish);
-static void assign(struct dl_orders *orders, uint32_t wish, enum fit fit,
+		       const struct dl_order_conf *goal);
+static void assign(struct dl_orders *orders, uint32_t goal, enum fit fit,
 		   uint32_t *missing);
 static void count_services(struct dl_orders *orders);
 
 /* A wished end in one number, to compare it with what was accepted. */
-uint64_t orders_wish_hash(const struct dl_order_conf *wish)
+uint64_t orders_goal_hash(const struct dl_order_conf *goal)
 {
-	uint64_t h = dl_hash(dl_name_str(&wish->model), 1);
+	uint64_t h = dl_hash(dl_name_str(&goal->model), 1);
 
-	h = dl_hash(dl_name_str(&wish->version), h);
-	h = dl_hash(dl_name_str(&wish->role), h);
+	h = dl_hash(dl_name_str(&goal->version), h);
+	h = dl_hash(dl_name_str(&goal->role), h);
 	return h ? h : 1;
 }
 
@@ -40,10 +40,11 @@
 }
 
 /* Whether an endpoint announces the model of a wish. */
-bool orders_has_model(const struct target *t, const struct dl_order_conf *wish)
+bool orders_has_model(const struct target *t, const struct dl_order_conf *goal)
 {
-	for (uint32_t i = 0; i < t->says.models_count; i++) {
-		if (dl_name_eq(&t->says.models[i], dl_name_str(&wish->model)))
+	for (uint32_t i = 0; i < t->announced.models_count; i++) {
+		if (dl_name_eq(&t->announced.models[i],
+			       dl_name_str(&goal->model)))
 			return true;
 	}
 	return false;
@@ -55,49 +56,50 @@
  * present incarnation.
  */
 static enum fit fit_of(const struct dl_orders *orders, const struct target *t,
-		       const struct dl_order_conf *wish)
+		       const struct dl_order_conf *goal)
 {
-	bool accepted = t->had == orders_wish_hash(wish);
+	bool accepted = t->accepted_hash == orders_goal_hash(goal);
 	bool version, role;
 
-	if (!orders_has_model(t, wish))
+	if (!orders_has_model(t, goal))
 		return FIT_OTHER;
-	version = t->says.version.n ? dl_name_eq(&t->says.version,
-						 dl_name_str(&wish->version)) :
-				      accepted;
-	role = t->says.role.n ?
-		       dl_name_eq(&t->says.role, dl_name_str(&wish->role)) :
-		       accepted;
+	version = t->announced.version.n ?
+			  dl_name_eq(&t->announced.version,
+				     dl_name_str(&goal->version)) :
+			  accepted;
+	role = t->announced.role.n ? dl_name_eq(&t->announced.role,
+						dl_name_str(&goal->role)) :
+				     accepted;
 	return version && role ? FIT_DONE : FIT_MODEL;
 }
 
 /* Whether an endpoint announces the end that is wished of it. */
 bool orders_is_done(const struct dl_orders *orders, const struct target *t)
 {
-	return t->wish == WISH_NONE ||
-	       fit_of(orders, t, &orders->wishes[t->wish]) == FIT_DONE;
+	return t->goal == GOAL_NONE ||
+	       fit_of(orders, t, &orders->goals[t->goal]) == FIT_DONE;
 }
 
 /* Those that leave or are drained are not counted on for any order. */
 static bool takes_orders(const struct target *t, const struct dl_name *service)
 {
-	return !t->says.leaving && !t->drained && !t->gone &&
-	       dl_name_eq(&t->says.service, dl_name_str(service));
+	return !t->announced.leaving && !t->drained && !t->gone &&
+	       dl_name_eq(&t->announced.service, dl_name_str(service));
 }
 
 /* Give a wish to the endpoints that fit it so well, until none is missing. */
-static void assign(struct dl_orders *orders, uint32_t wish, enum fit fit,
+static void assign(struct dl_orders *orders, uint32_t goal, enum fit fit,
 		   uint32_t *missing)
 {
-	const struct dl_order_conf *w = &orders->wishes[wish];
+	const struct dl_order_conf *w = &orders->goals[goal];
 
 	for (guint i = 0; i < orders->targets->len && *missing; i++) {
 		struct target *t = g_ptr_array_index(orders->targets, i);
 
-		if (t->wish != WISH_NONE || !takes_orders(t, &w->service) ||
+		if (t->goal != GOAL_NONE || !takes_orders(t, &w->service) ||
 		    fit_of(orders, t, w) != fit)
 			continue;
-		t->wish = wish;
+		t->goal = goal;
 		(*missing)--;
 	}
 }
@@ -130,16 +132,16 @@
 	for (guint i = 0; i < orders->targets->len; i++) {
 		struct target *t = g_ptr_array_index(orders->targets, i);
 
-		t->wish = WISH_NONE;
-		t->drained =
-			g_hash_table_contains(orders->drained, t->says.id.s);
+		t->goal = GOAL_NONE;
+		t->drained = g_hash_table_contains(orders->drained,
+						   t->announced.id.s);
 	}
-	for (uint32_t i = 0; i < orders->wishes_count; i++)
-		missing[i] = orders->wishes[i].endpoints ?
-				     orders->wishes[i].endpoints :
+	for (uint32_t i = 0; i < orders->goals_count; i++)
+		missing[i] = orders->goals[i].endpoints ?
+				     orders->goals[i].endpoints :
 				     UINT32_MAX;
 	for (int fit = FIT_DONE; fit < FIT_COUNT; fit++) {
-		for (uint32_t i = 0; i < orders->wishes_count; i++)
+		for (uint32_t i = 0; i < orders->goals_count; i++)
 			assign(orders, i, (enum fit)fit, &missing[i]);
 	}
 	count_services(orders);
--- a/src/state/rlog.c
+++ b/src/state/rlog.c
@@ -1,7 +1,8 @@
 /*
  * The replicated log's frame: its life, time, messages in and out, writes and
  * what is handed to the state machine.  Elections are in rlog_vote.c, the
- * leader's part in rlog_lead.c, the follower's in rlog_follow.c.
+ * leader's part in rlog_become_leader.c, the follower's in
+ * rlog_become_follower.c.
  *
  * What is promised to another replica is synced first: a message that rests
  * on a term, a vote or an entry carries the number of the unit that holds it
@@ -18,36 +19,37 @@
 #define HEARTBEAT_MS	  250
 #define ELECTION_MS	  1000
 #define LEASE_MS	  900 /* clocks that differ by a tenth do no harm */
-#define HELLO_MS	  500
+#define JOIN_INTERVAL_MS  500
 #define SNAPSHOT_ENTRIES  1000
 #define SNAPSHOT_BYTES	  (4u << 20)
 #define KEEP_ENTRIES	  200
 #define KEEP_BYTES	  (1u << 20)
 #define APPEND_BYTES	  (256u << 10)
 #define INFLIGHT_BYTES	  (8u << 20)
-#define PIECE_BYTES	  (256u << 10)
+#define CHUNK_BYTES	  (256u << 10)
 #define UNCOMMITTED_BYTES (16u << 20)
 /* Longer than a vote takes on slow VMs, two round trips and syncs. */
-#define EAGER_MS 100
+#define FAST_RETRY_MS 100
 /* Messages that wait for a sync; more are dropped as a network would. */
 #define QUEUE_MAX 4096
 /* Without a leader for so many election times, a replica says hello. */
-#define LOST_ELECTIONS 3
+#define JOIN_AFTER_ELECTIONS 3
 
 static void on_append(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		      int64_t now);
-static bool is_leaders(enum dl_rlog_msg_kind kind);
-static bool is_for_us(const struct dl_rlog *r, const struct dl_rlog_msg *m);
+static bool is_from_leader(enum dl_rlog_msg_kind kind);
+static bool is_addressed_to(const struct dl_rlog *r,
+			    const struct dl_rlog_msg *m);
 static bool raises_term(const struct dl_rlog_msg *m);
-static bool stale(const struct dl_rlog *r, const struct rlog_queued *q);
-static void hand_out_entry(struct dl_rlog *r, const struct dl_rlog_entry *e);
+static bool is_stale(const struct dl_rlog *r, const struct rlog_outgoing *q);
+static void mark_applied(struct dl_rlog *r, const struct dl_rlog_entry *e);
 
 /* What each kind of message does to a replica that has a log. */
 static void (*const on_msg[DL_RLOG_MSG_KIND_COUNT])(struct dl_rlog *r,
 						    const struct dl_rlog_msg *m,
 						    int64_t now) = {
-	[DL_RLOG_JOIN] = rlog_on_hello,
-	[DL_RLOG_BOOTSTRAP] = rlog_on_birth,
+	[DL_RLOG_JOIN] = rlog_on_join,
+	[DL_RLOG_BOOTSTRAP] = rlog_on_bootstrap,
 	[DL_RLOG_PREVOTE] = rlog_on_prevote,
 	[DL_RLOG_PREVOTE_REPLY] = rlog_on_prevote_reply,
 	[DL_RLOG_VOTE] = rlog_on_vote,
@@ -57,8 +59,8 @@
 	[DL_RLOG_SNAPSHOT] = on_append,
 	[DL_RLOG_SNAPSHOT_REPLY] = rlog_on_snapshot_reply,
 	[DL_RLOG_TRANSFER] = rlog_on_transfer,
-	[DL_RLOG_STARTUP_QUERY] = rlog_on_started,
-	[DL_RLOG_STARTUP_REPLY] = rlog_on_started_reply,
+	[DL_RLOG_STARTUP_QUERY] = rlog_on_startup_query,
+	[DL_RLOG_STARTUP_REPLY] = rlog_on_startup_reply,
 };
 
 /* Settings for failure domains some milliseconds apart. */
@@ -68,14 +70,14 @@
 	conf->heartbeat_ms = HEARTBEAT_MS;
 	conf->election_ms = ELECTION_MS;
 	conf->lease_ms = LEASE_MS;
-	conf->join_interval_ms = HELLO_MS;
+	conf->join_interval_ms = JOIN_INTERVAL_MS;
 	conf->snapshot_entries = SNAPSHOT_ENTRIES;
 	conf->snapshot_bytes = SNAPSHOT_BYTES;
 	conf->keep_entries = KEEP_ENTRIES;
 	conf->keep_bytes = KEEP_BYTES;
 	conf->append_bytes = APPEND_BYTES;
 	conf->inflight_bytes = INFLIGHT_BYTES;
-	conf->chunk_bytes = PIECE_BYTES;
+	conf->chunk_bytes = CHUNK_BYTES;
 	conf->uncommitted_bytes = UNCOMMITTED_BYTES;
 }
 
@@ -107,12 +109,12 @@
 	r->commit = r->snap.index;
 	r->applied = r->snap.index;
 	r->applied_members = r->snap.members;
-	r->restore = r->snap.index > 0;
+	r->restore_pending = r->snap.index > 0;
 	r->dirty_from = rlog_last(&r->log) + 1;
 	r->synced_index = rlog_last(&r->log);
-	r->hello_at = now;
+	r->join_at = now;
 	r->role = r->cluster ? DL_RLOG_FOLLOWER : DL_RLOG_UNINITIALIZED;
-	rlog_start(r, now);
+	rlog_startup_begin(r, now);
 	rlog_reset_election(r, now);
 	rlog_members_refresh(r);
 	return r;
@@ -159,7 +161,7 @@
  * What must hold whatever happens.  Where it does not, going on could lose
  * or undo what was committed, so the replica stops and says what it found.
  */
-bool rlog_check(struct dl_rlog *r, bool holds, const char *what)
+bool rlog_invariant(struct dl_rlog *r, bool holds, const char *what)
 {
 	struct dl_err err;
 
@@ -175,19 +177,19 @@
 void rlog_dirty_state(struct dl_rlog *r)
 {
 	r->dirty_state = true;
-	r->state_gate = r->taken + 1;
+	r->state_seq = r->writing_seq + 1;
 }
 
 /* The unit after which an entry, and term and vote, are synced. */
-uint64_t rlog_gate_of(const struct dl_rlog *r, uint64_t index)
+uint64_t rlog_seq_of(const struct dl_rlog *r, uint64_t index)
 {
-	uint64_t gate = r->state_gate;
+	uint64_t wait_seq = r->state_seq;
 
 	if (r->dirty_snapshot || index >= r->dirty_from)
-		gate = r->taken + 1;
-	else if (index > r->synced_index && r->taken > gate)
-		gate = r->taken;
-	return gate;
+		wait_seq = r->writing_seq + 1;
+	else if (index > r->synced_index && r->writing_seq > wait_seq)
+		wait_seq = r->writing_seq;
+	return wait_seq;
 }
 
 /*
@@ -197,15 +199,15 @@
  */
 void rlog_reset_election(struct dl_rlog *r, int64_t now)
 {
-	bool eager = now < r->eager_until;
-	int32_t wait = eager ? EAGER_MS : (int32_t)r->conf.election_ms;
-	int32_t spread = eager ? EAGER_MS : wait / 2;
+	bool fast = now < r->fast_retry_until;
+	int32_t wait = fast ? FAST_RETRY_MS : (int32_t)r->conf.election_ms;
+	int32_t spread = fast ? FAST_RETRY_MS : wait / 2;
 
 	r->election_at = now + wait + g_rand_int_range(r->rand, 0, spread + 1);
 }
 
 /* Become a follower, of a newer term where it is one; no leader is known. */
-void rlog_follow(struct dl_rlog *r, uint64_t term, int64_t now)
+void rlog_become_follower(struct dl_rlog *r, uint64_t term, int64_t now)
 {
 	bool led = r->role == DL_RLOG_LEADER;
 
@@ -230,14 +232,14 @@
 		       int64_t now)
 {
 	if (r->role != DL_RLOG_FOLLOWER)
-		rlog_follow(r, m->term, now);
-	if (r->leader_id &&
-	    !rlog_check(r, r->leader_id == m->from_id, "two leaders a term"))
+		rlog_become_follower(r, m->term, now);
+	if (r->leader_id && !rlog_invariant(r, r->leader_id == m->from_id,
+					    "two leaders a term"))
 		return;
 	r->leader_vm = m->from_vm;
 	r->leader_id = m->from_id;
 	r->heard = now;
-	rlog_start_over(r);
+	rlog_startup_end(r);
 	rlog_reset_election(r, now);
 }
 
@@ -247,15 +249,15 @@
 	struct dl_rlog_msg reply;
 
 	if (r->role == DL_RLOG_UNINITIALIZED) {
-		rlog_on_unborn(r, m, now);
+		rlog_on_append_uninitialized(r, m, now);
 		return;
 	}
 	if (m->term < r->term) {
 		reply = rlog_reply_to(r, DL_RLOG_APPEND_REPLY, m);
-		rlog_queue(r, &reply, r->state_gate);
+		rlog_queue(r, &reply, r->state_seq);
 		return;
 	}
-	if (!rlog_check(r, r->role != DL_RLOG_LEADER, "two leaders a term"))
+	if (!rlog_invariant(r, r->role != DL_RLOG_LEADER, "two leaders a term"))
 		return;
 	rlog_heard_leader(r, m, now);
 	if (r->role == DL_RLOG_HALTED)
@@ -266,19 +268,20 @@
 		rlog_on_snapshot(r, m, now);
 }
 
-static bool is_leaders(enum dl_rlog_msg_kind kind)
+static bool is_from_leader(enum dl_rlog_msg_kind kind)
 {
 	return kind == DL_RLOG_APPEND || kind == DL_RLOG_SNAPSHOT;
 }
 
-static bool is_for_us(const struct dl_rlog *r, const struct dl_rlog_msg *m)
+static bool is_addressed_to(const struct dl_rlog *r,
+			    const struct dl_rlog_msg *m)
 {
 	if (m->kind == DL_RLOG_JOIN)
 		return m->from_id != r->id;
 	if (m->to_id != r->id || m->from_id == r->id)
 		return false;
 	if (r->role == DL_RLOG_UNINITIALIZED)
-		return m->kind == DL_RLOG_BOOTSTRAP || is_leaders(m->kind);
+		return m->kind == DL_RLOG_BOOTSTRAP || is_from_leader(m->kind);
 	return m->cluster == r->cluster;
 }
 
@@ -313,14 +316,14 @@
 		return 0;
 	if ((unsigned)m->kind >= DL_RLOG_MSG_KIND_COUNT || !on_msg[m->kind])
 		return -EINVAL;
-	if (!is_for_us(r, m))
+	if (!is_addressed_to(r, m))
 		return -EINVAL;
 	peer = rlog_peer_find(r, m->from_id);
 	if (peer)
 		peer->heard = now;
 	if (m->term > r->term && raises_term(m) &&
 	    r->role != DL_RLOG_UNINITIALIZED)
-		rlog_follow(r, m->term, now);
+		rlog_become_follower(r, m->term, now);
 	on_msg[m->kind](r, m, now);
 	return 0;
 }
@@ -332,8 +335,8 @@
 	case DL_RLOG_HALTED:
 		return;
 	case DL_RLOG_UNINITIALIZED:
-		if (now >= r->hello_at)
-			rlog_hello(r, now);
+		if (now >= r->join_at)
+			rlog_send_joins(r, now);
 		return;
 	case DL_RLOG_LEADER:
 		rlog_lead_tick(r, now);
@@ -341,11 +344,12 @@
 	default:
 		break;
 	}
-	rlog_start_tick(r, now);
+	rlog_startup_tick(r, now);
 	if (now < r->election_at)
 		return;
-	if (now - r->heard >= (int64_t)r->conf.election_ms * LOST_ELECTIONS)
-		rlog_hello(r, now);
+	if (now - r->heard >=
+	    (int64_t)r->conf.election_ms * JOIN_AFTER_ELECTIONS)
+		rlog_send_joins(r, now);
 	if (rlog_is_voter(r))
 		rlog_prevote_begin(r, now);
 	else
@@ -359,11 +363,11 @@
 	case DL_RLOG_HALTED:
 		return INT64_MAX;
 	case DL_RLOG_UNINITIALIZED:
-		return r->hello_at;
+		return r->join_at;
 	case DL_RLOG_LEADER:
 		return rlog_lead_wakeup(r);
 	default:
-		return MIN(r->election_at, rlog_start_wakeup(r));
+		return MIN(r->election_at, rlog_startup_wakeup(r));
 	}
 }
 
@@ -391,21 +395,22 @@
 	struct dl_rlog_msg reply = rlog_msg_to(r, kind, m->from_vm, m->from_id);
 
 	reply.cluster = m->cluster;
-	reply.stamp = is_leaders(m->kind) ? rlog_promise(r, m) : m->stamp;
+	reply.stamp = is_from_leader(m->kind) ? rlog_vote_promise(r, m) :
+						m->stamp;
 	reply.commit = m->index;
 	return reply;
 }
 
 /* Send a message once the unit named by the gate has been synced. */
-void rlog_queue(struct dl_rlog *r, struct dl_rlog_msg *m, uint64_t gate)
+void rlog_queue(struct dl_rlog *r, struct dl_rlog_msg *m, uint64_t wait_seq)
 {
-	struct rlog_queued *q;
+	struct rlog_outgoing *q;
 
 	if (r->queue.length >= QUEUE_MAX)
 		return;
-	q = g_new(struct rlog_queued, 1);
+	q = g_new(struct rlog_outgoing, 1);
 	q->msg = *m;
-	q->gate = gate;
+	q->wait_seq = wait_seq;
 	g_queue_push_tail(&r->queue, q);
 }
 
@@ -414,7 +419,7 @@
  * is of no use; and since units are made of the latest state, what it rests on
  * may never have been written.
  */
-static bool stale(const struct dl_rlog *r, const struct rlog_queued *q)
+static bool is_stale(const struct dl_rlog *r, const struct rlog_outgoing *q)
 {
 	switch (q->msg.kind) {
 	case DL_RLOG_JOIN:
@@ -443,11 +448,11 @@
 	if (r->role == DL_RLOG_HALTED)
 		return false;
 	for (GList *l = r->queue.head; l; l = next) {
-		struct rlog_queued *q = l->data;
-		bool drop = stale(r, q);
+		struct rlog_outgoing *q = l->data;
+		bool drop = is_stale(r, q);
 
 		next = l->next;
-		if (!drop && q->gate > r->synced)
+		if (!drop && q->wait_seq > r->synced_seq)
 			continue;
 		*msg = q->msg;
 		g_free(q);
@@ -459,7 +464,7 @@
 }
 
 /* Give what is to be written, one unit at a time. */
-bool dl_rlog_write(struct dl_rlog *r, struct dl_rlog_record *unit)
+bool dl_rlog_write(struct dl_rlog *r, struct dl_rlog_record *rec)
 {
 	uint64_t from = r->dirty_from;
 
@@ -468,24 +473,24 @@
 	if (!r->dirty_state && !r->dirty_snapshot &&
 	    r->dirty_from > rlog_last(&r->log))
 		return false;
-	memset(unit, 0, sizeof(*unit));
-	unit->seq = ++r->taken;
-	unit->cluster = r->cluster;
-	unit->term = r->term;
-	unit->vote = r->vote;
-	unit->base_index = r->log.base_index;
-	unit->base_term = r->log.base_term;
+	memset(rec, 0, sizeof(*rec));
+	rec->seq = ++r->writing_seq;
+	rec->cluster = r->cluster;
+	rec->term = r->term;
+	rec->vote = r->vote;
+	rec->base_index = r->log.base_index;
+	rec->base_term = r->log.base_term;
 	if (r->dirty_snapshot) {
-		unit->snapshot = &r->snap;
+		rec->snapshot = &r->snap;
 		from = r->log.base_index + 1;
 	}
-	unit->count = (uint32_t)(rlog_last(&r->log) + 1 - from);
-	if (unit->count)
-		unit->entries = rlog_at(&r->log, from);
+	rec->count = (uint32_t)(rlog_last(&r->log) + 1 - from);
+	if (rec->count)
+		rec->entries = rlog_at(&r->log, from);
 	r->dirty_state = false;
 	r->dirty_snapshot = false;
 	r->dirty_from = rlog_last(&r->log) + 1;
-	r->taken_last = rlog_last(&r->log);
+	r->writing_last = rlog_last(&r->log);
 	r->writing = true;
 	return true;
 }
@@ -506,34 +511,35 @@
 		dl_rlog_halt(r, &err);
 		return;
 	}
-	if (!rlog_check(r, r->writing && seq == r->taken,
-			"a unit was written out of turn"))
+	if (!rlog_invariant(r, r->writing && seq == r->writing_seq,
+			    "a unit was written out of turn"))
 		return;
 	r->writing = false;
-	r->synced = seq;
+	r->synced_seq = seq;
 	/* A snapshot that came meanwhile may have replaced those entries. */
 	if (!r->dirty_snapshot)
-		r->synced_index = MIN(r->taken_last, r->dirty_from - 1);
-	if (r->role == DL_RLOG_CANDIDATE && r->state_gate <= r->synced)
+		r->synced_index = MIN(r->writing_last, r->dirty_from - 1);
+	if (r->role == DL_RLOG_CANDIDATE && r->state_seq <= r->synced_seq)
 		rlog_vote_synced(r, now);
 	if (r->role == DL_RLOG_LEADER)
 		rlog_lead_synced(r, now);
 }
 
-static void hand_out_entry(struct dl_rlog *r, const struct dl_rlog_entry *e)
+static void mark_applied(struct dl_rlog *r, const struct dl_rlog_entry *e)
 {
 	r->applied = e->index;
 	if (e->kind == DL_RLOG_MEMBERS)
-		rlog_check(r, rlog_members_decode(e->data, &r->applied_members),
-			   "an entry of members makes no sense");
+		rlog_invariant(
+			r, rlog_members_decode(e->data, &r->applied_members),
+			"an entry of members makes no sense");
 }
 
 /* Give the next thing that the state machine has to carry out. */
 bool dl_rlog_apply(struct dl_rlog *r, struct dl_rlog_apply *out)
 {
 	memset(out, 0, sizeof(*out));
-	if (r->restore) {
-		r->restore = false;
+	if (r->restore_pending) {
+		r->restore_pending = false;
 		out->kind = DL_RLOG_APPLY_RESTORE;
 		out->index = r->snap.index;
 		out->term = r->snap.term;
@@ -544,7 +550,7 @@
 		const struct dl_rlog_entry *e =
 			rlog_at(&r->log, r->applied + 1);
 
-		hand_out_entry(r, e);
+		mark_applied(r, e);
 		if (e->kind != DL_RLOG_COMMAND)
 			continue;
 		out->kind = DL_RLOG_APPLY_COMMAND;
@@ -611,7 +617,7 @@
 {
 	uint64_t bytes;
 
-	if (r->role == DL_RLOG_HALTED || r->restore)
+	if (r->role == DL_RLOG_HALTED || r->restore_pending)
 		return false;
 	if (r->applied - r->snap.index >= r->conf.snapshot_entries)
 		return true;
@@ -624,7 +630,7 @@
 {
 	uint64_t upto = r->applied, term = 0;
 
-	if (r->role == DL_RLOG_HALTED || r->restore ||
+	if (r->role == DL_RLOG_HALTED || r->restore_pending ||
 	    !rlog_term_at(&r->log, r->applied, &term))
 		return -EAGAIN;
 	g_free((char *)r->snap.data.s);
@@ -639,7 +645,7 @@
 	while (upto < r->applied && upto >= r->log.base_index &&
 	       rlog_bytes(&r->log, upto, r->applied) > r->conf.keep_bytes)
 		upto++;
-	rlog_cut(&r->log, upto);
+	rlog_compact(&r->log, upto);
 	r->dirty_snapshot = true;
 	return 0;
 }
--- a/src/state/rlog_bootstrap.c
+++ b/src/state/rlog_bootstrap.c
@@ -7,7 +7,7 @@
  * them the members, by identity.  All must be there, so that a replica that
  * lost its disk can never begin a second log beside the first: those that
  * kept theirs say no hello.  Else the leader hears the hello and takes the
- * identity in as a learner (rlog_repair.c).
+ * identity in as a learner (rlog_reconfig.c).
  *
  * One that has a log and has heard no leader for long says hello as well: it
  * may have been taken in by a leader whose change was never committed, so that
@@ -19,15 +19,15 @@
 #include <string.h>
 
 /* A hello counts for the first start while it is so many periods old. */
-#define HELLO_PERIODS 4
+#define JOIN_VALID_INTERVALS 4
 
 static uint64_t listed_digest(const struct dl_rlog *r);
 static bool is_listed(const struct dl_rlog *r, uint64_t vm);
-static void hello_to(struct dl_rlog *r, uint64_t vm);
-static void note_seen(struct dl_rlog *r, const struct dl_rlog_msg *m,
+static void send_join(struct dl_rlog *r, uint64_t vm);
+static void note_join(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		      int64_t now);
-static bool collect(const struct dl_rlog *r, int64_t now,
-		    struct dl_rlog_members *out);
+static bool collect_initial_members(const struct dl_rlog *r, int64_t now,
+				    struct dl_rlog_members *out);
 static int compare_vm(const void *a, const void *b);
 static void begin_log(struct dl_rlog *r, const struct dl_rlog_members *members);
 
@@ -62,22 +62,22 @@
 }
 
 /* Remember the latest identity of a VM. */
-static void note_seen(struct dl_rlog *r, const struct dl_rlog_msg *m,
+static void note_join(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		      int64_t now)
 {
-	uint32_t at = r->seen_count, oldest = 0;
+	uint32_t at = r->joins_count, oldest = 0;
 
-	for (uint32_t i = 0; i < r->seen_count; i++) {
-		if (r->seen[i].vm == m->commit)
+	for (uint32_t i = 0; i < r->joins_count; i++) {
+		if (r->joins[i].vm == m->commit)
 			at = i;
-		if (r->seen[i].at < r->seen[oldest].at)
+		if (r->joins[i].at < r->joins[oldest].at)
 			oldest = i;
 	}
 	if (at == DL_RLOG_MEMBERS_MAX)
 		at = oldest;
-	else if (at == r->seen_count)
-		r->seen_count++;
-	r->seen[at] = (struct rlog_seen){
+	else if (at == r->joins_count)
+		r->joins_count++;
+	r->joins[at] = (struct rlog_join_request){
 		.vm = m->commit,
 		.id = m->from_id,
 		.digest = m->index,
@@ -86,7 +86,7 @@
 	};
 }
 
-static void hello_to(struct dl_rlog *r, uint64_t vm)
+static void send_join(struct dl_rlog *r, uint64_t vm)
 {
 	struct dl_rlog_msg m = rlog_msg_to(r, DL_RLOG_JOIN, vm, 0);
 
@@ -102,37 +102,38 @@
  * Say hello to every listed replica and every member; at a first start, begin
  * the log.
  */
-void rlog_hello(struct dl_rlog *r, int64_t now)
+void rlog_send_joins(struct dl_rlog *r, int64_t now)
 {
 	struct dl_rlog_members members;
 
-	r->hello_at = now + r->conf.join_interval_ms;
+	r->join_at = now + r->conf.join_interval_ms;
 	for (uint32_t i = 0; i < r->conf.listed_count; i++)
-		hello_to(r, r->conf.listed[i]);
+		send_join(r, r->conf.listed[i]);
 	for (uint32_t i = 0; i < r->peers_count; i++) {
 		if (!is_listed(r, r->peers[i].member.vm))
-			hello_to(r, r->peers[i].member.vm);
+			send_join(r, r->peers[i].member.vm);
 	}
-	if (r->role != DL_RLOG_UNINITIALIZED || !collect(r, now, &members))
+	if (r->role != DL_RLOG_UNINITIALIZED ||
+	    !collect_initial_members(r, now, &members))
 		return;
 	begin_log(r, &members);
 	rlog_reset_election(r, now);
 }
 
 /* Whether this one is to begin the log, and all others are there for it. */
-static bool collect(const struct dl_rlog *r, int64_t now,
-		    struct dl_rlog_members *out)
+static bool collect_initial_members(const struct dl_rlog *r, int64_t now,
+				    struct dl_rlog_members *out)
 {
 	int64_t oldest =
-		now - (int64_t)r->conf.join_interval_ms * HELLO_PERIODS;
+		now - (int64_t)r->conf.join_interval_ms * JOIN_VALID_INTERVALS;
 
 	if (r->conf.joins_only || !is_listed(r, r->conf.self))
 		return false;
 	memset(out, 0, sizeof(*out));
 	out->at[out->count++] =
 		(struct dl_rlog_member){ r->conf.self, r->id, true };
-	for (uint32_t i = 0; i < r->seen_count; i++) {
-		const struct rlog_seen *s = &r->seen[i];
+	for (uint32_t i = 0; i < r->joins_count; i++) {
+		const struct rlog_join_request *s = &r->joins[i];
 
 		if (s->vm < r->conf.self && is_listed(r, s->vm))
 			return false;
@@ -164,13 +165,13 @@
  * for the leader's repair, and passed on to the leader once: the list in the
  * newcomer's settings may be older than the members.
  */
-void rlog_on_hello(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now)
+void rlog_on_join(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now)
 {
-	struct dl_rlog_msg birth, relay;
+	struct dl_rlog_msg bootstrap, relay;
 
 	if (m->cluster && m->cluster != r->cluster)
 		return;
-	note_seen(r, m, now);
+	note_join(r, m, now);
 	if (r->role == DL_RLOG_FOLLOWER && r->leader_vm != DL_VM_NONE &&
 	    m->from_vm == m->commit) {
 		relay = *m;
@@ -180,13 +181,14 @@
 	if (r->role == DL_RLOG_UNINITIALIZED || r->snap.index > 0 ||
 	    !rlog_member_find(&r->snap.members, m->from_id))
 		return;
-	birth = rlog_msg_to(r, DL_RLOG_BOOTSTRAP, m->commit, m->from_id);
-	birth.snapshot.members = r->snap.members;
-	rlog_queue(r, &birth, r->state_gate);
+	bootstrap = rlog_msg_to(r, DL_RLOG_BOOTSTRAP, m->commit, m->from_id);
+	bootstrap.snapshot.members = r->snap.members;
+	rlog_queue(r, &bootstrap, r->state_seq);
 }
 
 /* The log begins; this identity is one of its first members. */
-void rlog_on_birth(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now)
+void rlog_on_bootstrap(struct dl_rlog *r, const struct dl_rlog_msg *m,
+		       int64_t now)
 {
 	if (r->role != DL_RLOG_UNINITIALIZED ||
 	    !rlog_member_find(&m->snapshot.members, r->id) ||
--- a/src/state/rlog_entries.c
+++ b/src/state/rlog_entries.c
@@ -89,7 +89,7 @@
 }
 
 /* Drop the entries up to and with an index that is held; it is the base. */
-void rlog_cut(struct rlog_entries *log, uint64_t upto)
+void rlog_compact(struct rlog_entries *log, uint64_t upto)
 {
 	uint32_t drop;
 
--- a/src/state/rlog_follow.c
+++ b/src/state/rlog_follow.c
@@ -10,20 +10,20 @@
 /* What a piece may add up to; more is a fault of the sender. */
 #define SNAPSHOT_MAX (1u << 30)
 
-static void note_told(struct dl_rlog *r, uint64_t commit);
-static uint64_t skip_term(const struct dl_rlog *r, uint64_t index);
+static void note_leader_commit(struct dl_rlog *r, uint64_t commit);
+static uint64_t skip_conflicting_term(const struct dl_rlog *r, uint64_t index);
 static void reject(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		   uint64_t hint);
-static bool take_entry(struct dl_rlog *r, const struct dl_rlog_entry *e);
+static bool append_entry(struct dl_rlog *r, const struct dl_rlog_entry *e);
 static void commit_to(struct dl_rlog *r, uint64_t commit, uint64_t verified);
 static void accept_until(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			 uint64_t match);
-static bool take_piece(struct dl_rlog *r, const struct dl_rlog_msg *m);
-static void install(struct dl_rlog *r, const struct dl_rlog_msg *m,
-		    int64_t now);
+static bool append_chunk(struct dl_rlog *r, const struct dl_rlog_msg *m);
+static void install_snapshot(struct dl_rlog *r, const struct dl_rlog_msg *m,
+			     int64_t now);
 
 /* The last entry before those of the term at an index. */
-static uint64_t skip_term(const struct dl_rlog *r, uint64_t index)
+static uint64_t skip_conflicting_term(const struct dl_rlog *r, uint64_t index)
 {
 	uint64_t term = 0, t = 0;
 
@@ -40,11 +40,11 @@
 	struct dl_rlog_msg reply = rlog_reply_to(r, DL_RLOG_APPEND_REPLY, m);
 
 	reply.index = hint;
-	rlog_queue(r, &reply, r->state_gate);
+	rlog_queue(r, &reply, r->state_seq);
 }
 
 /* Append an entry, or find that it is there; drop what conflicts with it. */
-static bool take_entry(struct dl_rlog *r, const struct dl_rlog_entry *e)
+static bool append_entry(struct dl_rlog *r, const struct dl_rlog_entry *e)
 {
 	uint64_t term = 0;
 
@@ -53,8 +53,8 @@
 	if (rlog_term_at(&r->log, e->index, &term) && term == e->term)
 		return true;
 	if (e->index <= rlog_last(&r->log)) {
-		if (!rlog_check(r, e->index > r->commit,
-				"a leader would undo what is committed"))
+		if (!rlog_invariant(r, e->index > r->commit,
+				    "a leader would undo what is committed"))
 			return false;
 		rlog_truncate(&r->log, e->index);
 		r->dirty_from = MIN(r->dirty_from, e->index);
@@ -62,8 +62,8 @@
 		if (r->members_index >= e->index)
 			rlog_members_refresh(r);
 	}
-	if (!rlog_check(r, e->index == rlog_last(&r->log) + 1,
-			"entries with a gap"))
+	if (!rlog_invariant(r, e->index == rlog_last(&r->log) + 1,
+			    "entries with a gap"))
 		return false;
 	rlog_push(&r->log, e);
 	if (e->kind == DL_RLOG_MEMBERS)
@@ -84,20 +84,20 @@
 	reply.ok = true;
 	reply.index = MIN(match, r->synced_index);
 	if (!m->count || match <= r->synced_index) {
-		rlog_queue(r, &reply, r->state_gate);
+		rlog_queue(r, &reply, r->state_seq);
 		return;
 	}
 	reply.index = match;
-	rlog_queue(r, &reply, rlog_gate_of(r, match));
+	rlog_queue(r, &reply, rlog_seq_of(r, match));
 }
 
 /* A leader says how much is committed, for the first time since the start. */
-static void note_told(struct dl_rlog *r, uint64_t commit)
+static void note_leader_commit(struct dl_rlog *r, uint64_t commit)
 {
-	if (r->told)
+	if (r->commit_known)
 		return;
-	r->told = true;
-	r->told_commit = commit;
+	r->commit_known = true;
+	r->known_commit = commit;
 }
 
 /*
@@ -112,8 +112,8 @@
 
 	if (r->role == DL_RLOG_LEADER)
 		return r->applied >= r->term_start;
-	return r->role >= DL_RLOG_FOLLOWER && r->told &&
-	       r->applied >= r->told_commit &&
+	return r->role >= DL_RLOG_FOLLOWER && r->commit_known &&
+	       r->applied >= r->known_commit &&
 	       rlog_term_at(&r->log, r->applied, &term) && term == r->term;
 }
 
@@ -129,23 +129,24 @@
 	if (m->index >= r->log.base_index) {
 		rlog_term_at(&r->log, m->index, &term);
 		if (term != m->index_term) {
-			if (rlog_check(r, m->index > r->commit,
-				       "a committed entry does not match"))
-				reject(r, m, skip_term(r, m->index));
+			if (rlog_invariant(r, m->index > r->commit,
+					   "a committed entry does not match"))
+				reject(r, m,
+				       skip_conflicting_term(r, m->index));
 			return;
 		}
 	}
 	for (uint32_t i = 0; i < m->count; i++) {
-		if (!take_entry(r, &m->entries[i]))
+		if (!append_entry(r, &m->entries[i]))
 			return;
 	}
-	note_told(r, m->commit);
+	note_leader_commit(r, m->commit);
 	commit_to(r, m->commit, verified);
 	accept_until(r, m, verified);
 }
 
 /* Add a piece to those that have come; false where it does not fit. */
-static bool take_piece(struct dl_rlog *r, const struct dl_rlog_msg *m)
+static bool append_chunk(struct dl_rlog *r, const struct dl_rlog_msg *m)
 {
 	struct rlog_incoming *in = &r->incoming;
 
@@ -168,7 +169,8 @@
 }
 
 /* All pieces are there: they replace state and log. */
-static void install(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now)
+static void install_snapshot(struct dl_rlog *r, const struct dl_rlog_msg *m,
+			     int64_t now)
 {
 	const struct dl_rlog_snapshot *s = &m->snapshot;
 	uint64_t term = 0;
@@ -195,7 +197,7 @@
 	r->commit = MAX(r->commit, s->index);
 	r->applied = s->index;
 	r->applied_members = s->members;
-	r->restore = s->index > 0;
+	r->restore_pending = s->index > 0;
 	rlog_members_refresh(r);
 }
 
@@ -210,18 +212,18 @@
 		reply.kind = DL_RLOG_APPEND_REPLY;
 		reply.ok = true;
 		reply.index = MIN(m->snapshot.index, r->synced_index);
-		rlog_queue(r, &reply, r->state_gate);
+		rlog_queue(r, &reply, r->state_seq);
 		return;
 	}
-	take_piece(r, m);
+	append_chunk(r, m);
 	if (r->incoming.data->len == r->incoming.total &&
 	    r->incoming.index == m->snapshot.index) {
-		install(r, m, now);
+		install_snapshot(r, m, now);
 		reply.kind = DL_RLOG_APPEND_REPLY;
 		reply.ok = true;
 		reply.index = m->snapshot.index;
 		reply.term = r->term;
-		rlog_queue(r, &reply, rlog_gate_of(r, m->snapshot.index));
+		rlog_queue(r, &reply, rlog_seq_of(r, m->snapshot.index));
 		return;
 	}
 	reply.ok = true;
@@ -229,11 +231,12 @@
 	reply.index = m->snapshot.index;
 	reply.fresh = r->role == DL_RLOG_UNINITIALIZED;
 	reply.offset = r->incoming.data->len;
-	rlog_queue(r, &reply, r->state_gate);
+	rlog_queue(r, &reply, r->state_seq);
 }
 
 /* A leader's message to an identity that has no log yet. */
-void rlog_on_unborn(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now)
+void rlog_on_append_uninitialized(struct dl_rlog *r,
+				  const struct dl_rlog_msg *m, int64_t now)
 {
 	struct dl_rlog_msg reply;
 
@@ -244,5 +247,5 @@
 	reply = rlog_reply_to(r, DL_RLOG_APPEND_REPLY, m);
 	reply.term = m->term;
 	reply.fresh = true;
-	rlog_queue(r, &reply, r->state_gate);
+	rlog_queue(r, &reply, r->state_seq);
 }
--- a/src/state/rlog_int.h
+++ b/src/state/rlog_int.h
@@ -28,23 +28,23 @@
 /* Another member, as this replica knows it in its present role. */
 struct rlog_peer {
 	struct dl_rlog_member member;
-	bool granted;	/* its (pre-)vote in this election */
-	bool leads_not; /* said so since this replica's start */
+	bool granted;	  /* its (pre-)vote in this election */
+	bool not_leading; /* said so since this replica's start */
 	int64_t heard;
 	/* Leader: */
 	enum rlog_peer_mode mode;
 	uint64_t next;
 	uint64_t match;
 	uint64_t commit_sent;
-	int64_t sent;  /* the last APPEND or SNAPSHOT */
-	int64_t acked; /* the newest stamp that came back */
-	bool due;      /* something is to be sent at once */
+	int64_t sent;	     /* the last APPEND or SNAPSHOT */
+	int64_t acked_stamp; /* the newest stamp that came back */
+	bool send_now;	     /* something is to be sent at once */
 	uint64_t snap_index;
 	uint64_t snap_offset;
 };
 
 /* An identity that asked to become a member. */
-struct rlog_seen {
+struct rlog_join_request {
 	uint64_t vm;
 	uint64_t id;
 	uint64_t digest; /* of the replicas it has listed */
@@ -53,9 +53,9 @@
 };
 
 /* A message that waits until a unit has been synced. */
-struct rlog_queued {
+struct rlog_outgoing {
 	struct dl_rlog_msg msg;
-	uint64_t gate;
+	uint64_t wait_seq;
 };
 
 /* The pieces of a snapshot that have arrived. */
@@ -81,7 +81,7 @@
 	struct dl_rlog_snapshot snap; /* data is owned */
 	uint64_t commit;
 	uint64_t applied;
-	bool restore; /* the snapshot is yet to be given to the owner */
+	bool restore_pending; /* the snapshot is yet to be given to the owner */
 	struct dl_rlog_members applied_members;
 	struct dl_rlog_members members; /* in force: the newest in the log */
 	uint64_t members_index;
@@ -91,41 +91,42 @@
 	uint64_t leader_id;
 	int64_t heard; /* the leader; or the start, as before is forgotten */
 	int64_t election_at;
-	bool told; /* by a leader since the start, how much is committed */
-	uint64_t told_commit;
-	bool start_owes; /* perhaps, to a leader of before the start */
-	int64_t start_stamp;
-	int64_t start_asks_at;
-	int64_t eager_until; /* stands again soon where nobody has won */
-	int64_t hello_at;
+	bool commit_known; /* by a leader since the start, how much is committed
+			    */
+	uint64_t known_commit;
+	bool promise_possible; /* perhaps, to a leader of before the start */
+	int64_t startup_nonce;
+	int64_t startup_query_at;
+	int64_t fast_retry_until; /* stands again soon where nobody has won */
+	int64_t join_at;
 	uint32_t peers_count;
 	struct rlog_peer peers[DL_RLOG_MEMBERS_MAX];
 	uint32_t next_peer; /* whose turn it is in dl_rlog_out() */
 	bool self_voted;    /* own vote is synced */
-	int64_t led_since;
-	int64_t ticked;
+	int64_t leader_since;
+	int64_t last_tick;
 	uint64_t term_start; /* index of this leader's first entry */
 	bool transferring;
 	int64_t transfer_until;
 
-	uint32_t seen_count;
-	struct rlog_seen seen[DL_RLOG_MEMBERS_MAX];
+	uint32_t joins_count;
+	struct rlog_join_request joins[DL_RLOG_MEMBERS_MAX];
 	uint32_t wanted_count;
 	uint64_t wanted[DL_RLOG_MEMBERS_MAX];
 	char waiting_for[160];
 
-	GQueue queue; /* of struct rlog_queued */
+	GQueue queue; /* of struct rlog_outgoing */
 
 	/* What is to be written, what is being written, what is synced. */
 	bool dirty_state;    /* term, vote or cluster */
 	bool dirty_snapshot; /* all of it */
 	uint64_t dirty_from; /* the first entry not taken yet */
 	bool writing;
-	uint64_t taken;
-	uint64_t taken_last; /* the last entry of the unit taken */
-	uint64_t synced;
+	uint64_t writing_seq;
+	uint64_t writing_last; /* the last entry of the unit taken */
+	uint64_t synced_seq;
 	uint64_t synced_index;
-	uint64_t state_gate; /* the unit that holds term and vote */
+	uint64_t state_seq; /* the unit that holds term and vote */
 };
 
 /* rlog_entries.c */
@@ -138,7 +139,7 @@
 		    uint64_t upto);
 void rlog_push(struct rlog_entries *log, const struct dl_rlog_entry *entry);
 void rlog_truncate(struct rlog_entries *log, uint64_t from);
-void rlog_cut(struct rlog_entries *log, uint64_t upto);
+void rlog_compact(struct rlog_entries *log, uint64_t upto);
 void rlog_reset(struct rlog_entries *log, uint64_t index, uint64_t term);
 
 /* rlog_members.c */
@@ -155,14 +156,14 @@
 bool rlog_is_voter(const struct dl_rlog *r);
 
 /* rlog.c */
-bool rlog_check(struct dl_rlog *r, bool holds, const char *what);
-void rlog_follow(struct dl_rlog *r, uint64_t term, int64_t now);
+bool rlog_invariant(struct dl_rlog *r, bool holds, const char *what);
+void rlog_become_follower(struct dl_rlog *r, uint64_t term, int64_t now);
 void rlog_heard_leader(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		       int64_t now);
 void rlog_reset_election(struct dl_rlog *r, int64_t now);
 void rlog_dirty_state(struct dl_rlog *r);
-uint64_t rlog_gate_of(const struct dl_rlog *r, uint64_t index);
-void rlog_queue(struct dl_rlog *r, struct dl_rlog_msg *m, uint64_t gate);
+uint64_t rlog_seq_of(const struct dl_rlog *r, uint64_t index);
+void rlog_queue(struct dl_rlog *r, struct dl_rlog_msg *m, uint64_t wait_seq);
 struct dl_rlog_msg rlog_msg_to(const struct dl_rlog *r,
 			       enum dl_rlog_msg_kind kind, uint64_t vm,
 			       uint64_t id);
@@ -184,19 +185,19 @@
 void rlog_on_transfer(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		      int64_t now);
 
-/* rlog_start.c */
-void rlog_start(struct dl_rlog *r, int64_t now);
-void rlog_start_over(struct dl_rlog *r);
-void rlog_start_tick(struct dl_rlog *r, int64_t now);
-int64_t rlog_start_wakeup(const struct dl_rlog *r);
-void rlog_on_started(struct dl_rlog *r, const struct dl_rlog_msg *m,
-		     int64_t now);
-void rlog_on_started_reply(struct dl_rlog *r, const struct dl_rlog_msg *m,
+/* rlog_startup.c */
+void rlog_startup_begin(struct dl_rlog *r, int64_t now);
+void rlog_startup_end(struct dl_rlog *r);
+void rlog_startup_tick(struct dl_rlog *r, int64_t now);
+int64_t rlog_startup_wakeup(const struct dl_rlog *r);
+void rlog_on_startup_query(struct dl_rlog *r, const struct dl_rlog_msg *m,
+			   int64_t now);
+void rlog_on_startup_reply(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			   int64_t now);
-int64_t rlog_promise(const struct dl_rlog *r, const struct dl_rlog_msg *m);
+int64_t rlog_vote_promise(const struct dl_rlog *r, const struct dl_rlog_msg *m);
 
-/* rlog_lead.c */
-void rlog_lead(struct dl_rlog *r, int64_t now);
+/* rlog_become_leader.c */
+void rlog_become_leader(struct dl_rlog *r, int64_t now);
 void rlog_lead_tick(struct dl_rlog *r, int64_t now);
 int64_t rlog_lead_wakeup(const struct dl_rlog *r);
 bool rlog_lead_out(struct dl_rlog *r, int64_t now, struct dl_rlog_msg *msg);
@@ -209,22 +210,23 @@
 void rlog_on_snapshot_reply(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			    int64_t now);
 
-/* rlog_follow.c */
+/* rlog_become_follower.c */
 void rlog_on_append(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		    int64_t now);
 void rlog_on_snapshot(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		      int64_t now);
 bool rlog_is_current(const struct dl_rlog *r);
-void rlog_on_unborn(struct dl_rlog *r, const struct dl_rlog_msg *m,
-		    int64_t now);
-
-/* rlog_birth.c */
-void rlog_group_decide(struct dl_rlog *r, int64_t now);
-void rlog_hello(struct dl_rlog *r, int64_t now);
-void rlog_on_hello(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now);
-void rlog_on_birth(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now);
+void rlog_on_append_uninitialized(struct dl_rlog *r,
+				  const struct dl_rlog_msg *m, int64_t now);
+
+/* rlog_bootstrap.c */
+void rlog_choose_voters(struct dl_rlog *r, int64_t now);
+void rlog_send_joins(struct dl_rlog *r, int64_t now);
+void rlog_on_join(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now);
+void rlog_on_bootstrap(struct dl_rlog *r, const struct dl_rlog_msg *m,
+		       int64_t now);
 
-/* rlog_repair.c */
-void rlog_repair(struct dl_rlog *r, int64_t now);
+/* rlog_reconfig.c */
+void rlog_reconfigure(struct dl_rlog *r, int64_t now);
 
 #endif
--- a/src/state/rlog_lead.c
+++ b/src/state/rlog_lead.c
@@ -36,22 +36,22 @@
 	p->match = 0;
 	p->commit_sent = 0;
 	p->sent = INT64_MIN;
-	p->acked = INT64_MIN;
-	p->due = true;
+	p->acked_stamp = INT64_MIN;
+	p->send_now = true;
 	p->snap_index = RLOG_INDEX_NONE;
 	p->snap_offset = 0;
 }
 
 /* Won the election: begin with an entry of this term. */
-void rlog_lead(struct dl_rlog *r, int64_t now)
+void rlog_become_leader(struct dl_rlog *r, int64_t now)
 {
 	r->role = DL_RLOG_LEADER;
 	r->leader_vm = r->conf.self;
 	r->leader_id = r->id;
-	r->led_since = now;
-	r->ticked = now;
+	r->leader_since = now;
+	r->last_tick = now;
 	r->transferring = false;
-	r->seen_count = 0;
+	r->joins_count = 0;
 	for (uint32_t i = 0; i < r->peers_count; i++)
 		begin_peer(r, &r->peers[i]);
 	r->term_start = rlog_last(&r->log) + 1;
@@ -91,7 +91,7 @@
 
 	for (uint32_t i = 0; i < r->peers_count; i++) {
 		if (r->peers[i].member.voter)
-			stamps[n++] = r->peers[i].acked;
+			stamps[n++] = r->peers[i].acked_stamp;
 	}
 	if (rlog_is_voter(r))
 		stamps[n++] = now;
@@ -130,17 +130,17 @@
 
 	if (index <= r->commit || index < r->term_start)
 		return;
-	if (!rlog_check(r,
-			rlog_term_at(&r->log, index, &term) && term == r->term,
-			"committed what is not of this term"))
+	if (!rlog_invariant(
+		    r, rlog_term_at(&r->log, index, &term) && term == r->term,
+		    "committed what is not of this term"))
 		return;
 	changed = r->commit < r->members_index && index >= r->members_index;
 	r->commit = index;
 	if (r->members_index <= r->commit &&
 	    !rlog_member_find(&r->members, r->id))
-		rlog_follow(r, r->term, now);
+		rlog_become_follower(r, r->term, now);
 	else if (changed && !r->transferring)
-		rlog_repair(r, now);
+		rlog_reconfigure(r, now);
 }
 
 /* This replica's own disk has synced more. */
@@ -154,20 +154,20 @@
 {
 	int64_t stamp = rlog_quorum_stamp(r, now);
 
-	r->ticked = now;
-	if (stamp < r->led_since)
-		stamp = r->led_since;
+	r->last_tick = now;
+	if (stamp < r->leader_since)
+		stamp = r->leader_since;
 	if (now - stamp >= (int64_t)r->conf.election_ms) {
-		rlog_follow(r, r->term, now);
+		rlog_become_follower(r, r->term, now);
 		return;
 	}
 	for (uint32_t i = 0; i < r->peers_count; i++) {
 		struct rlog_peer *p = &r->peers[i];
-		int64_t silent =
+		int64_t silent_ms =
 			(int64_t)r->conf.election_ms * SILENT_ELECTIONS;
 
 		if (p->mode == RLOG_REPLICATE &&
-		    now - MAX(p->heard, r->led_since) > silent) {
+		    now - MAX(p->heard, r->leader_since) > silent_ms) {
 			p->mode = RLOG_PROBE;
 			p->next = p->match + 1;
 		}
@@ -175,26 +175,26 @@
 	if (r->transferring)
 		transfer_step(r, now);
 	else
-		rlog_repair(r, now);
+		rlog_reconfigure(r, now);
 }
 
 /* The next heartbeat, or when the majority's silence is too long. */
 int64_t rlog_lead_wakeup(const struct dl_rlog *r)
 {
-	int64_t at = r->led_since + r->conf.election_ms;
+	int64_t at = r->leader_since + r->conf.election_ms;
 	int64_t stamp = rlog_quorum_stamp(r, at);
 
-	if (stamp > r->led_since)
+	if (stamp > r->leader_since)
 		at = stamp + r->conf.election_ms;
 	for (uint32_t i = 0; i < r->peers_count; i++) {
 		const struct rlog_peer *p = &r->peers[i];
 		int64_t beat = p->sent == INT64_MIN ?
-				       r->led_since :
+				       r->leader_since :
 				       p->sent + r->conf.heartbeat_ms;
 
 		at = MIN(at, beat);
 	}
-	return MIN(at, r->ticked + r->conf.heartbeat_ms);
+	return MIN(at, r->last_tick + r->conf.heartbeat_ms);
 }
 
 static bool window_open(const struct dl_rlog *r, const struct rlog_peer *p)
@@ -206,7 +206,7 @@
 static bool wants_message(const struct dl_rlog *r, const struct rlog_peer *p,
 			  int64_t now)
 {
-	if (p->due || p->sent == INT64_MIN ||
+	if (p->send_now || p->sent == INT64_MIN ||
 	    now - p->sent >= (int64_t)r->conf.heartbeat_ms)
 		return true;
 	if (p->mode != RLOG_REPLICATE)
@@ -236,7 +236,7 @@
 			fill_snapshot(r, p, msg);
 		else
 			fill_append(r, p, msg);
-		p->due = false;
+		p->send_now = false;
 		p->sent = now;
 		p->commit_sent = r->commit;
 		return true;
@@ -294,8 +294,8 @@
 static void acknowledge(struct dl_rlog *r, struct rlog_peer *p,
 			const struct dl_rlog_msg *m)
 {
-	if (!rlog_check(r, m->index <= rlog_last(&r->log),
-			"a follower holds more than its leader"))
+	if (!rlog_invariant(r, m->index <= rlog_last(&r->log),
+			    "a follower holds more than its leader"))
 		return;
 	p->match = MAX(p->match, m->index);
 	p->next = MAX(p->next, p->match + 1);
@@ -317,12 +317,12 @@
 	if (m->fresh) {
 		if (p->mode != RLOG_SNAPSHOT) {
 			begin_snapshot(r, p);
-			p->due = true;
+			p->send_now = true;
 		}
 		return;
 	}
 	if (m->stamp)
-		p->acked = MAX(p->acked, m->stamp);
+		p->acked_stamp = MAX(p->acked_stamp, m->stamp);
 	if (m->ok) {
 		acknowledge(r, p, m);
 		if (r->role == DL_RLOG_LEADER)
@@ -337,7 +337,7 @@
 		return;
 	p->next = MAX(MIN(m->commit, m->index + 1), p->match + 1);
 	p->mode = RLOG_PROBE;
-	p->due = true;
+	p->send_now = true;
 }
 
 /* A follower has a piece of the snapshot and wants the next. */
@@ -349,12 +349,12 @@
 	if (r->role != DL_RLOG_LEADER || !p || m->term != r->term)
 		return;
 	if (!m->fresh && m->stamp)
-		p->acked = MAX(p->acked, m->stamp);
+		p->acked_stamp = MAX(p->acked_stamp, m->stamp);
 	if (p->mode != RLOG_SNAPSHOT || m->index != p->snap_index ||
 	    m->offset == p->snap_offset || m->offset > r->snap.data.n)
 		return;
 	p->snap_offset = m->offset;
-	p->due = true;
+	p->send_now = true;
 }
 
 /* Hand over to the best follower; -EAGAIN where none is there. */
@@ -377,7 +377,7 @@
 static void transfer_step(struct dl_rlog *r, int64_t now)
 {
 	if (now >= r->transfer_until) {
-		rlog_follow(r, r->term, now);
+		rlog_become_follower(r, r->term, now);
 		return;
 	}
 	for (uint32_t i = 0; i < r->peers_count; i++) {
--- a/src/state/rlog_members.c
+++ b/src/state/rlog_members.c
@@ -141,10 +141,10 @@
 			continue;
 		p->heard = INT64_MIN;
 		p->sent = INT64_MIN;
-		p->acked = INT64_MIN;
+		p->acked_stamp = INT64_MIN;
 		p->next = rlog_last(&r->log) + 1;
 		p->mode = RLOG_PROBE;
-		p->due = true;
+		p->send_now = true;
 		for (uint32_t j = 0; j < old_count; j++) {
 			if (old[j].member.id == r->members.at[i].id)
 				*p = old[j];
@@ -165,8 +165,8 @@
 
 		if (e->kind != DL_RLOG_MEMBERS)
 			continue;
-		if (!rlog_check(r, rlog_members_decode(e->data, &found),
-				"an entry of members makes no sense"))
+		if (!rlog_invariant(r, rlog_members_decode(e->data, &found),
+				    "an entry of members makes no sense"))
 			return;
 		r->members = found;
 		r->members_index = i;
--- a/src/state/rlog_reconfig.c
+++ b/src/state/rlog_reconfig.c
@@ -13,10 +13,10 @@
 #include <string.h>
 
 /* An identity that asks says hello twice a second; so long it counts. */
-#define SEEN_MS 3000
+#define JOIN_VALID_MS 3000
 
 /* One look at the members and the change that it leads to. */
-struct repair {
+struct reconfig {
 	struct dl_rlog *r;
 	int64_t now;
 	struct dl_rlog_members next;
@@ -30,12 +30,12 @@
 static int64_t heard_at(const struct dl_rlog *r, uint64_t id, int64_t now);
 static bool is_superseded(const struct dl_rlog *r,
 			  const struct dl_rlog_member *m, int64_t now);
-static bool keeps_quorum(const struct repair *s);
-static void waits(struct repair *s, const char *what, uint64_t vm);
-static bool try_promote(struct repair *s);
-static bool try_add(struct repair *s);
-static bool try_remove(struct repair *s);
-static bool all_wanted_vote(const struct repair *s, uint64_t *missing);
+static bool keeps_quorum(const struct reconfig *s);
+static void set_waiting_for(struct reconfig *s, const char *what, uint64_t vm);
+static bool try_promote(struct reconfig *s);
+static bool try_add(struct reconfig *s);
+static bool try_remove(struct reconfig *s);
+static bool all_wanted_vote(const struct reconfig *s, uint64_t *missing);
 static void drop_member(struct dl_rlog_members *members, uint64_t id);
 
 /* The VMs that are wanted; without a list, those that are members now. */
@@ -82,9 +82,9 @@
 		if (r->peers[i].member.id == id)
 			at = r->peers[i].heard;
 	}
-	for (uint32_t i = 0; i < r->seen_count; i++) {
-		if (r->seen[i].id == id)
-			at = MAX(at, r->seen[i].at);
+	for (uint32_t i = 0; i < r->joins_count; i++) {
+		if (r->joins[i].id == id)
+			at = MAX(at, r->joins[i].at);
 	}
 	return at;
 }
@@ -115,7 +115,7 @@
 }
 
 /* Whether a majority of the next voters is heard now. */
-static bool keeps_quorum(const struct repair *s)
+static bool keeps_quorum(const struct reconfig *s)
 {
 	uint32_t live = 0;
 
@@ -127,7 +127,7 @@
 	return live >= rlog_majority(&s->next);
 }
 
-static void waits(struct repair *s, const char *what, uint64_t vm)
+static void set_waiting_for(struct reconfig *s, const char *what, uint64_t vm)
 {
 	char text[24];
 
@@ -138,7 +138,7 @@
 }
 
 /* Make a learner that holds everything a voter. */
-static bool try_promote(struct repair *s)
+static bool try_promote(struct reconfig *s)
 {
 	for (uint32_t i = 0; i < s->r->members.count; i++) {
 		const struct dl_rlog_member *m = &s->r->members.at[i];
@@ -147,47 +147,49 @@
 		if (m->voter || !p || !is_wanted(s->r, m->vm))
 			continue;
 		if (!is_live(s->r, m->id, s->now)) {
-			waits(s, "to hear the learner", m->vm);
+			set_waiting_for(s, "to hear the learner", m->vm);
 			continue;
 		}
 		if (p->match < s->r->commit) {
-			waits(s, "until everything is held by", m->vm);
+			set_waiting_for(s, "until everything is held by",
+					m->vm);
 			continue;
 		}
 		s->next = s->r->members;
 		s->next.at[i].voter = true;
 		if (keeps_quorum(s))
 			return true;
-		waits(s, "for a majority to be heard, to add", m->vm);
+		set_waiting_for(s, "for a majority to be heard, to add", m->vm);
 	}
 	return false;
 }
 
 /* Take an identity that asked, on a VM that is wanted, in as a learner. */
-static bool try_add(struct repair *s)
+static bool try_add(struct reconfig *s)
 {
-	for (uint32_t i = 0; i < s->r->seen_count; i++) {
-		const struct rlog_seen *seen = &s->r->seen[i];
+	for (uint32_t i = 0; i < s->r->joins_count; i++) {
+		const struct rlog_join_request *join = &s->r->joins[i];
 
-		if (s->now - seen->at > SEEN_MS || !is_wanted(s->r, seen->vm) ||
-		    rlog_member_find(&s->r->members, seen->id))
+		if (s->now - join->at > JOIN_VALID_MS ||
+		    !is_wanted(s->r, join->vm) ||
+		    rlog_member_find(&s->r->members, join->id))
 			continue;
 		if (s->r->members.count == DL_RLOG_MEMBERS_MAX) {
-			waits(s, "for room among the members, to add",
-			      seen->vm);
+			set_waiting_for(s, "for room among the members, to add",
+					join->vm);
 			continue;
 		}
 		s->next = s->r->members;
 		s->next.at[s->next.count++] = (struct dl_rlog_member){
-			.vm = seen->vm,
-			.id = seen->id,
+			.vm = join->vm,
+			.id = join->id,
 		};
 		return true;
 	}
 	return false;
 }
 
-static bool all_wanted_vote(const struct repair *s, uint64_t *missing)
+static bool all_wanted_vote(const struct reconfig *s, uint64_t *missing)
 {
 	uint64_t vms[DL_RLOG_MEMBERS_MAX];
 	uint32_t n = wanted_vms(s->r, vms);
@@ -224,7 +226,7 @@
  * vote.  A learner that asked under a newer identity goes at once.  This
  * replica itself goes last, by handing over first.
  */
-static bool try_remove(struct repair *s)
+static bool try_remove(struct reconfig *s)
 {
 	uint64_t missing = DL_VM_NONE;
 	bool complete = all_wanted_vote(s, &missing);
@@ -238,14 +240,15 @@
 		if (wanted && !is_superseded(s->r, m, s->now))
 			continue;
 		if (!wanted && m->voter && !complete) {
-			waits(s, "for the new replica", missing);
+			set_waiting_for(s, "for the new replica", missing);
 			continue;
 		}
 		s->next = s->r->members;
 		drop_member(&s->next, m->id);
 		if (keeps_quorum(s))
 			return true;
-		waits(s, "for a majority to be heard, to remove", m->vm);
+		set_waiting_for(s, "for a majority to be heard, to remove",
+				m->vm);
 	}
 	if (complete && !is_wanted(s->r, s->r->conf.self) &&
 	    s->r->members.count > 1)
@@ -257,17 +260,18 @@
  * Take the next step, where there is one.  A change waits for the one before
  * it, and for an entry of this leader's own term, to be committed.
  */
-void rlog_repair(struct dl_rlog *r, int64_t now)
+void rlog_reconfigure(struct dl_rlog *r, int64_t now)
 {
-	struct repair s = { .r = r, .now = now };
+	struct reconfig s = { .r = r, .now = now };
 	struct dl_str data;
 
 	r->waiting_for[0] = '\0';
-	rlog_group_decide(r, now);
+	rlog_choose_voters(r, now);
 	if (r->commit < r->term_start || r->members_index > r->commit) {
 		if (r->members_index > r->commit)
-			waits(&s, "for the last change to be committed by",
-			      r->conf.self);
+			set_waiting_for(
+				&s, "for the last change to be committed by",
+				r->conf.self);
 		return;
 	}
 	if (!try_promote(&s) && !try_add(&s) && !try_remove(&s))
@@ -294,7 +298,7 @@
 			   uint32_t count, int64_t now, struct dl_err *err)
 {
 	uint32_t live = 0;
-	char text[24], silent[24] = "none";
+	char text[24], silent_vm[24] = "none";
 
 	for (uint32_t i = 0; i < count; i++) {
 		bool heard = vms[i] == r->conf.self;
@@ -305,17 +309,18 @@
 			heard = heard ||
 				(m->vm == vms[i] && is_live(r, m->id, now));
 		}
-		for (uint32_t j = 0; j < r->seen_count; j++)
-			heard = heard || (r->seen[j].vm == vms[i] &&
-					  now - r->seen[j].at <= SEEN_MS);
+		for (uint32_t j = 0; j < r->joins_count; j++)
+			heard = heard ||
+				(r->joins[j].vm == vms[i] &&
+				 now - r->joins[j].at <= JOIN_VALID_MS);
 		live += heard;
 		if (!heard)
-			memcpy(silent, dl_vm_text(vms[i], text),
-			       sizeof(silent));
+			memcpy(silent_vm, dl_vm_text(vms[i], text),
+			       sizeof(silent_vm));
 	}
 	if (!count || live >= count / 2 + 1)
 		return 0;
-	return dl_err_set(err, -EINVAL, DL_STEP_CHECK, silent,
+	return dl_err_set(err, -EINVAL, DL_STEP_CHECK, silent_vm,
 			  "only %u of %u listed replicas are heard; "
 			  "the quorum would be lost",
 			  live, count);
--- a/src/state/rlog_startup.c
+++ b/src/state/rlog_startup.c
@@ -5,10 +5,11 @@
  * no vote for an election time; it has forgotten whom and when.  It therefore
  * holds back for that time, unless it learns that no such promise stands: the
  * promise was made to one of the voters of the newest members on its disk,
- * since answers to anybody else carry no promise (rlog_promise()), and a leader
- * never removes itself.  One that says, after this start, that it does not lead
- * now has lost what was promised to it before, and what is promised to it later
- * is remembered.  So once every other voter has said so, nothing is owed.
+ * since answers to anybody else carry no promise (rlog_vote_promise()), and a
+ * leader never removes itself.  One that says, after this start, that it does
+ * not lead now has lost what was promised to it before, and what is promised to
+ * it later is remembered.  So once every other voter has said so, nothing is
+ * owed.
  *
  * Load: all replicas end at once, by a loss of power or an update.  Without it
  * the first one stood 1.0 to 1.5 s after the start, in which no caller's key
@@ -20,37 +21,37 @@
 #include "state/rlog_int.h"
 
 /* Asked again so soon: the others start some ten milliseconds apart. */
-#define ASK_AGAIN_MS 50
+#define QUERY_RETRY_MS 50
 /*
  * The voters of higher addresses stand so much later each, so that the first
  * has won before the next begins: two round trips and syncs on slow VMs.
  */
-#define RANK_MS 60
+#define RANK_DELAY_MS 60
 
-static bool owes_nothing(const struct dl_rlog *r);
+static bool no_promise_stands(const struct dl_rlog *r);
 static uint32_t rank_of(const struct dl_rlog *r);
-static void ask(struct dl_rlog *r);
+static void query_voters(struct dl_rlog *r);
 
 /* Begin with what may be owed. */
-void rlog_start(struct dl_rlog *r, int64_t now)
+void rlog_startup_begin(struct dl_rlog *r, int64_t now)
 {
 	r->heard = now;
-	r->start_stamp = 1 + (int64_t)g_rand_int(r->rand);
-	r->start_asks_at = now;
-	r->start_owes = true;
+	r->startup_nonce = 1 + (int64_t)g_rand_int(r->rand);
+	r->startup_query_at = now;
+	r->promise_possible = true;
 }
 
 /* A leader is followed, or the time is over: there is nothing to find out. */
-void rlog_start_over(struct dl_rlog *r)
+void rlog_startup_end(struct dl_rlog *r)
 {
-	r->start_owes = false;
-	r->eager_until = 0;
+	r->promise_possible = false;
+	r->fast_retry_until = 0;
 }
 
-static bool owes_nothing(const struct dl_rlog *r)
+static bool no_promise_stands(const struct dl_rlog *r)
 {
 	for (uint32_t i = 0; i < r->peers_count; i++) {
-		if (r->peers[i].member.voter && !r->peers[i].leads_not)
+		if (r->peers[i].member.voter && !r->peers[i].not_leading)
 			return false;
 	}
 	return true;
@@ -67,54 +68,54 @@
 	return rank;
 }
 
-static void ask(struct dl_rlog *r)
+static void query_voters(struct dl_rlog *r)
 {
 	for (uint32_t i = 0; i < r->peers_count; i++) {
 		const struct rlog_peer *p = &r->peers[i];
 		struct dl_rlog_msg m;
 
-		if (!p->member.voter || p->leads_not)
+		if (!p->member.voter || p->not_leading)
 			continue;
 		m = rlog_msg_to(r, DL_RLOG_STARTUP_QUERY, p->member.vm,
 				p->member.id);
-		m.stamp = r->start_stamp;
+		m.stamp = r->startup_nonce;
 		rlog_queue(r, &m, 0);
 	}
 }
 
 /* Ask who leads, and stand as soon as nothing is owed. */
-void rlog_start_tick(struct dl_rlog *r, int64_t now)
+void rlog_startup_tick(struct dl_rlog *r, int64_t now)
 {
-	if (!r->start_owes || !rlog_is_voter(r))
+	if (!r->promise_possible || !rlog_is_voter(r))
 		return;
 	if (now - r->heard >= (int64_t)r->conf.election_ms) {
-		rlog_start_over(r);
+		rlog_startup_end(r);
 		return;
 	}
-	if (owes_nothing(r)) {
-		r->start_owes = false;
+	if (no_promise_stands(r)) {
+		r->promise_possible = false;
 		r->heard = now - (int64_t)r->conf.election_ms;
-		r->eager_until = now + (int64_t)r->conf.election_ms;
-		r->election_at = now + (int64_t)rank_of(r) * RANK_MS;
+		r->fast_retry_until = now + (int64_t)r->conf.election_ms;
+		r->election_at = now + (int64_t)rank_of(r) * RANK_DELAY_MS;
 		return;
 	}
-	if (now < r->start_asks_at)
+	if (now < r->startup_query_at)
 		return;
-	r->start_asks_at = now + ASK_AGAIN_MS;
-	ask(r);
+	r->startup_query_at = now + QUERY_RETRY_MS;
+	query_voters(r);
 }
 
-/* When rlog_start_tick() has something to do; INT64_MAX for never. */
-int64_t rlog_start_wakeup(const struct dl_rlog *r)
+/* When rlog_startup_tick() has something to do; INT64_MAX for never. */
+int64_t rlog_startup_wakeup(const struct dl_rlog *r)
 {
-	if (!r->start_owes || !rlog_is_voter(r))
+	if (!r->promise_possible || !rlog_is_voter(r))
 		return INT64_MAX;
-	return owes_nothing(r) ? INT64_MIN : r->start_asks_at;
+	return no_promise_stands(r) ? INT64_MIN : r->startup_query_at;
 }
 
 /* Another one has started: say that this one does not lead, unless it does. */
-void rlog_on_started(struct dl_rlog *r, const struct dl_rlog_msg *m,
-		     int64_t now)
+void rlog_on_startup_query(struct dl_rlog *r, const struct dl_rlog_msg *m,
+			   int64_t now)
 {
 	struct dl_rlog_msg reply;
 
@@ -126,15 +127,15 @@
 
 /* The answer of one that does not lead; to an earlier start it means nothing.
  */
-void rlog_on_started_reply(struct dl_rlog *r, const struct dl_rlog_msg *m,
+void rlog_on_startup_reply(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			   int64_t now)
 {
 	struct rlog_peer *p = rlog_peer_find(r, m->from_id);
 
-	if (!p || !r->start_owes || m->stamp != r->start_stamp)
+	if (!p || !r->promise_possible || m->stamp != r->startup_nonce)
 		return;
-	p->leads_not = true;
-	rlog_start_tick(r, now);
+	p->not_leading = true;
+	rlog_startup_tick(r, now);
 }
 
 /*
@@ -143,7 +144,7 @@
  * voter of the members on this disk is promised anything, so that a later start
  * of this replica knows whom to ask.
  */
-int64_t rlog_promise(const struct dl_rlog *r, const struct dl_rlog_msg *m)
+int64_t rlog_vote_promise(const struct dl_rlog *r, const struct dl_rlog_msg *m)
 {
 	const struct dl_rlog_member *leader =
 		rlog_member_find(&r->members, m->from_id);
--- a/src/state/rlog_vote.c
+++ b/src/state/rlog_vote.c
@@ -7,19 +7,20 @@
  */
 #include "state/rlog_int.h"
 
-static bool leader_is_fresh(const struct dl_rlog *r, int64_t now);
-static bool up_to_date(const struct dl_rlog *r, const struct dl_rlog_msg *m);
+static bool has_recent_leader(const struct dl_rlog *r, int64_t now);
+static bool log_up_to_date(const struct dl_rlog *r,
+			   const struct dl_rlog_msg *m);
 static void ask_voters(struct dl_rlog *r, enum dl_rlog_msg_kind kind,
 		       uint64_t term, bool transfer);
-static bool won(const struct dl_rlog *r, bool self);
+static bool has_majority(const struct dl_rlog *r, bool self);
 
-static bool leader_is_fresh(const struct dl_rlog *r, int64_t now)
+static bool has_recent_leader(const struct dl_rlog *r, int64_t now)
 {
 	return r->role == DL_RLOG_LEADER ||
 	       now - r->heard < (int64_t)r->conf.election_ms;
 }
 
-static bool up_to_date(const struct dl_rlog *r, const struct dl_rlog_msg *m)
+static bool log_up_to_date(const struct dl_rlog *r, const struct dl_rlog_msg *m)
 {
 	uint64_t term = 0;
 
@@ -44,11 +45,11 @@
 		m.index = rlog_last(&r->log);
 		rlog_term_at(&r->log, m.index, &m.index_term);
 		m.transfer = transfer;
-		rlog_queue(r, &m, r->state_gate);
+		rlog_queue(r, &m, r->state_seq);
 	}
 }
 
-static bool won(const struct dl_rlog *r, bool self)
+static bool has_majority(const struct dl_rlog *r, bool self)
 {
 	uint32_t votes = self && rlog_is_voter(r);
 
@@ -65,7 +66,7 @@
 	r->leader_id = 0;
 	rlog_reset_election(r, now);
 	ask_voters(r, DL_RLOG_PREVOTE, r->term + 1, false);
-	if (won(r, true))
+	if (has_majority(r, true))
 		rlog_election_begin(r, false, now);
 }
 
@@ -87,8 +88,8 @@
 void rlog_vote_synced(struct dl_rlog *r, int64_t now)
 {
 	r->self_voted = true;
-	if (won(r, true))
-		rlog_lead(r, now);
+	if (has_majority(r, true))
+		rlog_become_leader(r, now);
 }
 
 /* Answer whether a candidate of the next term could have this vote. */
@@ -100,13 +101,13 @@
 		m->term > r->term ||
 		(m->term == r->term && (!r->vote || r->vote == m->from_id));
 
-	if (leader_is_fresh(r, now))
+	if (has_recent_leader(r, now))
 		return;
 	reply = rlog_reply_to(r, DL_RLOG_PREVOTE_REPLY, m);
-	reply.ok = free_to_vote && up_to_date(r, m);
+	reply.ok = free_to_vote && log_up_to_date(r, m);
 	if (reply.ok)
 		reply.term = m->term;
-	rlog_queue(r, &reply, r->state_gate);
+	rlog_queue(r, &reply, r->state_seq);
 }
 
 /* Count an answer; a majority begins the election itself. */
@@ -119,7 +120,7 @@
 	    m->term != r->term + 1)
 		return;
 	p->granted = true;
-	if (won(r, true))
+	if (has_majority(r, true))
 		rlog_election_begin(r, false, now);
 }
 
@@ -128,20 +129,20 @@
 {
 	struct dl_rlog_msg reply;
 
-	if (!m->transfer && leader_is_fresh(r, now))
+	if (!m->transfer && has_recent_leader(r, now))
 		return;
 	if (m->term > r->term)
-		rlog_follow(r, m->term, now);
+		rlog_become_follower(r, m->term, now);
 	reply = rlog_reply_to(r, DL_RLOG_VOTE_REPLY, m);
 	reply.ok = m->term == r->term && (!r->vote || r->vote == m->from_id) &&
-		   up_to_date(r, m);
+		   log_up_to_date(r, m);
 	if (reply.ok && !r->vote) {
 		r->vote = m->from_id;
 		rlog_dirty_state(r);
 	}
 	if (reply.ok)
 		rlog_reset_election(r, now);
-	rlog_queue(r, &reply, r->state_gate);
+	rlog_queue(r, &reply, r->state_seq);
 }
 
 /* Count a vote of this term. */
@@ -153,8 +154,8 @@
 	if (r->role != DL_RLOG_CANDIDATE || !m->ok || !p || m->term != r->term)
 		return;
 	p->granted = true;
-	if (won(r, r->self_voted))
-		rlog_lead(r, now);
+	if (has_majority(r, r->self_voted))
+		rlog_become_leader(r, now);
 }
 
 /* The leader hands over: stand at once. */
--- a/src/state/rlog_voters.c
+++ b/src/state/rlog_voters.c
@@ -1,6 +1,6 @@
 /*
  * A group that nobody lists: which VMs should vote, from who does and who
- * asks.  rlog_repair.c carries the answer out, one change at a time.
+ * asks.  rlog_reconfig.c carries the answer out, one change at a time.
  *
  * For machines that are replaced by others at new addresses without a word to
  * the group: a voter that is unheard for longer than a restart takes makes
@@ -10,23 +10,23 @@
 #include "state/rlog_int.h"
 
 /* An identity that asks says hello twice a second; so long it counts. */
-#define ASKED_MS 3000
+#define JOIN_VALID_MS 3000
 
-static int64_t voter_heard(const struct dl_rlog *r, uint64_t id, int64_t now);
+static int64_t last_heard(const struct dl_rlog *r, uint64_t id, int64_t now);
 static bool listed(const uint64_t *vms, uint32_t n, uint64_t vm);
-static uint64_t newcomer(const struct dl_rlog *r, const uint64_t *vms,
-			 uint32_t n, int64_t now);
+static uint64_t joining_vm(const struct dl_rlog *r, const uint64_t *vms,
+			   uint32_t n, int64_t now);
 
 /* When a member was last heard; this one is heard now. */
-static int64_t voter_heard(const struct dl_rlog *r, uint64_t id, int64_t now)
+static int64_t last_heard(const struct dl_rlog *r, uint64_t id, int64_t now)
 {
 	if (id == r->id)
 		return now;
 	for (uint32_t i = 0; i < r->peers_count; i++) {
 		if (r->peers[i].member.id == id)
-			return MAX(r->peers[i].heard, r->led_since);
+			return MAX(r->peers[i].heard, r->leader_since);
 	}
-	return r->led_since;
+	return r->leader_since;
 }
 
 static bool listed(const uint64_t *vms, uint32_t n, uint64_t vm)
@@ -39,26 +39,26 @@
 }
 
 /* A VM that asks to come in or is a learner already, and is not listed. */
-static uint64_t newcomer(const struct dl_rlog *r, const uint64_t *vms,
-			 uint32_t n, int64_t now)
+static uint64_t joining_vm(const struct dl_rlog *r, const uint64_t *vms,
+			   uint32_t n, int64_t now)
 {
 	for (uint32_t i = 0; i < r->members.count; i++) {
 		const struct dl_rlog_member *m = &r->members.at[i];
 
 		if (!m->voter && !listed(vms, n, m->vm) &&
-		    now - voter_heard(r, m->id, now) < ASKED_MS)
+		    now - last_heard(r, m->id, now) < JOIN_VALID_MS)
 			return m->vm;
 	}
-	for (uint32_t i = 0; i < r->seen_count; i++) {
-		if (now - r->seen[i].at < ASKED_MS &&
-		    !listed(vms, n, r->seen[i].vm))
-			return r->seen[i].vm;
+	for (uint32_t i = 0; i < r->joins_count; i++) {
+		if (now - r->joins[i].at < JOIN_VALID_MS &&
+		    !listed(vms, n, r->joins[i].vm))
+			return r->joins[i].vm;
 	}
 	return DL_VM_NONE;
 }
 
 /* Decide anew, before a repair, which VMs are wanted. */
-void rlog_group_decide(struct dl_rlog *r, int64_t now)
+void rlog_choose_voters(struct dl_rlog *r, int64_t now)
 {
 	uint64_t vms[DL_RLOG_MEMBERS_MAX];
 	uint32_t n = 0;
@@ -73,15 +73,15 @@
 			vms[n++] = m->vm;
 	}
 	while (n < r->conf.voters_wanted &&
-	       (vm = newcomer(r, vms, n, now)) != DL_VM_NONE)
+	       (vm = joining_vm(r, vms, n, now)) != DL_VM_NONE)
 		vms[n++] = vm;
 	for (uint32_t i = 0; i < r->members.count; i++) {
 		const struct dl_rlog_member *m = &r->members.at[i];
-		int64_t silent = now - voter_heard(r, m->id, now);
+		int64_t silent_ms = now - last_heard(r, m->id, now);
 
-		if (!m->voter || silent < (int64_t)r->conf.voter_timeout_ms)
+		if (!m->voter || silent_ms < (int64_t)r->conf.voter_timeout_ms)
 			continue;
-		vm = newcomer(r, vms, n, now);
+		vm = joining_vm(r, vms, n, now);
 		if (vm == DL_VM_NONE)
 			break;
 		for (uint32_t k = 0; k < n; k++) {
@@ -93,10 +93,10 @@
 	for (uint32_t i = 0; n > r->conf.voters_wanted && i < r->members.count;
 	     i++) {
 		const struct dl_rlog_member *m = &r->members.at[i];
-		int64_t silent = now - voter_heard(r, m->id, now);
+		int64_t silent_ms = now - last_heard(r, m->id, now);
 
 		for (uint32_t k = 0;
-		     silent >= (int64_t)r->conf.voter_timeout_ms && k < n;
+		     silent_ms >= (int64_t)r->conf.voter_timeout_ms && k < n;
 		     k++) {
 			if (vms[k] == m->vm) {
 				vms[k] = vms[--n];
