--- a/test/fake/disk.c
+++ b/test/fake/disk.c
@@ -8,15 +8,15 @@
 #include <glib.h>
 
 /* A write, or where data is NULL a cut at the offset. */
-struct span {
+struct change {
 	uint64_t offset;
 	uint64_t n;
 	guint8 *data;
 };
 
-static void span_clear(gpointer p)
+static void change_clear(gpointer p)
 {
-	g_free(((struct span *)p)->data);
+	g_free(((struct change *)p)->data);
 }
 
 struct file {
@@ -38,7 +38,7 @@
 	int code;
 	struct dl_disk_done done;
 	struct file *sync; /* what becomes synced at the end */
-	guint spans;	   /* how many writes the sync covers */
+	guint changes;	   /* how many writes the sync covers */
 	bool folder;
 	guint names;
 };
@@ -183,7 +183,8 @@
 	g_ptr_array_add(d->name_ops, op);
 }
 
-static void put(GByteArray *to, uint64_t offset, const guint8 *data, uint64_t n)
+static void put_bytes(GByteArray *to, uint64_t offset, const guint8 *data,
+		      uint64_t n)
 {
 	guint had = to->len;
 
@@ -195,10 +196,10 @@
 		memcpy(to->data + offset, data, n);
 }
 
-static void put_span(GByteArray *to, const struct span *s)
+static void apply_change(GByteArray *to, const struct change *s)
 {
 	if (s->data)
-		put(to, s->offset, s->data, s->n);
+		put_bytes(to, s->offset, s->data, s->n);
 	else if (to->len > s->offset)
 		g_byte_array_set_size(to, (guint)s->offset);
 }
@@ -207,7 +208,7 @@
 		       struct dl_str data, struct dl_disk_done done)
 {
 	struct fake_disk *d = disk;
-	struct span span = { offset, data.n, NULL };
+	struct change change = { offset, data.n, NULL };
 	struct file *f;
 
 	if (!begin(d, done, 0))
@@ -218,14 +219,14 @@
 		f->refs = 1;
 		f->now = g_byte_array_new();
 		f->synced = g_byte_array_new();
-		f->unsynced = g_array_new(FALSE, FALSE, sizeof(struct span));
-		g_array_set_clear_func(f->unsynced, span_clear);
+		f->unsynced = g_array_new(FALSE, FALSE, sizeof(struct change));
+		g_array_set_clear_func(f->unsynced, change_clear);
 		g_hash_table_insert(d->names, g_strdup(name), f);
 		name_op(d, NULL, name, f);
 	}
-	put(f->now, offset, (const guint8 *)data.s, data.n);
-	span.data = g_memdup2(data.s, data.n);
-	g_array_append_val(f->unsynced, span);
+	put_bytes(f->now, offset, (const guint8 *)data.s, data.n);
+	change.data = g_memdup2(data.s, data.n);
+	g_array_append_val(f->unsynced, change);
 }
 
 static void disk_sync(void *disk, const char *name, struct dl_disk_done done)
@@ -243,7 +244,7 @@
 		return;
 	}
 	x->sync = file_ref(f);
-	x->spans = f->unsynced->len;
+	x->changes = f->unsynced->len;
 }
 
 static void disk_rename(void *disk, const char *from, const char *to,
@@ -313,12 +314,12 @@
 {
 	struct fake_disk *d = disk;
 	struct file *f = g_hash_table_lookup(d->names, name);
-	struct span span = { size, 0, NULL };
+	struct change change = { size, 0, NULL };
 
 	if (!f)
 		return -ENOENT;
 	g_byte_array_set_size(f->now, (guint)size);
-	g_array_append_val(f->unsynced, span);
+	g_array_append_val(f->unsynced, change);
 	return 0;
 }
 
@@ -354,12 +355,12 @@
 	int code = x->code;
 
 	if (x->sync && !code) {
-		for (guint i = 0; i < x->spans; i++)
-			put_span(x->sync->synced,
-				 &g_array_index(x->sync->unsynced, struct span,
-						i));
-		if (x->spans)
-			g_array_remove_range(x->sync->unsynced, 0, x->spans);
+		for (guint i = 0; i < x->changes; i++)
+			apply_change(x->sync->synced,
+				     &g_array_index(x->sync->unsynced,
+						    struct change, i));
+		if (x->changes)
+			g_array_remove_range(x->sync->unsynced, 0, x->changes);
 	}
 	if (x->folder && !code)
 		apply_name_ops(d, x->names);
@@ -388,18 +389,18 @@
 }
 
 /* Each write since the sync: lost, whole, or a part of it from anywhere. */
-static void tear(struct fake_disk *d, struct file *f)
+static void lose_unsynced_writes(struct fake_disk *d, struct file *f)
 {
 	GByteArray *left = g_byte_array_new();
 
-	put(left, 0, f->synced->data, f->synced->len);
+	put_bytes(left, 0, f->synced->data, f->synced->len);
 	for (guint i = 0; i < f->unsynced->len; i++) {
-		struct span s = g_array_index(f->unsynced, struct span, i);
+		struct change s = g_array_index(f->unsynced, struct change, i);
 		uint64_t from = 0, to = s.n;
 
 		if (!s.data) {
 			if (g_rand_boolean(d->rand))
-				put_span(left, &s);
+				apply_change(left, &s);
 			continue;
 		}
 		switch (g_rand_int_range(d->rand, 0, 4)) {
@@ -416,15 +417,15 @@
 		default:
 			break;
 		}
-		put(left, s.offset + from, s.data + from, to - from);
+		put_bytes(left, s.offset + from, s.data + from, to - from);
 	}
 	g_byte_array_set_size(f->now, 0);
-	put(f->now, 0, left->data, left->len);
+	put_bytes(f->now, 0, left->data, left->len);
 	g_byte_array_free(left, TRUE);
 }
 
 /* What is there after a start is what would be there after another. */
-static void settle(struct fake_disk *d)
+static void mark_all_synced(struct fake_disk *d)
 {
 	GHashTableIter iter;
 	gpointer f;
@@ -435,7 +436,7 @@
 
 		g_array_set_size(file->unsynced, 0);
 		g_byte_array_set_size(file->synced, 0);
-		put(file->synced, 0, file->now->data, file->now->len);
+		put_bytes(file->synced, 0, file->now->data, file->now->len);
 	}
 }
 
@@ -459,10 +460,10 @@
 	g_hash_table_remove_all(d->names);
 	g_hash_table_iter_init(&iter, d->synced_names);
 	while (g_hash_table_iter_next(&iter, &name, &f)) {
-		tear(d, f);
+		lose_unsynced_writes(d, f);
 		g_hash_table_replace(d->names, g_strdup(name), file_ref(f));
 	}
-	settle(d);
+	mark_all_synced(d);
 }
 
 void fake_disk_wipe(struct fake_disk *d)
--- a/test/fake/group.c
+++ b/test/fake/group.c
@@ -10,10 +10,10 @@
 
 #include "protocol/rlog_codec.h"
 
-#define LATE_BUCKET 63
+#define LAST_BUCKET 63
 
 /* The state machine: a chain of hashes of what was applied. */
-struct chain {
+struct state_hash {
 	uint64_t index;
 	uint64_t hash;
 };
@@ -28,16 +28,16 @@
 	bool up;
 	int64_t offset;
 	int64_t rate; /* permille */
-	struct chain chain;
+	struct state_hash state_hash;
 	uint64_t seq;  /* of the unit under way */
 	uint64_t term; /* in which it was seen leading */
 	uint64_t id;
 	uint64_t busy_ns; /* in the log and its codec */
-	uint64_t busy_from;
+	uint64_t timing_since;
 };
 
 /* What the group knows of an index, from whoever applied it first. */
-struct truth {
+struct reference {
 	uint64_t term;
 	uint64_t seen_term; /* of the replica that applied it first */
 	uint64_t hash;
@@ -57,7 +57,7 @@
 	struct node nodes[GROUP_MAX + 1];
 	int64_t now;
 	GHashTable *leaders; /* term to identity */
-	GArray *truths;	     /* of struct truth, by index */
+	GArray *references;  /* of struct truth, by index */
 	GArray *proposals;
 	uint64_t highest_acked;
 	uint64_t highest_applied;
@@ -67,11 +67,12 @@
 	char violation[320];
 };
 
-static void pump(struct node *n);
-static void begin_work(struct node *n);
-static int64_t local(const struct node *n);
+static void process_outputs(struct node *n);
+static void begin_timing(struct node *n);
+static int64_t local_now(const struct node *n);
 
-static void violated(struct group *g, const struct node *n, const char *what)
+static void report_violation(struct group *g, const struct node *n,
+			     const char *what)
 {
 	g->count.violations++;
 	if (!g->violation[0])
@@ -90,7 +91,7 @@
 	g->link = fake_link_new(&g->conf.link);
 	g->leaders = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
 					   g_free);
-	g->truths = g_array_new(FALSE, TRUE, sizeof(struct truth));
+	g->references = g_array_new(FALSE, TRUE, sizeof(struct reference));
 	g->proposals = g_array_new(FALSE, FALSE, sizeof(struct proposal));
 	for (uint64_t vm = 1; vm <= GROUP_MAX; vm++) {
 		struct node *n = &g->nodes[vm];
@@ -108,7 +109,7 @@
 	return g;
 }
 
-static void stop(struct node *n)
+static void stop_node(struct node *n)
 {
 	dl_rlog_free(n->rlog);
 	dl_rlog_store_free(n->store);
@@ -121,23 +122,23 @@
 void group_free(struct group *g)
 {
 	for (uint64_t vm = 1; vm <= GROUP_MAX; vm++) {
-		stop(&g->nodes[vm]);
+		stop_node(&g->nodes[vm]);
 		fake_disk_free(g->nodes[vm].disk);
 	}
 	fake_link_free(g->link);
 	g_hash_table_destroy(g->leaders);
-	g_array_free(g->truths, TRUE);
+	g_array_free(g->references, TRUE);
 	g_array_free(g->proposals, TRUE);
 	g_rand_free(g->rand);
 	g_free(g);
 }
 
-static int64_t local(const struct node *n)
+static int64_t local_now(const struct node *n)
 {
 	return n->offset + n->group->now * n->rate / 1000;
 }
 
-static void start_done(void *arg, int code)
+static void start_synced(void *arg, int code)
 {
 	struct node *n = arg;
 
@@ -175,12 +176,12 @@
 		conf.chunk_bytes = g->conf.chunk_bytes;
 	for (uint32_t i = 0; i < g->conf.listed; i++)
 		conf.listed[i] = i + 1;
-	n->chain = (struct chain){ 0 };
+	n->state_hash = (struct state_hash){ 0 };
 	n->term = 0;
 	code = dl_rlog_store_open((struct dl_disk){ &fake_disk_ops, n->disk },
 				  id, &n->store, &image, &err);
 	n->id = image.id;
-	n->rlog = dl_rlog_new(&conf, &image, g_rand_int(g->rand), local(n));
+	n->rlog = dl_rlog_new(&conf, &image, g_rand_int(g->rand), local_now(n));
 	n->up = true;
 	n->started = false;
 	if (code) {
@@ -188,24 +189,24 @@
 		dl_rlog_halt(n->rlog, &err);
 		return;
 	}
-	dl_rlog_store_start(n->store, (struct dl_disk_done){ start_done, n });
+	dl_rlog_store_start(n->store, (struct dl_disk_done){ start_synced, n });
 }
 
 void group_kill(struct group *g, uint64_t vm)
 {
-	stop(&g->nodes[vm]);
+	stop_node(&g->nodes[vm]);
 	fake_disk_kill(g->nodes[vm].disk);
 }
 
 void group_crash(struct group *g, uint64_t vm)
 {
-	stop(&g->nodes[vm]);
+	stop_node(&g->nodes[vm]);
 	fake_disk_crash(g->nodes[vm].disk);
 }
 
 void group_wipe(struct group *g, uint64_t vm)
 {
-	stop(&g->nodes[vm]);
+	stop_node(&g->nodes[vm]);
 	fake_disk_wipe(g->nodes[vm].disk);
 	g->nodes[vm].id = 0;
 }
@@ -226,8 +227,8 @@
 static uint64_t committed_before(const struct group *g, uint64_t term)
 {
 	for (uint64_t i = g->highest_applied; i > 0; i--) {
-		const struct truth *t =
-			&g_array_index(g->truths, struct truth, i);
+		const struct reference *t =
+			&g_array_index(g->references, struct reference, i);
 
 		if (t->hash && t->seen_term < term)
 			return i;
@@ -245,9 +246,9 @@
 	n->term = s->term;
 	known = g_hash_table_lookup(g->leaders, &s->term);
 	if (known && *known != s->id)
-		violated(g, n, "a second leader of a term");
+		report_violation(g, n, "a second leader of a term");
 	if (s->last < committed_before(g, s->term))
-		violated(g, n, "a leader without what is committed");
+		report_violation(g, n, "a leader without what is committed");
 	if (known)
 		return;
 	g->count.leaders++;
@@ -263,43 +264,44 @@
 	struct group *g = n->group;
 	uint64_t index;
 
-	if (!dl_rlog_lease(n->rlog, local(n), NULL))
+	if (!dl_rlog_lease(n->rlog, local_now(n), NULL))
 		return;
 	for (uint64_t vm = 1; vm <= GROUP_MAX; vm++) {
 		struct node *o = &g->nodes[vm];
 
 		if (o != n && o->rlog && o->started &&
 		    !fake_link_paused(g->link, vm, g->now) &&
-		    dl_rlog_lease(o->rlog, local(o), NULL))
-			violated(g, n, "two leaders under lease");
+		    dl_rlog_lease(o->rlog, local_now(o), NULL))
+			report_violation(g, n, "two leaders under lease");
 	}
-	if (dl_rlog_read(n->rlog, local(n), &index) == 0) {
+	if (dl_rlog_read(n->rlog, local_now(n), &index) == 0) {
 		g->count.reads++;
 		if (index < g->highest_acked)
-			violated(g, n, "a read misses what was acknowledged");
+			report_violation(g, n,
+					 "a read misses what was acknowledged");
 	}
 }
 
 /* Compare an applied point with what others applied there. */
-static void check_truth(struct node *n, uint64_t index, uint64_t term)
+static void check_reference(struct node *n, uint64_t index, uint64_t term)
 {
 	struct group *g = n->group;
 	struct dl_rlog_status s;
-	struct truth *t;
+	struct reference *t;
 
-	if (g->truths->len <= index)
-		g_array_set_size(g->truths, (guint)index + 1);
-	t = &g_array_index(g->truths, struct truth, index);
+	if (g->references->len <= index)
+		g_array_set_size(g->references, (guint)index + 1);
+	t = &g_array_index(g->references, struct reference, index);
 	if (!t->hash) {
-		dl_rlog_get_status(n->rlog, local(n), &s);
-		*t = (struct truth){ term, s.term, n->chain.hash };
+		dl_rlog_get_status(n->rlog, local_now(n), &s);
+		*t = (struct reference){ term, s.term, n->state_hash.hash };
 	}
-	if (t->term != term || t->hash != n->chain.hash)
-		violated(g, n, "applied what others did not");
+	if (t->term != term || t->hash != n->state_hash.hash)
+		report_violation(g, n, "applied what others did not");
 	g->highest_applied = MAX(g->highest_applied, index);
 }
 
-static void acknowledge(struct node *n, const struct dl_rlog_apply *a)
+static void note_committed(struct node *n, const struct dl_rlog_apply *a)
 {
 	struct group *g = n->group;
 
@@ -312,67 +314,68 @@
 		if (p->term == a->term) {
 			g->count.acked++;
 			g->highest_acked = MAX(g->highest_acked, a->index);
-			g->count.commit_ms[MIN(g->now - p->at, LATE_BUCKET)]++;
+			g->count.commit_ms[MIN(g->now - p->at, LAST_BUCKET)]++;
 		}
 		g_array_remove_index_fast(g->proposals, i);
 		return;
 	}
 }
 
-static void apply(struct node *n, const struct dl_rlog_apply *a)
+static void apply_entry(struct node *n, const struct dl_rlog_apply *a)
 {
 	if (a->kind == DL_RLOG_APPLY_RESTORE) {
 		n->group->count.restores++;
-		if (a->data.n < sizeof(n->chain)) {
-			violated(n->group, n, "a snapshot of the wrong size");
+		if (a->data.n < sizeof(n->state_hash)) {
+			report_violation(n->group, n,
+					 "a snapshot of the wrong size");
 			return;
 		}
-		if (a->index < n->chain.index)
-			violated(n->group, n, "the version went back");
-		memcpy(&n->chain, a->data.s, sizeof(n->chain));
-		n->chain.index = a->index;
+		if (a->index < n->state_hash.index)
+			report_violation(n->group, n, "the version went back");
+		memcpy(&n->state_hash, a->data.s, sizeof(n->state_hash));
+		n->state_hash.index = a->index;
 		return;
 	}
-	if (a->index <= n->chain.index)
-		violated(n->group, n, "an index applied twice");
-	n->chain.hash = dl_hash(a->data, n->chain.hash);
-	n->chain.index = a->index;
-	check_truth(n, a->index, a->term);
-	acknowledge(n, a);
+	if (a->index <= n->state_hash.index)
+		report_violation(n->group, n, "an index applied twice");
+	n->state_hash.hash = dl_hash(a->data, n->state_hash.hash);
+	n->state_hash.index = a->index;
+	check_reference(n, a->index, a->term);
+	note_committed(n, a);
 }
 
 /* --- running --- */
 
-static void written(void *arg, int code)
+static void record_written(void *arg, int code)
 {
 	struct node *n = arg;
 
 	n->group->count.steps++;
-	begin_work(n);
-	dl_rlog_written(n->rlog, n->seq, code, local(n));
-	pump(n);
+	begin_timing(n);
+	dl_rlog_written(n->rlog, n->seq, code, local_now(n));
+	process_outputs(n);
 }
 
-static void snapshot(struct node *n)
+static void maybe_snapshot(struct node *n)
 {
-	uint32_t size = sizeof(n->chain) + n->group->conf.snapshot_padding;
+	uint32_t size = sizeof(n->state_hash) + n->group->conf.snapshot_padding;
 	char *data;
 
 	if (!dl_rlog_snapshot_wanted(n->rlog))
 		return;
 	data = g_malloc0(size);
-	memcpy(data, &n->chain, sizeof(n->chain));
+	memcpy(data, &n->state_hash, sizeof(n->state_hash));
 	dl_rlog_snapshot(n->rlog, (struct dl_str){ data, size });
 	g_free(data);
 }
 
-static void send_all(struct node *n)
+static void send_messages(struct node *n)
 {
 	struct dl_rlog_msg m;
 	msgpack_sbuffer buf;
 
 	msgpack_sbuffer_init(&buf);
-	while (dl_rlog_out(n->rlog, local(n), &m)) {
+	while (dl_rlog_out(n->rlog, local_now(n), &m)) {
 		msgpack_sbuffer_clear(&buf);
 		dl_rlog_encode(&m, &buf);
 		fake_link_send(n->group->link, n->vm, m.to_vm,
@@ -390,35 +393,35 @@
 	return (uint64_t)ts.tv_sec * 1000000000u + (uint64_t)ts.tv_nsec;
 }
 
-static void begin_work(struct node *n)
+static void begin_timing(struct node *n)
 {
-	n->busy_from = clock_ns();
+	n->timing_since = clock_ns();
 }
 
-static void pump(struct node *n)
+static void process_outputs(struct node *n)
 {
 	struct dl_rlog_status s;
 	struct dl_rlog_apply a;
 	struct dl_rlog_record u;
 
 	while (dl_rlog_apply(n->rlog, &a))
-		apply(n, &a);
-	snapshot(n);
+		apply_entry(n, &a);
+	maybe_snapshot(n);
 	if (dl_rlog_write(n->rlog, &u)) {
 		n->seq = u.seq;
 		dl_rlog_store_write(n->store, &u,
-				    (struct dl_disk_done){ written, n });
+				    (struct dl_disk_done){ record_written, n });
 	}
-	send_all(n);
-	n->busy_ns += clock_ns() - n->busy_from;
-	dl_rlog_get_status(n->rlog, local(n), &s);
+	send_messages(n);
+	n->busy_ns += clock_ns() - n->timing_since;
+	dl_rlog_get_status(n->rlog, local_now(n), &s);
 	check_leader(n, &s);
 	check_lease(n);
 	if (s.role == DL_RLOG_HALTED && strstr(s.halt_reason, "invariant"))
-		violated(n->group, n, s.halt_reason);
+		report_violation(n->group, n, s.halt_reason);
 }
 
-static bool runs(const struct node *n)
+static bool is_running(const struct node *n)
 {
 	return n->up && n->started && !fake_disk_is_down(n->disk) &&
 	       !fake_link_paused(n->group->link, n->vm, n->group->now);
@@ -429,22 +432,22 @@
 	struct node *n = &g->nodes[d->to];
 	struct dl_rlog_decoded m;
 
-	if (d->to > GROUP_MAX || !runs(n))
+	if (d->to > GROUP_MAX || !is_running(n))
 		return;
 	g->count.steps++;
-	begin_work(n);
+	begin_timing(n);
 	if (dl_rlog_decode(d->data, &m)) {
-		violated(g, n, "a message could not be decoded");
+		report_violation(g, n, "a message could not be decoded");
 		return;
 	}
 	m.msg.from_vm = d->from;
-	dl_rlog_in(n->rlog, &m.msg, local(n));
+	dl_rlog_in(n->rlog, &m.msg, local_now(n));
 	dl_rlog_decoded_free(&m);
-	pump(n);
+	process_outputs(n);
 }
 
 /* When a node's own clock wakes it, in the group's time. */
-static int64_t wakeup(const struct node *n)
+static int64_t node_wakeup(const struct node *n)
 {
 	int64_t at = dl_rlog_wakeup(n->rlog);
 
@@ -461,8 +464,8 @@
 		const struct node *n = &g->nodes[vm];
 
 		at = MIN(at, fake_disk_wakeup(n->disk));
-		if (runs(n))
-			at = MIN(at, wakeup(n));
+		if (is_running(n))
+			at = MIN(at, node_wakeup(n));
 	}
 	return at;
 }
@@ -480,12 +483,12 @@
 	for (uint64_t vm = 1; vm <= GROUP_MAX; vm++) {
 		struct node *n = &g->nodes[vm];
 
-		if (!runs(n) || dl_rlog_wakeup(n->rlog) > local(n))
+		if (!is_running(n) || dl_rlog_wakeup(n->rlog) > local_now(n))
 			continue;
 		g->count.steps++;
-		begin_work(n);
-		dl_rlog_tick(n->rlog, local(n));
-		pump(n);
+		begin_timing(n);
+		dl_rlog_tick(n->rlog, local_now(n));
+		process_outputs(n);
 	}
 }
 
@@ -508,7 +511,7 @@
 
 int64_t group_local(const struct group *g, uint64_t vm)
 {
-	return local(&g->nodes[vm]);
+	return local_now(&g->nodes[vm]);
 }
 
 uint64_t group_leader(const struct group *g)
@@ -519,9 +522,9 @@
 		const struct node *n = &g->nodes[vm];
 		struct dl_rlog_status s;
 
-		if (!runs(n))
+		if (!is_running(n))
 			continue;
-		dl_rlog_get_status(n->rlog, local(n), &s);
+		dl_rlog_get_status(n->rlog, local_now(n), &s);
 		if (s.role != DL_RLOG_LEADER || s.term < term)
 			continue;
 		best = vm;
@@ -537,8 +540,8 @@
 	while (g->now < end && !g->count.violations) {
 		uint64_t vm = group_leader(g), index;
 
-		if (vm && dl_rlog_read(g->nodes[vm].rlog, local(&g->nodes[vm]),
-				       &index) == 0)
+		if (vm && dl_rlog_read(g->nodes[vm].rlog,
+				       local_now(&g->nodes[vm]), &index) == 0)
 			return true;
 		group_run(g, 1);
 	}
@@ -552,14 +555,14 @@
 	char *data;
 	int code;
 
-	if (!runs(n))
+	if (!is_running(n))
 		return DL_ENOLEADER;
 	data = g_malloc(bytes + sizeof(uint32_t));
 	memset(data, 'c', bytes);
 	*(uint32_t *)data = g_rand_int(g->rand);
-	begin_work(n);
+	begin_timing(n);
 	code = dl_rlog_propose(n->rlog, (struct dl_str){ data, bytes },
-			       local(n), &p.index, &p.term);
+			       local_now(n), &p.index, &p.term);
 	g_free(data);
 	g->count.steps++;
 	if (code == 0) {
@@ -567,23 +570,24 @@
 		if (g->proposals->len > 1000)
 			g_array_remove_index(g->proposals, 0);
 	}
-	pump(n);
+	process_outputs(n);
 	return code;
 }
 
 /* Whether a member has applied, and synced, all that its leader has. */
-static bool agrees(struct group *g, const struct node *leader,
-		   const struct dl_rlog_member *m)
+static bool is_converged(struct group *g, const struct node *leader,
+			 const struct dl_rlog_member *m)
 {
 	const struct node *n = &g->nodes[m->vm];
 	struct dl_rlog_status want, s;
 
-	if (!runs(n) || n->id != m->id)
+	if (!is_running(n) || n->id != m->id)
 		return false;
 	dl_rlog_get_status(leader->rlog, 0, &want);
 	dl_rlog_get_status(n->rlog, 0, &s);
 	return s.applied == want.last && s.last == want.last &&
-	       s.synced == s.last && n->chain.hash == leader->chain.hash;
+	       s.synced == s.last &&
+	       n->state_hash.hash == leader->state_hash.hash;
 }
 
 bool group_wait_converged(struct group *g, uint32_t max_ms)
@@ -596,8 +600,9 @@
 
 		for (uint32_t i = 0;
 		     same && i < dl_rlog_members(leader->rlog)->count; i++)
-			same = agrees(g, leader,
-				      &dl_rlog_members(leader->rlog)->at[i]);
+			same = is_converged(
+				g, leader,
+				&dl_rlog_members(leader->rlog)->at[i]);
 		if (same)
 			return true;
 		group_run(g, 10);
@@ -645,7 +650,7 @@
 
 uint64_t group_applied(const struct group *g, uint64_t vm)
 {
-	return g->nodes[vm].chain.index;
+	return g->nodes[vm].state_hash.index;
 }
 
 uint64_t group_identity(const struct group *g, uint64_t vm)
--- a/test/test_orders.c
+++ b/test/test_orders.c
@@ -14,17 +14,17 @@
 #include "daisyledge/orders.h"
 #include "fake/suite.h"
 
-#define SEED	    20261202
-#define RUNS	    200
-#define RUNS_SLOW   20 /* under a sanitizer, each takes twenty times as long */
-#define CHAOS_MS    120000
-#define CALM_MS	    600000
-#define STEP_MS	    20
-#define LEADERS	    3
-#define ENDPOINTS   6
-#define STORE_MB_S  2000
-#define LOAD_MB	    4000
-#define FLIGHTS_MAX 256
+#define SEED	      20261202
+#define RUNS	      200
+#define RUNS_SLOW     20 /* under a sanitizer, each takes twenty times as long */
+#define CHAOS_MS      120000
+#define CALM_MS	      600000
+#define STEP_MS	      20
+#define LEADERS	      3
+#define ENDPOINTS     6
+#define STORE_MB_S    2000
+#define LOAD_MB	      4000
+#define IN_FLIGHT_MAX 256
 
 static struct dl_orders_conf limits(void)
 {
@@ -89,7 +89,7 @@
 	return o;
 }
 
-START_TEST(those_as_wished_stay)
+START_TEST(fulfilled_endpoints_are_kept)
 {
 	struct dl_orders *o = make_leader("1", 2);
 	struct dl_order_endpoint e[] = {
@@ -117,7 +117,7 @@
 }
 END_TEST
 
-START_TEST(loads_wait_for_the_store)
+START_TEST(loads_wait_for_weight_store)
 {
 	struct dl_orders *o = make_leader("1", 0);
 	int64_t first = -1, second = -1;
@@ -174,7 +174,7 @@
 END_TEST
 
 /* What is seen done makes room at once; a restart forgets what was accepted. */
-START_TEST(announcements_tell_the_end)
+START_TEST(announcement_completes_order)
 {
 	struct dl_orders *o = make_leader("1", 0);
 	struct dl_order_endpoint a = announce("10.0.0.1:1", "strict", "a", "");
@@ -206,7 +206,7 @@
  * new leader was elected, and arrives as late as it can; the new leader's
  * clock is the fastest.
  */
-START_TEST(hold_covers_the_worst)
+START_TEST(hold_covers_worst_case)
 {
 	struct dl_orders *o = make_leader("1", 0);
 	struct dl_orders_conf c = limits();
@@ -227,7 +227,7 @@
 }
 END_TEST
 
-START_TEST(fenced_gives_no_more)
+START_TEST(fenced_leader_stops)
 {
 	struct dl_orders *o = make_leader("1", 0);
 	struct dl_order_endpoint e = announce("10.0.0.1:1", "strict", "", "");
@@ -288,12 +288,12 @@
 	double rate;
 	int64_t offset;
 	int64_t paused_until; /* true time */
-	bool holds;	      /* an order planned before a pause */
+	bool has_held;	      /* an order planned before a pause */
 	struct dl_order held;
 };
 
 struct fake_endpoint {
-	struct dl_order_endpoint says;
+	struct dl_order_endpoint announced;
 	bool loose;
 	bool tells_version;
 	uint64_t max_fence;
@@ -301,7 +301,7 @@
 	int64_t loaded_at; /* 0: nothing is loaded */
 };
 
-struct flight {
+struct in_flight {
 	struct dl_order order;
 	int from;
 	int64_t arrives;
@@ -316,8 +316,8 @@
 	int64_t now;
 	struct process process[LEADERS];
 	struct fake_endpoint endpoint[ENDPOINTS];
-	struct flight flight[FLIGHTS_MAX];
-	int flights;
+	struct in_flight in_flight[IN_FLIGHT_MAX];
+	int in_flight_count;
 	int leader;
 	uint64_t term;
 	uint64_t loads;
@@ -358,7 +358,8 @@
 		snprintf(id, sizeof(id), "10.0.1.%d:1", i + 1);
 		e->loose = i % 2;
 		e->tells_version = i % 3 != 0;
-		e->says = announce(id, e->loose ? "loose" : "strict", "", "");
+		e->announced =
+			announce(id, e->loose ? "loose" : "strict", "", "");
 	}
 	dl_conf_free(conf);
 }
@@ -395,12 +396,12 @@
 static void send_held(struct world *w, int from)
 {
 	struct process *p = &w->process[from];
-	struct flight *f = &w->flight[w->flights];
+	struct in_flight *f = &w->in_flight[w->in_flight_count];
 	int64_t local = clock_of(w, from);
 
-	p->holds = false;
+	p->has_held = false;
 	if (!dl_orders_may_send(p->orders, &p->held, local) ||
-	    w->flights == FLIGHTS_MAX) {
+	    w->in_flight_count == IN_FLIGHT_MAX) {
 		dl_orders_result(p->orders, p->held.id, DL_ORDER_FAILED, local);
 		return;
 	}
@@ -416,23 +417,23 @@
 			g_rand_int_range(w->rand, 0,
 					 (gint32)limits().network_delay_ms);
 	f->lost = chance(w, 100);
-	w->flights++;
+	w->in_flight_count++;
 	w->orders++;
 }
 
-static void plan(struct world *w, int from)
+static void plan_and_send(struct world *w, int from)
 {
 	struct process *p = &w->process[from];
 
 	if (p->paused_until > w->now)
 		return;
-	if (p->holds) {
+	if (p->has_held) {
 		send_held(w, from);
 		return;
 	}
 	if (!dl_orders_next(p->orders, clock_of(w, from), &p->held))
 		return;
-	p->holds = true;
+	p->has_held = true;
 	if (chance(w, 100))
 		p->paused_until = w->now + g_rand_int_range(w->rand, 0, 20000);
 	else
@@ -440,12 +441,13 @@
 }
 
 /* An endpoint takes an order: here is the invariant. */
-static void arrive(struct world *w, struct flight *f)
+static void receive_order(struct world *w, struct in_flight *f)
 {
 	struct fake_endpoint *e = &w->endpoint[0];
 
 	for (int i = 1; i < ENDPOINTS; i++) {
-		if (strcmp(w->endpoint[i].says.id.s, f->order.endpoint.s) == 0)
+		if (strcmp(w->endpoint[i].announced.id.s,
+			   f->order.endpoint.s) == 0)
 			e = &w->endpoint[i];
 	}
 	f->result = DL_ORDER_ACCEPTED;
@@ -457,8 +459,8 @@
 		return;
 	}
 	e->max_fence = f->order.fence;
-	if (e->says.models_count &&
-	    strcmp(e->says.models[0].s, f->order.model.s) == 0 &&
+	if (e->announced.models_count &&
+	    strcmp(e->announced.models[0].s, f->order.model.s) == 0 &&
 	    strcmp(e->loading.version.s, f->order.version.s) == 0)
 		return;
 	w->loads++;
@@ -466,15 +468,15 @@
 	e->loaded_at = w->now + g_rand_int_range(w->rand, 500, 20000);
 }
 
-static void fly(struct world *w)
+static void deliver_orders(struct world *w)
 {
-	for (int i = 0; i < w->flights; i++) {
-		struct flight *f = &w->flight[i];
+	for (int i = 0; i < w->in_flight_count; i++) {
+		struct in_flight *f = &w->in_flight[i];
 		struct process *p = &w->process[f->from];
 
 		if (!f->answer_at && f->arrives <= w->now) {
 			if (!f->lost)
-				arrive(w, f);
+				receive_order(w, f);
 			f->answer_at = w->now + 10;
 			f->lost = f->lost || chance(w, 100);
 		}
@@ -487,30 +489,31 @@
 					 DL_ORDER_UNKNOWN :
 					 f->result,
 				 clock_of(w, f->from));
-		*f = w->flight[--w->flights];
+		*f = w->in_flight[--w->in_flight_count];
 		i--;
 	}
 }
 
 /* Endpoints finish loads, restart, and announce themselves. */
-static void live(struct world *w)
+static void run_endpoints(struct world *w)
 {
 	for (int i = 0; i < ENDPOINTS; i++) {
 		struct fake_endpoint *e = &w->endpoint[i];
 
 		if (chance(w, 1)) {
-			e->says.incarnation++;
-			e->says.models_count = 0;
+			e->announced.incarnation++;
+			e->announced.models_count = 0;
 			e->loaded_at = 0;
-			memset(&e->says.version, 0, sizeof(e->says.version));
+			memset(&e->announced.version, 0,
+			       sizeof(e->announced.version));
 			memset(&e->loading, 0, sizeof(e->loading));
 		}
 		if (e->loaded_at && e->loaded_at <= w->now) {
-			e->says.models[0] = e->loading.model;
-			e->says.models_count = 1;
+			e->announced.models[0] = e->loading.model;
+			e->announced.models_count = 1;
 			if (e->tells_version) {
-				e->says.version = e->loading.version;
-				e->says.role = e->loading.role;
+				e->announced.version = e->loading.version;
+				e->announced.role = e->loading.role;
 			}
 			e->loaded_at = 0;
 		}
@@ -519,7 +522,8 @@
 			    g_rand_int_range(w->rand, 0, 10))
 				continue;
 			dl_orders_update_endpoint(w->process[p].orders,
-						  &e->says, clock_of(w, p));
+						  &e->announced,
+						  clock_of(w, p));
 		}
 	}
 }
@@ -532,14 +536,14 @@
 		if (chance(w, 1))
 			w->process[p].paused_until =
 				w->now + g_rand_int_range(w->rand, 0, 60000);
-		plan(w, p);
+		plan_and_send(w, p);
 		ck_assert_ptr_null(dl_orders_check(w->process[p].orders));
 	}
-	fly(w);
-	live(w);
+	deliver_orders(w);
+	run_endpoints(w);
 }
 
-START_TEST(one_order_giver_at_a_time)
+START_TEST(single_order_source)
 {
 	struct dl_orders_summary s = { 0 };
 	struct world w;
@@ -579,14 +583,14 @@
 
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 0);
-	tcase_add_test(t, those_as_wished_stay);
-	tcase_add_test(t, loads_wait_for_the_store);
+	tcase_add_test(t, fulfilled_endpoints_are_kept);
+	tcase_add_test(t, loads_wait_for_weight_store);
 	tcase_add_test(t, pool_keeps_its_capacity);
-	tcase_add_test(t, announcements_tell_the_end);
-	tcase_add_test(t, hold_covers_the_worst);
-	tcase_add_test(t, fenced_gives_no_more);
+	tcase_add_test(t, announcement_completes_order);
+	tcase_add_test(t, hold_covers_worst_case);
+	tcase_add_test(t, fenced_leader_stops);
 	tcase_add_test(t, one_order_at_a_time);
-	tcase_add_loop_test(t, one_order_giver_at_a_time, 0,
+	tcase_add_loop_test(t, single_order_source, 0,
 			    g_getenv("DL_SANITIZED") ? RUNS_SLOW : RUNS);
 	return suite_run(s);
 }
--- a/test/test_rlog.c
+++ b/test/test_rlog.c
@@ -9,7 +9,7 @@
 
 static const uint64_t first_three[] = { 1, 2, 3 };
 
-static struct group *three(uint32_t seed)
+static struct group *start_three(uint32_t seed)
 {
 	struct group *g = group_new(&(struct group_conf){
 		.seed = seed,
@@ -28,7 +28,7 @@
 	return g;
 }
 
-static void changes(struct group *g, uint32_t n)
+static void propose_and_run(struct group *g, uint32_t n)
 {
 	for (uint32_t i = 0; i < n; i++) {
 		ck_assert_int_eq(group_propose(g, group_leader(g), 20), 0);
@@ -36,7 +36,7 @@
 	}
 }
 
-static void finish(struct group *g)
+static void finish_group(struct group *g)
 {
 	ck_assert_msg(group_wait_converged(g, 30000), "does not converge");
 	ck_assert_str_eq(group_violation(g), "");
@@ -48,7 +48,7 @@
 	return group_leader(g) == 1 ? 2 : 1;
 }
 
-static struct dl_rlog_status status_of(struct group *g, uint64_t vm)
+static struct dl_rlog_status get_status(struct group *g, uint64_t vm)
 {
 	struct dl_rlog_status s;
 
@@ -56,130 +56,130 @@
 	return s;
 }
 
-START_TEST(commits_and_applies_the_same)
+START_TEST(commits_on_all_replicas)
 {
-	struct group *g = three(1);
+	struct group *g = start_three(1);
 
-	changes(g, 100);
+	propose_and_run(g, 100);
 	group_run(g, 100);
 	ck_assert_uint_eq(group_get_counters(g)->acked, 100);
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
 START_TEST(leader_lost)
 {
-	struct group *g = three(2);
+	struct group *g = start_three(2);
 	uint64_t old = group_leader(g);
 
-	changes(g, 10);
+	propose_and_run(g, 10);
 	group_crash(g, old);
 	ck_assert(group_wait_leader(g, 4000));
 	ck_assert_uint_ne(group_leader(g), old);
-	changes(g, 10);
+	propose_and_run(g, 10);
 	group_start(g, old);
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
 START_TEST(isolated_leader_steps_down)
 {
-	struct group *g = three(3);
+	struct group *g = start_three(3);
 	uint64_t old = group_leader(g);
 
 	fake_link_isolate(group_link(g), old);
 	group_run(g, 950);
-	ck_assert(!status_of(g, old).lease);
+	ck_assert(!get_status(g, old).lease);
 	group_run(g, 300);
-	ck_assert_int_ne(status_of(g, old).role, DL_RLOG_LEADER);
+	ck_assert_int_ne(get_status(g, old).role, DL_RLOG_LEADER);
 	ck_assert(group_wait_leader(g, 4000));
 	fake_link_heal(group_link(g));
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
 /* Pre-vote: who was cut off and comes back does not depose the leader. */
 START_TEST(returning_replica_does_not_depose)
 {
-	struct group *g = three(4);
+	struct group *g = start_three(4);
 	uint64_t leader = group_leader(g), away = follower(g);
-	uint64_t term = status_of(g, leader).term;
+	uint64_t term = get_status(g, leader).term;
 
 	fake_link_isolate(group_link(g), away);
 	group_run(g, 20000);
 	fake_link_heal(group_link(g));
 	group_run(g, 5000);
 	ck_assert_uint_eq(group_leader(g), leader);
-	ck_assert_uint_eq(status_of(g, leader).term, term);
-	finish(g);
+	ck_assert_uint_eq(get_status(g, leader).term, term);
+	finish_group(g);
 }
 END_TEST
 
 /* One way only: it hears nobody, and they hear it. */
-START_TEST(deaf_replica_does_not_depose)
+START_TEST(one_way_cut_does_not_depose)
 {
-	struct group *g = three(5);
-	uint64_t leader = group_leader(g), deaf = follower(g);
+	struct group *g = start_three(5);
+	uint64_t leader = group_leader(g), unreachable = follower(g);
 
-	fake_link_cut(group_link(g), DL_VM_NONE, deaf);
+	fake_link_cut(group_link(g), DL_VM_NONE, unreachable);
 	group_run(g, 20000);
 	ck_assert_uint_eq(group_leader(g), leader);
 	fake_link_heal(group_link(g));
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
 START_TEST(catches_up_by_snapshot)
 {
-	struct group *g = three(6);
+	struct group *g = start_three(6);
 	uint64_t away = follower(g);
 
 	group_crash(g, away);
-	changes(g, 300);
+	propose_and_run(g, 300);
 	group_start(g, away);
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
-START_TEST(planned_stop_costs_no_election_timeout)
+START_TEST(transfer_avoids_election_timeout)
 {
-	struct group *g = three(7);
+	struct group *g = start_three(7);
 	uint64_t old = group_leader(g);
 	int64_t begin;
 
-	changes(g, 5);
+	propose_and_run(g, 5);
 	begin = group_now(g);
 	ck_assert_int_eq(dl_rlog_transfer(group_rlog(g, old), begin), 0);
 	while (group_leader(g) == old || !group_leader(g))
 		group_run(g, 1);
 	ck_assert_int_lt(group_now(g) - begin, 100);
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
-START_TEST(lost_disk_comes_back_as_another)
+START_TEST(lost_disk_gets_new_identity)
 {
-	struct group *g = three(8);
+	struct group *g = start_three(8);
 	uint64_t lost = follower(g), before = group_identity(g, lost);
 
-	changes(g, 60);
+	propose_and_run(g, 60);
 	group_wipe(g, lost);
 	group_run(g, 2000);
 	group_start(g, lost);
 	group_run(g, 3000);
 	ck_assert_uint_ne(group_identity(g, lost), before);
 	ck_assert(group_members_are(g, first_three, 3));
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
 /* After a repair a second loss leaves a group that still commits. */
-START_TEST(second_loss_right_after_a_repair)
+START_TEST(second_loss_after_replacement)
 {
-	struct group *g = three(9);
+	struct group *g = start_three(9);
 	uint64_t lost = follower(g), second;
 
-	changes(g, 60);
+	propose_and_run(g, 60);
 	group_wipe(g, lost);
 	group_start(g, lost);
 	for (int i = 0; i < 10000 && !group_members_are(g, first_three, 3); i++)
@@ -187,21 +187,21 @@
 	second = lost == 3 ? 2 : 3;
 	group_wipe(g, second);
 	ck_assert(group_wait_leader(g, 5000));
-	changes(g, 10);
+	propose_and_run(g, 10);
 	group_start(g, second);
 	group_run(g, 5000);
 	ck_assert(group_members_are(g, first_three, 3));
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
-START_TEST(list_is_carried_out_one_by_one)
+START_TEST(replica_list_changes_one_by_one)
 {
 	static const uint64_t five[] = { 1, 2, 3, 4, 5 };
 	static const uint64_t others[] = { 3, 4, 5 };
-	struct group *g = three(10);
+	struct group *g = start_three(10);
 
-	changes(g, 50);
+	propose_and_run(g, 50);
 	group_start(g, 4);
 	group_start(g, 5);
 	group_set_replicas(g, five, 5);
@@ -212,7 +212,7 @@
 	ck_assert(group_members_are(g, others, 3));
 	group_kill(g, 1);
 	group_kill(g, 2);
-	changes(g, 20);
+	propose_and_run(g, 20);
 	ck_assert_str_eq(group_violation(g), "");
 	group_free(g);
 }
@@ -221,33 +221,33 @@
 START_TEST(waits_for_a_replica_that_never_came)
 {
 	static const uint64_t with_six[] = { 1, 2, 6 };
-	struct group *g = three(11);
+	struct group *g = start_three(11);
 	struct dl_err err;
 
 	group_set_replicas(g, with_six, 3);
 	group_run(g, 5000);
 	ck_assert(group_members_are(g, first_three, 3));
-	ck_assert_str_ne(status_of(g, group_leader(g)).waiting_for, "");
+	ck_assert_str_ne(get_status(g, group_leader(g)).waiting_for, "");
 	ck_assert_int_eq(dl_rlog_check_replicas(group_rlog(g, group_leader(g)),
 						(uint64_t[]){ 6, 7, 8 }, 3,
 						group_now(g), &err),
 			 -EINVAL);
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
 START_TEST(all_restarted_at_once)
 {
-	struct group *g = three(12);
+	struct group *g = start_three(12);
 
-	changes(g, 70);
+	propose_and_run(g, 70);
 	for (uint64_t vm = 1; vm <= 3; vm++)
 		group_crash(g, vm);
 	for (uint64_t vm = 1; vm <= 3; vm++)
 		group_start(g, vm);
 	ck_assert(group_wait_leader(g, 6000));
-	changes(g, 5);
-	finish(g);
+	propose_and_run(g, 5);
+	finish_group(g);
 }
 END_TEST
 
@@ -256,86 +256,86 @@
  * not how much was committed after it: until a leader has told it, what it has
  * is not current, though the snapshot may be of the term that it was in.
  */
-START_TEST(a_snapshot_alone_is_not_current)
+START_TEST(snapshot_alone_is_not_current)
 {
-	struct group *g = three(31);
+	struct group *g = start_three(31);
 	uint64_t behind = follower(g);
 
-	changes(g, 100);
+	propose_and_run(g, 100);
 	group_run(g, 500);
-	ck_assert(status_of(g, behind).current);
+	ck_assert(get_status(g, behind).current);
 	for (uint64_t vm = 1; vm <= 3; vm++)
 		group_crash(g, vm);
 	for (uint64_t vm = 1; vm <= 3; vm++)
 		group_start(g, vm);
 	group_run(g, 20);
 	for (uint64_t vm = 1; vm <= 3; vm++) {
-		ck_assert_uint_gt(status_of(g, vm).applied, 0);
-		ck_assert(!status_of(g, vm).current);
+		ck_assert_uint_gt(get_status(g, vm).applied, 0);
+		ck_assert(!get_status(g, vm).current);
 	}
 	ck_assert(group_wait_leader(g, 4000));
 	group_run(g, 500);
 	for (uint64_t vm = 1; vm <= 3; vm++)
-		ck_assert(status_of(g, vm).current);
+		ck_assert(get_status(g, vm).current);
 	behind = follower(g);
 	group_crash(g, behind);
 	fake_link_isolate(group_link(g), behind);
 	group_start(g, behind);
 	group_run(g, 500);
-	ck_assert(!status_of(g, behind).current);
+	ck_assert(!get_status(g, behind).current);
 	fake_link_heal(group_link(g));
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
 /* A sync that failed is never answered: the replica goes silent. */
-START_TEST(failed_sync_silences)
+START_TEST(failed_sync_halts)
 {
 	static const int codes[] = { -EIO, -ENOSPC };
-	struct group *g = three(13 + (uint32_t)_i);
+	struct group *g = start_three(13 + (uint32_t)_i);
 	uint64_t bad = group_leader(g);
 
 	fake_disk_fail_after(group_disk(g, bad), 1, codes[_i]);
 	group_propose(g, bad, 20);
 	group_run(g, 50);
-	ck_assert_int_eq(status_of(g, bad).role, DL_RLOG_HALTED);
-	ck_assert_str_ne(status_of(g, bad).halt_reason, "");
+	ck_assert_int_eq(get_status(g, bad).role, DL_RLOG_HALTED);
+	ck_assert_str_ne(get_status(g, bad).halt_reason, "");
 	ck_assert(group_wait_leader(g, 5000));
-	changes(g, 5);
+	propose_and_run(g, 5);
 	group_kill(g, bad);
 	group_start(g, bad);
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
 /* Damage in the middle: it refuses and says why. */
 START_TEST(damage_is_refused)
 {
-	struct group *g = three(20 + (uint32_t)_i);
+	struct group *g = start_three(20 + (uint32_t)_i);
 	uint64_t bad = follower(g);
 	struct fake_disk *disk = group_disk(g, bad);
 
-	changes(g, 30);
+	propose_and_run(g, 30);
 	group_run(g, 50);
 	group_kill(g, bad);
 	ck_assert(fake_disk_flip_bit(disk, fake_disk_bytes(disk) *
 						   (uint64_t)_i / 20));
 	group_start(g, bad);
 	group_run(g, 50);
-	ck_assert_int_eq(status_of(g, bad).role, DL_RLOG_HALTED);
+	ck_assert_int_eq(get_status(g, bad).role, DL_RLOG_HALTED);
 	ck_assert_uint_eq(group_get_counters(g)->damaged, 1);
 	group_wipe(g, bad);
 	group_start(g, bad);
 	group_run(g, 3000);
 	ck_assert(group_members_are(g, first_three, 3));
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
 /* The VM goes down before each single operation of its disk. */
 START_TEST(crash_at_every_disk_step)
 {
-	struct group *g = three(100 + (uint32_t)_i);
+	struct group *g = start_three(100 + (uint32_t)_i);
 	uint64_t vm = _i % 2 ? group_leader(g) : follower(g);
 
 	fake_disk_crash_after(group_disk(g, vm), (uint32_t)_i / 2);
@@ -348,7 +348,7 @@
 	group_crash(g, vm);
 	group_start(g, vm);
 	ck_assert_uint_eq(group_get_counters(g)->damaged, 0);
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
@@ -356,24 +356,24 @@
  * A disk that takes seconds to sync costs neither the leader nor a commit;
  * where a majority's are so slow, commits wait and the leader stays.
  */
-START_TEST(slow_disk_costs_no_leader)
+START_TEST(slow_disk_keeps_leader)
 {
-	struct group *g = three(40 + (uint32_t)_i);
+	struct group *g = start_three(40 + (uint32_t)_i);
 	uint64_t leader = group_leader(g);
 	uint64_t slow = _i == 1 ? leader : follower(g);
-	uint64_t term = status_of(g, leader).term;
+	uint64_t term = get_status(g, leader).term;
 
 	for (uint64_t vm = 1; vm <= 3; vm++) {
 		if (vm == slow || (_i == 2 && vm != leader))
 			fake_disk_set_sync_ms(group_disk(g, vm), 3000, 3000);
 	}
-	changes(g, 50);
+	propose_and_run(g, 50);
 	group_run(g, 20);
 	ck_assert(_i == 2 || group_get_counters(g)->acked == 50);
 	group_run(g, 10000);
 	ck_assert_uint_eq(group_leader(g), leader);
-	ck_assert_uint_eq(status_of(g, leader).term, term);
-	finish(g);
+	ck_assert_uint_eq(get_status(g, leader).term, term);
+	finish_group(g);
 }
 END_TEST
 
@@ -381,29 +381,29 @@
  * A voter that restarts has promised its leader not to vote for another; the
  * leader's lease goes on resting on that.
  */
-START_TEST(restart_keeps_the_promise)
+START_TEST(restart_keeps_vote_promise)
 {
-	struct group *g = three(30 + (uint32_t)_i);
+	struct group *g = start_three(30 + (uint32_t)_i);
 	uint64_t leader = group_leader(g);
-	uint64_t deaf = follower(g), other = 6 - leader - deaf;
+	uint64_t unreachable = follower(g), other = 6 - leader - unreachable;
 
-	fake_link_cut(group_link(g), leader, deaf);
+	fake_link_cut(group_link(g), leader, unreachable);
 	group_run(g, 3000);
 	ck_assert_uint_eq(group_leader(g), leader);
 	fake_link_isolate(group_link(g), leader);
 	group_kill(g, other);
 	group_start(g, other);
 	group_run(g, 600);
-	ck_assert_int_eq(status_of(g, leader).role, DL_RLOG_LEADER);
+	ck_assert_int_eq(get_status(g, leader).role, DL_RLOG_LEADER);
 	group_run(g, 4000);
 	fake_link_heal(group_link(g));
-	finish(g);
+	finish_group(g);
 }
 END_TEST
 
 /* The answer of one voter to a replica that stands alone in this test. */
-static void answer(struct dl_rlog *r, enum dl_rlog_msg_kind kind, uint64_t from,
-		   uint64_t term, bool fresh, int64_t now)
+static void deliver_reply(struct dl_rlog *r, enum dl_rlog_msg_kind kind,
+			  uint64_t from, uint64_t term, bool fresh, int64_t now)
 {
 	struct dl_rlog_msg m = {
 		.kind = kind,
@@ -424,7 +424,7 @@
 }
 
 /* An identity without a log has promised nothing: no lease rests on it. */
-START_TEST(unborn_answer_is_no_promise)
+START_TEST(uninitialized_reply_is_no_promise)
 {
 	struct dl_rlog_image image = { .id = 1, .cluster = 9 };
 	struct dl_rlog_conf conf;
@@ -437,14 +437,14 @@
 	};
 	r = dl_rlog_new(&conf, &image, 1, 0);
 	dl_rlog_tick(r, 2000);
-	answer(r, DL_RLOG_PREVOTE_REPLY, 2, 1, false, 2000);
-	answer(r, DL_RLOG_VOTE_REPLY, 2, 1, false, 2000);
+	deliver_reply(r, DL_RLOG_PREVOTE_REPLY, 2, 1, false, 2000);
+	deliver_reply(r, DL_RLOG_VOTE_REPLY, 2, 1, false, 2000);
 	ck_assert_int_eq(dl_rlog_propose(r, DL_STR("c"), 2000, &(uint64_t){ 0 },
 					 &(uint64_t){ 0 }),
 			 0);
-	answer(r, DL_RLOG_APPEND_REPLY, 3, 1, true, 2000);
+	deliver_reply(r, DL_RLOG_APPEND_REPLY, 3, 1, true, 2000);
 	ck_assert(!dl_rlog_lease(r, 2000, NULL));
-	answer(r, DL_RLOG_APPEND_REPLY, 3, 1, false, 2000);
+	deliver_reply(r, DL_RLOG_APPEND_REPLY, 3, 1, false, 2000);
 	ck_assert(dl_rlog_lease(r, 2000, NULL));
 	dl_rlog_free(r);
 }
@@ -457,23 +457,23 @@
 
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 60);
-	tcase_add_test(t, commits_and_applies_the_same);
+	tcase_add_test(t, commits_on_all_replicas);
 	tcase_add_test(t, leader_lost);
 	tcase_add_test(t, isolated_leader_steps_down);
 	tcase_add_test(t, returning_replica_does_not_depose);
-	tcase_add_test(t, deaf_replica_does_not_depose);
+	tcase_add_test(t, one_way_cut_does_not_depose);
 	tcase_add_test(t, catches_up_by_snapshot);
-	tcase_add_test(t, planned_stop_costs_no_election_timeout);
-	tcase_add_test(t, lost_disk_comes_back_as_another);
-	tcase_add_test(t, second_loss_right_after_a_repair);
-	tcase_add_test(t, list_is_carried_out_one_by_one);
+	tcase_add_test(t, transfer_avoids_election_timeout);
+	tcase_add_test(t, lost_disk_gets_new_identity);
+	tcase_add_test(t, second_loss_after_replacement);
+	tcase_add_test(t, replica_list_changes_one_by_one);
 	tcase_add_test(t, waits_for_a_replica_that_never_came);
 	tcase_add_test(t, all_restarted_at_once);
-	tcase_add_loop_test(t, slow_disk_costs_no_leader, 0, 3);
-	tcase_add_loop_test(t, restart_keeps_the_promise, 0, 10);
-	tcase_add_test(t, unborn_answer_is_no_promise);
-	tcase_add_test(t, a_snapshot_alone_is_not_current);
-	tcase_add_loop_test(t, failed_sync_silences, 0, 2);
+	tcase_add_loop_test(t, slow_disk_keeps_leader, 0, 3);
+	tcase_add_loop_test(t, restart_keeps_vote_promise, 0, 10);
+	tcase_add_test(t, uninitialized_reply_is_no_promise);
+	tcase_add_test(t, snapshot_alone_is_not_current);
+	tcase_add_loop_test(t, failed_sync_halts, 0, 2);
 	tcase_add_loop_test(t, damage_is_refused, 0, 20);
 	tcase_add_loop_test(t, crash_at_every_disk_step, 0, 160);
 	return suite_run(s);
--- a/test/test_rlog_random.c
+++ b/test/test_rlog_random.c
@@ -26,26 +26,26 @@
  * leader; 272, a learner whose change was never committed; 231, a first sync
  * that failed.
  */
-static const uint32_t kept_seeds[] = { 22, 231, 272 };
+static const uint32_t failing_seeds[] = { 22, 231, 272 };
 
 struct trial {
 	struct group *group;
 	GRand *rand;
-	bool say;
-	bool starts; /* replicas end and start together, often */
+	bool verbose;
+	bool restarts; /* replicas end and start together, often */
 };
 
 /* One of so many faults, where they do. */
-#define STARTS_FAULTS 5
+#define RESTART_ONE_IN 5
 
 static uint32_t below(struct trial *t, uint32_t n)
 {
 	return (uint32_t)g_rand_int_range(t->rand, 0, (gint32)n);
 }
 
-static void say(const struct trial *t, const char *what, uint64_t vm)
+static void log_event(const struct trial *t, const char *what, uint64_t vm)
 {
-	if (t->say)
+	if (t->verbose)
 		printf("%8lld %s %llu\n", (long long)group_now(t->group), what,
 		       (unsigned long long)vm);
 }
@@ -60,7 +60,7 @@
 static const uint32_t list_sizes[] = { 3, 5, 4, 3 };
 
 /* A disk may go only while all others hold everything. */
-static bool whole(struct trial *t)
+static bool all_replicas_complete(struct trial *t)
 {
 	struct dl_rlog_status s;
 	uint64_t leader = group_leader(t->group);
@@ -82,82 +82,82 @@
 	return s.count >= 2 && held == s.count + 1;
 }
 
-static void fault(struct trial *t)
+static void inject_fault(struct trial *t)
 {
 	struct group *g = t->group;
 	uint64_t vm = 1 + below(t, 5), other = 1 + below(t, 5);
 	struct fake_link_conf calm = { .delay_min_ms = 1, .delay_max_ms = 4 };
-	struct fake_link_conf rough = { .loss_permille = below(t, 200),
+	struct fake_link_conf lossy = { .loss_permille = below(t, 200),
 					.dup_permille = below(t, 200),
 					.delay_min_ms = 1,
 					.delay_max_ms = 1 + below(t, 300) };
 
 	switch (below(t, 18)) {
 	case 0:
-		say(t, "crash", vm);
+		log_event(t, "crash", vm);
 		group_crash(g, vm);
 		break;
 	case 1:
-		say(t, "kill", vm);
+		log_event(t, "kill", vm);
 		group_kill(g, vm);
 		break;
 	case 2:
 	case 3:
-		say(t, "crash soon", vm);
+		log_event(t, "crash soon", vm);
 		fake_disk_crash_after(group_disk(g, vm), below(t, 20));
 		break;
 	case 4:
-		say(t, "EIO soon", vm);
+		log_event(t, "EIO soon", vm);
 		fake_disk_fail_after(group_disk(g, vm), below(t, 20),
 				     below(t, 2) ? -EIO : -ENOSPC);
 		break;
 	case 5:
-		if (!whole(t))
+		if (!all_replicas_complete(t))
 			break;
-		say(t, "lost disk", vm);
+		log_event(t, "lost disk", vm);
 		group_wipe(g, vm);
 		break;
 	case 6:
-		say(t, "isolated", vm);
+		log_event(t, "isolated", vm);
 		fake_link_isolate(group_link(g), vm);
 		break;
 	case 7:
-		say(t, "deaf", vm);
+		log_event(t, "deaf", vm);
 		fake_link_cut(group_link(g), DL_VM_NONE, vm);
 		break;
 	case 8:
-		say(t, "one link", vm);
+		log_event(t, "one link", vm);
 		fake_link_cut(group_link(g), vm, other);
 		break;
 	case 9:
 	case 10:
-		say(t, "healed", 0);
+		log_event(t, "healed", 0);
 		fake_link_heal(group_link(g));
 		break;
 	case 11:
-		say(t, "rough", 0);
-		fake_link_set(group_link(g), &rough);
+		log_event(t, "rough", 0);
+		fake_link_set(group_link(g), &lossy);
 		break;
 	case 12:
-		say(t, "calm", 0);
+		log_event(t, "calm", 0);
 		fake_link_set(group_link(g), &calm);
 		break;
 	case 13:
-		say(t, "paused", vm);
+		log_event(t, "paused", vm);
 		group_pause(g, vm, below(t, 5000));
 		break;
 	case 14:
 		if (group_leader(g)) {
-			say(t, "transfer", group_leader(g));
+			log_event(t, "transfer", group_leader(g));
 			dl_rlog_transfer(group_rlog(g, group_leader(g)),
 					 group_local(g, group_leader(g)));
 		}
 		break;
 	case 15:
-		if (whole(t)) {
+		if (all_replicas_complete(t)) {
 			uint32_t i = below(t, G_N_ELEMENTS(lists));
 
-			say(t, "list", i);
+			log_event(t, "list", i);
 			group_set_replicas(g, lists[i], list_sizes[i]);
 		}
 		break;
@@ -171,7 +171,7 @@
  * off or without its disk: what a replica that has just started may grant
  * depends on what it promised before.
  */
-static void start_together(struct trial *t)
+static void restart_together(struct trial *t)
 {
 	struct group *g = t->group;
 	uint64_t leader = group_leader(g);
@@ -179,16 +179,16 @@
 	uint32_t all = below(t, 3);
 
 	if (frozen && below(t, 2)) {
-		say(t, "paused", frozen);
+		log_event(t, "paused", frozen);
 		group_pause(g, frozen, below(t, 2500));
 	} else if (frozen && below(t, 2)) {
-		say(t, "isolated", frozen);
+		log_event(t, "isolated", frozen);
 		fake_link_isolate(group_link(g), frozen);
 	}
-	if (whole(t) && below(t, 6) == 0) {
+	if (all_replicas_complete(t) && below(t, 6) == 0) {
 		uint64_t vm = 1 + below(t, 5);
 
-		say(t, "lost disk", vm);
+		log_event(t, "lost disk", vm);
 		group_wipe(g, vm);
 	}
 	for (uint64_t vm = 1; vm <= 5; vm++) {
@@ -196,7 +196,7 @@
 			continue;
 		if (!below(t, 8))
 			continue;
-		say(t, "started again", vm);
+		log_event(t, "started again", vm);
 		if (below(t, 2))
 			group_kill(g, vm);
 		else
@@ -242,9 +242,9 @@
 	}
 }
 
-static void show(struct trial *t)
+static void print_status(struct trial *t)
 {
-	for (uint64_t vm = 1; t->say && vm <= 5; vm++) {
+	for (uint64_t vm = 1; t->verbose && vm <= 5; vm++) {
 		struct dl_rlog *rlog = group_rlog(t->group, vm);
 		struct dl_rlog_status s = { 0 };
 
@@ -267,7 +267,7 @@
 }
 
 /* One seed: trouble, then calm in which all must come to agree. */
-static void run_seed(uint32_t seed, bool starts, bool aloud,
+static void run_seed(uint32_t seed, bool restarts, bool verbose,
 		     struct group_counters *sum)
 {
 	struct group_conf conf = {
@@ -282,8 +282,8 @@
 	};
 	struct trial t = { .group = group_new(&conf),
 			   .rand = g_rand_new_with_seed(seed ^ 0x5eed),
-			   .say = aloud,
-			   .starts = starts };
+			   .verbose = verbose,
+			   .restarts = restarts };
 	struct fake_link_conf calm = { .delay_min_ms = 1, .delay_max_ms = 4 };
 	const struct group_counters *count = group_get_counters(t.group);
 	bool same;
@@ -291,10 +291,10 @@
 	restart_some(&t, true);
 	group_run(t.group, 3000);
 	for (int i = 0; i < ROUNDS && !count->violations; i++) {
-		if (starts && below(&t, STARTS_FAULTS) == 0)
-			start_together(&t);
+		if (restarts && below(&t, RESTART_ONE_IN) == 0)
+			restart_together(&t);
 		else
-			fault(&t);
+			inject_fault(&t);
 		propose_some(&t);
 		group_run(t.group, below(&t, 400));
 		restart_some(&t, false);
@@ -314,7 +314,7 @@
 	if (same && group_leader(t.group))
 		group_propose(t.group, group_leader(t.group), 8);
 	same = same && group_wait_converged(t.group, CALM_MS);
-	show(&t);
+	print_status(&t);
 	ck_assert_str_eq(group_violation(t.group), "");
 	ck_assert_msg(same, "seed %u: no agreement in the calm", seed);
 	ck_assert_msg(count->damaged == 0, "seed %u: a torn tail was refused",
@@ -328,16 +328,16 @@
 	group_free(t.group);
 }
 
-START_TEST(kept)
+START_TEST(regression_seeds)
 {
 	struct group_counters sum = { 0 };
 
-	run_seed(kept_seeds[_i], false, false, &sum);
+	run_seed(failing_seeds[_i], false, false, &sum);
 }
 END_TEST
 
 /* As many seeds as there is time for, or are asked for. */
-static void run_seeds(bool starts)
+static void run_seeds(bool restarts)
 {
 	const char *seeds = getenv("DL_SEEDS"), *one = getenv("DL_SEED");
 	uint64_t steps = getenv("DL_SANITIZED") ? SANITIZED_STEPS : CI_STEPS;
@@ -348,13 +348,13 @@
 	if (seeds)
 		steps = UINT64_MAX;
 	for (i = 0; i < n && sum.steps < steps; i++) {
-		run_seed(from + i, starts, one != NULL, &sum);
+		run_seed(from + i, restarts, one != NULL, &sum);
 		if (one)
 			break;
 	}
 	printf("%u seeds%s, %llu steps, %llu acknowledged, %llu leaders, "
 	       "%llu reads, %llu restores\n",
-	       i, starts ? " with starts together" : "",
+	       i, restarts ? " with starts together" : "",
 	       (unsigned long long)sum.steps, (unsigned long long)sum.acked,
 	       (unsigned long long)sum.leaders, (unsigned long long)sum.reads,
 	       (unsigned long long)sum.restores);
@@ -366,7 +366,7 @@
 }
 END_TEST
 
-START_TEST(many_seeds_of_starts)
+START_TEST(many_seeds_with_restarts)
 {
 	run_seeds(true);
 }
@@ -379,8 +379,9 @@
 
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 0);
-	tcase_add_loop_test(t, kept, 0, G_N_ELEMENTS(kept_seeds));
+	tcase_add_loop_test(t, regression_seeds, 0,
+			    G_N_ELEMENTS(failing_seeds));
 	tcase_add_test(t, many_seeds);
-	tcase_add_test(t, many_seeds_of_starts);
+	tcase_add_test(t, many_seeds_with_restarts);
 	return suite_run(s);
 }
