--- a/include/daisyledge/disk.h
+++ b/include/daisyledge/disk.h
@@ -1,12 +1,12 @@
 /*
- * The disk as the state parts see it: files by name in one folder, no more.
- * What was written lasts only once it has been synced; a name that was made,
- * renamed or unlinked lasts only once the folder has been synced.
+ * The disk interface of the state modules: named files in one directory.
+ * Written data is durable only after a sync of the file; a created, renamed or
+ * unlinked name is durable only after a sync of the directory.
  *
- * The functions with a done are for a running process: they are begun in the
- * order of their calls, and done is called once, maybe before they return,
- * with 0 or a negative errno.  The caller keeps data until then.  The others
- * block and are for the start.
+ * The functions that take a dl_disk_done are for a running process: they are
+ * started in the order of the calls, and the callback is called once, possibly
+ * before they return, with 0 or a negative errno.  Until then the caller keeps
+ * the data unchanged.  The other functions block and are for startup.
  */
 #ifndef DAISYLEDGE_DISK_H
 #define DAISYLEDGE_DISK_H
@@ -27,14 +27,14 @@
 	void (*sync_folder)(void *disk, struct dl_disk_done done);
 	void (*unlink)(void *disk, const char *name, struct dl_disk_done done);
 
-	/* The whole file, which the caller frees with free(). */
+	/* Reads the whole file; the caller frees it with free(). */
 	int (*read)(void *disk, const char *name, char **out, size_t *n);
 	int (*list)(void *disk, void (*each)(void *arg, const char *name),
 		    void *arg);
 	int (*truncate)(void *disk, const char *name, uint64_t size);
 };
 
-/* A disk and its table. */
+/* A disk and its operations. */
 struct dl_disk {
 	const struct dl_disk_ops *ops;
 	void *disk;
--- a/include/daisyledge/rlog.h
+++ b/include/daisyledge/rlog.h
@@ -1,18 +1,20 @@
 /*
- * The replicated log: elections with pre-vote and check-quorum, a leader
- * lease, replication, snapshots, and membership changes one at a time with
- * learners.  Pure: it asks for disk writes and for messages through the
- * output queue, and is told when a write has been synced.
+ * The replicated log, after Raft: elections with pre-vote and check-quorum, a
+ * leader lease, replication, snapshots, and membership changes of one member at
+ * a time, with learners.  It does no input or output itself: it requests disk
+ * writes and messages through its output functions and is told when a write has
+ * been synced.
  *
  * After any call the owner
- *   - sends what dl_rlog_out() gives,
- *   - writes what dl_rlog_write() gives, and tells dl_rlog_written() the end,
- *   - carries out what dl_rlog_apply() gives,
+ *   - sends the messages that dl_rlog_out() returns,
+ *   - writes the record that dl_rlog_write() returns, and reports its
+ *     completion to dl_rlog_written(),
+ *   - applies what dl_rlog_apply() returns,
  *   - calls dl_rlog_tick() at dl_rlog_wakeup().
  *
- * A replica is known by its identity, a random number that is stored on its
- * disk.  A vote and a match index belong to the identity, so that an empty
- * disk never votes under its old name.
+ * A replica is known by its identity, a random number stored on its disk. Votes
+ * and match indexes belong to the identity, so that a replica that lost its
+ * disk cannot vote under the identity that may already have voted.
  */
 #ifndef DAISYLEDGE_RLOG_H
 #define DAISYLEDGE_RLOG_H
@@ -22,13 +24,13 @@
 
 struct dl_rlog;
 
-/* Seven replicas, each of which may be on its way to be replaced. */
+/* Seven replicas, each of which may be in the middle of being replaced. */
 #define DL_RLOG_MEMBERS_MAX 16
 
 struct dl_rlog_member {
 	uint64_t vm;
 	uint64_t id;
-	bool voter; /* else a learner */
+	bool voter; /* otherwise a learner */
 };
 
 struct dl_rlog_members {
@@ -37,9 +39,9 @@
 };
 
 enum dl_rlog_entry_kind {
-	DL_RLOG_NOOP, /* a new leader's first */
+	DL_RLOG_NOOP, /* the first entry of a new leader */
 	DL_RLOG_COMMAND,
-	DL_RLOG_MEMBERS, /* in force from when it is appended */
+	DL_RLOG_MEMBERS, /* takes effect when appended */
 };
 
 struct dl_rlog_entry {
@@ -49,7 +51,10 @@
 	struct dl_str data;
 };
 
-/* The state after an index.  Index 0 is the state before the first entry. */
+/*
+ * The state after applying an index.  Index 0 is the state before the first
+ * entry.
+ */
 struct dl_rlog_snapshot {
 	uint64_t index;
 	uint64_t term;
@@ -58,20 +63,19 @@
 };
 
 enum dl_rlog_msg_kind {
-	DL_RLOG_JOIN = 1,      /* an identity without a log asks for one */
-	DL_RLOG_BOOTSTRAP = 2, /* the members that begin a log */
+	DL_RLOG_JOIN = 1,      /* asks to become a member */
+	DL_RLOG_BOOTSTRAP = 2, /* the initial members of a log */
 	DL_RLOG_PREVOTE = 3,
 	DL_RLOG_PREVOTE_REPLY = 4,
 	DL_RLOG_VOTE = 5,
 	DL_RLOG_VOTE_REPLY = 6,
-	DL_RLOG_APPEND = 7, /* heartbeat as well */
+	DL_RLOG_APPEND = 7, /* also the heartbeat */
 	DL_RLOG_APPEND_REPLY = 8,
-	DL_RLOG_SNAPSHOT = 9, /* one piece of it */
+	DL_RLOG_SNAPSHOT = 9, /* one chunk */
 	DL_RLOG_SNAPSHOT_REPLY = 10,
-	DL_RLOG_TRANSFER = 11, /* begin an election now */
-	DL_RLOG_STARTUP_QUERY =
-		12, /* this replica has started: who leads not? */
-	DL_RLOG_STARTUP_REPLY = 13, /* the one that answers does not lead */
+	DL_RLOG_TRANSFER = 11,	    /* start an election now */
+	DL_RLOG_STARTUP_QUERY = 12, /* asks a voter whether it leads */
+	DL_RLOG_STARTUP_REPLY = 13, /* the sender does not lead */
 	DL_RLOG_MSG_KIND_COUNT,
 };
 
@@ -79,45 +83,50 @@
 	enum dl_rlog_msg_kind kind;
 	uint64_t to_vm;
 	uint64_t from_vm;
-	uint64_t cluster; /* which log; 0 where there is none yet */
+	uint64_t cluster; /* ID of the log; 0 if there is none yet */
 	uint64_t from_id;
-	uint64_t to_id; /* 0 in HELLO only */
+	uint64_t to_id; /* 0 only in JOIN */
 	uint64_t term;
 	/*
-	 * PREVOTE, VOTE: the last entry.  APPEND: the entry before entries.
-	 * APPEND_REPLY: the last entry known to match, or where to look next.
-	 * HELLO: a digest of the replicas listed; commit is the VM that
-	 * asks, since others pass it on.
+	 * PREVOTE, VOTE: the sender's last entry.  APPEND: the entry before
+	 * entries.  APPEND_REPLY: the last entry known to match, or where the
+	 * leader should probe next.  JOIN: a digest of the configured replicas;
+	 * commit is the VM that wants to join, since other replicas forward the
+	 * message.
 	 */
 	uint64_t index;
 	uint64_t index_term;
-	uint64_t commit; /* APPEND_REPLY: the index of the APPEND answered */
+	uint64_t commit; /* APPEND_REPLY: index of the APPEND */
 	/*
-	 * The leader's clock when it sent; echoed, or 0 where the answer
-	 * promises nothing.  STARTED: a number of this start; echoed.
+	 * The leader's clock at the time of sending; replies echo it, or carry
+	 * 0 if they promise nothing.  STARTUP_QUERY: a random number of this
+	 * process start, echoed in the reply.
 	 */
 	int64_t stamp;
 	bool ok;
-	bool fresh;    /* APPEND_REPLY: has no log at all */
-	bool transfer; /* VOTE: the leader itself asked for this election */
+	bool fresh;    /* APPEND_REPLY: the sender has no log */
+	bool transfer; /* VOTE: the leader requested this election */
 	uint32_t count;
 	const struct dl_rlog_entry *entries;
-	/* SNAPSHOT; its data is the piece at offset out of total bytes. */
+	/* SNAPSHOT: its data is the chunk at offset, of total bytes. */
 	struct dl_rlog_snapshot snapshot;
 	uint64_t offset;
 	uint64_t total;
 };
 
-/* What to write next; one at a time, answered by dl_rlog_written(). */
+/*
+ * The next journal record to write.  Only one is written at a time;
+ * dl_rlog_written() reports its completion.
+ */
 struct dl_rlog_record {
 	uint64_t seq;
 	uint64_t cluster;
 	uint64_t term;
 	uint64_t vote;
 	/*
-	 * Where set, this replaces all that is stored: the snapshot, and every
-	 * entry after the base.  Else entries replace those stored from the
-	 * first one's index on.
+	 * If set, the snapshot and the entries replace everything stored, and
+	 * the entries start after the base.  Otherwise the entries replace the
+	 * stored ones from the index of the first one on.
 	 */
 	const struct dl_rlog_snapshot *snapshot;
 	uint64_t base_index;
@@ -126,10 +135,10 @@
 	const struct dl_rlog_entry *entries;
 };
 
-/* What was found on the disk; strings are owned by the image. */
+/* What was read from the disk; the image owns its strings. */
 struct dl_rlog_image {
 	uint64_t id;
-	uint64_t cluster; /* 0: an identity without a log */
+	uint64_t cluster; /* 0: there is no log yet */
 	uint64_t term;
 	uint64_t vote;
 	uint64_t base_index;
@@ -141,40 +150,47 @@
 };
 
 struct dl_rlog_conf {
-	uint64_t self; /* this VM */
+	uint64_t self; /* the VM of this replica */
 	uint32_t heartbeat_ms;
 	/*
-	 * A follower that has heard its leader so recently grants no vote, and
-	 * a leader that has not heard a majority for so long steps down.  A
-	 * follower stands for election after one to one and a half of it.
+	 * A follower that heard from its leader within this time grants no
+	 * vote, and a leader that has not heard from a majority for this time
+	 * steps down.  A follower starts an election after 1 to 1.5 times this
+	 * time without hearing from a leader.
 	 */
 	uint32_t election_ms;
-	/* Shorter than election_ms by what clocks may drift apart in it. */
+	/*
+	 * Shorter than election_ms by the most that clocks drift apart in that
+	 * time.
+	 */
 	uint32_t lease_ms;
 	uint32_t join_interval_ms;
-	uint32_t snapshot_entries; /* a snapshot is wanted after so many */
-	uint64_t snapshot_bytes;   /* or after so many, and its own size */
-	uint32_t keep_entries;	   /* kept for followers that lag a little */
+	uint32_t snapshot_entries; /* entries between two snapshots */
+	uint64_t snapshot_bytes;   /* or bytes, and the last one's size */
+	uint32_t keep_entries;	   /* kept for lagging followers */
 	uint64_t keep_bytes;
-	uint64_t append_bytes;	 /* in one message, but for one entry alone */
-	uint64_t inflight_bytes; /* sent to one follower, not acknowledged */
-	uint32_t chunk_bytes;	 /* of a snapshot, in one message */
-	uint64_t uncommitted_bytes; /* more is refused */
-	/* The replicas of the first start; each of them has the same list. */
+	uint64_t append_bytes;	    /* in a message, or one entry */
+	uint64_t inflight_bytes;    /* unacknowledged, to a follower */
+	uint32_t chunk_bytes;	    /* of a snapshot, per message */
+	uint64_t uncommitted_bytes; /* proposals beyond this are refused */
+	/*
+	 * The replicas that create the log, as configured; all of them must
+	 * have the same list.
+	 */
 	uint32_t listed_count;
 	uint64_t listed[DL_RLOG_MEMBERS_MAX];
-	bool joins_only; /* never begins a log, however empty the others are */
+	bool joins_only; /* never creates a log, even if none exists */
 	/*
-	 * How many voters the group keeps by itself where nobody lists them:
-	 * 0 for none, see rlog_voters.c.
+	 * The number of voters that the leader maintains by itself if the
+	 * configuration lists no replicas; 0 for none, see rlog_voters.c.
 	 */
 	uint32_t voters_wanted;
-	uint32_t voter_timeout_ms; /* a voter unheard for so long makes room */
+	uint32_t voter_timeout_ms; /* silence before replacement */
 };
 
 enum dl_rlog_role {
-	DL_RLOG_HALTED,	       /* damaged or failed disk; answers nobody */
-	DL_RLOG_UNINITIALIZED, /* has an identity, and no log yet */
+	DL_RLOG_HALTED,	       /* damaged or failed disk; sends nothing */
+	DL_RLOG_UNINITIALIZED, /* has an identity but no log yet */
 	DL_RLOG_FOLLOWER,
 	DL_RLOG_PRECANDIDATE,
 	DL_RLOG_CANDIDATE,
@@ -193,7 +209,7 @@
 	uint64_t id;
 	uint64_t cluster;
 	uint64_t term;
-	uint64_t leader; /* VM, or none */
+	uint64_t leader; /* VM, or DL_VM_NONE */
 	uint64_t commit;
 	uint64_t last;
 	uint64_t synced;
@@ -202,20 +218,19 @@
 	bool voter;
 	bool lease;
 	/*
-	 * Everything committed before this term began has been applied: what
-	 * is shown cannot be older than what was shown before a restart.
+	 * Everything committed before this term began has been applied: the
+	 * state is not older than what was visible before a restart.
 	 */
 	bool current;
-	uint32_t count; /* peers, as the leader knows them */
+	uint32_t count; /* of peers, as the leader knows them */
 	struct dl_rlog_peer_status peers[DL_RLOG_MEMBERS_MAX];
-	char waiting_for[160]; /* what a repair waits for; empty where it does
-				  not */
+	char waiting_for[160]; /* what a membership change needs */
 	char halt_reason[224];
 };
 
 enum dl_rlog_apply_kind {
 	DL_RLOG_APPLY_COMMAND,
-	DL_RLOG_APPLY_RESTORE, /* replace the state by this snapshot */
+	DL_RLOG_APPLY_RESTORE, /* replace the state by the snapshot */
 };
 
 struct dl_rlog_apply {
@@ -226,12 +241,12 @@
 };
 
 void dl_rlog_defaults(struct dl_rlog_conf *conf);
-/* Takes the image's content over; the image is empty afterwards. */
+/* Takes over the content of the image, which is empty afterwards. */
 struct dl_rlog *dl_rlog_new(const struct dl_rlog_conf *conf,
 			    struct dl_rlog_image *image, uint32_t seed,
 			    int64_t now);
 void dl_rlog_free(struct dl_rlog *rlog);
-/* Stop answering for good; the reason is shown by the status. */
+/* Stops the replica for good; the status shows the reason. */
 void dl_rlog_halt(struct dl_rlog *rlog, const struct dl_err *why);
 void dl_rlog_image_free(struct dl_rlog_image *image);
 
@@ -239,68 +254,76 @@
 	       int64_t now);
 void dl_rlog_tick(struct dl_rlog *rlog, int64_t now);
 int64_t dl_rlog_wakeup(const struct dl_rlog *rlog);
-/* The next message; its pointers last until the next call. */
+/* The next message; its pointers are valid until the next call. */
 bool dl_rlog_out(struct dl_rlog *rlog, int64_t now, struct dl_rlog_msg *msg);
-/* The next unit to write; its pointers last until the next call. */
+/* The next record to write; its pointers are valid until the next call. */
 bool dl_rlog_write(struct dl_rlog *rlog, struct dl_rlog_record *rec);
 void dl_rlog_written(struct dl_rlog *rlog, uint64_t seq, int code, int64_t now);
-/* The next committed command or snapshot; data lasts until the next call. */
+/* The next committed command or snapshot; data is valid until the next call. */
 bool dl_rlog_apply(struct dl_rlog *rlog, struct dl_rlog_apply *out);
 
-/* 0 and where it stands, DL_ENOLEADER, -EAGAIN (too much is under way). */
+/*
+ * 0 with the position of the command, DL_ENOLEADER, or -EAGAIN if too much is
+ * uncommitted.
+ */
 int dl_rlog_propose(struct dl_rlog *rlog, struct dl_str command, int64_t now,
 		    uint64_t *index, uint64_t *term);
 /*
- * The point a linearizable read has to wait for until it is applied: 0,
- * DL_ENOLEADER, or -EAGAIN where the lease is not proved at the moment.
+ * The index that must be applied before a linearizable read: 0, DL_ENOLEADER,
+ * or -EAGAIN if the lease is not confirmed at the moment.
  */
 int dl_rlog_read(const struct dl_rlog *rlog, int64_t now, uint64_t *index);
-/* Whether no other leader can exist until a time from now on. */
+/* Whether no other leader can exist now; sets until to when this ends. */
 bool dl_rlog_lease(const struct dl_rlog *rlog, int64_t now, int64_t *until);
-/* Hand leadership to the follower that holds most; before a planned stop. */
+/*
+ * Transfers leadership to the most up-to-date follower, before a planned stop.
+ */
 int dl_rlog_transfer(struct dl_rlog *rlog, int64_t now);
 
-/* Whether applied entries should be replaced by a snapshot now. */
+/* Whether the applied entries should now be replaced by a snapshot. */
 bool dl_rlog_snapshot_wanted(const struct dl_rlog *rlog);
-/* The state after all that was applied so far. */
+/* Takes the state after everything applied so far as the new snapshot. */
 int dl_rlog_snapshot(struct dl_rlog *rlog, struct dl_str data);
 
 /*
- * The replicas as the operators want them; the leader carries it out one
- * change at a time.  None stands for those there are.
+ * Sets the replicas that operators configured; the leader changes the
+ * membership one member at a time.  An empty list keeps the current members.
  */
 void dl_rlog_set_replicas(struct dl_rlog *rlog, const uint64_t *vms,
 			  uint32_t count);
-/* 0, or -EINVAL and why such a list would lose the quorum. */
+/* 0, or -EINVAL with the reason if the list would lose the quorum. */
 int dl_rlog_check_replicas(const struct dl_rlog *rlog, const uint64_t *vms,
 			   uint32_t count, int64_t now, struct dl_err *err);
 void dl_rlog_get_status(const struct dl_rlog *rlog, int64_t now,
 			struct dl_rlog_status *out);
-/* The members in force; for what else goes by them. */
+/* The members in effect, which may not be committed yet. */
 const struct dl_rlog_members *dl_rlog_members(const struct dl_rlog *rlog);
 
 /*
- * The journal: the log's units in one file of checksummed records, which a
- * snapshot replaces by the next one.
+ * The journal: the records of the log in one checksummed file, which each
+ * snapshot replaces by a new one.
  */
 struct dl_rlog_store;
 
 /*
- * Read what is stored; an empty folder begins with the identity new_id.
- * 0, DL_EDAMAGED or a negative errno with err.
+ * Reads what is stored; an empty directory starts with the identity new_id.
+ * Returns 0, DL_EDAMAGED or a negative errno, with err set.
  */
 int dl_rlog_store_open(struct dl_disk disk, uint64_t new_id,
 		       struct dl_rlog_store **out, struct dl_rlog_image *image,
 		       struct dl_err *err);
-/* Make sure that all that was read is synced; to be done before anything. */
+/* Syncs everything that was read; must complete before any other use. */
 void dl_rlog_store_start(struct dl_rlog_store *store, struct dl_disk_done done);
-/* One at a time; the unit is copied. */
+/* Only one write at a time; the record is copied. */
 void dl_rlog_store_write(struct dl_rlog_store *store,
 			 const struct dl_rlog_record *rec,
 			 struct dl_disk_done done);
-/* Only while nothing is being written, or where the disk will never answer. */
+/*
+ * Call only while no write is in progress or if the disk will never complete
+ * it.
+ */
 void dl_rlog_store_free(struct dl_rlog_store *store);
-/* The bytes of the journal now. */
+/* The current size of the journal in bytes. */
 uint64_t dl_rlog_store_bytes(const struct dl_rlog_store *store);
 
 #endif
--- a/src/state/orders.c
+++ b/src/state/orders.c
@@ -1,4 +1,4 @@
-/* When orders may be given, one after the other, and what came of them. */
+/* Scheduling of orders and handling of their results. */
 #include "daisyledge/orders.h"
 
 #include <errno.h>
@@ -32,9 +32,9 @@
 			      const struct dl_order_endpoint *b);
 
 /*
- * What holds where nothing else is known: leases of the replicated log under
- * two seconds, orders answered or given up within five, an engine's load
- * within ten minutes, a seven-billion-parameter model of sixteen bits.
+ * Defaults: leases of the replicated log below two seconds, orders answered or
+ * timed out within five seconds, a model loaded within ten minutes, a 16-bit
+ * model of seven billion parameters.
  */
 void dl_orders_defaults(struct dl_orders_conf *conf)
 {
@@ -54,7 +54,7 @@
 	g_free(target);
 }
 
-/* A planner without endpoints, configuration or leadership. */
+/* Creates a planner without endpoints, configuration or leadership. */
 struct dl_orders *dl_orders_new(const struct dl_orders_conf *conf)
 {
 	struct dl_orders *orders = calloc(1, sizeof(*orders));
@@ -70,7 +70,7 @@
 	return orders;
 }
 
-/* Release a planner; NULL is nothing to do. */
+/* Frees a planner; NULL is allowed. */
 void dl_orders_free(struct dl_orders *orders)
 {
 	if (!orders)
@@ -83,15 +83,15 @@
 	free(orders);
 }
 
-/* What one load takes, in thousandths of a MB. */
+/* The cost of one load, in thousandths of a MB. */
 static int64_t load_cost(const struct dl_orders *orders)
 {
 	return (int64_t)orders->conf.load_mb * MS_PER_S;
 }
 
 /*
- * Fill the bucket of the weight store.  It holds one load, so that loads are
- * spread over time and never begin together after a pause.
+ * Refills the token bucket of the weight store.  It holds one load at most, so
+ * that loads are spread over time and never start together after a pause.
  */
 static void refill(struct dl_orders *orders, int64_t now)
 {
@@ -105,13 +105,13 @@
 }
 
 /*
- * Take up or keep leadership.  A new term begins with an empty bucket, as the
- * earlier leader may have emptied it, and with nothing known of orders under
- * way.  For endpoints that ignore fencing it holds back: an earlier leader's
- * lease ends at most lease_ms from now, its last order is given up by its
- * sender send_timeout_ms later, and what was sent arrives within
- * network_delay_ms; all of this on a clock that may run slower than ours by the
- * drift.
+ * Starts or renews leadership.  A new term starts with an empty bucket, as the
+ * earlier leader may have emptied it, and without knowledge of earlier orders
+ * in progress.  Orders to endpoints that ignore fencing are held back: an
+ * earlier leader's lease ends at most lease_ms from now, its sender gives the
+ * last order up send_timeout_ms later, and a sent order arrives within
+ * network_delay_ms. The sum is increased by the clock drift, since the earlier
+ * leader's clock may run slower than ours.
  */
 int dl_orders_set_leader(struct dl_orders *orders, uint64_t term,
 			 int64_t lease_until, int64_t now)
@@ -137,13 +137,13 @@
 	return 0;
 }
 
-/* Give no more orders; what is under way is the next leader's to wait for. */
+/* Stops sending orders; the next leader waits for those in progress. */
 void dl_orders_clear_leader(struct dl_orders *orders)
 {
 	orders->term = 0;
 }
 
-/* Take the orders, drains and limits of a configuration. */
+/* Applies the orders, drains and limits of a configuration. */
 void dl_orders_configure(struct dl_orders *orders, const struct dl_conf *conf,
 			 int64_t now)
 {
@@ -180,13 +180,13 @@
 	orders_plan(orders);
 }
 
-/* Whether an endpoint holds one of the places that its service has. */
+/* Whether an endpoint uses one of the slots of its service. */
 static bool is_in_progress(const struct target *t)
 {
 	return t->state != TARGET_IDLE;
 }
 
-/* An order is over: its service has room for another. */
+/* Ends an order and frees its slot in the service. */
 static void release(struct dl_orders *orders, struct target *t, int64_t until)
 {
 	struct order_service *s = orders_service(orders, &t->announced.service);
@@ -197,14 +197,14 @@
 	t->not_before = MAX(t->not_before, until);
 }
 
-/* An endpoint that announces what it has accepted is done. */
+/* Ends an accepted order once the endpoint announces its goal. */
 static void release_if_done(struct dl_orders *orders, struct target *t)
 {
 	if (t->state == TARGET_ACCEPTED && orders_is_done(orders, t))
 		release(orders, t, t->not_before);
 }
 
-/* Whether two announcements are the same as far as orders are concerned. */
+/* Whether two announcements are equal as far as orders are concerned. */
 static bool same_announcement(const struct dl_order_endpoint *a,
 			      const struct dl_order_endpoint *b)
 {
@@ -221,9 +221,9 @@
 }
 
 /*
- * An endpoint announces itself.  A new incarnation has forgotten what it
- * accepted; an order to the old one may still arrive, so its time is waited
- * out all the same.
+ * Handles the announcement of an endpoint.  A new incarnation has lost what it
+ * accepted, but an order sent to the old one may still arrive, so its time is
+ * waited out.
  */
 void dl_orders_update_endpoint(struct dl_orders *orders,
 			       const struct dl_order_endpoint *endpoint,
@@ -257,7 +257,7 @@
 	release_if_done(orders, t);
 }
 
-/* Forget an endpoint. */
+/* Removes an endpoint. */
 static void remove_target(struct dl_orders *orders, struct target *t)
 {
 	release(orders, t, 0);
@@ -267,8 +267,8 @@
 }
 
 /*
- * An endpoint is gone.  While an order to it may still arrive it is kept, as
- * it may come back sooner than that.
+ * Handles the removal of an endpoint.  It is kept while an order to it may
+ * still arrive, as it may come back sooner than that.
  */
 void dl_orders_remove_endpoint(struct dl_orders *orders, struct dl_str id)
 {
@@ -285,7 +285,7 @@
 		remove_target(orders, t);
 }
 
-/* Whether this process may give orders at this moment. */
+/* Whether this process may send orders at this moment. */
 static bool has_lease(const struct dl_orders *orders, int64_t now)
 {
 	return orders->term && !orders->fenced && now < orders->lease_until;
@@ -300,7 +300,10 @@
 	       !dl_name_eq(&t->announced.version, dl_name_str(&goal->version));
 }
 
-/* When an endpoint may get its next order, as far as it alone is concerned. */
+/*
+ * When an endpoint may get its next order, apart from limits of its service and
+ * the weight store.
+ */
 static int64_t ready_at(const struct dl_orders *orders, const struct target *t)
 {
 	const struct order_service *s =
@@ -313,10 +316,10 @@
 }
 
 /*
- * Whether its service has room for one more order.  Load: a new version for a
- * whole pool under traffic.  Harm prevented: endpoints that load serve nobody,
- * so no more of them load at once than the share of the pool that may be put
- * out, and one at least, else nothing would ever change.
+ * Whether the service has a free slot for one more order.  Endpoints that load
+ * serve no requests, so while a new version is rolled out under traffic, no
+ * more of the pool load at once than the share that may be out of service, but
+ * at least one, or the rollout would never proceed.
  */
 static bool has_room(const struct dl_orders *orders, const struct target *t)
 {
@@ -330,7 +333,7 @@
 	return s->in_progress < MAX(most, 1);
 }
 
-/* Whether an endpoint may be sent an order now, but for the weight store. */
+/* Whether an endpoint may be sent an order now, apart from the weight store. */
 static bool can_order(const struct dl_orders *orders, const struct target *t,
 		      int64_t now)
 {
@@ -338,7 +341,7 @@
 	       ready_at(orders, t) <= now && has_room(orders, t);
 }
 
-/* Orders whose result never came, and accepted ones that came to nothing. */
+/* Ends orders without a result, and accepted ones that were never completed. */
 static void expire(struct dl_orders *orders, struct target *t, int64_t now)
 {
 	if (!is_in_progress(t) || t->not_before > now)
@@ -349,7 +352,7 @@
 		release(orders, t, now);
 }
 
-/* Write down an order and count it as under way. */
+/* Issues an order and counts it as in progress. */
 static void issue_order(struct dl_orders *orders, struct target *t, int64_t now,
 			struct dl_order *out)
 {
@@ -375,10 +378,10 @@
 }
 
 /*
- * The next order to send.  An endpoint gets one at a time: the next only when
- * the last was answered, or can no longer arrive, since two of one leader
- * carry the same fencing number and could overtake each other.  Loads wait
- * for the fleet's bucket; other orders pass them.
+ * Returns the next order to send.  An endpoint gets the next order only when
+ * the last was answered or can no longer arrive, since two orders of one leader
+ * carry the same fencing token and could overtake each other.  Loads wait for
+ * the token bucket of the weight store; other orders do not.
  */
 bool dl_orders_next(struct dl_orders *orders, int64_t now, struct dl_order *out)
 {
@@ -408,7 +411,7 @@
 	return false;
 }
 
-/* Whether an order that was planned may still be sent. */
+/* Whether a planned order may still be sent. */
 bool dl_orders_may_send(const struct dl_orders *orders,
 			const struct dl_order *order, int64_t now)
 {
@@ -416,7 +419,7 @@
 	       now < order->deadline;
 }
 
-/* The endpoint whose latest order is this one, or NULL. */
+/* The endpoint whose latest order has this ID and awaits a result, or NULL. */
 static struct target *find_order(const struct dl_orders *orders, uint64_t id)
 {
 	for (guint i = 0; i < orders->targets->len; i++) {
@@ -429,8 +432,8 @@
 }
 
 /*
- * What came of an order.  One that is late, or of an endpoint that has gone,
- * changes nothing but the knowledge of a later leader.
+ * Handles the result of an order.  A result that is late, or of an endpoint
+ * that has been removed, has no effect unless it reveals a later leader.
  */
 void dl_orders_result(struct dl_orders *orders, uint64_t id,
 		      enum dl_order_result result, int64_t now)
@@ -452,7 +455,7 @@
 			t->not_before = now;
 		break;
 	case DL_ORDER_UNKNOWN:
-		/* It may still arrive: its time is waited out. */
+		/* It may still arrive, so its time is waited out. */
 		break;
 	default:
 		t->not_before = now + orders->conf.retry_ms;
@@ -461,7 +464,7 @@
 	}
 }
 
-/* When something may be due; the caller asks dl_orders_next() then. */
+/* When the caller must call dl_orders_next() again. */
 int64_t dl_orders_wakeup(const struct dl_orders *orders, int64_t now)
 {
 	int64_t at = INT64_MAX, lacks;
@@ -489,7 +492,7 @@
 	return at;
 }
 
-/* What status shows. */
+/* Fills in the figures that the status shows. */
 void dl_orders_summarize(const struct dl_orders *orders, int64_t now,
 			 struct dl_orders_summary *out)
 {
@@ -510,13 +513,13 @@
 	}
 }
 
-/* What the counts must always say; NULL, or what is broken. */
+/* Checks the invariants; returns NULL or what is broken. */
 const char *dl_orders_check(const struct dl_orders *orders)
 {
 	if (g_hash_table_size(orders->by_id) != orders->targets->len)
-		return "the table of endpoints and their list differ";
+		return "the table and the list of endpoints differ";
 	if (orders->store_mb_ms < 0 || orders->store_mb_ms > load_cost(orders))
-		return "the weight store's bucket is out of its bounds";
+		return "the token bucket of the weight store is out of bounds";
 	for (uint32_t i = 0; i < orders->services_count; i++) {
 		const struct order_service *s = &orders->services[i];
 		uint32_t n = 0;
@@ -530,7 +533,7 @@
 					dl_name_str(&s->name));
 		}
 		if (n != s->in_progress)
-			return "orders under way are miscounted";
+			return "orders in progress are miscounted";
 	}
 	return NULL;
 }
--- a/src/state/orders_int.h
+++ b/src/state/orders_int.h
@@ -1,4 +1,4 @@
-/* Inside the planner of orders: endpoints, their wishes and their service. */
+/* Internals of the order planner: endpoints, their goals and their service. */
 #ifndef DL_STATE_ORDERS_INT_H
 #define DL_STATE_ORDERS_INT_H
 
@@ -7,48 +7,46 @@
 #include "daisyledge/orders.h"
 
 #define GOAL_NONE UINT32_MAX
-/* The configuration has no more orders than this. */
+/* The most orders that a configuration can have. */
 #define CONF_ORDERS_MAX 1024
 
 enum target_state {
-	TARGET_IDLE,	 /* nothing under way */
-	TARGET_SENT,	 /* until a result, or deadline and the network's time
-			  */
-	TARGET_ACCEPTED, /* until it announces the wished end */
+	TARGET_IDLE, /* no order in progress */
+	TARGET_SENT, /* until a result, or the deadline plus network delay */
+	TARGET_ACCEPTED, /* until it announces the goal */
 };
 
 /* An endpoint as a target of orders. */
 struct target {
 	struct dl_order_endpoint announced;
-	uint32_t goal; /* index into wishes, or GOAL_NONE */
+	uint32_t goal; /* index into goals, or GOAL_NONE */
 	enum target_state state;
-	uint64_t last_order;	/* the latest one */
-	uint64_t accepted_hash; /* hash of the wished end last accepted, 0: none
-				 */
-	uint64_t ordered_hash;	/* hash of what the latest order asked */
-	int64_t not_before;	/* no order until then */
+	uint64_t last_order;	/* ID of the latest order */
+	uint64_t accepted_hash; /* hash of the last accepted goal, 0: none */
+	uint64_t ordered_hash;	/* hash of the latest order's goal */
+	int64_t not_before;	/* no order is sent before this time */
 	bool drained;
-	bool gone; /* kept until what is under way can no longer arrive */
+	bool gone; /* kept until a sent order can no longer arrive */
 };
 
-/* A service with orders in the configuration. */
+/* A service of the configuration. */
 struct order_service {
 	struct dl_name name;
 	bool ignores_fencing;
 	uint32_t out_share_permille;
-	uint32_t endpoints;   /* that take orders */
-	uint32_t in_progress; /* orders sent and not seen done */
+	uint32_t endpoints;   /* that accept orders */
+	uint32_t in_progress; /* orders sent and not yet completed */
 };
 
 struct dl_orders {
 	struct dl_orders_conf conf;
-	GHashTable *by_id; /* struct dl_name in struct target -> it */
+	GHashTable *by_id; /* endpoint ID to its struct target */
 	GPtrArray *targets;
 	struct dl_order_conf *goals;
 	uint32_t goals_count;
 	struct order_service *services;
 	uint32_t services_count;
-	GHashTable *drained; /* names of endpoints under drain */
+	GHashTable *drained; /* IDs of endpoints that are drained */
 	uint64_t term;
 	uint64_t term_seen;
 	bool fenced;
--- a/src/state/orders_plan.c
+++ b/src/state/orders_plan.c
@@ -1,12 +1,12 @@
-/* Which endpoint is to have which model, version and role. */
+/* Assignment of models, versions and roles to endpoints. */
 #include <string.h>
 
 #include "state/orders_int.h"
 
-/* How well an endpoint fits a wish already; lower is better. */
+/* How well an endpoint already fits a goal; lower is better. */
 enum fit {
-	FIT_DONE,  /* it is as wished */
-	FIT_MODEL, /* it has the model, with another version or role */
+	FIT_DONE,  /* it complies with the goal */
+	FIT_MODEL, /* it has the model, but another version or role */
 	FIT_OTHER,
 	FIT_COUNT,
 };
@@ -18,7 +18,7 @@
 		   uint32_t *missing);
 static void count_services(struct dl_orders *orders);
 
-/* A wished end in one number, to compare it with what was accepted. */
+/* A hash of a goal, to compare it with what was accepted. */
 uint64_t orders_goal_hash(const struct dl_order_conf *goal)
 {
 	uint64_t h = dl_hash(dl_name_str(&goal->model), 1);
@@ -28,7 +28,7 @@
 	return h ? h : 1;
 }
 
-/* The service of a name among those with orders, or NULL. */
+/* The configured service of a name, or NULL. */
 struct order_service *orders_service(const struct dl_orders *orders,
 				     const struct dl_name *name)
 {
@@ -39,7 +39,7 @@
 	return NULL;
 }
 
-/* Whether an endpoint announces the model of a wish. */
+/* Whether an endpoint announces the model of a goal. */
 bool orders_has_model(const struct target *t, const struct dl_order_conf *goal)
 {
 	for (uint32_t i = 0; i < t->announced.models_count; i++) {
@@ -51,9 +51,9 @@
 }
 
 /*
- * How an endpoint stands to a wish.  One that tells no version or role is as
- * wished where it announces the model and has accepted just this order in its
- * present incarnation.
+ * How well an endpoint fits a goal.  An endpoint that reports no version or
+ * role complies if it announces the model and accepted this very order in its
+ * current incarnation.
  */
 static enum fit fit_of(const struct dl_orders *orders, const struct target *t,
 		       const struct dl_order_conf *goal)
@@ -73,21 +73,21 @@
 	return version && role ? FIT_DONE : FIT_MODEL;
 }
 
-/* Whether an endpoint announces the end that is wished of it. */
+/* Whether an endpoint has no goal or complies with it. */
 bool orders_is_done(const struct dl_orders *orders, const struct target *t)
 {
 	return t->goal == GOAL_NONE ||
 	       fit_of(orders, t, &orders->goals[t->goal]) == FIT_DONE;
 }
 
-/* Those that leave or are drained are not counted on for any order. */
+/* Whether an endpoint accepts orders: not if it is leaving, drained or gone. */
 static bool takes_orders(const struct target *t, const struct dl_name *service)
 {
 	return !t->announced.leaving && !t->drained && !t->gone &&
 	       dl_name_eq(&t->announced.service, dl_name_str(service));
 }
 
-/* Give a wish to the endpoints that fit it so well, until none is missing. */
+/* Assigns a goal to endpoints of this fit, until none is missing. */
 static void assign(struct dl_orders *orders, uint32_t goal, enum fit fit,
 		   uint32_t *missing)
 {
@@ -104,7 +104,7 @@
 	}
 }
 
-/* How many endpoints of each service take orders. */
+/* Counts the endpoints of each service that accept orders. */
 static void count_services(struct dl_orders *orders)
 {
 	for (uint32_t i = 0; i < orders->services_count; i++) {
@@ -119,11 +119,10 @@
 }
 
 /*
- * Give each endpoint one wish at most.  Load: a fleet where endpoints come and
- * go while orders are carried out.  Harm prevented: a load of many gigabytes
- * that would have been needless, so those as wished keep their wish first,
- * then those with the model, and only then any other, in the order in which
- * they came.
+ * Assigns at most one goal to each endpoint.  While endpoints come and go
+ * during a rollout, needless loads of many gigabytes must be avoided: endpoints
+ * that comply keep their goal first, then those with the model are assigned,
+ * and then the others, in the order in which they appeared.
  */
 void orders_plan(struct dl_orders *orders)
 {
--- a/src/state/rlog.c
+++ b/src/state/rlog.c
@@ -1,14 +1,13 @@
 /*
- * The replicated log's frame: its life, time, messages in and out, writes and
- * what is handed to the state machine.  Elections are in rlog_vote.c, the
- * leader's part in rlog_become_leader.c, the follower's in
- * rlog_become_follower.c.
+ * The core of the replicated log: creation, time, messages, writes, and entries
+ * handed to the state machine.  Elections are in rlog_vote.c, the leader in
+ * rlog_lead.c, the follower in rlog_follow.c.
  *
- * What is promised to another replica is synced first: a message that rests
- * on a term, a vote or an entry carries the number of the unit that holds it
- * and leaves only once that unit has been synced.  Units are made from the
- * state at the moment of writing, so that whatever came together is written
- * together.
+ * Whatever is promised to another replica is synced first: a message that
+ * depends on a term, a vote or an entry carries the number of the record that
+ * holds it and is sent only once that record has been synced.  Records are made
+ * from the state at the time of writing, so that several changes share one
+ * write.
  */
 #include "state/rlog_int.h"
 
@@ -18,7 +17,7 @@
 
 #define HEARTBEAT_MS	  250
 #define ELECTION_MS	  1000
-#define LEASE_MS	  900 /* clocks that differ by a tenth do no harm */
+#define LEASE_MS	  900 /* tolerates clock rates 10% apart */
 #define JOIN_INTERVAL_MS  500
 #define SNAPSHOT_ENTRIES  1000
 #define SNAPSHOT_BYTES	  (4u << 20)
@@ -28,11 +27,16 @@
 #define INFLIGHT_BYTES	  (8u << 20)
 #define CHUNK_BYTES	  (256u << 10)
 #define UNCOMMITTED_BYTES (16u << 20)
-/* Longer than a vote takes on slow VMs, two round trips and syncs. */
+/* Longer than a vote takes on slow VMs: two round trips and syncs. */
 #define FAST_RETRY_MS 100
-/* Messages that wait for a sync; more are dropped as a network would. */
+/*
+ * Limit of messages that wait for a sync; more are dropped, as a network would.
+ */
 #define QUEUE_MAX 4096
-/* Without a leader for so many election times, a replica says hello. */
+/*
+ * After this many election timeouts without a leader, a replica sends join
+ * requests.
+ */
 #define JOIN_AFTER_ELECTIONS 3
 
 static void on_append(struct dl_rlog *r, const struct dl_rlog_msg *m,
@@ -44,7 +48,7 @@
 static bool is_stale(const struct dl_rlog *r, const struct rlog_outgoing *q);
 static void mark_applied(struct dl_rlog *r, const struct dl_rlog_entry *e);
 
-/* What each kind of message does to a replica that has a log. */
+/* Handlers by kind of message. */
 static void (*const on_msg[DL_RLOG_MSG_KIND_COUNT])(struct dl_rlog *r,
 						    const struct dl_rlog_msg *m,
 						    int64_t now) = {
@@ -63,7 +67,7 @@
 	[DL_RLOG_STARTUP_REPLY] = rlog_on_startup_reply,
 };
 
-/* Settings for failure domains some milliseconds apart. */
+/* Defaults for failure domains with round trips of a few milliseconds. */
 void dl_rlog_defaults(struct dl_rlog_conf *conf)
 {
 	memset(conf, 0, sizeof(*conf));
@@ -82,9 +86,10 @@
 }
 
 /*
- * A replica from what its disk holds.  It begins as a follower, or as unborn
- * where it has an identity only; a vote waits for a whole election time, since
- * what was promised to a leader before the restart is not remembered.
+ * Creates a replica from what its disk holds.  It starts as a follower, or
+ * uninitialized if it has an identity only.  It grants no vote for a whole
+ * election timeout, since it does not remember what it promised to a leader
+ * before the restart.
  */
 struct dl_rlog *dl_rlog_new(const struct dl_rlog_conf *conf,
 			    struct dl_rlog_image *image, uint32_t seed,
@@ -120,7 +125,7 @@
 	return r;
 }
 
-/* Free it with all that it holds. */
+/* Frees a replica with everything it holds. */
 void dl_rlog_free(struct dl_rlog *r)
 {
 	if (!r)
@@ -135,7 +140,7 @@
 	g_free(r);
 }
 
-/* Free what an image still owns. */
+/* Frees what an image still owns. */
 void dl_rlog_image_free(struct dl_rlog_image *image)
 {
 	for (uint32_t i = 0; i < image->count; i++)
@@ -145,7 +150,7 @@
 	memset(image, 0, sizeof(*image));
 }
 
-/* Stop answering as a replica; what is queued is never sent. */
+/* Stops the replica; queued messages are never sent. */
 void dl_rlog_halt(struct dl_rlog *r, const struct dl_err *why)
 {
 	if (r->role == DL_RLOG_HALTED)
@@ -158,8 +163,8 @@
 }
 
 /*
- * What must hold whatever happens.  Where it does not, going on could lose
- * or undo what was committed, so the replica stops and says what it found.
+ * Checks an invariant.  If it is broken, continuing could lose or undo
+ * committed entries, so the replica halts and reports what it found.
  */
 bool rlog_invariant(struct dl_rlog *r, bool holds, const char *what)
 {
@@ -173,14 +178,17 @@
 	return false;
 }
 
-/* Mark term, vote or cluster as changed; answers wait for their unit. */
+/*
+ * Marks term, vote or cluster as changed; replies wait for the record that
+ * holds them.
+ */
 void rlog_dirty_state(struct dl_rlog *r)
 {
 	r->dirty_state = true;
 	r->state_seq = r->writing_seq + 1;
 }
 
-/* The unit after which an entry, and term and vote, are synced. */
+/* The record after which an entry, the term and the vote are synced. */
 uint64_t rlog_seq_of(const struct dl_rlog *r, uint64_t index)
 {
 	uint64_t wait_seq = r->state_seq;
@@ -193,9 +201,9 @@
 }
 
 /*
- * Choose when to stand for election unless a leader is heard before.  Where all
- * have just started nobody waits for a leader: votes that were split are asked
- * for again soon.
+ * Chooses when to start an election unless a leader is heard before.  After all
+ * replicas have restarted nobody waits for a leader, so split votes are retried
+ * quickly.
  */
 void rlog_reset_election(struct dl_rlog *r, int64_t now)
 {
@@ -206,7 +214,10 @@
 	r->election_at = now + wait + g_rand_int_range(r->rand, 0, spread + 1);
 }
 
-/* Become a follower, of a newer term where it is one; no leader is known. */
+/*
+ * Becomes a follower, in a newer term if it is one; the leader is not known
+ * yet.
+ */
 void rlog_become_follower(struct dl_rlog *r, uint64_t term, int64_t now)
 {
 	bool led = r->role == DL_RLOG_LEADER;
@@ -227,14 +238,14 @@
 		rlog_reset_election(r, now);
 }
 
-/* A message of the leader of this term arrived. */
+/* Handles that the leader of this term was heard. */
 void rlog_heard_leader(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		       int64_t now)
 {
 	if (r->role != DL_RLOG_FOLLOWER)
 		rlog_become_follower(r, m->term, now);
 	if (r->leader_id && !rlog_invariant(r, r->leader_id == m->from_id,
-					    "two leaders a term"))
+					    "two leaders in one term"))
 		return;
 	r->leader_vm = m->from_vm;
 	r->leader_id = m->from_id;
@@ -257,7 +268,8 @@
 		rlog_queue(r, &reply, r->state_seq);
 		return;
 	}
-	if (!rlog_invariant(r, r->role != DL_RLOG_LEADER, "two leaders a term"))
+	if (!rlog_invariant(r, r->role != DL_RLOG_LEADER,
+			    "two leaders in one term"))
 		return;
 	rlog_heard_leader(r, m, now);
 	if (r->role == DL_RLOG_HALTED)
@@ -286,9 +298,9 @@
 }
 
 /*
- * Whether a message shows that its term has begun: a pre-vote only asks
- * whether it could, and a vote is looked at by itself, since a replica that
- * hears a good leader does not follow it.
+ * Whether a message proves that its term has begun: a pre-vote only asks
+ * whether it could begin, and a vote request is checked separately, since a
+ * replica that hears a live leader ignores it.
  */
 static bool raises_term(const struct dl_rlog_msg *m)
 {
@@ -307,7 +319,9 @@
 	}
 }
 
-/* Take a message; 0, or -EINVAL where it is none for this replica. */
+/*
+ * Handles a message; returns 0, or -EINVAL if it is not meant for this replica.
+ */
 int dl_rlog_in(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now)
 {
 	struct rlog_peer *peer;
@@ -328,7 +342,7 @@
 	return 0;
 }
 
-/* Let time pass: elections, heartbeats, the lease, repair. */
+/* Runs the timers: elections, heartbeats, the lease, membership changes. */
 void dl_rlog_tick(struct dl_rlog *r, int64_t now)
 {
 	switch (r->role) {
@@ -356,7 +370,7 @@
 		rlog_reset_election(r, now);
 }
 
-/* When dl_rlog_tick() has something to do next. */
+/* When dl_rlog_tick() must be called next. */
 int64_t dl_rlog_wakeup(const struct dl_rlog *r)
 {
 	switch (r->role) {
@@ -371,7 +385,7 @@
 	}
 }
 
-/* A message with what every message carries. */
+/* A message with the fields that every message carries. */
 struct dl_rlog_msg rlog_msg_to(const struct dl_rlog *r,
 			       enum dl_rlog_msg_kind kind, uint64_t vm,
 			       uint64_t id)
@@ -387,7 +401,7 @@
 	};
 }
 
-/* The answer to a message; negative until ok is set. */
+/* The reply to a message; negative until ok is set. */
 struct dl_rlog_msg rlog_reply_to(const struct dl_rlog *r,
 				 enum dl_rlog_msg_kind kind,
 				 const struct dl_rlog_msg *m)
@@ -401,7 +415,7 @@
 	return reply;
 }
 
-/* Send a message once the unit named by the gate has been synced. */
+/* Queues a message until the record wait_seq has been synced. */
 void rlog_queue(struct dl_rlog *r, struct dl_rlog_msg *m, uint64_t wait_seq)
 {
 	struct rlog_outgoing *q;
@@ -415,9 +429,9 @@
 }
 
 /*
- * A message of an earlier term, or a vote asked for by a role that has ended,
- * is of no use; and since units are made of the latest state, what it rests on
- * may never have been written.
+ * A message of an earlier term, or a vote request of a role that has ended, is
+ * of no use.  It must not be sent either: records are made from the latest
+ * state, so what the message depends on may never have been written.
  */
 static bool is_stale(const struct dl_rlog *r, const struct rlog_outgoing *q)
 {
@@ -440,7 +454,7 @@
 	}
 }
 
-/* Give the next message that may leave now. */
+/* Returns the next message that may be sent now. */
 bool dl_rlog_out(struct dl_rlog *r, int64_t now, struct dl_rlog_msg *msg)
 {
 	GList *next;
@@ -463,7 +477,7 @@
 	return r->role == DL_RLOG_LEADER && rlog_lead_out(r, now, msg);
 }
 
-/* Give what is to be written, one unit at a time. */
+/* Returns the next record to write, one at a time. */
 bool dl_rlog_write(struct dl_rlog *r, struct dl_rlog_record *rec)
 {
 	uint64_t from = r->dirty_from;
@@ -496,8 +510,8 @@
 }
 
 /*
- * A unit has been synced, or could not be: then nothing that was promised on
- * it may be said, and the replica answers nobody any more.
+ * Handles the result of a write.  If it failed, nothing that depends on it may
+ * be sent, and the replica halts.
  */
 void dl_rlog_written(struct dl_rlog *r, uint64_t seq, int code, int64_t now)
 {
@@ -507,16 +521,18 @@
 		return;
 	if (code) {
 		dl_err_set(&err, code, DL_STEP_STORE, NULL,
-			   "the disk failed: %s", strerror(-code));
+			   "a disk write failed: %s", strerror(-code));
 		dl_rlog_halt(r, &err);
 		return;
 	}
 	if (!rlog_invariant(r, r->writing && seq == r->writing_seq,
-			    "a unit was written out of turn"))
+			    "a record was written out of order"))
 		return;
 	r->writing = false;
 	r->synced_seq = seq;
-	/* A snapshot that came meanwhile may have replaced those entries. */
+	/*
+	 * A snapshot received in the meantime may have replaced those entries.
+	 */
 	if (!r->dirty_snapshot)
 		r->synced_index = MIN(r->writing_last, r->dirty_from - 1);
 	if (r->role == DL_RLOG_CANDIDATE && r->state_seq <= r->synced_seq)
@@ -531,10 +547,10 @@
 	if (e->kind == DL_RLOG_MEMBERS)
 		rlog_invariant(
 			r, rlog_members_decode(e->data, &r->applied_members),
-			"an entry of members makes no sense");
+			"an entry of members is malformed");
 }
 
-/* Give the next thing that the state machine has to carry out. */
+/* Returns the next command or snapshot for the state machine. */
 bool dl_rlog_apply(struct dl_rlog *r, struct dl_rlog_apply *out)
 {
 	memset(out, 0, sizeof(*out));
@@ -562,7 +578,7 @@
 	return false;
 }
 
-/* Append a command as the leader. */
+/* Appends a command as the leader. */
 int dl_rlog_propose(struct dl_rlog *r, struct dl_str command, int64_t now,
 		    uint64_t *index, uint64_t *term)
 {
@@ -579,10 +595,10 @@
 }
 
 /*
- * Whether no other leader can exist now.  A majority has promised, when it
- * answered what was sent at the stamp, to grant no vote for election_ms; the
- * lease ends before that by what clocks may differ.  Once leadership is being
- * handed over the promise no longer counts.
+ * Whether no other leader can exist now.  With its reply to a message sent at
+ * the stamp, each of a majority promised to grant no vote for election_ms; the
+ * lease ends earlier by what clocks may drift.  During a leadership transfer
+ * the promise no longer counts.
  */
 bool dl_rlog_lease(const struct dl_rlog *r, int64_t now, int64_t *until)
 {
@@ -598,7 +614,7 @@
 	return true;
 }
 
-/* Where a linearizable read stands. */
+/* The index at which a linearizable read is served. */
 int dl_rlog_read(const struct dl_rlog *r, int64_t now, uint64_t *index)
 {
 	if (r->role != DL_RLOG_LEADER)
@@ -610,8 +626,9 @@
 }
 
 /*
- * A snapshot is worth its writing when the log has grown past both a set size
- * and the last snapshot's, or by many entries, which make a restart slow.
+ * Whether a snapshot is worth writing: the log has grown past both a fixed size
+ * and the size of the last snapshot, or by many entries, which make a restart
+ * slow.
  */
 bool dl_rlog_snapshot_wanted(const struct dl_rlog *r)
 {
@@ -625,7 +642,7 @@
 	return bytes >= MAX(r->conf.snapshot_bytes, r->snap.data.n);
 }
 
-/* Replace the applied entries, but for the last few, by a snapshot. */
+/* Replaces the applied entries, except the last few, by a snapshot. */
 int dl_rlog_snapshot(struct dl_rlog *r, struct dl_str data)
 {
 	uint64_t upto = r->applied, term = 0;
@@ -650,13 +667,13 @@
 	return 0;
 }
 
-/* The members in force, which may not be committed yet. */
+/* The members in effect, which may not be committed yet. */
 const struct dl_rlog_members *dl_rlog_members(const struct dl_rlog *r)
 {
 	return &r->members;
 }
 
-/* What an operator sees. */
+/* Fills in the status shown to operators. */
 void dl_rlog_get_status(const struct dl_rlog *r, int64_t now,
 			struct dl_rlog_status *out)
 {
--- a/src/state/rlog_bootstrap.c
+++ b/src/state/rlog_bootstrap.c
@@ -1,24 +1,25 @@
 /*
- * How a log begins, and how an identity without one gets into it.
+ * Creation of the log, and join requests of replicas that have none.
  *
- * An identity with an empty disk says hello to the replicas listed in its
- * settings.  The first start ever: once the one with the lowest address has
- * heard every other listed one say hello, all with the same list, it makes
- * them the members, by identity.  All must be there, so that a replica that
- * lost its disk can never begin a second log beside the first: those that
- * kept theirs say no hello.  Else the leader hears the hello and takes the
- * identity in as a learner (rlog_reconfig.c).
+ * A replica with an empty disk sends join requests to the configured replicas.
+ * On the very first start, once the one with the lowest address has received a
+ * join request from every other configured replica, all with the same list, it
+ * makes them the initial members, by identity.  All of them must ask, so that a
+ * replica that lost its disk can never create a second log beside the first: a
+ * replica that still has its log never asks as one without a log.  On any later
+ * start the leader receives the join request and adds the identity as a learner
+ * (rlog_reconfig.c).
  *
- * One that has a log and has heard no leader for long says hello as well: it
- * may have been taken in by a leader whose change was never committed, so that
- * nobody else knows of it.
+ * A replica that has a log but has not heard a leader for long sends join
+ * requests as well: it may have been added by a leader whose change was never
+ * committed, so that nobody else knows of it.
  */
 #include "state/rlog_int.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* A hello counts for the first start while it is so many periods old. */
+/* A join request counts for the first start for this many intervals. */
 #define JOIN_VALID_INTERVALS 4
 
 static uint64_t listed_digest(const struct dl_rlog *r);
@@ -39,7 +40,7 @@
 	return (x->vm > y->vm) - (x->vm < y->vm);
 }
 
-/* A digest of the list that does not depend on its order. */
+/* A digest of the configured replicas that does not depend on their order. */
 static uint64_t listed_digest(const struct dl_rlog *r)
 {
 	uint64_t sum = r->conf.listed_count;
@@ -61,7 +62,7 @@
 	return false;
 }
 
-/* Remember the latest identity of a VM. */
+/* Records the latest identity of a VM that wants to join. */
 static void note_join(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		      int64_t now)
 {
@@ -99,8 +100,8 @@
 }
 
 /*
- * Say hello to every listed replica and every member; at a first start, begin
- * the log.
+ * Sends a join request to every configured replica and every member; on the
+ * first start, creates the log once all others are there.
  */
 void rlog_send_joins(struct dl_rlog *r, int64_t now)
 {
@@ -120,7 +121,10 @@
 	rlog_reset_election(r, now);
 }
 
-/* Whether this one is to begin the log, and all others are there for it. */
+/*
+ * Whether this replica is to create the log and all others have asked to join;
+ * sets out to the initial members.
+ */
 static bool collect_initial_members(const struct dl_rlog *r, int64_t now,
 				    struct dl_rlog_members *out)
 {
@@ -147,7 +151,7 @@
 	return out->count == r->conf.listed_count;
 }
 
-/* Take these members for the state before the first entry. */
+/* Takes these members as the state before the first entry. */
 static void begin_log(struct dl_rlog *r, const struct dl_rlog_members *members)
 {
 	r->cluster = rlog_cluster_of(members);
@@ -161,9 +165,10 @@
 }
 
 /*
- * Answer a first member that has no log yet.  Any other identity is noted
- * for the leader's repair, and passed on to the leader once: the list in the
- * newcomer's settings may be older than the members.
+ * Answers an initial member that has no log yet.  Any other identity is
+ * recorded for the leader's membership changes and forwarded to the leader
+ * once: the list configured at the joining replica may be older than the
+ * members.
  */
 void rlog_on_join(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now)
 {
@@ -186,7 +191,7 @@
 	rlog_queue(r, &bootstrap, r->state_seq);
 }
 
-/* The log begins; this identity is one of its first members. */
+/* The log is created; this identity is one of its initial members. */
 void rlog_on_bootstrap(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		       int64_t now)
 {
--- a/src/state/rlog_entries.c
+++ b/src/state/rlog_entries.c
@@ -7,13 +7,13 @@
 
 static void free_range(struct rlog_entries *log, uint32_t from, uint32_t to);
 
-/* The index of the last entry, or of the base. */
+/* The index of the last entry, or of the base if there is none. */
 uint64_t rlog_last(const struct rlog_entries *log)
 {
 	return log->base_index + log->count;
 }
 
-/* The term of an entry or of the base; false where it is not held. */
+/* Finds the term of an entry or of the base; false if it is not held. */
 bool rlog_term_at(const struct rlog_entries *log, uint64_t index,
 		  uint64_t *term)
 {
@@ -27,7 +27,7 @@
 	return true;
 }
 
-/* The entry at an index that is held. */
+/* The entry at an index, which must be held. */
 const struct dl_rlog_entry *rlog_at(const struct rlog_entries *log,
 				    uint64_t index)
 {
@@ -41,14 +41,14 @@
 	return log->ends[index - log->base_index - 1];
 }
 
-/* The bytes of the entries after one index up to and with another. */
+/* The bytes of the entries after one index up to and including another. */
 uint64_t rlog_bytes(const struct rlog_entries *log, uint64_t after,
 		    uint64_t upto)
 {
 	return upto <= after ? 0 : end_of(log, upto) - end_of(log, after);
 }
 
-/* Append a copy of an entry; its index is the next one. */
+/* Appends a copy of an entry at the next index. */
 void rlog_push(struct rlog_entries *log, const struct dl_rlog_entry *entry)
 {
 	struct dl_rlog_entry *e;
@@ -75,7 +75,7 @@
 		g_free((char *)log->at[i].data.s);
 }
 
-/* Drop an entry and all after it. */
+/* Drops an entry and all after it. */
 void rlog_truncate(struct rlog_entries *log, uint64_t from)
 {
 	uint32_t keep;
@@ -88,7 +88,7 @@
 	log->count = keep;
 }
 
-/* Drop the entries up to and with an index that is held; it is the base. */
+/* Drops the entries up to and including an index, which becomes the base. */
 void rlog_compact(struct rlog_entries *log, uint64_t upto)
 {
 	uint32_t drop;
@@ -105,7 +105,7 @@
 	memmove(log->ends, log->ends + drop, log->count * sizeof(*log->ends));
 }
 
-/* Drop everything and begin after an index. */
+/* Drops everything; the log continues after an index. */
 void rlog_reset(struct rlog_entries *log, uint64_t index, uint64_t term)
 {
 	free_range(log, 0, log->count);
--- a/src/state/rlog_follow.c
+++ b/src/state/rlog_follow.c
@@ -1,13 +1,14 @@
 /*
- * The follower: takes entries and snapshots from its leader.  What matches is
- * acknowledged only once it has been synced; a heartbeat that brings nothing
- * new is answered at once, so that a slow disk does not look like silence.
+ * The follower: receives entries and snapshots from its leader.  Matching
+ * entries are acknowledged only once they have been synced.  A heartbeat
+ * without new entries is answered at once, so that a slow disk is not mistaken
+ * for a dead replica.
  */
 #include "state/rlog_int.h"
 
 #include <string.h>
 
-/* What a piece may add up to; more is a fault of the sender. */
+/* Limit of a received snapshot; a larger one is a fault of the sender. */
 #define SNAPSHOT_MAX (1u << 30)
 
 static void note_leader_commit(struct dl_rlog *r, uint64_t commit);
@@ -22,7 +23,7 @@
 static void install_snapshot(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			     int64_t now);
 
-/* The last entry before those of the term at an index. */
+/* The last entry before those of the term found at an index. */
 static uint64_t skip_conflicting_term(const struct dl_rlog *r, uint64_t index)
 {
 	uint64_t term = 0, t = 0;
@@ -43,7 +44,10 @@
 	rlog_queue(r, &reply, r->state_seq);
 }
 
-/* Append an entry, or find that it is there; drop what conflicts with it. */
+/*
+ * Appends an entry unless it is already held, and drops entries that conflict
+ * with it.
+ */
 static bool append_entry(struct dl_rlog *r, const struct dl_rlog_entry *e)
 {
 	uint64_t term = 0;
@@ -53,8 +57,9 @@
 	if (rlog_term_at(&r->log, e->index, &term) && term == e->term)
 		return true;
 	if (e->index <= rlog_last(&r->log)) {
-		if (!rlog_invariant(r, e->index > r->commit,
-				    "a leader would undo what is committed"))
+		if (!rlog_invariant(
+			    r, e->index > r->commit,
+			    "the leader would overwrite a committed entry"))
 			return false;
 		rlog_truncate(&r->log, e->index);
 		r->dirty_from = MIN(r->dirty_from, e->index);
@@ -63,7 +68,7 @@
 			rlog_members_refresh(r);
 	}
 	if (!rlog_invariant(r, e->index == rlog_last(&r->log) + 1,
-			    "entries with a gap"))
+			    "a gap between entries"))
 		return false;
 	rlog_push(&r->log, e);
 	if (e->kind == DL_RLOG_MEMBERS)
@@ -91,7 +96,7 @@
 	rlog_queue(r, &reply, rlog_seq_of(r, match));
 }
 
-/* A leader says how much is committed, for the first time since the start. */
+/* Records the first commit index received from a leader since the start. */
 static void note_leader_commit(struct dl_rlog *r, uint64_t commit)
 {
 	if (r->commit_known)
@@ -101,10 +106,11 @@
 }
 
 /*
- * Whether all that was committed before this replica started, and before this
- * term began, has been applied here.  A snapshot may be of the present term and
- * yet be older than what was in force: pushed to VMs that had just started,
- * such a text was read by all of them before the one in force.
+ * Whether everything committed before this replica started, and before this
+ * term began, has been applied here.  A snapshot of the current term is not
+ * enough, as it may be older than the state in effect: VMs that had just
+ * started were once sent, and read, an outdated configuration from such a
+ * snapshot before the current one.
  */
 bool rlog_is_current(const struct dl_rlog *r)
 {
@@ -117,7 +123,7 @@
 	       rlog_term_at(&r->log, r->applied, &term) && term == r->term;
 }
 
-/* Entries, or a heartbeat, of the leader of this term. */
+/* Handles entries or a heartbeat from the leader of this term. */
 void rlog_on_append(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now)
 {
 	uint64_t verified = m->index + m->count, term = 0;
@@ -129,8 +135,9 @@
 	if (m->index >= r->log.base_index) {
 		rlog_term_at(&r->log, m->index, &term);
 		if (term != m->index_term) {
-			if (rlog_invariant(r, m->index > r->commit,
-					   "a committed entry does not match"))
+			if (rlog_invariant(
+				    r, m->index > r->commit,
+				    "a committed entry differs from the leader's"))
 				reject(r, m,
 				       skip_conflicting_term(r, m->index));
 			return;
@@ -145,7 +152,7 @@
 	accept_until(r, m, verified);
 }
 
-/* Add a piece to those that have come; false where it does not fit. */
+/* Adds a chunk to those received; false if it does not fit. */
 static bool append_chunk(struct dl_rlog *r, const struct dl_rlog_msg *m)
 {
 	struct rlog_incoming *in = &r->incoming;
@@ -168,7 +175,7 @@
 	return true;
 }
 
-/* All pieces are there: they replace state and log. */
+/* Replaces state and log by the snapshot, of which all chunks have arrived. */
 static void install_snapshot(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			     int64_t now)
 {
@@ -201,7 +208,7 @@
 	rlog_members_refresh(r);
 }
 
-/* A piece of a snapshot of the leader of this term. */
+/* Handles a chunk of a snapshot from the leader of this term. */
 void rlog_on_snapshot(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		      int64_t now)
 {
@@ -234,7 +241,7 @@
 	rlog_queue(r, &reply, r->state_seq);
 }
 
-/* A leader's message to an identity that has no log yet. */
+/* Handles a message from a leader while this replica has no log yet. */
 void rlog_on_append_uninitialized(struct dl_rlog *r,
 				  const struct dl_rlog_msg *m, int64_t now)
 {
--- a/src/state/rlog_int.h
+++ b/src/state/rlog_int.h
@@ -1,4 +1,4 @@
-/* The replicated log's inside: shared by rlog.c and rlog_*.c only. */
+/* Internals of the replicated log, shared by rlog.c and rlog_*.c only. */
 #ifndef DL_STATE_RLOG_INT_H
 #define DL_STATE_RLOG_INT_H
 
@@ -15,30 +15,30 @@
 	uint32_t count;
 	uint32_t capacity;
 	struct dl_rlog_entry *at;
-	uint64_t *ends; /* bytes of all entries up to and with this one */
+	uint64_t *ends; /* cumulative bytes, this entry included */
 	uint64_t base_bytes;
 };
 
 enum rlog_peer_mode {
-	RLOG_REPLICATE, /* entries are sent without waiting for replies */
+	RLOG_REPLICATE, /* entries are pipelined */
 	RLOG_PROBE,	/* looking for the last matching entry */
-	RLOG_SNAPSHOT,	/* sending pieces of a snapshot */
+	RLOG_SNAPSHOT,	/* sending chunks of a snapshot */
 };
 
-/* Another member, as this replica knows it in its present role. */
+/* Another member, as this replica knows it in its current role. */
 struct rlog_peer {
 	struct dl_rlog_member member;
-	bool granted;	  /* its (pre-)vote in this election */
-	bool not_leading; /* said so since this replica's start */
+	bool granted;	  /* granted its (pre-)vote in this election */
+	bool not_leading; /* has said so since this replica started */
 	int64_t heard;
-	/* Leader: */
+	/* Used by the leader: */
 	enum rlog_peer_mode mode;
 	uint64_t next;
 	uint64_t match;
 	uint64_t commit_sent;
-	int64_t sent;	     /* the last APPEND or SNAPSHOT */
-	int64_t acked_stamp; /* the newest stamp that came back */
-	bool send_now;	     /* something is to be sent at once */
+	int64_t sent;	     /* time of the last APPEND or SNAPSHOT */
+	int64_t acked_stamp; /* the newest stamp echoed */
+	bool send_now;	     /* a message is due at once */
 	uint64_t snap_index;
 	uint64_t snap_offset;
 };
@@ -47,18 +47,18 @@
 struct rlog_join_request {
 	uint64_t vm;
 	uint64_t id;
-	uint64_t digest; /* of the replicas it has listed */
-	bool fresh;	 /* it has no log */
+	uint64_t digest; /* of its configured replicas */
+	bool fresh;	 /* it has no log yet */
 	int64_t at;
 };
 
-/* A message that waits until a unit has been synced. */
+/* A message that is sent once the record wait_seq has been synced. */
 struct rlog_outgoing {
 	struct dl_rlog_msg msg;
 	uint64_t wait_seq;
 };
 
-/* The pieces of a snapshot that have arrived. */
+/* The chunks of a snapshot received so far. */
 struct rlog_incoming {
 	uint64_t from_id;
 	uint64_t term; /* of the sender */
@@ -78,34 +78,33 @@
 	uint64_t term;
 	uint64_t vote;
 	struct rlog_entries log;
-	struct dl_rlog_snapshot snap; /* data is owned */
+	struct dl_rlog_snapshot snap; /* owns its data */
 	uint64_t commit;
 	uint64_t applied;
-	bool restore_pending; /* the snapshot is yet to be given to the owner */
+	bool restore_pending; /* the owner has yet to apply the snapshot */
 	struct dl_rlog_members applied_members;
-	struct dl_rlog_members members; /* in force: the newest in the log */
+	struct dl_rlog_members members; /* in effect: the newest in the log */
 	uint64_t members_index;
 	struct rlog_incoming incoming;
 
 	uint64_t leader_vm;
 	uint64_t leader_id;
-	int64_t heard; /* the leader; or the start, as before is forgotten */
+	int64_t heard; /* when the leader was last heard, or the start */
 	int64_t election_at;
-	bool commit_known; /* by a leader since the start, how much is committed
-			    */
+	bool commit_known; /* a leader has sent its commit index */
 	uint64_t known_commit;
-	bool promise_possible; /* perhaps, to a leader of before the start */
+	bool promise_possible; /* by this replica before it started */
 	int64_t startup_nonce;
 	int64_t startup_query_at;
-	int64_t fast_retry_until; /* stands again soon where nobody has won */
+	int64_t fast_retry_until; /* retry split votes quickly until then */
 	int64_t join_at;
 	uint32_t peers_count;
 	struct rlog_peer peers[DL_RLOG_MEMBERS_MAX];
-	uint32_t next_peer; /* whose turn it is in dl_rlog_out() */
-	bool self_voted;    /* own vote is synced */
+	uint32_t next_peer; /* the next one to serve in dl_rlog_out() */
+	bool self_voted;    /* the own vote has been synced */
 	int64_t leader_since;
 	int64_t last_tick;
-	uint64_t term_start; /* index of this leader's first entry */
+	uint64_t term_start; /* index of the first entry of this leader */
 	bool transferring;
 	int64_t transfer_until;
 
@@ -117,16 +116,16 @@
 
 	GQueue queue; /* of struct rlog_outgoing */
 
-	/* What is to be written, what is being written, what is synced. */
+	/* What is to be written, being written, and synced. */
 	bool dirty_state;    /* term, vote or cluster */
-	bool dirty_snapshot; /* all of it */
-	uint64_t dirty_from; /* the first entry not taken yet */
+	bool dirty_snapshot; /* everything is written anew */
+	uint64_t dirty_from; /* the first entry not yet in a record */
 	bool writing;
 	uint64_t writing_seq;
-	uint64_t writing_last; /* the last entry of the unit taken */
+	uint64_t writing_last; /* the last entry in that record */
 	uint64_t synced_seq;
 	uint64_t synced_index;
-	uint64_t state_seq; /* the unit that holds term and vote */
+	uint64_t state_seq; /* the record that holds term and vote */
 };
 
 /* rlog_entries.c */
--- a/src/state/rlog_lead.c
+++ b/src/state/rlog_lead.c
@@ -1,8 +1,9 @@
 /*
- * The leader: replication, commit, check-quorum, the lease and handing over.
+ * The leader: replication, commit, check-quorum, the lease and leadership
+ * transfer.
  *
- * Messages to followers are made when they are taken, from what each of them
- * is known to hold; commands that came together go out together.
+ * Messages to followers are built when the owner fetches them, from what each
+ * follower is known to hold; commands proposed together are sent together.
  */
 #include "state/rlog_int.h"
 
@@ -10,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A member that was silent for so many election times gets probes only. */
+/* After a silence of this many election timeouts a member is only probed. */
 #define SILENT_ELECTIONS 2
 
 static void begin_peer(struct dl_rlog *r, struct rlog_peer *p);
@@ -42,7 +43,9 @@
 	p->snap_offset = 0;
 }
 
-/* Won the election: begin with an entry of this term. */
+/*
+ * Becomes the leader after a won election; appends the first entry of the term.
+ */
 void rlog_become_leader(struct dl_rlog *r, int64_t now)
 {
 	r->role = DL_RLOG_LEADER;
@@ -58,7 +61,7 @@
 	rlog_lead_append(r, DL_RLOG_NOOP, (struct dl_str){ NULL, 0 }, now);
 }
 
-/* Append an entry of this term; members are in force at once. */
+/* Appends an entry of this term; new members take effect at once. */
 void rlog_lead_append(struct dl_rlog *r, enum dl_rlog_entry_kind kind,
 		      struct dl_str data, int64_t now)
 {
@@ -81,8 +84,8 @@
 }
 
 /*
- * The newest time at which a majority, this replica included, is known to
- * have taken this leader for theirs; INT64_MIN where it is not known yet.
+ * The newest time at which a majority, this replica included, is known to have
+ * accepted this leader; INT64_MIN if there is none yet.
  */
 int64_t rlog_quorum_stamp(const struct dl_rlog *r, int64_t now)
 {
@@ -101,7 +104,7 @@
 	return stamps[rlog_majority(&r->members) - 1];
 }
 
-/* The highest index that a majority holds synced. */
+/* The highest index that a majority has synced. */
 static uint64_t quorum_match(const struct dl_rlog *r)
 {
 	int64_t matches[DL_RLOG_MEMBERS_MAX];
@@ -120,8 +123,8 @@
 }
 
 /*
- * Only an entry of this term is committed by counting; those before it are
- * committed with it.
+ * Advances the commit index.  Only entries of this term are committed by
+ * counting replicas; earlier entries are committed with them.
  */
 static void advance_commit(struct dl_rlog *r, int64_t now)
 {
@@ -132,7 +135,7 @@
 		return;
 	if (!rlog_invariant(
 		    r, rlog_term_at(&r->log, index, &term) && term == r->term,
-		    "committed what is not of this term"))
+		    "an entry of another term would be committed by count"))
 		return;
 	changed = r->commit < r->members_index && index >= r->members_index;
 	r->commit = index;
@@ -143,13 +146,13 @@
 		rlog_reconfigure(r, now);
 }
 
-/* This replica's own disk has synced more. */
+/* Handles that this replica's own disk has synced more. */
 void rlog_lead_synced(struct dl_rlog *r, int64_t now)
 {
 	advance_commit(r, now);
 }
 
-/* Heartbeats, check-quorum, repair and handing over. */
+/* Runs check-quorum, membership changes and leadership transfer. */
 void rlog_lead_tick(struct dl_rlog *r, int64_t now)
 {
 	int64_t stamp = rlog_quorum_stamp(r, now);
@@ -178,7 +181,9 @@
 		rlog_reconfigure(r, now);
 }
 
-/* The next heartbeat, or when the majority's silence is too long. */
+/*
+ * When the next heartbeat is due, or the majority has been silent for too long.
+ */
 int64_t rlog_lead_wakeup(const struct dl_rlog *r)
 {
 	int64_t at = r->leader_since + r->conf.election_ms;
@@ -216,7 +221,7 @@
 	return p->commit_sent < r->commit && p->match >= r->commit;
 }
 
-/* Make the next message for one of the followers; false at none. */
+/* Builds the next message for one of the followers; false if there is none. */
 bool rlog_lead_out(struct dl_rlog *r, int64_t now, struct dl_rlog_msg *msg)
 {
 	for (uint32_t i = 0; i < r->peers_count; i++) {
@@ -244,7 +249,9 @@
 	return false;
 }
 
-/* Entries from the follower's next one on, one at least where there is one. */
+/*
+ * Adds the entries that the follower needs next, at least one if there is any.
+ */
 static void fill_append(struct dl_rlog *r, struct rlog_peer *p,
 			struct dl_rlog_msg *msg)
 {
@@ -272,7 +279,7 @@
 	p->next = r->snap.index + 1;
 }
 
-/* The piece of the snapshot that the follower wants next. */
+/* Adds the chunk of the snapshot that the follower needs next. */
 static void fill_snapshot(struct dl_rlog *r, struct rlog_peer *p,
 			  struct dl_rlog_msg *msg)
 {
@@ -290,12 +297,13 @@
 	msg->total = r->snap.data.n;
 }
 
-/* A follower holds entries up to an index, synced. */
+/* Handles that a follower has synced the entries up to an index. */
 static void acknowledge(struct dl_rlog *r, struct rlog_peer *p,
 			const struct dl_rlog_msg *m)
 {
-	if (!rlog_invariant(r, m->index <= rlog_last(&r->log),
-			    "a follower holds more than its leader"))
+	if (!rlog_invariant(
+		    r, m->index <= rlog_last(&r->log),
+		    "a follower acknowledged more than its leader holds"))
 		return;
 	p->match = MAX(p->match, m->index);
 	p->next = MAX(p->next, p->match + 1);
@@ -306,7 +314,7 @@
 	p->mode = RLOG_REPLICATE;
 }
 
-/* A follower's answer to entries, a heartbeat or a whole snapshot. */
+/* Handles a follower's reply to entries, a heartbeat or a whole snapshot. */
 void rlog_on_append_reply(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			  int64_t now)
 {
@@ -331,7 +339,7 @@
 			transfer_step(r, now);
 		return;
 	}
-	/* Overtaken by a newer answer, or a snapshot is on its way. */
+	/* A newer reply has arrived, or a snapshot is being sent. */
 	if (m->commit <= p->match || m->commit >= p->next ||
 	    p->mode == RLOG_SNAPSHOT)
 		return;
@@ -340,7 +348,7 @@
 	p->send_now = true;
 }
 
-/* A follower has a piece of the snapshot and wants the next. */
+/* Handles that a follower has a chunk of the snapshot and needs the next. */
 void rlog_on_snapshot_reply(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			    int64_t now)
 {
@@ -357,7 +365,7 @@
 	p->send_now = true;
 }
 
-/* Hand over to the best follower; -EAGAIN where none is there. */
+/* Starts a leadership transfer to the most up-to-date follower. */
 int dl_rlog_transfer(struct dl_rlog *r, int64_t now)
 {
 	if (r->role != DL_RLOG_LEADER)
@@ -371,8 +379,9 @@
 }
 
 /*
- * Ask the voter that holds everything to stand.  The lease has ended for this
- * term, whether or not it comes to that; where it does not, step down.
+ * Asks a voter that holds the whole log to start an election.  The lease has
+ * ended for this term even if the transfer fails; if it times out, the leader
+ * steps down.
  */
 static void transfer_step(struct dl_rlog *r, int64_t now)
 {
--- a/src/state/rlog_members.c
+++ b/src/state/rlog_members.c
@@ -1,4 +1,4 @@
-/* The members of the replica group: their encoding, look-ups and quorum. */
+/* The members of the replica group: encoding, lookup and quorum. */
 #include "state/rlog_int.h"
 
 #include <string.h>
@@ -9,7 +9,7 @@
 
 static bool decode_member(const msgpack_object *o, struct dl_rlog_member *out);
 
-/* An entry's data for these members; the caller frees it with free(). */
+/* Encodes members as the data of an entry; the caller frees it with free(). */
 struct dl_str rlog_members_encode(const struct dl_rlog_members *members)
 {
 	msgpack_sbuffer buf;
@@ -46,7 +46,7 @@
 	return true;
 }
 
-/* Read what rlog_members_encode() wrote; false where it is anything else. */
+/* Decodes what rlog_members_encode() wrote; false if it is anything else. */
 bool rlog_members_decode(struct dl_str s, struct dl_rlog_members *out)
 {
 	msgpack_unpacked u;
@@ -88,7 +88,7 @@
 	return NULL;
 }
 
-/* How many voters are a majority. */
+/* The number of voters that form a majority. */
 uint32_t rlog_majority(const struct dl_rlog_members *members)
 {
 	uint32_t voters = 0;
@@ -98,7 +98,7 @@
 	return voters / 2 + 1;
 }
 
-/* The id of the log that these members begin. */
+/* The ID of the log that these initial members create. */
 uint64_t rlog_cluster_of(const struct dl_rlog_members *members)
 {
 	struct dl_str s = rlog_members_encode(members);
@@ -108,7 +108,7 @@
 	return id ? id : 1;
 }
 
-/* What this replica knows of a member; NULL for itself and for strangers. */
+/* The state kept about a member; NULL for this replica and for non-members. */
 struct rlog_peer *rlog_peer_find(struct dl_rlog *r, uint64_t id)
 {
 	for (uint32_t i = 0; i < r->peers_count; i++) {
@@ -118,7 +118,7 @@
 	return NULL;
 }
 
-/* Whether this replica counts in elections. */
+/* Whether this replica is a voter. */
 bool rlog_is_voter(const struct dl_rlog *r)
 {
 	const struct dl_rlog_member *m = rlog_member_find(&r->members, r->id);
@@ -154,7 +154,9 @@
 	}
 }
 
-/* Find the members in force: the newest in the log, else the snapshot's. */
+/*
+ * Finds the members in effect: the newest in the log, or else the snapshot's.
+ */
 void rlog_members_refresh(struct dl_rlog *r)
 {
 	r->members = r->snap.members;
@@ -166,7 +168,7 @@
 		if (e->kind != DL_RLOG_MEMBERS)
 			continue;
 		if (!rlog_invariant(r, rlog_members_decode(e->data, &found),
-				    "an entry of members makes no sense"))
+				    "an entry of members is malformed"))
 			return;
 		r->members = found;
 		r->members_index = i;
--- a/src/state/rlog_reconfig.c
+++ b/src/state/rlog_reconfig.c
@@ -1,9 +1,8 @@
 /*
- * Repair and changes of the replica group: the leader brings the members to
- * what the operators want, one change at a time.  A new identity comes in as
- * a learner, becomes a voter once it holds everything, and only then the one
- * that it replaces goes.  Doing the same again does no harm: each step is
- * chosen from the members as they are.
+ * Membership changes: the leader brings the members to the configured list, one
+ * change at a time.  A new identity is added as a learner and becomes a voter
+ * once it holds the whole log; only then is the member it replaces removed.
+ * Repeating a step is harmless, since each is chosen from the current members.
  */
 #include "state/rlog_int.h"
 
@@ -12,10 +11,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An identity that asks says hello twice a second; so long it counts. */
+/* A join request counts for this long; they are sent twice a second. */
 #define JOIN_VALID_MS 3000
 
-/* One look at the members and the change that it leads to. */
+/* The search for the next change; next is the membership that it leads to. */
 struct reconfig {
 	struct dl_rlog *r;
 	int64_t now;
@@ -38,7 +37,7 @@
 static bool all_wanted_vote(const struct reconfig *s, uint64_t *missing);
 static void drop_member(struct dl_rlog_members *members, uint64_t id);
 
-/* The VMs that are wanted; without a list, those that are members now. */
+/* The VMs that should have replicas; without a list, those of the members. */
 static uint32_t wanted_vms(const struct dl_rlog *r,
 			   uint64_t out[DL_RLOG_MEMBERS_MAX])
 {
@@ -97,8 +96,8 @@
 }
 
 /*
- * Whether another identity on the same VM is heard since; a voter goes for
- * another voter only.
+ * Whether another identity on the same VM was heard more recently.  A voter is
+ * superseded by another voter only.
  */
 static bool is_superseded(const struct dl_rlog *r,
 			  const struct dl_rlog_member *m, int64_t now)
@@ -114,7 +113,7 @@
 	return false;
 }
 
-/* Whether a majority of the next voters is heard now. */
+/* Whether a majority of the next voters is heard from now. */
 static bool keeps_quorum(const struct reconfig *s)
 {
 	uint32_t live = 0;
@@ -137,7 +136,7 @@
 		 dl_vm_text(vm, text));
 }
 
-/* Make a learner that holds everything a voter. */
+/* Promotes a learner that holds the whole log to a voter. */
 static bool try_promote(struct reconfig *s)
 {
 	for (uint32_t i = 0; i < s->r->members.count; i++) {
@@ -147,24 +146,25 @@
 		if (m->voter || !p || !is_wanted(s->r, m->vm))
 			continue;
 		if (!is_live(s->r, m->id, s->now)) {
-			set_waiting_for(s, "to hear the learner", m->vm);
+			set_waiting_for(s, "for contact with the learner",
+					m->vm);
 			continue;
 		}
 		if (p->match < s->r->commit) {
-			set_waiting_for(s, "until everything is held by",
-					m->vm);
+			set_waiting_for(s, "for the whole log to reach", m->vm);
 			continue;
 		}
 		s->next = s->r->members;
 		s->next.at[i].voter = true;
 		if (keeps_quorum(s))
 			return true;
-		set_waiting_for(s, "for a majority to be heard, to add", m->vm);
+		set_waiting_for(s, "for contact with a majority, to add",
+				m->vm);
 	}
 	return false;
 }
 
-/* Take an identity that asked, on a VM that is wanted, in as a learner. */
+/* Adds an identity that asked to join, on a wanted VM, as a learner. */
 static bool try_add(struct reconfig *s)
 {
 	for (uint32_t i = 0; i < s->r->joins_count; i++) {
@@ -175,7 +175,7 @@
 		    rlog_member_find(&s->r->members, join->id))
 			continue;
 		if (s->r->members.count == DL_RLOG_MEMBERS_MAX) {
-			set_waiting_for(s, "for room among the members, to add",
+			set_waiting_for(s, "for a free member slot, to add",
 					join->vm);
 			continue;
 		}
@@ -222,9 +222,10 @@
 }
 
 /*
- * Remove what has been replaced, or is not wanted once all that are wanted
- * vote.  A learner that asked under a newer identity goes at once.  This
- * replica itself goes last, by handing over first.
+ * Removes a member that has been superseded, or is not wanted once all wanted
+ * VMs have voters.  A learner that asked to join under a newer identity is
+ * removed at once.  This replica itself is removed last, after a leadership
+ * transfer.
  */
 static bool try_remove(struct reconfig *s)
 {
@@ -240,14 +241,14 @@
 		if (wanted && !is_superseded(s->r, m, s->now))
 			continue;
 		if (!wanted && m->voter && !complete) {
-			set_waiting_for(s, "for the new replica", missing);
+			set_waiting_for(s, "for a voter on", missing);
 			continue;
 		}
 		s->next = s->r->members;
 		drop_member(&s->next, m->id);
 		if (keeps_quorum(s))
 			return true;
-		set_waiting_for(s, "for a majority to be heard, to remove",
+		set_waiting_for(s, "for contact with a majority, to remove",
 				m->vm);
 	}
 	if (complete && !is_wanted(s->r, s->r->conf.self) &&
@@ -257,8 +258,8 @@
 }
 
 /*
- * Take the next step, where there is one.  A change waits for the one before
- * it, and for an entry of this leader's own term, to be committed.
+ * Starts the next membership change, if there is one.  A change waits until the
+ * one before it, and an entry of this leader's own term, are committed.
  */
 void rlog_reconfigure(struct dl_rlog *r, int64_t now)
 {
@@ -281,7 +282,7 @@
 	free((char *)data.s);
 }
 
-/* Name the replicas that are wanted from now on. */
+/* Sets the VMs that should have replicas from now on. */
 void dl_rlog_set_replicas(struct dl_rlog *r, const uint64_t *vms,
 			  uint32_t count)
 {
@@ -291,8 +292,9 @@
 }
 
 /*
- * Whether a list could be carried out: a majority of it must be heard now, as
- * members or by their hello, or the group would be left without a quorum.
+ * Checks whether a list can be put into effect: a majority of it must be heard
+ * from now, as members or by their join requests, or the group would lose its
+ * quorum.
  */
 int dl_rlog_check_replicas(const struct dl_rlog *r, const uint64_t *vms,
 			   uint32_t count, int64_t now, struct dl_err *err)
@@ -321,7 +323,7 @@
 	if (!count || live >= count / 2 + 1)
 		return 0;
 	return dl_err_set(err, -EINVAL, DL_STEP_CHECK, silent_vm,
-			  "only %u of %u listed replicas are heard; "
+			  "only %u of %u listed replicas are reachable; "
 			  "the quorum would be lost",
 			  live, count);
 }
--- a/src/state/rlog_startup.c
+++ b/src/state/rlog_startup.c
@@ -1,30 +1,31 @@
 /*
- * What a replica that has just started owes to a leader of before.
+ * Promises of a replica from before its restart.
  *
- * It may have answered that leader a moment ago and so have promised to grant
- * no vote for an election time; it has forgotten whom and when.  It therefore
- * holds back for that time, unless it learns that no such promise stands: the
- * promise was made to one of the voters of the newest members on its disk,
- * since answers to anybody else carry no promise (rlog_vote_promise()), and a
- * leader never removes itself.  One that says, after this start, that it does
- * not lead now has lost what was promised to it before, and what is promised to
- * it later is remembered.  So once every other voter has said so, nothing is
- * owed.
+ * A replica may have answered a leader just before it restarted, and so have
+ * promised to grant no vote for an election timeout; it does not remember to
+ * whom or when.  It therefore grants no vote for that time, unless it learns
+ * that no such promise stands.  The promise can only have been made to one of
+ * the voters of the newest members on its disk, since replies to anybody else
+ * carry no promise (rlog_vote_promise()) and a leader never removes itself.  A
+ * voter that says after this start that it does not lead has lost what was
+ * promised to it before, and later promises are remembered.  So once every
+ * other voter has said so, no promise stands.
  *
- * Load: all replicas end at once, by a loss of power or an update.  Without it
- * the first one stood 1.0 to 1.5 s after the start, in which no caller's key
- * could be let through; with it after some round trips.
+ * This matters when all replicas stop at once, by a power failure or an update:
+ * without it the first candidate stood 1.0 to 1.5 s after the start, and until
+ * then no caller's key could be accepted; with it this takes a few round trips.
  *
- * One that does not answer (frozen, cut off, not started) may still lead: then
- * the whole time is waited out.
+ * A voter that does not answer (frozen, partitioned, not started) may still be
+ * the leader: then the whole time is waited out.
  */
 #include "state/rlog_int.h"
 
-/* Asked again so soon: the others start some ten milliseconds apart. */
+/* Retry soon: the other replicas start some ten milliseconds apart. */
 #define QUERY_RETRY_MS 50
 /*
- * The voters of higher addresses stand so much later each, so that the first
- * has won before the next begins: two round trips and syncs on slow VMs.
+ * Each voter waits this much longer than the one of the next lower address, so
+ * that the first has won before the next starts an election: two round trips
+ * and syncs on slow VMs.
  */
 #define RANK_DELAY_MS 60
 
@@ -32,7 +33,7 @@
 static uint32_t rank_of(const struct dl_rlog *r);
 static void query_voters(struct dl_rlog *r);
 
-/* Begin with what may be owed. */
+/* Assumes at the start that a promise may stand. */
 void rlog_startup_begin(struct dl_rlog *r, int64_t now)
 {
 	r->heard = now;
@@ -41,7 +42,7 @@
 	r->promise_possible = true;
 }
 
-/* A leader is followed, or the time is over: there is nothing to find out. */
+/* Ends the startup phase: a leader is followed, or the time is over. */
 void rlog_startup_end(struct dl_rlog *r)
 {
 	r->promise_possible = false;
@@ -57,7 +58,7 @@
 	return true;
 }
 
-/* How many voters have a lower address. */
+/* The number of voters with a lower address. */
 static uint32_t rank_of(const struct dl_rlog *r)
 {
 	uint32_t rank = 0;
@@ -83,7 +84,7 @@
 	}
 }
 
-/* Ask who leads, and stand as soon as nothing is owed. */
+/* Queries the voters, and schedules an election once no promise stands. */
 void rlog_startup_tick(struct dl_rlog *r, int64_t now)
 {
 	if (!r->promise_possible || !rlog_is_voter(r))
@@ -105,7 +106,7 @@
 	query_voters(r);
 }
 
-/* When rlog_startup_tick() has something to do; INT64_MAX for never. */
+/* When rlog_startup_tick() must be called next; INT64_MAX for never. */
 int64_t rlog_startup_wakeup(const struct dl_rlog *r)
 {
 	if (!r->promise_possible || !rlog_is_voter(r))
@@ -113,7 +114,7 @@
 	return no_promise_stands(r) ? INT64_MIN : r->startup_query_at;
 }
 
-/* Another one has started: say that this one does not lead, unless it does. */
+/* Answers a voter that has started, unless this replica is the leader. */
 void rlog_on_startup_query(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			   int64_t now)
 {
@@ -125,7 +126,9 @@
 	rlog_queue(r, &reply, 0);
 }
 
-/* The answer of one that does not lead; to an earlier start it means nothing.
+/*
+ * Handles the reply of a voter that does not lead; replies to an earlier start
+ * are ignored.
  */
 void rlog_on_startup_reply(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			   int64_t now)
@@ -139,10 +142,10 @@
 }
 
 /*
- * The stamp that an answer to a leader carries: the leader's own, which is a
- * promise to grant no vote for an election time, or 0 for no promise.  Only a
- * voter of the members on this disk is promised anything, so that a later start
- * of this replica knows whom to ask.
+ * The stamp of a reply to a leader: the leader's own, which promises to grant
+ * no vote for an election timeout, or 0 for no promise.  Promises are made only
+ * to voters of the members synced on this disk, so that this replica knows whom
+ * to query after a restart.
  */
 int64_t rlog_vote_promise(const struct dl_rlog *r, const struct dl_rlog_msg *m)
 {
--- a/src/state/rlog_store.c
+++ b/src/state/rlog_store.c
@@ -1,20 +1,21 @@
 /*
- * The journal on disk: one file "journal.GENERATION" of units.
+ * The journal on disk: one file "journal.GENERATION" of records.
  *
- * A unit is a header and a msgpack payload, and is what one write and one sync
- * make durable.  Its checksum covers both and, through prev, all units before
- * it.  After a sync a mark is written behind the unit, which the next unit
- * overwrites and nobody waits for: it says that the unit before it had been
- * synced.
+ * A record is a header and a msgpack payload, made durable by one write and one
+ * sync.  Its checksum covers both and, through prev, all records before it.
+ * After the sync a marker is written behind the record; it states that the
+ * record before it has been synced.  The next record overwrites it, and nothing
+ * waits for it.
  *
- * At the start, what does not check out at the very end was being written
- * when the VM went down, and nothing was promised on it: it is cut off.  A bad
- * unit with a good one or a mark behind it had been synced, and so had the
- * first unit of a generation, which gets its name only after its sync: there
- * the disk has lost what this replica promised, and it must not vote.
+ * At startup, an invalid record at the very end was being written when the VM
+ * went down; nothing was promised on it, so it is cut off.  An invalid record
+ * with a valid one or a marker behind it had been synced, and so had the first
+ * record of a generation, whose file gets its name only after its sync.  In
+ * these cases the disk has lost what this replica promised, and it must not
+ * vote.
  *
- * A snapshot makes the next generation: a new file, synced, renamed, the
- * folder synced, then the old one unlinked.
+ * A snapshot starts a new generation: a new file is written, synced and
+ * renamed, the directory synced, then the old file unlinked.
  */
 #include "state/rlog_int.h"
 
@@ -41,11 +42,11 @@
 	uint32_t magic;
 	uint32_t bytes; /* of the payload */
 	uint64_t seq;	/* from 1 in each generation */
-	uint64_t prev;	/* hash of the unit before; the generation at first */
+	uint64_t prev;	/* previous record's hash, or the generation */
 	uint64_t hash;	/* of the fields above and the payload */
 };
 
-/* The steps of a write, in their order; each waits for the one before. */
+/* The steps of a write, in order; each waits for the one before. */
 enum store_step {
 	STEP_WRITE,
 	STEP_SYNC,
@@ -60,23 +61,23 @@
 	struct dl_disk disk;
 	uint64_t id;
 	uint64_t generation;
-	uint64_t old_generation; /* to unlink; 0 for none */
+	uint64_t old_generation; /* to unlink; 0 if none */
 	uint64_t seq;
 	uint64_t prev;
-	uint64_t end;	/* where the next unit goes */
+	uint64_t end;	/* offset of the next record */
 	bool empty;	/* nothing is stored yet */
-	bool stale_tmp; /* by a start before */
+	bool stale_tmp; /* left by an earlier start */
 	char name[NAME_SIZE];
-	/* The write under way. */
+	/* The write in progress. */
 	enum store_step step;
-	bool new_generation; /* it makes a generation */
-	bool starting;	     /* it syncs what was read */
+	bool new_generation; /* it creates a generation */
+	bool starting;	     /* it syncs what was read at startup */
 	msgpack_sbuffer buf;
 	struct record_header marker;
 	struct dl_disk_done done;
 };
 
-/* Where the reader stands. */
+/* The position of the reader. */
 struct reader {
 	struct dl_str file;
 	size_t at;
@@ -132,7 +133,7 @@
 
 /* --- writing --- */
 
-/* Leave room for the header. */
+/* Starts a record, with space reserved for the header. */
 static void begin_record(struct dl_rlog_store *s)
 {
 	struct record_header h = { 0 };
@@ -141,7 +142,7 @@
 	msgpack_sbuffer_write(&s->buf, (const char *)&h, sizeof(h));
 }
 
-/* Fill in the header of the unit in the buffer, and the mark behind it. */
+/* Fills in the header of the record in the buffer, and the marker behind it. */
 static void seal_record(struct dl_rlog_store *s)
 {
 	struct record_header h = {
@@ -225,7 +226,7 @@
 	pack_entries(&pk, rec);
 }
 
-/* Begin to write a unit; done is called once it is synced, or has failed. */
+/* Starts writing a record; done is called once it is synced or has failed. */
 void dl_rlog_store_write(struct dl_rlog_store *s,
 			 const struct dl_rlog_record *rec,
 			 struct dl_disk_done done)
@@ -259,7 +260,7 @@
 	return s->step + 1;
 }
 
-/* A generation's buffer is as large as the state: not to be kept. */
+/* Frees a large buffer: that of a new generation is as large as the state. */
 static void release_large_buffer(struct dl_rlog_store *s)
 {
 	if (s->buf.alloc <= BUFFER_KEEP_MAX)
@@ -307,7 +308,10 @@
 	}
 }
 
-/* What was synced stays so when the unlink or the mark behind it fails. */
+/*
+ * Runs the next step.  A failed unlink or marker does not undo the sync before
+ * it, so its error is ignored.
+ */
 static void step_done(void *arg, int code)
 {
 	struct dl_rlog_store *s = arg;
@@ -321,8 +325,8 @@
 }
 
 /*
- * Make the start durable: the first generation of a new identity, or what was
- * read, which may have been in the cache of the VM only.
+ * Makes the initial state durable: the first generation of a new identity, or
+ * what was read, which may have been only in the VM's page cache.
  */
 void dl_rlog_store_start(struct dl_rlog_store *s, struct dl_disk_done done)
 {
@@ -343,13 +347,13 @@
 	run_step(s);
 }
 
-/* The size of the journal. */
+/* The size of the journal in bytes. */
 uint64_t dl_rlog_store_bytes(const struct dl_rlog_store *s)
 {
 	return s->end;
 }
 
-/* Free the store; its files stay. */
+/* Frees the store; its files remain. */
 void dl_rlog_store_free(struct dl_rlog_store *s)
 {
 	if (!s)
@@ -360,7 +364,7 @@
 
 /* --- reading --- */
 
-/* Whether the unit where the reader stands is whole and the next one. */
+/* Whether there is a valid next record at the position of the reader. */
 static bool next_record(const struct reader *rd, struct record_header *h)
 {
 	if (rd->file.n - rd->at < sizeof(*h))
@@ -372,7 +376,10 @@
 	       h->hash == hash_of(h, rd->file.s + rd->at + sizeof(*h));
 }
 
-/* Whether a good unit or mark of at least this number stands at a place. */
+/*
+ * Whether there is a valid record or marker of at least this number at an
+ * offset.
+ */
 static bool valid_record_at(const struct reader *rd, size_t at, uint64_t seq)
 {
 	struct record_header h;
@@ -386,7 +393,10 @@
 	       h.hash == hash_of(&h, rd->file.s + at + sizeof(h));
 }
 
-/* Whether anything behind the reader shows that what it is at was synced. */
+/*
+ * Whether a valid record or marker follows, which shows that the one at the
+ * position of the reader had been synced.
+ */
 static bool valid_record_after(const struct reader *rd)
 {
 	for (size_t at = rd->at + 1;
@@ -516,8 +526,9 @@
 
 		if (!decode_payload(rd, payload, h.seq == 1))
 			return dl_err_set(err, DL_EDAMAGED, DL_STEP_STORE, NULL,
-					  "unit %" PRIu64 " of %s at byte %zu "
-					  "makes no sense",
+					  "record %" PRIu64
+					  " of %s at byte %zu "
+					  "is malformed",
 					  h.seq, s->name, rd->at);
 		rd->at += sizeof(h) + h.bytes;
 		rd->seq = h.seq;
@@ -525,7 +536,7 @@
 	}
 	if (rd->seq == 0 || valid_record_after(rd))
 		return dl_err_set(err, DL_EDAMAGED, DL_STEP_STORE, NULL,
-				  "%s is damaged at byte %zu, unit %" PRIu64
+				  "%s is damaged at byte %zu, record %" PRIu64
 				  ", which had been synced",
 				  s->name, rd->at, rd->seq + 1);
 	return 0;
@@ -552,13 +563,13 @@
 	if (!code && rd.at < rd.file.n)
 		code = s->disk.ops->truncate(s->disk.disk, s->name, rd.at);
 	if (code && code != DL_EDAMAGED)
-		dl_err_set(err, code, DL_STEP_STORE, NULL, "cannot cut %s: %s",
-			   s->name, strerror(-code));
+		dl_err_set(err, code, DL_STEP_STORE, NULL,
+			   "cannot truncate %s: %s", s->name, strerror(-code));
 	free(data);
 	return code;
 }
 
-/* Find the newest generation, and one that it has replaced. */
+/* Finds the newest generation and the one it replaced, if still there. */
 static void scan_name(void *arg, const char *name)
 {
 	struct dl_rlog_store *s = arg;
@@ -575,7 +586,7 @@
 	}
 }
 
-/* Open the journal, or prepare the first one. */
+/* Opens the journal, or prepares the first generation. */
 int dl_rlog_store_open(struct dl_disk disk, uint64_t new_id,
 		       struct dl_rlog_store **out, struct dl_rlog_image *image,
 		       struct dl_err *err)
@@ -596,7 +607,7 @@
 		code = disk.ops->truncate(disk.disk, TMP_NAME, 0);
 	if (code)
 		return dl_err_set(err, code, DL_STEP_STORE, NULL,
-				  "cannot cut " TMP_NAME ": %s",
+				  "cannot truncate " TMP_NAME ": %s",
 				  strerror(-code));
 	if (!s->generation) {
 		s->empty = true;
--- a/src/state/rlog_vote.c
+++ b/src/state/rlog_vote.c
@@ -1,9 +1,9 @@
 /*
  * Elections.  A replica that hears no leader first asks whether it could win
- * (pre-vote), which changes nothing anywhere; so one that was cut off comes
- * back without deposing a good leader.  A replica that has heard its leader
- * within the election time takes no notice of votes at all: the leader's
- * lease rests on that.
+ * (pre-vote), which changes no state anywhere; so a replica that was
+ * partitioned comes back without deposing a live leader.  A replica that has
+ * heard its leader within the election timeout ignores vote requests: the
+ * leader's lease depends on this.
  */
 #include "state/rlog_int.h"
 
@@ -58,7 +58,7 @@
 	return votes >= rlog_majority(&r->members);
 }
 
-/* Ask whether an election could be won. */
+/* Starts a pre-vote. */
 void rlog_prevote_begin(struct dl_rlog *r, int64_t now)
 {
 	r->role = DL_RLOG_PRECANDIDATE;
@@ -70,7 +70,7 @@
 		rlog_election_begin(r, false, now);
 }
 
-/* Stand for election in a new term; the own vote counts once synced. */
+/* Starts an election in a new term; the own vote counts once synced. */
 void rlog_election_begin(struct dl_rlog *r, bool transfer, int64_t now)
 {
 	r->role = DL_RLOG_CANDIDATE;
@@ -84,7 +84,7 @@
 	ask_voters(r, DL_RLOG_VOTE, r->term, transfer);
 }
 
-/* The candidate's own vote has been synced. */
+/* Counts the candidate's own vote, which has been synced. */
 void rlog_vote_synced(struct dl_rlog *r, int64_t now)
 {
 	r->self_voted = true;
@@ -92,7 +92,9 @@
 		rlog_become_leader(r, now);
 }
 
-/* Answer whether a candidate of the next term could have this vote. */
+/*
+ * Answers whether a candidate of the next term would get this replica's vote.
+ */
 void rlog_on_prevote(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		     int64_t now)
 {
@@ -110,7 +112,7 @@
 	rlog_queue(r, &reply, r->state_seq);
 }
 
-/* Count an answer; a majority begins the election itself. */
+/* Counts a pre-vote; a majority starts the election itself. */
 void rlog_on_prevote_reply(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			   int64_t now)
 {
@@ -124,7 +126,9 @@
 		rlog_election_begin(r, false, now);
 }
 
-/* Grant a vote, once a term, to one whose log holds at least as much. */
+/*
+ * Grants one vote per term, to a candidate whose log is at least as up to date.
+ */
 void rlog_on_vote(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now)
 {
 	struct dl_rlog_msg reply;
@@ -145,7 +149,7 @@
 	rlog_queue(r, &reply, r->state_seq);
 }
 
-/* Count a vote of this term. */
+/* Counts a vote of this term. */
 void rlog_on_vote_reply(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			int64_t now)
 {
@@ -158,7 +162,7 @@
 		rlog_become_leader(r, now);
 }
 
-/* The leader hands over: stand at once. */
+/* Starts an election at once, at the leader's request. */
 void rlog_on_transfer(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		      int64_t now)
 {
--- a/src/state/rlog_voters.c
+++ b/src/state/rlog_voters.c
@@ -1,15 +1,16 @@
 /*
- * A group that nobody lists: which VMs should vote, from who does and who
- * asks.  rlog_reconfig.c carries the answer out, one change at a time.
+ * The choice of voters if the configuration lists no replicas, from the current
+ * voters and the VMs that ask to join.  rlog_reconfig.c carries it out, one
+ * change at a time.
  *
- * For machines that are replaced by others at new addresses without a word to
- * the group: a voter that is unheard for longer than a restart takes makes
- * room as soon as another identity asks to come in.  Nothing is given up for
- * nothing: without a newcomer the silent voter stays.
+ * This serves machines that are replaced by others at new addresses without any
+ * notice to the group: a voter that has been silent for longer than a restart
+ * takes is replaced as soon as another identity asks to join.  Without one, the
+ * silent voter stays a member.
  */
 #include "state/rlog_int.h"
 
-/* An identity that asks says hello twice a second; so long it counts. */
+/* A join request counts for this long; they are sent twice a second. */
 #define JOIN_VALID_MS 3000
 
 static int64_t last_heard(const struct dl_rlog *r, uint64_t id, int64_t now);
@@ -17,7 +18,7 @@
 static uint64_t joining_vm(const struct dl_rlog *r, const uint64_t *vms,
 			   uint32_t n, int64_t now);
 
-/* When a member was last heard; this one is heard now. */
+/* When a member was last heard; this replica counts as heard now. */
 static int64_t last_heard(const struct dl_rlog *r, uint64_t id, int64_t now)
 {
 	if (id == r->id)
@@ -38,7 +39,7 @@
 	return false;
 }
 
-/* A VM that asks to come in or is a learner already, and is not listed. */
+/* A VM that asks to join or is a learner already, and is not among vms. */
 static uint64_t joining_vm(const struct dl_rlog *r, const uint64_t *vms,
 			   uint32_t n, int64_t now)
 {
@@ -57,7 +58,7 @@
 	return DL_VM_NONE;
 }
 
-/* Decide anew, before a repair, which VMs are wanted. */
+/* Chooses the VMs that should have replicas, before each membership change. */
 void rlog_choose_voters(struct dl_rlog *r, int64_t now)
 {
 	uint64_t vms[DL_RLOG_MEMBERS_MAX];
@@ -89,7 +90,7 @@
 				vms[k] = vm;
 		}
 	}
-	/* One that was added before the silent one went is one too many. */
+	/* A voter added before the silent one is removed is one too many. */
 	for (uint32_t i = 0; n > r->conf.voters_wanted && i < r->members.count;
 	     i++) {
 		const struct dl_rlog_member *m = &r->members.at[i];
