--- a/include/daisyledge/disk.h
+++ b/include/daisyledge/disk.h
@@ -24,7 +24,7 @@
 	void (*sync)(void *disk, const char *name, struct dl_disk_done done);
 	void (*rename)(void *disk, const char *from, const char *to,
 		       struct dl_disk_done done);
-	void (*sync_folder)(void *disk, struct dl_disk_done done);
+	void (*sync_dir)(void *disk, struct dl_disk_done done);
 	void (*unlink)(void *disk, const char *name, struct dl_disk_done done);
 
 	/* Reads the whole file; the caller frees it with free(). */
--- a/src/state/crash_store.c
+++ b/src/state/crash_store.c
@@ -140,8 +140,8 @@
 	if (code)
 		end_save(store, code);
 	else
-		store->disk.ops->sync_folder(store->disk.disk,
-					     then(store, on_saved));
+		store->disk.ops->sync_dir(store->disk.disk,
+					  then(store, on_saved));
 }
 
 static void on_saved(void *arg, int code)
--- a/src/state/rlog_store.c
+++ b/src/state/rlog_store.c
@@ -51,7 +51,7 @@
 	STEP_WRITE,
 	STEP_SYNC,
 	STEP_RENAME,
-	STEP_SYNC_FOLDER,
+	STEP_SYNC_DIR,
 	STEP_UNLINK,
 	STEP_MARKER,
 	STEP_END,
@@ -252,10 +252,10 @@
 static enum store_step step_after(const struct dl_rlog_store *s)
 {
 	if (s->step == STEP_SYNC && s->starting)
-		return STEP_SYNC_FOLDER;
+		return STEP_SYNC_DIR;
 	if (s->step == STEP_SYNC && !s->new_generation)
 		return STEP_MARKER;
-	if (s->step == STEP_SYNC_FOLDER && !s->old_generation)
+	if (s->step == STEP_SYNC_DIR && !s->old_generation)
 		return STEP_MARKER;
 	return s->step + 1;
 }
@@ -287,8 +287,8 @@
 	case STEP_RENAME:
 		ops->rename(s->disk.disk, TMP_NAME, s->name, done);
 		return;
-	case STEP_SYNC_FOLDER:
-		ops->sync_folder(s->disk.disk, done);
+	case STEP_SYNC_DIR:
+		ops->sync_dir(s->disk.disk, done);
 		return;
 	case STEP_UNLINK:
 		name_of(s->old_generation, old);
--- a/test/fake/disk.c
+++ b/test/fake/disk.c
@@ -39,7 +39,7 @@
 	struct dl_disk_done done;
 	struct file *sync; /* what becomes synced at the end */
 	guint changes;	   /* how many writes the sync covers */
-	bool folder;
+	bool syncs_dir;
 	guint names;
 };
 
@@ -262,14 +262,14 @@
 	name_op(d, from, to, f);
 }
 
-static void disk_sync_folder(void *disk, struct dl_disk_done done)
+static void disk_sync_dir(void *disk, struct dl_disk_done done)
 {
 	struct fake_disk *d = disk;
 	struct pending *x = begin(d, done, d->sync_min);
 
 	if (!x)
 		return;
-	x->folder = true;
+	x->syncs_dir = true;
 	x->names = d->name_ops->len;
 }
 
@@ -327,7 +327,7 @@
 	.write = disk_write,
 	.sync = disk_sync,
 	.rename = disk_rename,
-	.sync_folder = disk_sync_folder,
+	.sync_dir = disk_sync_dir,
 	.unlink = disk_unlink,
 	.read = disk_read,
 	.list = disk_list,
@@ -362,7 +362,7 @@
 		if (x->changes)
 			g_array_remove_range(x->sync->unsynced, 0, x->changes);
 	}
-	if (x->folder && !code)
+	if (x->syncs_dir && !code)
 		apply_name_ops(d, x->names);
 	pending_free(x);
 	done.fn(done.arg, code);
--- a/test/test_disk.c
+++ b/test/test_disk.c
@@ -68,7 +68,7 @@
 	disk.ops->write(disk.disk, "a.tmp", 5, DL_STR(" world"), DONE(1));
 	disk.ops->sync(disk.disk, "a.tmp", DONE(2));
 	disk.ops->rename(disk.disk, "a.tmp", "a", DONE(3));
-	disk.ops->sync_folder(disk.disk, DONE(4));
+	disk.ops->sync_dir(disk.disk, DONE(4));
 	disk.ops->write(disk.disk, "a", 6, DL_STR("W"), DONE(5));
 	run_loop();
 	ck_assert_int_eq(ended, 6);
