--- a/test/fake/disk.c
+++ b/test/fake/disk.c
@@ -1,4 +1,4 @@
-/* The disk in memory: each file as written and as synced. */
+/* A disk in memory: each file as written and as synced. */
 #include "disk.h"
 
 #include <errno.h>
@@ -7,7 +7,7 @@
 
 #include <glib.h>
 
-/* A write, or where data is NULL a cut at the offset. */
+/* A write, or a truncation to the offset if data is NULL. */
 struct change {
 	uint64_t offset;
 	uint64_t n;
@@ -23,13 +23,13 @@
 	gint refs;
 	GByteArray *now;
 	GByteArray *synced;
-	GArray *unsynced; /* of struct span, in the order of writing */
+	GArray *unsynced; /* of struct change, in the order of writing */
 };
 
-/* A name made, moved or dropped since the folder was synced. */
+/* A name created, renamed or removed since the directory was synced. */
 struct name_op {
-	char *from; /* dropped; NULL for none */
-	char *to;   /* made; NULL for none */
+	char *from; /* removed name; NULL for none */
+	char *to;   /* created name; NULL for none */
 	struct file *file;
 };
 
@@ -37,8 +37,8 @@
 	int64_t due;
 	int code;
 	struct dl_disk_done done;
-	struct file *sync; /* what becomes synced at the end */
-	guint changes;	   /* how many writes the sync covers */
+	struct file *sync; /* the file to mark as synced on completion */
+	guint changes;	   /* number of writes that the sync covers */
 	bool syncs_dir;
 	guint names;
 };
@@ -53,7 +53,7 @@
 	int fail_code;
 	uint32_t crash_in;
 	bool down;
-	GHashTable *names; /* to struct file */
+	GHashTable *names; /* name to struct file */
 	GHashTable *synced_names;
 	GPtrArray *name_ops;
 	GQueue pending;
@@ -152,7 +152,7 @@
 	return d->count;
 }
 
-/* Count an operation; NULL where it fails, or the VM is down, instead. */
+/* Counts an operation; returns NULL if it fails or the VM goes down. */
 static struct pending *begin(struct fake_disk *d, struct dl_disk_done done,
 			     uint32_t ms)
 {
@@ -388,7 +388,10 @@
 	return ((struct pending *)d->pending.head->data)->due;
 }
 
-/* Each write since the sync: lost, whole, or a part of it from anywhere. */
+/*
+ * Applies of each write since the last sync nothing, all, or a part from its
+ * beginning or up to its end.
+ */
 static void lose_unsynced_writes(struct fake_disk *d, struct file *f)
 {
 	GByteArray *left = g_byte_array_new();
@@ -424,7 +427,7 @@
 	g_byte_array_free(left, TRUE);
 }
 
-/* What is there after a start is what would be there after another. */
+/* Marks everything as synced: what survived the crash survives later ones. */
 static void mark_all_synced(struct fake_disk *d)
 {
 	GHashTableIter iter;
--- a/test/fake/group.c
+++ b/test/fake/group.c
@@ -1,4 +1,4 @@
-/* Replicas over fakes, and the checks on them. */
+/* Replicas over a fake link and fake disks, and the checks on them. */
 #include "group.h"
 
 #include <stdio.h>
@@ -12,7 +12,7 @@
 
 #define LAST_BUCKET 63
 
-/* The state machine: a chain of hashes of what was applied. */
+/* The state machine: a running hash of the applied commands. */
 struct state_hash {
 	uint64_t index;
 	uint64_t hash;
@@ -24,22 +24,25 @@
 	struct fake_disk *disk;
 	struct dl_rlog_store *store;
 	struct dl_rlog *rlog;
-	bool started; /* its start is synced */
+	bool started; /* the initial sync is done */
 	bool up;
 	int64_t offset;
-	int64_t rate; /* permille */
+	int64_t rate; /* clock rate in permille */
 	struct state_hash state_hash;
-	uint64_t seq;  /* of the unit under way */
-	uint64_t term; /* in which it was seen leading */
+	uint64_t seq;  /* of the record being written */
+	uint64_t term; /* the last one in which it led */
 	uint64_t id;
-	uint64_t busy_ns; /* in the log and its codec */
+	uint64_t busy_ns; /* real time in the log and codec */
 	uint64_t timing_since;
 };
 
-/* What the group knows of an index, from whoever applied it first. */
+/*
+ * What the first replica to apply an index applied there, as a reference for
+ * the others.
+ */
 struct reference {
 	uint64_t term;
-	uint64_t seen_term; /* of the replica that applied it first */
+	uint64_t seen_term; /* current term of that replica */
 	uint64_t hash;
 };
 
@@ -56,8 +59,8 @@
 	struct fake_link *link;
 	struct node nodes[GROUP_MAX + 1];
 	int64_t now;
-	GHashTable *leaders; /* term to identity */
-	GArray *references;  /* of struct truth, by index */
+	GHashTable *leaders; /* maps a term to an identity */
+	GArray *references;  /* of struct reference, by index */
 	GArray *proposals;
 	uint64_t highest_acked;
 	uint64_t highest_applied;
@@ -223,7 +226,7 @@
 
 /* --- checks --- */
 
-/* The highest index that was committed in a term before this one. */
+/* The highest index that was committed in an earlier term. */
 static uint64_t committed_before(const struct group *g, uint64_t term)
 {
 	for (uint64_t i = g->highest_applied; i > 0; i--) {
@@ -246,9 +249,9 @@
 	n->term = s->term;
 	known = g_hash_table_lookup(g->leaders, &s->term);
 	if (known && *known != s->id)
-		report_violation(g, n, "a second leader of a term");
+		report_violation(g, n, "a second leader in one term");
 	if (s->last < committed_before(g, s->term))
-		report_violation(g, n, "a leader without what is committed");
+		report_violation(g, n, "a leader lacks a committed entry");
 	if (known)
 		return;
 	g->count.leaders++;
@@ -272,17 +275,17 @@
 		if (o != n && o->rlog && o->started &&
 		    !fake_link_paused(g->link, vm, g->now) &&
 		    dl_rlog_lease(o->rlog, local_now(o), NULL))
-			report_violation(g, n, "two leaders under lease");
+			report_violation(g, n, "two leaders hold a lease");
 	}
 	if (dl_rlog_read(n->rlog, local_now(n), &index) == 0) {
 		g->count.reads++;
 		if (index < g->highest_acked)
-			report_violation(g, n,
-					 "a read misses what was acknowledged");
+			report_violation(
+				g, n, "a read misses an acknowledged command");
 	}
 }
 
-/* Compare an applied point with what others applied there. */
+/* Compares what was applied at an index with the reference. */
 static void check_reference(struct node *n, uint64_t index, uint64_t term)
 {
 	struct group *g = n->group;
@@ -297,7 +300,8 @@
 		*t = (struct reference){ term, s.term, n->state_hash.hash };
 	}
 	if (t->term != term || t->hash != n->state_hash.hash)
-		report_violation(g, n, "applied what others did not");
+		report_violation(g, n,
+				 "applied another command than other replicas");
 	g->highest_applied = MAX(g->highest_applied, index);
 }
 
@@ -327,17 +331,19 @@
 		n->group->count.restores++;
 		if (a->data.n < sizeof(n->state_hash)) {
 			report_violation(n->group, n,
-					 "a snapshot of the wrong size");
+					 "a snapshot has the wrong size");
 			return;
 		}
 		if (a->index < n->state_hash.index)
-			report_violation(n->group, n, "the version went back");
+			report_violation(
+				n->group, n,
+				"a snapshot is older than the applied state");
 		memcpy(&n->state_hash, a->data.s, sizeof(n->state_hash));
 		n->state_hash.index = a->index;
 		return;
 	}
 	if (a->index <= n->state_hash.index)
-		report_violation(n->group, n, "an index applied twice");
+		report_violation(n->group, n, "an index was applied twice");
 	n->state_hash.hash = dl_hash(a->data, n->state_hash.hash);
 	n->state_hash.index = a->index;
 	check_reference(n, a->index, a->term);
@@ -437,7 +443,7 @@
 	g->count.steps++;
 	begin_timing(n);
 	if (dl_rlog_decode(d->data, &m)) {
-		report_violation(g, n, "a message could not be decoded");
+		report_violation(g, n, "a message cannot be decoded");
 		return;
 	}
 	m.msg.from_vm = d->from;
@@ -446,7 +452,7 @@
 	process_outputs(n);
 }
 
-/* When a node's own clock wakes it, in the group's time. */
+/* When a node's own clock wakes it, in simulated time. */
 static int64_t node_wakeup(const struct node *n)
 {
 	int64_t at = dl_rlog_wakeup(n->rlog);
@@ -574,7 +580,7 @@
 	return code;
 }
 
-/* Whether a member has applied, and synced, all that its leader has. */
+/* Whether a member has applied and synced everything that its leader has. */
 static bool is_converged(struct group *g, const struct node *leader,
 			 const struct dl_rlog_member *m)
 {
--- a/test/fake/group.h
+++ b/test/fake/group.h
@@ -1,6 +1,6 @@
 /*
- * Replicas over the fake link and fake disks, with what must always hold
- * checked after every step.  It decides nothing: the tests say who fails when.
+ * Replicas over a fake link and fake disks.  The invariants are checked after
+ * every step.  The tests choose the faults.
  */
 #ifndef TEST_FAKE_GROUP_H
 #define TEST_FAKE_GROUP_H
@@ -15,7 +15,7 @@
 
 struct group_conf {
 	uint32_t seed;
-	uint32_t listed; /* VMs 1 to listed begin the log */
+	uint32_t listed; /* VMs 1 to listed create the log */
 	struct fake_link_conf link;
 	uint32_t sync_min_ms;
 	uint32_t sync_max_ms;
@@ -28,18 +28,18 @@
 struct group_counters {
 	uint64_t steps;
 	uint64_t violations;
-	uint64_t acked; /* commands known committed to who proposed them */
+	uint64_t acked; /* commands whose commit their proposer saw */
 	uint64_t leaders;
 	uint64_t reads;
 	uint64_t restores;
-	uint64_t damaged;	/* starts refused */
-	uint64_t commit_ms[64]; /* how many commands took so long */
+	uint64_t damaged;	/* starts refused because of damage */
+	uint64_t commit_ms[64]; /* commands by commit time in ms */
 };
 
 struct group *group_new(const struct group_conf *conf);
 void group_free(struct group *group);
 
-/* Start a VM's process from its disk. */
+/* Starts a VM's process from its disk. */
 void group_start(struct group *group, uint64_t vm);
 void group_kill(struct group *group, uint64_t vm);
 void group_crash(struct group *group, uint64_t vm);
@@ -47,20 +47,20 @@
 void group_pause(struct group *group, uint64_t vm, uint32_t ms);
 bool group_is_up(const struct group *group, uint64_t vm);
 
-/* Let everything due happen, until this much time has passed. */
+/* Runs the simulation for this time. */
 void group_run(struct group *group, uint32_t ms);
 int64_t group_now(const struct group *group);
-/* The same moment by a VM's own clock. */
+/* The current time on a VM's own clock. */
 int64_t group_local(const struct group *group, uint64_t vm);
-/* A VM that leads, the one of the highest term; DL_VM_NONE. */
+/* The leader of the highest term, or DL_VM_NONE. */
 uint64_t group_leader(const struct group *group);
-/* Run until there is a leader that can commit; false after max_ms. */
+/* Runs until there is a leader that can commit; false after max_ms. */
 bool group_wait_leader(struct group *group, uint32_t max_ms);
-/* Propose a command at a VM. */
+/* Proposes a command at a VM. */
 int group_propose(struct group *group, uint64_t vm, uint32_t bytes);
-/* Every VM that is up has applied everything, before max_ms. */
+/* Runs until every member has applied everything; false after max_ms. */
 bool group_wait_converged(struct group *group, uint32_t max_ms);
-/* The members are exactly these VMs, all voters, one identity each. */
+/* Whether the members are exactly these VMs, all voters, one identity each. */
 bool group_members_are(struct group *group, const uint64_t *vms, uint32_t n);
 
 struct fake_link *group_link(struct group *group);
@@ -69,10 +69,10 @@
 uint64_t group_applied(const struct group *group, uint64_t vm);
 uint64_t group_identity(const struct group *group, uint64_t vm);
 void group_set_replicas(struct group *group, const uint64_t *vms, uint32_t n);
-/* Real time that a VM spent in the log and its codec, for benchmarks. */
+/* Real time that a VM spent in the log and codec, for benchmarks. */
 uint64_t group_busy_ns(const struct group *group, uint64_t vm);
 const struct group_counters *group_get_counters(const struct group *group);
-/* The first violation in words; empty where there is none. */
+/* The description of the first violation; empty if there is none. */
 const char *group_violation(const struct group *group);
 
 #endif
--- a/test/test_orders.c
+++ b/test/test_orders.c
@@ -1,8 +1,8 @@
 /*
- * Orders to endpoints: one order-giver at a time as seen by an endpoint that
- * ignores fencing numbers, whatever pauses, clocks and the network do; the
- * wished end is reached; the weight store is never asked for more than it
- * gives.
+ * Orders to endpoints.  An endpoint that ignores fencing tokens never sees an
+ * order of an earlier leader after one of a later leader, whatever pauses,
+ * clocks and the network do; every endpoint reaches its goal; the weight store
+ * is never asked for more than its rate.
  */
 #include <check.h>
 #include <errno.h>
@@ -16,7 +16,7 @@
 
 #define SEED	      20261202
 #define RUNS	      200
-#define RUNS_SLOW     20 /* under a sanitizer, each takes twenty times as long */
+#define RUNS_SLOW     20 /* a sanitizer makes each run 20 times slower */
 #define CHAOS_MS      120000
 #define CALM_MS	      600000
 #define STEP_MS	      20
@@ -36,7 +36,7 @@
 	return c;
 }
 
-/* Two services: "strict" checks fencing numbers, "loose" ignores them. */
+/* Two services: "strict" checks fencing tokens, "loose" ignores them. */
 static struct dl_conf *make_conf(const char *version, uint32_t endpoints)
 {
 	static struct dl_faults faults;
@@ -76,7 +76,7 @@
 	return e;
 }
 
-/* A planner that leads in term 1 from time 0, with its bucket filled. */
+/* A planner that leads in term 1 from time 0. */
 static struct dl_orders *make_leader(const char *version, uint32_t endpoints)
 {
 	struct dl_orders_conf c = limits();
@@ -140,14 +140,14 @@
 			second = t;
 		ck_assert_ptr_null(dl_orders_check(o));
 	}
-	/* An empty bucket at first, one load each two seconds after. */
+	/* The bucket starts empty and allows one load every two seconds. */
 	ck_assert_int_eq(first, 2000);
 	ck_assert_int_eq(second, 4000);
 	dl_orders_free(o);
 }
 END_TEST
 
-/* No more endpoints load at once than the share that may be put out. */
+/* No more endpoints load at once than the share that may be out of service. */
 START_TEST(pool_keeps_its_capacity)
 {
 	struct dl_orders *o = make_leader("1", 0);
@@ -173,7 +173,10 @@
 }
 END_TEST
 
-/* What is seen done makes room at once; a restart forgets what was accepted. */
+/*
+ * An announced goal frees a slot at once; a restarted endpoint has lost what it
+ * accepted.
+ */
 START_TEST(announcement_completes_order)
 {
 	struct dl_orders *o = make_leader("1", 0);
@@ -191,7 +194,7 @@
 	dl_orders_result(o, order.id, DL_ORDER_ACCEPTED, 7200);
 	a.incarnation++;
 	dl_orders_update_endpoint(o, &a, 9000);
-	ck_assert(!dl_orders_next(o, 9200, &order)); /* b has the one place */
+	ck_assert(!dl_orders_next(o, 9200, &order)); /* b uses the only slot */
 	b = announce("10.0.0.2:1", "strict", "a", "");
 	dl_orders_update_endpoint(o, &b, 9300);
 	ck_assert(dl_orders_next(o, 9400, &order));
@@ -201,10 +204,10 @@
 END_TEST
 
 /*
- * The worst that clocks and the network may do: the earlier leader's clock is
- * the slowest, its last order is sent at the end of a lease renewed when the
- * new leader was elected, and arrives as late as it can; the new leader's
- * clock is the fastest.
+ * The worst case for clocks and network: the earlier leader's clock is the
+ * slowest, it sends its last order at the end of a lease renewed when the new
+ * leader was elected, the order arrives as late as possible, and the new
+ * leader's clock is the fastest.
  */
 START_TEST(hold_covers_worst_case)
 {
@@ -252,7 +255,7 @@
 }
 END_TEST
 
-/* An endpoint that may still get an order gets no second one meanwhile. */
+/* An endpoint gets no second order while an earlier one may still arrive. */
 START_TEST(one_order_at_a_time)
 {
 	struct dl_orders *o = make_leader("1", 0);
@@ -279,16 +282,16 @@
 END_TEST
 
 /*
- * The fakes: processes that lead in turn, each with a clock of its own, and
- * endpoints of both kinds.  An order is in flight for as long as its sender
+ * A simulation of processes that lead in turn, each with its own clock, and of
+ * endpoints of both services.  An order is in flight for as long as its sender
  * and the network may take.
  */
 struct process {
 	struct dl_orders *orders;
 	double rate;
 	int64_t offset;
-	int64_t paused_until; /* true time */
-	bool has_held;	      /* an order planned before a pause */
+	int64_t paused_until; /* in simulated time */
+	bool has_held;	      /* an order is planned but not sent yet */
 	struct dl_order held;
 };
 
@@ -298,7 +301,7 @@
 	bool tells_version;
 	uint64_t max_fence;
 	struct dl_order loading;
-	int64_t loaded_at; /* 0: nothing is loaded */
+	int64_t loaded_at; /* 0: no load in progress */
 };
 
 struct in_flight {
@@ -372,8 +375,9 @@
 }
 
 /*
- * Elect at any time: the earlier leader's lease, renewed until now, may run on
- * for its whole length.  Only the leader of the latest term renews.
+ * Elects a leader at random times: the earlier leader's lease, renewed until
+ * now, may continue for its full duration.  Only the leader of the latest term
+ * renews its lease.
  */
 static void elect(struct world *w)
 {
@@ -392,7 +396,7 @@
 			     local);
 }
 
-/* Send what was planned, if it may still be sent after whatever pause. */
+/* Sends the planned order if it may still be sent, after any pause. */
 static void send_held(struct world *w, int from)
 {
 	struct process *p = &w->process[from];
@@ -440,7 +444,10 @@
 		send_held(w, from);
 }
 
-/* An endpoint takes an order: here is the invariant. */
+/*
+ * Delivers an order to its endpoint and checks that no "loose" endpoint gets an
+ * order of an earlier term.
+ */
 static void receive_order(struct world *w, struct in_flight *f)
 {
 	struct fake_endpoint *e = &w->endpoint[0];
@@ -494,7 +501,7 @@
 	}
 }
 
-/* Endpoints finish loads, restart, and announce themselves. */
+/* Lets endpoints finish loads, restart and announce themselves. */
 static void run_endpoints(struct world *w)
 {
 	for (int i = 0; i < ENDPOINTS; i++) {
--- a/test/test_rlog.c
+++ b/test/test_rlog.c
@@ -1,4 +1,4 @@
-/* The replicated log: focused cases over the fake link and fake disks. */
+/* Tests of the replicated log, over the fake link and fake disks. */
 #include <check.h>
 #include <errno.h>
 #include <stdio.h>
@@ -38,7 +38,8 @@
 
 static void finish_group(struct group *g)
 {
-	ck_assert_msg(group_wait_converged(g, 30000), "does not converge");
+	ck_assert_msg(group_wait_converged(g, 30000),
+		      "replicas do not converge");
 	ck_assert_str_eq(group_violation(g), "");
 	group_free(g);
 }
@@ -98,7 +99,9 @@
 }
 END_TEST
 
-/* Pre-vote: who was cut off and comes back does not depose the leader. */
+/*
+ * Pre-vote: a partitioned replica that comes back does not depose the leader.
+ */
 START_TEST(returning_replica_does_not_depose)
 {
 	struct group *g = start_three(4);
@@ -115,7 +118,10 @@
 }
 END_TEST
 
-/* One way only: it hears nobody, and they hear it. */
+/*
+ * A replica that receives nothing, but whose messages arrive, does not depose
+ * the leader either.
+ */
 START_TEST(one_way_cut_does_not_depose)
 {
 	struct group *g = start_three(5);
@@ -173,7 +179,10 @@
 }
 END_TEST
 
-/* After a repair a second loss leaves a group that still commits. */
+/*
+ * The group still commits if a second disk is lost right after the replacement
+ * of the first.
+ */
 START_TEST(second_loss_after_replacement)
 {
 	struct group *g = start_three(9);
@@ -252,9 +261,9 @@
 END_TEST
 
 /*
- * A replica that has just started knows of its snapshot that it was committed,
- * not how much was committed after it: until a leader has told it, what it has
- * is not current, though the snapshot may be of the term that it was in.
+ * After a start a replica knows that its snapshot was committed, but not how
+ * much was committed after it.  Its state is not current until a leader has
+ * sent the commit index, even if the snapshot is of the current term.
  */
 START_TEST(snapshot_alone_is_not_current)
 {
@@ -288,7 +297,7 @@
 }
 END_TEST
 
-/* A sync that failed is never answered: the replica goes silent. */
+/* A replica whose sync failed does not acknowledge it and halts. */
 START_TEST(failed_sync_halts)
 {
 	static const int codes[] = { -EIO, -ENOSPC };
@@ -308,7 +317,7 @@
 }
 END_TEST
 
-/* Damage in the middle: it refuses and says why. */
+/* A replica with damage in the middle of its journal halts with a reason. */
 START_TEST(damage_is_refused)
 {
 	struct group *g = start_three(20 + (uint32_t)_i);
@@ -332,7 +341,7 @@
 }
 END_TEST
 
-/* The VM goes down before each single operation of its disk. */
+/* The VM goes down before each single disk operation. */
 START_TEST(crash_at_every_disk_step)
 {
 	struct group *g = start_three(100 + (uint32_t)_i);
@@ -353,8 +362,8 @@
 END_TEST
 
 /*
- * A disk that takes seconds to sync costs neither the leader nor a commit;
- * where a majority's are so slow, commits wait and the leader stays.
+ * One disk that takes seconds to sync causes no election and delays no commit;
+ * if a majority of the disks are that slow, commits wait and the leader stays.
  */
 START_TEST(slow_disk_keeps_leader)
 {
@@ -378,8 +387,8 @@
 END_TEST
 
 /*
- * A voter that restarts has promised its leader not to vote for another; the
- * leader's lease goes on resting on that.
+ * A voter that answered its leader grants no vote to another after a restart,
+ * since the leader's lease depends on that promise.
  */
 START_TEST(restart_keeps_vote_promise)
 {
@@ -401,7 +410,7 @@
 }
 END_TEST
 
-/* The answer of one voter to a replica that stands alone in this test. */
+/* Delivers a reply of one voter to the single replica of this test. */
 static void deliver_reply(struct dl_rlog *r, enum dl_rlog_msg_kind kind,
 			  uint64_t from, uint64_t term, bool fresh, int64_t now)
 {
@@ -423,7 +432,10 @@
 		dl_rlog_written(r, u.seq, 0, now);
 }
 
-/* An identity without a log has promised nothing: no lease rests on it. */
+/*
+ * A reply of a replica without a log promises nothing, so the lease does not
+ * count it.
+ */
 START_TEST(uninitialized_reply_is_no_promise)
 {
 	struct dl_rlog_image image = { .id = 1, .cluster = 9 };
--- a/test/test_rlog_random.c
+++ b/test/test_rlog_random.c
@@ -1,10 +1,10 @@
 /*
  * The replicated log under random faults: crashes, kills, pauses, lost disks,
- * cut and lossy links, clocks that drift, changes of the replica list.  What
- * must hold is checked inside, after every step.
+ * partitioned and lossy links, clock drift, changes of the replica list.  The
+ * fake group checks the invariants after every step.
  *
- *   DL_SEEDS=N    so many seeds in place of a million steps
- *   DL_SEED=N     this one seed, and what happened in it
+ *   DL_SEEDS=N    run N seeds instead of a million steps
+ *   DL_SEED=N     run this one seed and print its events
  */
 #include <check.h>
 #include <errno.h>
@@ -22,9 +22,9 @@
 #define CALM_MS		60000
 
 /*
- * Seeds that showed a fault: 22, a lost disk whose settings do not list the
- * leader; 272, a learner whose change was never committed; 231, a first sync
- * that failed.
+ * Seeds that once failed: 22, a lost disk whose settings do not list the
+ * leader; 272, a learner whose addition was never committed; 231, a failed
+ * first sync.
  */
 static const uint32_t failing_seeds[] = { 22, 231, 272 };
 
@@ -32,10 +32,10 @@
 	struct group *group;
 	GRand *rand;
 	bool verbose;
-	bool restarts; /* replicas end and start together, often */
+	bool restarts; /* replicas often restart together */
 };
 
-/* One of so many faults, where they do. */
+/* One in this many faults is a joint restart, where these are enabled. */
 #define RESTART_ONE_IN 5
 
 static uint32_t below(struct trial *t, uint32_t n)
@@ -59,7 +59,7 @@
 
 static const uint32_t list_sizes[] = { 3, 5, 4, 3 };
 
-/* A disk may go only while all others hold everything. */
+/* Whether every replica holds the whole log: only then may a disk be lost. */
 static bool all_replicas_complete(struct trial *t)
 {
 	struct dl_rlog_status s;
@@ -122,11 +122,11 @@
 		fake_link_isolate(group_link(g), vm);
 		break;
 	case 7:
-		log_event(t, "deaf", vm);
+		log_event(t, "receives nothing", vm);
 		fake_link_cut(group_link(g), DL_VM_NONE, vm);
 		break;
 	case 8:
-		log_event(t, "one link", vm);
+		log_event(t, "link cut", vm);
 		fake_link_cut(group_link(g), vm, other);
 		break;
 	case 9:
@@ -135,11 +135,11 @@
 		fake_link_heal(group_link(g));
 		break;
 	case 11:
-		log_event(t, "rough", 0);
+		log_event(t, "lossy links", 0);
 		fake_link_set(group_link(g), &lossy);
 		break;
 	case 12:
-		log_event(t, "calm", 0);
+		log_event(t, "good links", 0);
 		fake_link_set(group_link(g), &calm);
 		break;
 	case 13:
@@ -157,7 +157,7 @@
 		if (all_replicas_complete(t)) {
 			uint32_t i = below(t, G_N_ELEMENTS(lists));
 
-			log_event(t, "list", i);
+			log_event(t, "replica list", i);
 			group_set_replicas(g, lists[i], list_sizes[i]);
 		}
 		break;
@@ -167,9 +167,9 @@
 }
 
 /*
- * Most replicas end and are back at once, while one or another is frozen, cut
- * off or without its disk: what a replica that has just started may grant
- * depends on what it promised before.
+ * Restarts most replicas at once, while one may be frozen, isolated or without
+ * its disk.  A replica that has just started must not grant a vote against a
+ * promise that it made before.
  */
 static void restart_together(struct trial *t)
 {
@@ -196,7 +196,7 @@
 			continue;
 		if (!below(t, 8))
 			continue;
-		log_event(t, "started again", vm);
+		log_event(t, "restart", vm);
 		if (below(t, 2))
 			group_kill(g, vm);
 		else
@@ -210,7 +210,7 @@
 		fake_link_heal(group_link(g));
 }
 
-/* Start what is down, and what has halted, again. */
+/* Restarts replicas that are down or halted. */
 static void restart_some(struct trial *t, bool all)
 {
 	for (uint64_t vm = 1; vm <= 5; vm++) {
@@ -266,7 +266,10 @@
 	}
 }
 
-/* One seed: trouble, then calm in which all must come to agree. */
+/*
+ * Runs one seed: a phase of faults, then one without, in which all replicas
+ * must converge.
+ */
 static void run_seed(uint32_t seed, bool restarts, bool verbose,
 		     struct group_counters *sum)
 {
@@ -316,7 +319,9 @@
 	same = same && group_wait_converged(t.group, CALM_MS);
 	print_status(&t);
 	ck_assert_str_eq(group_violation(t.group), "");
-	ck_assert_msg(same, "seed %u: no agreement in the calm", seed);
+	ck_assert_msg(same,
+		      "seed %u: replicas do not converge after the faults",
+		      seed);
 	ck_assert_msg(count->damaged == 0, "seed %u: a torn tail was refused",
 		      seed);
 	sum->steps += count->steps;
@@ -336,7 +341,7 @@
 }
 END_TEST
 
-/* As many seeds as there is time for, or are asked for. */
+/* Runs seeds until the step limit, or as many as requested. */
 static void run_seeds(bool restarts)
 {
 	const char *seeds = getenv("DL_SEEDS"), *one = getenv("DL_SEED");
@@ -354,7 +359,7 @@
 	}
 	printf("%u seeds%s, %llu steps, %llu acknowledged, %llu leaders, "
 	       "%llu reads, %llu restores\n",
-	       i, restarts ? " with starts together" : "",
+	       i, restarts ? " with joint restarts" : "",
 	       (unsigned long long)sum.steps, (unsigned long long)sum.acked,
 	       (unsigned long long)sum.leaders, (unsigned long long)sum.reads,
 	       (unsigned long long)sum.restores);
