--- a/src/state/rlog_int.h
+++ b/src/state/rlog_int.h
@@ -218,8 +218,10 @@
 void rlog_on_append_uninitialized(struct dl_rlog *r,
 				  const struct dl_rlog_msg *m, int64_t now);
 
-/* rlog_bootstrap.c */
+/* rlog_voters.c */
 void rlog_choose_voters(struct dl_rlog *r, int64_t now);
+
+/* rlog_bootstrap.c */
 void rlog_send_joins(struct dl_rlog *r, int64_t now);
 void rlog_on_join(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now);
 void rlog_on_bootstrap(struct dl_rlog *r, const struct dl_rlog_msg *m,
--- a/test/test_orders.c
+++ b/test/test_orders.c
@@ -14,17 +14,17 @@
 #include "daisyledge/orders.h"
 #include "fake/suite.h"
 
-#define SEED	      20261202
-#define RUNS	      200
-#define RUNS_SLOW     20 /* a sanitizer makes each run 20 times slower */
-#define CHAOS_MS      120000
-#define CALM_MS	      600000
-#define STEP_MS	      20
-#define LEADERS	      3
-#define ENDPOINTS     6
-#define STORE_MB_S    2000
-#define LOAD_MB	      4000
-#define IN_FLIGHT_MAX 256
+#define SEED	   20261202
+#define RUNS	   200
+#define RUNS_SLOW  20 /* a sanitizer makes each run 20 times slower */
+#define CHAOS_MS   120000
+#define CALM_MS	   600000
+#define STEP_MS	   20
+#define LEADERS	   3
+#define ENDPOINTS  6
+#define STORE_MB_S 2000
+#define LOAD_MB	   4000
+#define SENT_MAX   256
 
 static struct dl_orders_conf limits(void)
 {
@@ -304,7 +304,7 @@
 	int64_t loaded_at; /* 0: no load in progress */
 };
 
-struct in_flight {
+struct sent_order {
 	struct dl_order order;
 	int from;
 	int64_t arrives;
@@ -319,8 +319,8 @@
 	int64_t now;
 	struct process process[LEADERS];
 	struct fake_endpoint endpoint[ENDPOINTS];
-	struct in_flight in_flight[IN_FLIGHT_MAX];
-	int in_flight_count;
+	struct sent_order sent_order[SENT_MAX];
+	int sent_count;
 	int leader;
 	uint64_t term;
 	uint64_t loads;
@@ -400,12 +400,12 @@
 static void send_held(struct world *w, int from)
 {
 	struct process *p = &w->process[from];
-	struct in_flight *f = &w->in_flight[w->in_flight_count];
+	struct sent_order *f = &w->sent_order[w->sent_count];
 	int64_t local = clock_of(w, from);
 
 	p->has_held = false;
 	if (!dl_orders_may_send(p->orders, &p->held, local) ||
-	    w->in_flight_count == IN_FLIGHT_MAX) {
+	    w->sent_count == SENT_MAX) {
 		dl_orders_result(p->orders, p->held.id, DL_ORDER_FAILED, local);
 		return;
 	}
@@ -421,7 +421,7 @@
 			g_rand_int_range(w->rand, 0,
 					 (gint32)limits().network_delay_ms);
 	f->lost = chance(w, 100);
-	w->in_flight_count++;
+	w->sent_count++;
 	w->orders++;
 }
 
@@ -448,7 +448,7 @@
  * Delivers an order to its endpoint and checks that no "loose" endpoint gets an
  * order of an earlier term.
  */
-static void receive_order(struct world *w, struct in_flight *f)
+static void receive_order(struct world *w, struct sent_order *f)
 {
 	struct fake_endpoint *e = &w->endpoint[0];
 
@@ -477,8 +477,8 @@
 
 static void deliver_orders(struct world *w)
 {
-	for (int i = 0; i < w->in_flight_count; i++) {
-		struct in_flight *f = &w->in_flight[i];
+	for (int i = 0; i < w->sent_count; i++) {
+		struct sent_order *f = &w->sent_order[i];
 		struct process *p = &w->process[f->from];
 
 		if (!f->answer_at && f->arrives <= w->now) {
@@ -496,7 +496,7 @@
 					 DL_ORDER_UNKNOWN :
 					 f->result,
 				 clock_of(w, f->from));
-		*f = w->in_flight[--w->in_flight_count];
+		*f = w->sent_order[--w->sent_count];
 		i--;
 	}
 }
