--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -373,7 +373,7 @@
 		.sync_min_ms = 1,
 		.sync_max_ms = 2,
 		.snapshot_entries = 10000,
-		.piece_bytes = 65536,
+		.chunk_bytes = 65536,
 	};
 	struct group *g = group_new(&conf);
 	struct fake_link_count before;
@@ -382,7 +382,7 @@
 
 	for (uint64_t vm = 1; vm <= 5; vm++)
 		group_start(g, vm);
-	if (!group_settle(g, 60000))
+	if (!group_wait_leader(g, 60000))
 		must(-1);
 	leader = group_leader(g);
 	group_run(g, 5000);
@@ -392,7 +392,7 @@
 			group_propose(g, leader, CHANGE_BYTES);
 		group_run(g, 100);
 	}
-	*acked = (double)group_counted(g)->acked;
+	*acked = (double)group_get_counters(g)->acked;
 	out = (double)(fake_link_sent(group_link(g), leader).bytes -
 		       before.bytes) /
 	      60;
@@ -424,7 +424,7 @@
 	dl_name_set(&e.models[0], DL_STR("m"));
 	dl_name_set(&e.version, dl_str_of(version));
 	dl_name_set(&e.role, DL_STR("both"));
-	dl_orders_endpoint(orders, &e, now);
+	dl_orders_update_endpoint(orders, &e, now);
 }
 
 /* The endpoint's number out of the address in an order. */
@@ -450,11 +450,11 @@
 	dl_orders_defaults(&oc);
 	orders = dl_orders_new(&oc);
 	dl_orders_configure(orders, conf, now);
-	must(dl_orders_lead(orders, 1, now + 900, now));
+	must(dl_orders_set_leader(orders, 1, now + 900, now));
 	for (uint32_t i = 0; i < endpoints; i++)
 		announce(orders, i, "1", now);
 	for (end = now + 3600000; now < end && done < endpoints; now += 250) {
-		must(dl_orders_lead(orders, 1, now + 900, now));
+		must(dl_orders_set_leader(orders, 1, now + 900, now));
 		while (dl_orders_next(orders, now, &order)) {
 			dl_orders_result(orders, order.id, DL_ORDER_ACCEPTED,
 					 now);
--- a/src/state/orders.c
+++ b/src/state/orders.c
@@ -1,4 +1,4 @@
-/* When orders may be given, one after the other, and what came of them. */
+/* Scheduling of orders and handling of their results. */
 #include "daisyledge/orders.h"
 
 #include <errno.h>
@@ -18,32 +18,32 @@
 static bool has_lease(const struct dl_orders *orders, int64_t now);
 static int64_t ready_at(const struct dl_orders *orders, const struct target *t);
 static bool has_room(const struct dl_orders *orders, const struct target *t);
-static bool may_order(const struct dl_orders *orders, const struct target *t,
+static bool can_order(const struct dl_orders *orders, const struct target *t,
 		      int64_t now);
-static void settle(struct dl_orders *orders, struct target *t);
-static void forget(struct dl_orders *orders, struct target *t);
-static void rest(struct dl_orders *orders, struct target *t, int64_t until);
+static void release_if_done(struct dl_orders *orders, struct target *t);
+static void remove_target(struct dl_orders *orders, struct target *t);
+static void release(struct dl_orders *orders, struct target *t, int64_t until);
 static void expire(struct dl_orders *orders, struct target *t, int64_t now);
-static void emit(struct dl_orders *orders, struct target *t, int64_t now,
-		 struct dl_order *out);
+static void issue_order(struct dl_orders *orders, struct target *t, int64_t now,
+			struct dl_order *out);
 static struct target *find_order(const struct dl_orders *orders, uint64_t id);
-static bool is_under_way(const struct target *t);
-static bool says_same(const struct dl_order_endpoint *a,
-		      const struct dl_order_endpoint *b);
+static bool is_in_progress(const struct target *t);
+static bool same_announcement(const struct dl_order_endpoint *a,
+			      const struct dl_order_endpoint *b);
 
 /*
- * What holds where nothing else is known: leases of the replicated log under
- * two seconds, orders answered or given up within five, an engine's load
- * within ten minutes, a seven-billion-parameter model of sixteen bits.
+ * Defaults: leases of the replicated log below two seconds, orders answered or
+ * timed out within five seconds, a model loaded within ten minutes, a 16-bit
+ * model of seven billion parameters.
  */
 void dl_orders_defaults(struct dl_orders_conf *conf)
 {
 	*conf = (struct dl_orders_conf){
 		.lease_ms = 2000,
-		.under_way_ms = 5000,
-		.network_ms = 2000,
+		.send_timeout_ms = 5000,
+		.network_delay_ms = 2000,
 		.drift_permille = 10,
-		.settle_ms = 600000,
+		.announce_timeout_ms = 600000,
 		.retry_ms = 2000,
 		.load_mb = 16000,
 	};
@@ -54,7 +54,7 @@
 	g_free(target);
 }
 
-/* A planner without endpoints, configuration or leadership. */
+/* Creates a planner without endpoints, configuration or leadership. */
 struct dl_orders *dl_orders_new(const struct dl_orders_conf *conf)
 {
 	struct dl_orders *orders = calloc(1, sizeof(*orders));
@@ -70,7 +70,7 @@
 	return orders;
 }
 
-/* Release a planner; NULL is nothing to do. */
+/* Frees a planner; NULL is allowed. */
 void dl_orders_free(struct dl_orders *orders)
 {
 	if (!orders)
@@ -78,20 +78,20 @@
 	g_hash_table_destroy(orders->by_id);
 	g_hash_table_destroy(orders->drained);
 	g_ptr_array_free(orders->targets, TRUE);
-	g_free(orders->wishes);
+	g_free(orders->goals);
 	g_free(orders->services);
 	free(orders);
 }
 
-/* What one load takes, in thousandths of a MB. */
+/* The cost of one load, in thousandths of a MB. */
 static int64_t load_cost(const struct dl_orders *orders)
 {
 	return (int64_t)orders->conf.load_mb * MS_PER_S;
 }
 
 /*
- * Fill the bucket of the weight store.  It holds one load, so that loads are
- * spread over time and never begin together after a pause.
+ * Refills the token bucket of the weight store.  It holds one load at most, so
+ * that loads are spread over time and never start together after a pause.
  */
 static void refill(struct dl_orders *orders, int64_t now)
 {
@@ -105,18 +105,20 @@
 }
 
 /*
- * Take up or keep leadership.  A new term begins with an empty bucket, as the
- * earlier leader may have emptied it, and with nothing known of orders under
- * way.  For endpoints that ignore fencing it holds back: an earlier leader's
- * lease ends at most lease_ms from now, its last order is given up by its
- * sender under_way_ms later, and what was sent arrives within network_ms; all
- * of this on a clock that may run slower than ours by the drift.
+ * Starts or renews leadership.  A new term starts with an empty bucket, as the
+ * earlier leader may have emptied it, and without knowledge of earlier orders
+ * in progress.  Orders to endpoints that ignore fencing are held back: an
+ * earlier leader's lease ends at most lease_ms from now, its sender gives the
+ * last order up send_timeout_ms later, and a sent order arrives within
+ * network_delay_ms. The sum is increased by the clock drift, since the earlier
+ * leader's clock may run slower than ours.
  */
-int dl_orders_lead(struct dl_orders *orders, uint64_t term, int64_t lease_until,
-		   int64_t now)
+int dl_orders_set_leader(struct dl_orders *orders, uint64_t term,
+			 int64_t lease_until, int64_t now)
 {
 	const struct dl_orders_conf *c = &orders->conf;
-	int64_t wait = (int64_t)c->lease_ms + c->under_way_ms + c->network_ms;
+	int64_t wait =
+		(int64_t)c->lease_ms + c->send_timeout_ms + c->network_delay_ms;
 
 	if (term < orders->term_seen || term == 0)
 		return -ESTALE;
@@ -135,24 +137,23 @@
 	return 0;
 }
 
-/* Give no more orders; what is under way is the next leader's to wait for. */
-void dl_orders_lost(struct dl_orders *orders)
+/* Stops sending orders; the next leader waits for those in progress. */
+void dl_orders_clear_leader(struct dl_orders *orders)
 {
 	orders->term = 0;
 }
 
-/* Take the orders, drains and limits of a configuration. */
+/* Applies the orders, drains and limits of a configuration. */
 void dl_orders_configure(struct dl_orders *orders, const struct dl_conf *conf,
 			 int64_t now)
 {
-	uint32_t wishes = MIN(conf->orders_count, CONF_ORDERS_MAX);
+	uint32_t goals = MIN(conf->orders_count, CONF_ORDERS_MAX);
 
 	refill(orders, now);
 	orders->store_mb_per_s = MAX(conf->weight_store_mb_per_s, STORE_MIN);
-	g_free(orders->wishes);
-	orders->wishes =
-		g_memdup2(conf->orders, wishes * sizeof(*orders->wishes));
-	orders->wishes_count = wishes;
+	g_free(orders->goals);
+	orders->goals = g_memdup2(conf->orders, goals * sizeof(*orders->goals));
+	orders->goals_count = goals;
 	g_free(orders->services);
 	orders->services = g_new0(struct order_service, conf->services_count);
 	orders->services_count = conf->services_count;
@@ -171,41 +172,41 @@
 	for (guint i = 0; i < orders->targets->len; i++) {
 		struct target *t = g_ptr_array_index(orders->targets, i);
 		struct order_service *s =
-			orders_service(orders, &t->says.service);
+			orders_service(orders, &t->announced.service);
 
 		if (s)
-			s->under_way += is_under_way(t);
+			s->in_progress += is_in_progress(t);
 	}
 	orders_plan(orders);
 }
 
-/* Whether an endpoint holds one of the places that its service has. */
-static bool is_under_way(const struct target *t)
+/* Whether an endpoint uses one of the slots of its service. */
+static bool is_in_progress(const struct target *t)
 {
 	return t->state != TARGET_IDLE;
 }
 
-/* An order is over: its service has room for another. */
-static void rest(struct dl_orders *orders, struct target *t, int64_t until)
+/* Ends an order and frees its slot in the service. */
+static void release(struct dl_orders *orders, struct target *t, int64_t until)
 {
-	struct order_service *s = orders_service(orders, &t->says.service);
+	struct order_service *s = orders_service(orders, &t->announced.service);
 
-	if (is_under_way(t) && s)
-		s->under_way--;
+	if (is_in_progress(t) && s)
+		s->in_progress--;
 	t->state = TARGET_IDLE;
 	t->not_before = MAX(t->not_before, until);
 }
 
-/* An endpoint that announces what it has accepted is done. */
-static void settle(struct dl_orders *orders, struct target *t)
+/* Ends an accepted order once the endpoint announces its goal. */
+static void release_if_done(struct dl_orders *orders, struct target *t)
 {
 	if (t->state == TARGET_ACCEPTED && orders_is_done(orders, t))
-		rest(orders, t, t->not_before);
+		release(orders, t, t->not_before);
 }
 
-/* Whether two announcements are the same as far as orders are concerned. */
-static bool says_same(const struct dl_order_endpoint *a,
-		      const struct dl_order_endpoint *b)
+/* Whether two announcements are equal as far as orders are concerned. */
+static bool same_announcement(const struct dl_order_endpoint *a,
+			      const struct dl_order_endpoint *b)
 {
 	if (a->incarnation != b->incarnation || a->leaving != b->leaving ||
 	    a->models_count != b->models_count)
@@ -220,54 +221,56 @@
 }
 
 /*
- * An endpoint announces itself.  A new incarnation has forgotten what it
- * accepted; an order to the old one may still arrive, so its time is waited
- * out all the same.
+ * Handles the announcement of an endpoint.  A new incarnation has lost what it
+ * accepted, but an order sent to the old one may still arrive, so its time is
+ * waited out.
  */
-void dl_orders_endpoint(struct dl_orders *orders,
-			const struct dl_order_endpoint *endpoint, int64_t now)
+void dl_orders_update_endpoint(struct dl_orders *orders,
+			       const struct dl_order_endpoint *endpoint,
+			       int64_t now)
 {
 	struct target *t = g_hash_table_lookup(orders->by_id, endpoint->id.s);
 
 	if (!t) {
 		t = g_new0(struct target, 1);
-		t->says = *endpoint;
-		t->wish = WISH_NONE;
+		t->announced = *endpoint;
+		t->goal = GOAL_NONE;
 		t->not_before = now;
 		g_ptr_array_add(orders->targets, t);
-		g_hash_table_insert(orders->by_id, t->says.id.s, t);
+		g_hash_table_insert(orders->by_id, t->announced.id.s, t);
 		orders->replan = true;
 		return;
 	}
-	if (t->says.incarnation != endpoint->incarnation) {
-		t->had = 0;
+	if (t->announced.incarnation != endpoint->incarnation) {
+		t->accepted_hash = 0;
 		if (t->state == TARGET_ACCEPTED)
-			rest(orders, t, now);
+			release(orders, t, now);
 	}
-	if (!dl_name_eq(&t->says.service, dl_name_str(&endpoint->service)))
-		rest(orders, t,
-		     now + orders->conf.under_way_ms + orders->conf.network_ms);
-	if (t->gone || !says_same(&t->says, endpoint))
+	if (!dl_name_eq(&t->announced.service, dl_name_str(&endpoint->service)))
+		release(orders, t,
+			now + orders->conf.send_timeout_ms +
+				orders->conf.network_delay_ms);
+	if (t->gone || !same_announcement(&t->announced, endpoint))
 		orders->replan = true;
 	t->gone = false;
-	t->says = *endpoint;
-	settle(orders, t);
+	t->announced = *endpoint;
+	release_if_done(orders, t);
 }
 
-/* Forget an endpoint. */
-static void forget(struct dl_orders *orders, struct target *t)
+/* Removes an endpoint. */
+static void remove_target(struct dl_orders *orders, struct target *t)
 {
-	rest(orders, t, 0);
-	g_hash_table_remove(orders->by_id, t->says.id.s);
+	release(orders, t, 0);
+	g_hash_table_remove(orders->by_id, t->announced.id.s);
 	g_ptr_array_remove(orders->targets, t);
 	orders->replan = true;
 }
 
 /*
- * An endpoint is gone.  While an order to it may still arrive it is kept, as
- * it may come back sooner than that.
+ * Handles the removal of an endpoint.  It is kept while an order to it may
+ * still arrive, as it may come back sooner than that.
  */
-void dl_orders_endpoint_gone(struct dl_orders *orders, struct dl_str id)
+void dl_orders_remove_endpoint(struct dl_orders *orders, struct dl_str id)
 {
 	struct dl_name name = { 0 };
 	struct target *t;
@@ -278,11 +281,11 @@
 		return;
 	t->gone = true;
 	orders->replan = true;
-	if (t->state != TARGET_UNDER_WAY)
-		forget(orders, t);
+	if (t->state != TARGET_SENT)
+		remove_target(orders, t);
 }
 
-/* Whether this process may give orders at this moment. */
+/* Whether this process may send orders at this moment. */
 static bool has_lease(const struct dl_orders *orders, int64_t now)
 {
 	return orders->term && !orders->fenced && now < orders->lease_until;
@@ -291,17 +294,20 @@
 /* Whether an order makes an endpoint read from the weight store. */
 static bool is_load(const struct dl_orders *orders, const struct target *t)
 {
-	const struct dl_order_conf *wish = &orders->wishes[t->wish];
+	const struct dl_order_conf *goal = &orders->goals[t->goal];
 
-	return !orders_has_model(t, wish) || !t->says.version.n ||
-	       !dl_name_eq(&t->says.version, dl_name_str(&wish->version));
+	return !orders_has_model(t, goal) || !t->announced.version.n ||
+	       !dl_name_eq(&t->announced.version, dl_name_str(&goal->version));
 }
 
-/* When an endpoint may get its next order, as far as it alone is concerned. */
+/*
+ * When an endpoint may get its next order, apart from limits of its service and
+ * the weight store.
+ */
 static int64_t ready_at(const struct dl_orders *orders, const struct target *t)
 {
 	const struct order_service *s =
-		orders_service(orders, &t->says.service);
+		orders_service(orders, &t->announced.service);
 	int64_t at = t->not_before;
 
 	if (s && s->ignores_fencing)
@@ -310,72 +316,72 @@
 }
 
 /*
- * Whether its service has room for one more order.  Load: a new version for a
- * whole pool under traffic.  Harm prevented: endpoints that load serve nobody,
- * so no more of them load at once than the share of the pool that may be put
- * out, and one at least, else nothing would ever change.
+ * Whether the service has a free slot for one more order.  Endpoints that load
+ * serve no requests, so while a new version is rolled out under traffic, no
+ * more of the pool load at once than the share that may be out of service, but
+ * at least one, or the rollout would never proceed.
  */
 static bool has_room(const struct dl_orders *orders, const struct target *t)
 {
 	const struct order_service *s =
-		orders_service(orders, &t->says.service);
+		orders_service(orders, &t->announced.service);
 	uint32_t most;
 
 	if (!s)
 		return false;
 	most = s->endpoints * s->out_share_permille / PERMILLE;
-	return s->under_way < MAX(most, 1);
+	return s->in_progress < MAX(most, 1);
 }
 
-/* Whether an endpoint may be sent an order now, but for the weight store. */
-static bool may_order(const struct dl_orders *orders, const struct target *t,
+/* Whether an endpoint may be sent an order now, apart from the weight store. */
+static bool can_order(const struct dl_orders *orders, const struct target *t,
 		      int64_t now)
 {
 	return t->state == TARGET_IDLE && !orders_is_done(orders, t) &&
 	       ready_at(orders, t) <= now && has_room(orders, t);
 }
 
-/* Orders whose result never came, and accepted ones that came to nothing. */
+/* Ends orders without a result, and accepted ones that were never completed. */
 static void expire(struct dl_orders *orders, struct target *t, int64_t now)
 {
-	if (!is_under_way(t) || t->not_before > now)
+	if (!is_in_progress(t) || t->not_before > now)
 		return;
 	if (t->gone)
-		forget(orders, t);
+		remove_target(orders, t);
 	else
-		rest(orders, t, now);
+		release(orders, t, now);
 }
 
-/* Write down an order and count it as under way. */
-static void emit(struct dl_orders *orders, struct target *t, int64_t now,
-		 struct dl_order *out)
+/* Issues an order and counts it as in progress. */
+static void issue_order(struct dl_orders *orders, struct target *t, int64_t now,
+			struct dl_order *out)
 {
-	const struct dl_order_conf *wish = &orders->wishes[t->wish];
-	struct order_service *s = orders_service(orders, &t->says.service);
+	const struct dl_order_conf *goal = &orders->goals[t->goal];
+	struct order_service *s = orders_service(orders, &t->announced.service);
 
 	memset(out, 0, sizeof(*out));
 	out->id = ++orders->next_order;
-	out->endpoint = t->says.id;
-	out->service = wish->service;
-	out->model = wish->model;
-	out->version = wish->version;
-	out->role = wish->role;
+	out->endpoint = t->announced.id;
+	out->service = goal->service;
+	out->model = goal->model;
+	out->version = goal->version;
+	out->role = goal->role;
 	out->fence = orders->term;
-	out->give_up = now + orders->conf.under_way_ms;
+	out->deadline = now + orders->conf.send_timeout_ms;
 	if (s)
-		s->under_way++;
-	t->state = TARGET_UNDER_WAY;
-	t->order = out->id;
-	t->had = 0;
-	t->asked = orders_wish_hash(wish);
-	t->not_before = out->give_up + orders->conf.network_ms;
+		s->in_progress++;
+	t->state = TARGET_SENT;
+	t->last_order = out->id;
+	t->accepted_hash = 0;
+	t->ordered_hash = orders_goal_hash(goal);
+	t->not_before = out->deadline + orders->conf.network_delay_ms;
 }
 
 /*
- * The next order to send.  An endpoint gets one at a time: the next only when
- * the last was answered, or can no longer arrive, since two of one leader
- * carry the same fencing number and could overtake each other.  Loads wait
- * for the fleet's bucket; other orders pass them.
+ * Returns the next order to send.  An endpoint gets the next order only when
+ * the last was answered or can no longer arrive, since two orders of one leader
+ * carry the same fencing token and could overtake each other.  Loads wait for
+ * the token bucket of the weight store; other orders do not.
  */
 bool dl_orders_next(struct dl_orders *orders, int64_t now, struct dl_order *out)
 {
@@ -392,42 +398,42 @@
 	for (guint i = 0; i < orders->targets->len; i++) {
 		struct target *t = g_ptr_array_index(orders->targets, i);
 
-		if (!may_order(orders, t, now))
+		if (!can_order(orders, t, now))
 			continue;
 		if (is_load(orders, t)) {
 			if (!store)
 				continue;
 			orders->store_mb_ms -= load_cost(orders);
 		}
-		emit(orders, t, now, out);
+		issue_order(orders, t, now, out);
 		return true;
 	}
 	return false;
 }
 
-/* Whether an order that was planned may still be sent. */
+/* Whether a planned order may still be sent. */
 bool dl_orders_may_send(const struct dl_orders *orders,
 			const struct dl_order *order, int64_t now)
 {
 	return has_lease(orders, now) && order->fence == orders->term &&
-	       now < order->give_up;
+	       now < order->deadline;
 }
 
-/* The endpoint whose latest order is this one, or NULL. */
+/* The endpoint whose latest order has this ID and awaits a result, or NULL. */
 static struct target *find_order(const struct dl_orders *orders, uint64_t id)
 {
 	for (guint i = 0; i < orders->targets->len; i++) {
 		struct target *t = g_ptr_array_index(orders->targets, i);
 
-		if (t->order == id && t->state == TARGET_UNDER_WAY)
+		if (t->last_order == id && t->state == TARGET_SENT)
 			return t;
 	}
 	return NULL;
 }
 
 /*
- * What came of an order.  One that is late, or of an endpoint that has gone,
- * changes nothing but the knowledge of a later leader.
+ * Handles the result of an order.  A result that is late, or of an endpoint
+ * that has been removed, has no effect unless it reveals a later leader.
  */
 void dl_orders_result(struct dl_orders *orders, uint64_t id,
 		      enum dl_order_result result, int64_t now)
@@ -442,23 +448,23 @@
 	switch (result) {
 	case DL_ORDER_ACCEPTED:
 		t->state = TARGET_ACCEPTED;
-		t->had = t->asked;
-		t->not_before = now + orders->conf.settle_ms;
-		settle(orders, t);
+		t->accepted_hash = t->ordered_hash;
+		t->not_before = now + orders->conf.announce_timeout_ms;
+		release_if_done(orders, t);
 		if (t->state == TARGET_IDLE)
 			t->not_before = now;
 		break;
 	case DL_ORDER_UNKNOWN:
-		/* It may still arrive: its time is waited out. */
+		/* It may still arrive, so its time is waited out. */
 		break;
 	default:
 		t->not_before = now + orders->conf.retry_ms;
-		rest(orders, t, t->not_before);
+		release(orders, t, t->not_before);
 		break;
 	}
 }
 
-/* When something may be due; the caller asks dl_orders_next() then. */
+/* When the caller must call dl_orders_next() again. */
 int64_t dl_orders_wakeup(const struct dl_orders *orders, int64_t now)
 {
 	int64_t at = INT64_MAX, lacks;
@@ -471,7 +477,7 @@
 		const struct target *t = g_ptr_array_index(orders->targets, i);
 		int64_t ready = ready_at(orders, t);
 
-		if (orders_is_done(orders, t) && !is_under_way(t))
+		if (orders_is_done(orders, t) && !is_in_progress(t))
 			continue;
 		if (t->state == TARGET_IDLE && is_load(orders, t)) {
 			lacks = load_cost(orders) - orders->store_mb_ms;
@@ -480,13 +486,13 @@
 					    (lacks + orders->store_mb_per_s -
 					     1) / orders->store_mb_per_s);
 		}
-		if (is_under_way(t) || has_room(orders, t))
+		if (is_in_progress(t) || has_room(orders, t))
 			at = MIN(at, ready);
 	}
 	return at;
 }
 
-/* What status shows. */
+/* Fills in the figures that the status shows. */
 void dl_orders_summarize(const struct dl_orders *orders, int64_t now,
 			 struct dl_orders_summary *out)
 {
@@ -499,21 +505,21 @@
 	for (guint i = 0; i < orders->targets->len; i++) {
 		const struct target *t = g_ptr_array_index(orders->targets, i);
 
-		out->under_way += is_under_way(t);
-		if (t->wish == WISH_NONE)
+		out->in_progress += is_in_progress(t);
+		if (t->goal == GOAL_NONE)
 			continue;
-		out->wished++;
-		out->done += orders_is_done(orders, t);
+		out->assigned++;
+		out->completed += orders_is_done(orders, t);
 	}
 }
 
-/* What the counts must always say; NULL, or what is broken. */
-const char *dl_orders_broken(const struct dl_orders *orders)
+/* Checks the invariants; returns NULL or what is broken. */
+const char *dl_orders_check(const struct dl_orders *orders)
 {
 	if (g_hash_table_size(orders->by_id) != orders->targets->len)
-		return "the table of endpoints and their list differ";
+		return "the table and the list of endpoints differ";
 	if (orders->store_mb_ms < 0 || orders->store_mb_ms > load_cost(orders))
-		return "the weight store's bucket is out of its bounds";
+		return "the token bucket of the weight store is out of bounds";
 	for (uint32_t i = 0; i < orders->services_count; i++) {
 		const struct order_service *s = &orders->services[i];
 		uint32_t n = 0;
@@ -522,12 +528,12 @@
 			const struct target *t =
 				g_ptr_array_index(orders->targets, j);
 
-			n += is_under_way(t) &&
-			     dl_name_eq(&t->says.service,
+			n += is_in_progress(t) &&
+			     dl_name_eq(&t->announced.service,
 					dl_name_str(&s->name));
 		}
-		if (n != s->under_way)
-			return "orders under way are miscounted";
+		if (n != s->in_progress)
+			return "orders in progress are miscounted";
 	}
 	return NULL;
 }
--- a/src/state/rlog.c
+++ b/src/state/rlog.c
@@ -1,13 +1,13 @@
 /*
- * The replicated log's frame: its life, time, messages in and out, writes and
- * what is handed to the state machine.  Elections are in rlog_vote.c, the
- * leader's part in rlog_lead.c, the follower's in rlog_follow.c.
+ * The core of the replicated log: creation, time, messages, writes, and entries
+ * handed to the state machine.  Elections are in rlog_vote.c, the leader in
+ * rlog_lead.c, the follower in rlog_follow.c.
  *
- * What is promised to another replica is synced first: a message that rests
- * on a term, a vote or an entry carries the number of the unit that holds it
- * and leaves only once that unit has been synced.  Units are made from the
- * state at the moment of writing, so that whatever came together is written
- * together.
+ * Whatever is promised to another replica is synced first: a message that
+ * depends on a term, a vote or an entry carries the number of the record that
+ * holds it and is sent only once that record has been synced.  Records are made
+ * from the state at the time of writing, so that several changes share one
+ * write.
  */
 #include "state/rlog_int.h"
 
@@ -17,37 +17,43 @@
 
 #define HEARTBEAT_MS	  250
 #define ELECTION_MS	  1000
-#define LEASE_MS	  900 /* clocks that differ by a tenth do no harm */
-#define HELLO_MS	  500
+#define LEASE_MS	  900 /* tolerates clock rates 10% apart */
+#define JOIN_INTERVAL_MS  500
 #define SNAPSHOT_ENTRIES  1000
 #define SNAPSHOT_BYTES	  (4u << 20)
 #define KEEP_ENTRIES	  200
 #define KEEP_BYTES	  (1u << 20)
 #define APPEND_BYTES	  (256u << 10)
 #define INFLIGHT_BYTES	  (8u << 20)
-#define PIECE_BYTES	  (256u << 10)
+#define CHUNK_BYTES	  (256u << 10)
 #define UNCOMMITTED_BYTES (16u << 20)
-/* Longer than a vote takes on slow VMs, two round trips and syncs. */
-#define EAGER_MS 100
-/* Messages that wait for a sync; more are dropped as a network would. */
+/* Longer than a vote takes on slow VMs: two round trips and syncs. */
+#define FAST_RETRY_MS 100
+/*
+ * Limit of messages that wait for a sync; more are dropped, as a network would.
+ */
 #define QUEUE_MAX 4096
-/* Without a leader for so many election times, a replica says hello. */
-#define LOST_ELECTIONS 3
+/*
+ * After this many election timeouts without a leader, a replica sends join
+ * requests.
+ */
+#define JOIN_AFTER_ELECTIONS 3
 
 static void on_append(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		      int64_t now);
-static bool is_leaders(enum dl_rlog_msg_kind kind);
-static bool is_for_us(const struct dl_rlog *r, const struct dl_rlog_msg *m);
+static bool is_from_leader(enum dl_rlog_msg_kind kind);
+static bool is_addressed_to(const struct dl_rlog *r,
+			    const struct dl_rlog_msg *m);
 static bool raises_term(const struct dl_rlog_msg *m);
-static bool stale(const struct dl_rlog *r, const struct rlog_queued *q);
-static void hand_out_entry(struct dl_rlog *r, const struct dl_rlog_entry *e);
+static bool is_stale(const struct dl_rlog *r, const struct rlog_outgoing *q);
+static void mark_applied(struct dl_rlog *r, const struct dl_rlog_entry *e);
 
-/* What each kind of message does to a replica that has a log. */
+/* Handlers by kind of message. */
 static void (*const on_msg[DL_RLOG_MSG_KIND_COUNT])(struct dl_rlog *r,
 						    const struct dl_rlog_msg *m,
 						    int64_t now) = {
-	[DL_RLOG_HELLO] = rlog_on_hello,
-	[DL_RLOG_BIRTH] = rlog_on_birth,
+	[DL_RLOG_JOIN] = rlog_on_join,
+	[DL_RLOG_BOOTSTRAP] = rlog_on_bootstrap,
 	[DL_RLOG_PREVOTE] = rlog_on_prevote,
 	[DL_RLOG_PREVOTE_REPLY] = rlog_on_prevote_reply,
 	[DL_RLOG_VOTE] = rlog_on_vote,
@@ -57,32 +63,33 @@
 	[DL_RLOG_SNAPSHOT] = on_append,
 	[DL_RLOG_SNAPSHOT_REPLY] = rlog_on_snapshot_reply,
 	[DL_RLOG_TRANSFER] = rlog_on_transfer,
-	[DL_RLOG_STARTED] = rlog_on_started,
-	[DL_RLOG_STARTED_REPLY] = rlog_on_started_reply,
+	[DL_RLOG_STARTUP_QUERY] = rlog_on_startup_query,
+	[DL_RLOG_STARTUP_REPLY] = rlog_on_startup_reply,
 };
 
-/* Settings for failure domains some milliseconds apart. */
+/* Defaults for failure domains with round trips of a few milliseconds. */
 void dl_rlog_defaults(struct dl_rlog_conf *conf)
 {
 	memset(conf, 0, sizeof(*conf));
 	conf->heartbeat_ms = HEARTBEAT_MS;
 	conf->election_ms = ELECTION_MS;
 	conf->lease_ms = LEASE_MS;
-	conf->hello_ms = HELLO_MS;
+	conf->join_interval_ms = JOIN_INTERVAL_MS;
 	conf->snapshot_entries = SNAPSHOT_ENTRIES;
 	conf->snapshot_bytes = SNAPSHOT_BYTES;
 	conf->keep_entries = KEEP_ENTRIES;
 	conf->keep_bytes = KEEP_BYTES;
 	conf->append_bytes = APPEND_BYTES;
 	conf->inflight_bytes = INFLIGHT_BYTES;
-	conf->piece_bytes = PIECE_BYTES;
+	conf->chunk_bytes = CHUNK_BYTES;
 	conf->uncommitted_bytes = UNCOMMITTED_BYTES;
 }
 
 /*
- * A replica from what its disk holds.  It begins as a follower, or as unborn
- * where it has an identity only; a vote waits for a whole election time, since
- * what was promised to a leader before the restart is not remembered.
+ * Creates a replica from what its disk holds.  It starts as a follower, or
+ * uninitialized if it has an identity only.  It grants no vote for a whole
+ * election timeout, since it does not remember what it promised to a leader
+ * before the restart.
  */
 struct dl_rlog *dl_rlog_new(const struct dl_rlog_conf *conf,
 			    struct dl_rlog_image *image, uint32_t seed,
@@ -107,18 +114,18 @@
 	r->commit = r->snap.index;
 	r->applied = r->snap.index;
 	r->applied_members = r->snap.members;
-	r->restore = r->snap.index > 0;
+	r->restore_pending = r->snap.index > 0;
 	r->dirty_from = rlog_last(&r->log) + 1;
 	r->synced_index = rlog_last(&r->log);
-	r->hello_at = now;
-	r->role = r->cluster ? DL_RLOG_FOLLOWER : DL_RLOG_UNBORN;
-	rlog_start(r, now);
+	r->join_at = now;
+	r->role = r->cluster ? DL_RLOG_FOLLOWER : DL_RLOG_UNINITIALIZED;
+	rlog_startup_begin(r, now);
 	rlog_reset_election(r, now);
 	rlog_members_refresh(r);
 	return r;
 }
 
-/* Free it with all that it holds. */
+/* Frees a replica with everything it holds. */
 void dl_rlog_free(struct dl_rlog *r)
 {
 	if (!r)
@@ -133,7 +140,7 @@
 	g_free(r);
 }
 
-/* Free what an image still owns. */
+/* Frees what an image still owns. */
 void dl_rlog_image_free(struct dl_rlog_image *image)
 {
 	for (uint32_t i = 0; i < image->count; i++)
@@ -143,23 +150,23 @@
 	memset(image, 0, sizeof(*image));
 }
 
-/* Stop answering as a replica; what is queued is never sent. */
+/* Stops the replica; queued messages are never sent. */
 void dl_rlog_halt(struct dl_rlog *r, const struct dl_err *why)
 {
 	if (r->role == DL_RLOG_HALTED)
 		return;
 	r->role = DL_RLOG_HALTED;
 	r->leader_vm = DL_VM_NONE;
-	snprintf(r->halted, sizeof(r->halted), "%s: %s",
+	snprintf(r->halt_reason, sizeof(r->halt_reason), "%s: %s",
 		 dl_step_name(why->step), why->text);
 	g_queue_clear_full(&r->queue, g_free);
 }
 
 /*
- * What must hold whatever happens.  Where it does not, going on could lose
- * or undo what was committed, so the replica stops and says what it found.
+ * Checks an invariant.  If it is broken, continuing could lose or undo
+ * committed entries, so the replica halts and reports what it found.
  */
-bool rlog_check(struct dl_rlog *r, bool holds, const char *what)
+bool rlog_invariant(struct dl_rlog *r, bool holds, const char *what)
 {
 	struct dl_err err;
 
@@ -171,41 +178,47 @@
 	return false;
 }
 
-/* Mark term, vote or cluster as changed; answers wait for their unit. */
+/*
+ * Marks term, vote or cluster as changed; replies wait for the record that
+ * holds them.
+ */
 void rlog_dirty_state(struct dl_rlog *r)
 {
 	r->dirty_state = true;
-	r->state_gate = r->taken + 1;
+	r->state_seq = r->writing_seq + 1;
 }
 
-/* The unit after which an entry, and term and vote, are synced. */
-uint64_t rlog_gate_of(const struct dl_rlog *r, uint64_t index)
+/* The record after which an entry, the term and the vote are synced. */
+uint64_t rlog_seq_of(const struct dl_rlog *r, uint64_t index)
 {
-	uint64_t gate = r->state_gate;
+	uint64_t wait_seq = r->state_seq;
 
 	if (r->dirty_snapshot || index >= r->dirty_from)
-		gate = r->taken + 1;
-	else if (index > r->synced_index && r->taken > gate)
-		gate = r->taken;
-	return gate;
+		wait_seq = r->writing_seq + 1;
+	else if (index > r->synced_index && r->writing_seq > wait_seq)
+		wait_seq = r->writing_seq;
+	return wait_seq;
 }
 
 /*
- * Choose when to stand for election unless a leader is heard before.  Where all
- * have just started nobody waits for a leader: votes that were split are asked
- * for again soon.
+ * Chooses when to start an election unless a leader is heard before.  After all
+ * replicas have restarted nobody waits for a leader, so split votes are retried
+ * quickly.
  */
 void rlog_reset_election(struct dl_rlog *r, int64_t now)
 {
-	bool eager = now < r->eager_until;
-	int32_t wait = eager ? EAGER_MS : (int32_t)r->conf.election_ms;
-	int32_t spread = eager ? EAGER_MS : wait / 2;
+	bool fast = now < r->fast_retry_until;
+	int32_t wait = fast ? FAST_RETRY_MS : (int32_t)r->conf.election_ms;
+	int32_t spread = fast ? FAST_RETRY_MS : wait / 2;
 
 	r->election_at = now + wait + g_rand_int_range(r->rand, 0, spread + 1);
 }
 
-/* Become a follower, of a newer term where it is one; no leader is known. */
-void rlog_follow(struct dl_rlog *r, uint64_t term, int64_t now)
+/*
+ * Becomes a follower, in a newer term if it is one; the leader is not known
+ * yet.
+ */
+void rlog_become_follower(struct dl_rlog *r, uint64_t term, int64_t now)
 {
 	bool led = r->role == DL_RLOG_LEADER;
 
@@ -220,24 +233,24 @@
 	r->leader_vm = DL_VM_NONE;
 	r->leader_id = 0;
 	r->transferring = false;
-	r->waits[0] = '\0';
+	r->waiting_for[0] = '\0';
 	if (led)
 		rlog_reset_election(r, now);
 }
 
-/* A message of the leader of this term arrived. */
+/* Handles that the leader of this term was heard. */
 void rlog_heard_leader(struct dl_rlog *r, const struct dl_rlog_msg *m,
 		       int64_t now)
 {
 	if (r->role != DL_RLOG_FOLLOWER)
-		rlog_follow(r, m->term, now);
-	if (r->leader_id &&
-	    !rlog_check(r, r->leader_id == m->from_id, "two leaders a term"))
+		rlog_become_follower(r, m->term, now);
+	if (r->leader_id && !rlog_invariant(r, r->leader_id == m->from_id,
+					    "two leaders in one term"))
 		return;
 	r->leader_vm = m->from_vm;
 	r->leader_id = m->from_id;
 	r->heard = now;
-	rlog_start_over(r);
+	rlog_startup_end(r);
 	rlog_reset_election(r, now);
 }
 
@@ -246,16 +259,17 @@
 {
 	struct dl_rlog_msg reply;
 
-	if (r->role == DL_RLOG_UNBORN) {
-		rlog_on_unborn(r, m, now);
+	if (r->role == DL_RLOG_UNINITIALIZED) {
+		rlog_on_append_uninitialized(r, m, now);
 		return;
 	}
 	if (m->term < r->term) {
 		reply = rlog_reply_to(r, DL_RLOG_APPEND_REPLY, m);
-		rlog_queue(r, &reply, r->state_gate);
+		rlog_queue(r, &reply, r->state_seq);
 		return;
 	}
-	if (!rlog_check(r, r->role != DL_RLOG_LEADER, "two leaders a term"))
+	if (!rlog_invariant(r, r->role != DL_RLOG_LEADER,
+			    "two leaders in one term"))
 		return;
 	rlog_heard_leader(r, m, now);
 	if (r->role == DL_RLOG_HALTED)
@@ -266,36 +280,37 @@
 		rlog_on_snapshot(r, m, now);
 }
 
-static bool is_leaders(enum dl_rlog_msg_kind kind)
+static bool is_from_leader(enum dl_rlog_msg_kind kind)
 {
 	return kind == DL_RLOG_APPEND || kind == DL_RLOG_SNAPSHOT;
 }
 
-static bool is_for_us(const struct dl_rlog *r, const struct dl_rlog_msg *m)
+static bool is_addressed_to(const struct dl_rlog *r,
+			    const struct dl_rlog_msg *m)
 {
-	if (m->kind == DL_RLOG_HELLO)
+	if (m->kind == DL_RLOG_JOIN)
 		return m->from_id != r->id;
 	if (m->to_id != r->id || m->from_id == r->id)
 		return false;
-	if (r->role == DL_RLOG_UNBORN)
-		return m->kind == DL_RLOG_BIRTH || is_leaders(m->kind);
+	if (r->role == DL_RLOG_UNINITIALIZED)
+		return m->kind == DL_RLOG_BOOTSTRAP || is_from_leader(m->kind);
 	return m->cluster == r->cluster;
 }
 
 /*
- * Whether a message shows that its term has begun: a pre-vote only asks
- * whether it could, and a vote is looked at by itself, since a replica that
- * hears a good leader does not follow it.
+ * Whether a message proves that its term has begun: a pre-vote only asks
+ * whether it could begin, and a vote request is checked separately, since a
+ * replica that hears a live leader ignores it.
  */
 static bool raises_term(const struct dl_rlog_msg *m)
 {
 	switch (m->kind) {
 	case DL_RLOG_PREVOTE:
 	case DL_RLOG_VOTE:
-	case DL_RLOG_HELLO:
-	case DL_RLOG_BIRTH:
-	case DL_RLOG_STARTED:
-	case DL_RLOG_STARTED_REPLY:
+	case DL_RLOG_JOIN:
+	case DL_RLOG_BOOTSTRAP:
+	case DL_RLOG_STARTUP_QUERY:
+	case DL_RLOG_STARTUP_REPLY:
 		return false;
 	case DL_RLOG_PREVOTE_REPLY:
 		return !m->ok;
@@ -304,7 +319,9 @@
 	}
 }
 
-/* Take a message; 0, or -EINVAL where it is none for this replica. */
+/*
+ * Handles a message; returns 0, or -EINVAL if it is not meant for this replica.
+ */
 int dl_rlog_in(struct dl_rlog *r, const struct dl_rlog_msg *m, int64_t now)
 {
 	struct rlog_peer *peer;
@@ -313,26 +330,27 @@
 		return 0;
 	if ((unsigned)m->kind >= DL_RLOG_MSG_KIND_COUNT || !on_msg[m->kind])
 		return -EINVAL;
-	if (!is_for_us(r, m))
+	if (!is_addressed_to(r, m))
 		return -EINVAL;
 	peer = rlog_peer_find(r, m->from_id);
 	if (peer)
 		peer->heard = now;
-	if (m->term > r->term && raises_term(m) && r->role != DL_RLOG_UNBORN)
-		rlog_follow(r, m->term, now);
+	if (m->term > r->term && raises_term(m) &&
+	    r->role != DL_RLOG_UNINITIALIZED)
+		rlog_become_follower(r, m->term, now);
 	on_msg[m->kind](r, m, now);
 	return 0;
 }
 
-/* Let time pass: elections, heartbeats, the lease, repair. */
+/* Runs the timers: elections, heartbeats, the lease, membership changes. */
 void dl_rlog_tick(struct dl_rlog *r, int64_t now)
 {
 	switch (r->role) {
 	case DL_RLOG_HALTED:
 		return;
-	case DL_RLOG_UNBORN:
-		if (now >= r->hello_at)
-			rlog_hello(r, now);
+	case DL_RLOG_UNINITIALIZED:
+		if (now >= r->join_at)
+			rlog_send_joins(r, now);
 		return;
 	case DL_RLOG_LEADER:
 		rlog_lead_tick(r, now);
@@ -340,33 +358,34 @@
 	default:
 		break;
 	}
-	rlog_start_tick(r, now);
+	rlog_startup_tick(r, now);
 	if (now < r->election_at)
 		return;
-	if (now - r->heard >= (int64_t)r->conf.election_ms * LOST_ELECTIONS)
-		rlog_hello(r, now);
+	if (now - r->heard >=
+	    (int64_t)r->conf.election_ms * JOIN_AFTER_ELECTIONS)
+		rlog_send_joins(r, now);
 	if (rlog_is_voter(r))
 		rlog_prevote_begin(r, now);
 	else
 		rlog_reset_election(r, now);
 }
 
-/* When dl_rlog_tick() has something to do next. */
+/* When dl_rlog_tick() must be called next. */
 int64_t dl_rlog_wakeup(const struct dl_rlog *r)
 {
 	switch (r->role) {
 	case DL_RLOG_HALTED:
 		return INT64_MAX;
-	case DL_RLOG_UNBORN:
-		return r->hello_at;
+	case DL_RLOG_UNINITIALIZED:
+		return r->join_at;
 	case DL_RLOG_LEADER:
 		return rlog_lead_wakeup(r);
 	default:
-		return MIN(r->election_at, rlog_start_wakeup(r));
+		return MIN(r->election_at, rlog_startup_wakeup(r));
 	}
 }
 
-/* A message with what every message carries. */
+/* A message with the fields that every message carries. */
 struct dl_rlog_msg rlog_msg_to(const struct dl_rlog *r,
 			       enum dl_rlog_msg_kind kind, uint64_t vm,
 			       uint64_t id)
@@ -382,7 +401,7 @@
 	};
 }
 
-/* The answer to a message; negative until ok is set. */
+/* The reply to a message; negative until ok is set. */
 struct dl_rlog_msg rlog_reply_to(const struct dl_rlog *r,
 				 enum dl_rlog_msg_kind kind,
 				 const struct dl_rlog_msg *m)
@@ -390,36 +409,37 @@
 	struct dl_rlog_msg reply = rlog_msg_to(r, kind, m->from_vm, m->from_id);
 
 	reply.cluster = m->cluster;
-	reply.stamp = is_leaders(m->kind) ? rlog_promise(r, m) : m->stamp;
+	reply.stamp = is_from_leader(m->kind) ? rlog_vote_promise(r, m) :
+						m->stamp;
 	reply.commit = m->index;
 	return reply;
 }
 
-/* Send a message once the unit named by the gate has been synced. */
-void rlog_queue(struct dl_rlog *r, struct dl_rlog_msg *m, uint64_t gate)
+/* Queues a message until the record wait_seq has been synced. */
+void rlog_queue(struct dl_rlog *r, struct dl_rlog_msg *m, uint64_t wait_seq)
 {
-	struct rlog_queued *q;
+	struct rlog_outgoing *q;
 
 	if (r->queue.length >= QUEUE_MAX)
 		return;
-	q = g_new(struct rlog_queued, 1);
+	q = g_new(struct rlog_outgoing, 1);
 	q->msg = *m;
-	q->gate = gate;
+	q->wait_seq = wait_seq;
 	g_queue_push_tail(&r->queue, q);
 }
 
 /*
- * A message of an earlier term, or a vote asked for by a role that has ended,
- * is of no use; and since units are made of the latest state, what it rests on
- * may never have been written.
+ * A message of an earlier term, or a vote request of a role that has ended, is
+ * of no use.  It must not be sent either: records are made from the latest
+ * state, so what the message depends on may never have been written.
  */
-static bool stale(const struct dl_rlog *r, const struct rlog_queued *q)
+static bool is_stale(const struct dl_rlog *r, const struct rlog_outgoing *q)
 {
 	switch (q->msg.kind) {
-	case DL_RLOG_HELLO:
-	case DL_RLOG_BIRTH:
+	case DL_RLOG_JOIN:
+	case DL_RLOG_BOOTSTRAP:
 		return false;
-	case DL_RLOG_STARTED_REPLY:
+	case DL_RLOG_STARTUP_REPLY:
 		return r->role == DL_RLOG_LEADER;
 	case DL_RLOG_PREVOTE:
 		return r->role != DL_RLOG_PRECANDIDATE ||
@@ -429,11 +449,12 @@
 	case DL_RLOG_PREVOTE_REPLY:
 		return !q->msg.ok && q->msg.term != r->term;
 	default:
-		return r->role != DL_RLOG_UNBORN && q->msg.term != r->term;
+		return r->role != DL_RLOG_UNINITIALIZED &&
+		       q->msg.term != r->term;
 	}
 }
 
-/* Give the next message that may leave now. */
+/* Returns the next message that may be sent now. */
 bool dl_rlog_out(struct dl_rlog *r, int64_t now, struct dl_rlog_msg *msg)
 {
 	GList *next;
@@ -441,11 +462,11 @@
 	if (r->role == DL_RLOG_HALTED)
 		return false;
 	for (GList *l = r->queue.head; l; l = next) {
-		struct rlog_queued *q = l->data;
-		bool drop = stale(r, q);
+		struct rlog_outgoing *q = l->data;
+		bool drop = is_stale(r, q);
 
 		next = l->next;
-		if (!drop && q->gate > r->synced)
+		if (!drop && q->wait_seq > r->synced_seq)
 			continue;
 		*msg = q->msg;
 		g_free(q);
@@ -456,8 +477,8 @@
 	return r->role == DL_RLOG_LEADER && rlog_lead_out(r, now, msg);
 }
 
-/* Give what is to be written, one unit at a time. */
-bool dl_rlog_write(struct dl_rlog *r, struct dl_rlog_unit *unit)
+/* Returns the next record to write, one at a time. */
+bool dl_rlog_write(struct dl_rlog *r, struct dl_rlog_record *rec)
 {
 	uint64_t from = r->dirty_from;
 
@@ -466,31 +487,31 @@
 	if (!r->dirty_state && !r->dirty_snapshot &&
 	    r->dirty_from > rlog_last(&r->log))
 		return false;
-	memset(unit, 0, sizeof(*unit));
-	unit->seq = ++r->taken;
-	unit->cluster = r->cluster;
-	unit->term = r->term;
-	unit->vote = r->vote;
-	unit->base_index = r->log.base_index;
-	unit->base_term = r->log.base_term;
+	memset(rec, 0, sizeof(*rec));
+	rec->seq = ++r->writing_seq;
+	rec->cluster = r->cluster;
+	rec->term = r->term;
+	rec->vote = r->vote;
+	rec->base_index = r->log.base_index;
+	rec->base_term = r->log.base_term;
 	if (r->dirty_snapshot) {
-		unit->snapshot = &r->snap;
+		rec->snapshot = &r->snap;
 		from = r->log.base_index + 1;
 	}
-	unit->count = (uint32_t)(rlog_last(&r->log) + 1 - from);
-	if (unit->count)
-		unit->entries = rlog_at(&r->log, from);
+	rec->count = (uint32_t)(rlog_last(&r->log) + 1 - from);
+	if (rec->count)
+		rec->entries = rlog_at(&r->log, from);
 	r->dirty_state = false;
 	r->dirty_snapshot = false;
 	r->dirty_from = rlog_last(&r->log) + 1;
-	r->taken_last = rlog_last(&r->log);
+	r->writing_last = rlog_last(&r->log);
 	r->writing = true;
 	return true;
 }
 
 /*
- * A unit has been synced, or could not be: then nothing that was promised on
- * it may be said, and the replica answers nobody any more.
+ * Handles the result of a write.  If it failed, nothing that depends on it may
+ * be sent, and the replica halts.
  */
 void dl_rlog_written(struct dl_rlog *r, uint64_t seq, int code, int64_t now)
 {
@@ -500,38 +521,41 @@
 		return;
 	if (code) {
 		dl_err_set(&err, code, DL_STEP_STORE, NULL,
-			   "the disk failed: %s", strerror(-code));
+			   "a disk write failed: %s", strerror(-code));
 		dl_rlog_halt(r, &err);
 		return;
 	}
-	if (!rlog_check(r, r->writing && seq == r->taken,
-			"a unit was written out of turn"))
+	if (!rlog_invariant(r, r->writing && seq == r->writing_seq,
+			    "a record was written out of order"))
 		return;
 	r->writing = false;
-	r->synced = seq;
-	/* A snapshot that came meanwhile may have replaced those entries. */
+	r->synced_seq = seq;
+	/*
+	 * A snapshot received in the meantime may have replaced those entries.
+	 */
 	if (!r->dirty_snapshot)
-		r->synced_index = MIN(r->taken_last, r->dirty_from - 1);
-	if (r->role == DL_RLOG_CANDIDATE && r->state_gate <= r->synced)
+		r->synced_index = MIN(r->writing_last, r->dirty_from - 1);
+	if (r->role == DL_RLOG_CANDIDATE && r->state_seq <= r->synced_seq)
 		rlog_vote_synced(r, now);
 	if (r->role == DL_RLOG_LEADER)
 		rlog_lead_synced(r, now);
 }
 
-static void hand_out_entry(struct dl_rlog *r, const struct dl_rlog_entry *e)
+static void mark_applied(struct dl_rlog *r, const struct dl_rlog_entry *e)
 {
 	r->applied = e->index;
 	if (e->kind == DL_RLOG_MEMBERS)
-		rlog_check(r, rlog_members_decode(e->data, &r->applied_members),
-			   "an entry of members makes no sense");
+		rlog_invariant(
+			r, rlog_members_decode(e->data, &r->applied_members),
+			"an entry of members is malformed");
 }
 
-/* Give the next thing that the state machine has to carry out. */
+/* Returns the next command or snapshot for the state machine. */
 bool dl_rlog_apply(struct dl_rlog *r, struct dl_rlog_apply *out)
 {
 	memset(out, 0, sizeof(*out));
-	if (r->restore) {
-		r->restore = false;
+	if (r->restore_pending) {
+		r->restore_pending = false;
 		out->kind = DL_RLOG_APPLY_RESTORE;
 		out->index = r->snap.index;
 		out->term = r->snap.term;
@@ -542,7 +566,7 @@
 		const struct dl_rlog_entry *e =
 			rlog_at(&r->log, r->applied + 1);
 
-		hand_out_entry(r, e);
+		mark_applied(r, e);
 		if (e->kind != DL_RLOG_COMMAND)
 			continue;
 		out->kind = DL_RLOG_APPLY_COMMAND;
@@ -554,7 +578,7 @@
 	return false;
 }
 
-/* Append a command as the leader. */
+/* Appends a command as the leader. */
 int dl_rlog_propose(struct dl_rlog *r, struct dl_str command, int64_t now,
 		    uint64_t *index, uint64_t *term)
 {
@@ -571,10 +595,10 @@
 }
 
 /*
- * Whether no other leader can exist now.  A majority has promised, when it
- * answered what was sent at the stamp, to grant no vote for election_ms; the
- * lease ends before that by what clocks may differ.  Once leadership is being
- * handed over the promise no longer counts.
+ * Whether no other leader can exist now.  With its reply to a message sent at
+ * the stamp, each of a majority promised to grant no vote for election_ms; the
+ * lease ends earlier by what clocks may drift.  During a leadership transfer
+ * the promise no longer counts.
  */
 bool dl_rlog_lease(const struct dl_rlog *r, int64_t now, int64_t *until)
 {
@@ -590,7 +614,7 @@
 	return true;
 }
 
-/* Where a linearizable read stands. */
+/* The index at which a linearizable read is served. */
 int dl_rlog_read(const struct dl_rlog *r, int64_t now, uint64_t *index)
 {
 	if (r->role != DL_RLOG_LEADER)
@@ -602,14 +626,15 @@
 }
 
 /*
- * A snapshot is worth its writing when the log has grown past both a set size
- * and the last snapshot's, or by many entries, which make a restart slow.
+ * Whether a snapshot is worth writing: the log has grown past both a fixed size
+ * and the size of the last snapshot, or by many entries, which make a restart
+ * slow.
  */
 bool dl_rlog_snapshot_wanted(const struct dl_rlog *r)
 {
 	uint64_t bytes;
 
-	if (r->role == DL_RLOG_HALTED || r->restore)
+	if (r->role == DL_RLOG_HALTED || r->restore_pending)
 		return false;
 	if (r->applied - r->snap.index >= r->conf.snapshot_entries)
 		return true;
@@ -617,12 +642,12 @@
 	return bytes >= MAX(r->conf.snapshot_bytes, r->snap.data.n);
 }
 
-/* Replace the applied entries, but for the last few, by a snapshot. */
+/* Replaces the applied entries, except the last few, by a snapshot. */
 int dl_rlog_snapshot(struct dl_rlog *r, struct dl_str data)
 {
 	uint64_t upto = r->applied, term = 0;
 
-	if (r->role == DL_RLOG_HALTED || r->restore ||
+	if (r->role == DL_RLOG_HALTED || r->restore_pending ||
 	    !rlog_term_at(&r->log, r->applied, &term))
 		return -EAGAIN;
 	g_free((char *)r->snap.data.s);
@@ -637,18 +662,18 @@
 	while (upto < r->applied && upto >= r->log.base_index &&
 	       rlog_bytes(&r->log, upto, r->applied) > r->conf.keep_bytes)
 		upto++;
-	rlog_cut(&r->log, upto);
+	rlog_compact(&r->log, upto);
 	r->dirty_snapshot = true;
 	return 0;
 }
 
-/* The members in force, which may not be committed yet. */
+/* The members in effect, which may not be committed yet. */
 const struct dl_rlog_members *dl_rlog_members(const struct dl_rlog *r)
 {
 	return &r->members;
 }
 
-/* What an operator sees. */
+/* Fills in the status shown to operators. */
 void dl_rlog_get_status(const struct dl_rlog *r, int64_t now,
 			struct dl_rlog_status *out)
 {
@@ -674,6 +699,6 @@
 		s->match = p->match;
 		s->heard_ms_ago = p->heard == INT64_MIN ? -1 : now - p->heard;
 	}
-	memcpy(out->waits, r->waits, sizeof(out->waits));
-	memcpy(out->halted, r->halted, sizeof(out->halted));
+	memcpy(out->waiting_for, r->waiting_for, sizeof(out->waiting_for));
+	memcpy(out->halt_reason, r->halt_reason, sizeof(out->halt_reason));
 }
--- a/src/state/rlog_lead.c
+++ b/src/state/rlog_lead.c
@@ -1,8 +1,9 @@
 /*
- * The leader: replication, commit, check-quorum, the lease and handing over.
+ * The leader: replication, commit, check-quorum, the lease and leadership
+ * transfer.
  *
- * Messages to followers are made when they are taken, from what each of them
- * is known to hold; commands that came together go out together.
+ * Messages to followers are built when the owner fetches them, from what each
+ * follower is known to hold; commands proposed together are sent together.
  */
 #include "state/rlog_int.h"
 
@@ -10,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A member that was silent for so many election times gets probes only. */
+/* After a silence of this many election timeouts a member is only probed. */
 #define SILENT_ELECTIONS 2
 
 static void begin_peer(struct dl_rlog *r, struct rlog_peer *p);
@@ -36,29 +37,31 @@
 	p->match = 0;
 	p->commit_sent = 0;
 	p->sent = INT64_MIN;
-	p->acked = INT64_MIN;
-	p->due = true;
+	p->acked_stamp = INT64_MIN;
+	p->send_now = true;
 	p->snap_index = RLOG_INDEX_NONE;
 	p->snap_offset = 0;
 }
 
-/* Won the election: begin with an entry of this term. */
-void rlog_lead(struct dl_rlog *r, int64_t now)
+/*
+ * Becomes the leader after a won election; appends the first entry of the term.
+ */
+void rlog_become_leader(struct dl_rlog *r, int64_t now)
 {
 	r->role = DL_RLOG_LEADER;
 	r->leader_vm = r->conf.self;
 	r->leader_id = r->id;
-	r->led_since = now;
-	r->ticked = now;
+	r->leader_since = now;
+	r->last_tick = now;
 	r->transferring = false;
-	r->seen_count = 0;
+	r->joins_count = 0;
 	for (uint32_t i = 0; i < r->peers_count; i++)
 		begin_peer(r, &r->peers[i]);
 	r->term_start = rlog_last(&r->log) + 1;
 	rlog_lead_append(r, DL_RLOG_NOOP, (struct dl_str){ NULL, 0 }, now);
 }
 
-/* Append an entry of this term; members are in force at once. */
+/* Appends an entry of this term; new members take effect at once. */
 void rlog_lead_append(struct dl_rlog *r, enum dl_rlog_entry_kind kind,
 		      struct dl_str data, int64_t now)
 {
@@ -81,8 +84,8 @@
 }
 
 /*
- * The newest time at which a majority, this replica included, is known to
- * have taken this leader for theirs; INT64_MIN where it is not known yet.
+ * The newest time at which a majority, this replica included, is known to have
+ * accepted this leader; INT64_MIN if there is none yet.
  */
 int64_t rlog_quorum_stamp(const struct dl_rlog *r, int64_t now)
 {
@@ -91,7 +94,7 @@
 
 	for (uint32_t i = 0; i < r->peers_count; i++) {
 		if (r->peers[i].member.voter)
-			stamps[n++] = r->peers[i].acked;
+			stamps[n++] = r->peers[i].acked_stamp;
 	}
 	if (rlog_is_voter(r))
 		stamps[n++] = now;
@@ -101,7 +104,7 @@
 	return stamps[rlog_majority(&r->members) - 1];
 }
 
-/* The highest index that a majority holds synced. */
+/* The highest index that a majority has synced. */
 static uint64_t quorum_match(const struct dl_rlog *r)
 {
 	int64_t matches[DL_RLOG_MEMBERS_MAX];
@@ -120,8 +123,8 @@
 }
 
 /*
- * Only an entry of this term is committed by counting; those before it are
- * committed with it.
+ * Advances the commit index.  Only entries of this term are committed by
+ * counting replicas; earlier entries are committed with them.
  */
 static void advance_commit(struct dl_rlog *r, int64_t now)
 {
@@ -130,44 +133,44 @@
 
 	if (index <= r->commit || index < r->term_start)
 		return;
-	if (!rlog_check(r,
-			rlog_term_at(&r->log, index, &term) && term == r->term,
-			"committed what is not of this term"))
+	if (!rlog_invariant(
+		    r, rlog_term_at(&r->log, index, &term) && term == r->term,
+		    "an entry of another term would be committed by count"))
 		return;
 	changed = r->commit < r->members_index && index >= r->members_index;
 	r->commit = index;
 	if (r->members_index <= r->commit &&
 	    !rlog_member_find(&r->members, r->id))
-		rlog_follow(r, r->term, now);
+		rlog_become_follower(r, r->term, now);
 	else if (changed && !r->transferring)
-		rlog_repair(r, now);
+		rlog_reconfigure(r, now);
 }
 
-/* This replica's own disk has synced more. */
+/* Handles that this replica's own disk has synced more. */
 void rlog_lead_synced(struct dl_rlog *r, int64_t now)
 {
 	advance_commit(r, now);
 }
 
-/* Heartbeats, check-quorum, repair and handing over. */
+/* Runs check-quorum, membership changes and leadership transfer. */
 void rlog_lead_tick(struct dl_rlog *r, int64_t now)
 {
 	int64_t stamp = rlog_quorum_stamp(r, now);
 
-	r->ticked = now;
-	if (stamp < r->led_since)
-		stamp = r->led_since;
+	r->last_tick = now;
+	if (stamp < r->leader_since)
+		stamp = r->leader_since;
 	if (now - stamp >= (int64_t)r->conf.election_ms) {
-		rlog_follow(r, r->term, now);
+		rlog_become_follower(r, r->term, now);
 		return;
 	}
 	for (uint32_t i = 0; i < r->peers_count; i++) {
 		struct rlog_peer *p = &r->peers[i];
-		int64_t silent =
+		int64_t silent_ms =
 			(int64_t)r->conf.election_ms * SILENT_ELECTIONS;
 
 		if (p->mode == RLOG_REPLICATE &&
-		    now - MAX(p->heard, r->led_since) > silent) {
+		    now - MAX(p->heard, r->leader_since) > silent_ms) {
 			p->mode = RLOG_PROBE;
 			p->next = p->match + 1;
 		}
@@ -175,26 +178,28 @@
 	if (r->transferring)
 		transfer_step(r, now);
 	else
-		rlog_repair(r, now);
+		rlog_reconfigure(r, now);
 }
 
-/* The next heartbeat, or when the majority's silence is too long. */
+/*
+ * When the next heartbeat is due, or the majority has been silent for too long.
+ */
 int64_t rlog_lead_wakeup(const struct dl_rlog *r)
 {
-	int64_t at = r->led_since + r->conf.election_ms;
+	int64_t at = r->leader_since + r->conf.election_ms;
 	int64_t stamp = rlog_quorum_stamp(r, at);
 
-	if (stamp > r->led_since)
+	if (stamp > r->leader_since)
 		at = stamp + r->conf.election_ms;
 	for (uint32_t i = 0; i < r->peers_count; i++) {
 		const struct rlog_peer *p = &r->peers[i];
 		int64_t beat = p->sent == INT64_MIN ?
-				       r->led_since :
+				       r->leader_since :
 				       p->sent + r->conf.heartbeat_ms;
 
 		at = MIN(at, beat);
 	}
-	return MIN(at, r->ticked + r->conf.heartbeat_ms);
+	return MIN(at, r->last_tick + r->conf.heartbeat_ms);
 }
 
 static bool window_open(const struct dl_rlog *r, const struct rlog_peer *p)
@@ -206,7 +211,7 @@
 static bool wants_message(const struct dl_rlog *r, const struct rlog_peer *p,
 			  int64_t now)
 {
-	if (p->due || p->sent == INT64_MIN ||
+	if (p->send_now || p->sent == INT64_MIN ||
 	    now - p->sent >= (int64_t)r->conf.heartbeat_ms)
 		return true;
 	if (p->mode != RLOG_REPLICATE)
@@ -216,7 +221,7 @@
 	return p->commit_sent < r->commit && p->match >= r->commit;
 }
 
-/* Make the next message for one of the followers; false at none. */
+/* Builds the next message for one of the followers; false if there is none. */
 bool rlog_lead_out(struct dl_rlog *r, int64_t now, struct dl_rlog_msg *msg)
 {
 	for (uint32_t i = 0; i < r->peers_count; i++) {
@@ -236,7 +241,7 @@
 			fill_snapshot(r, p, msg);
 		else
 			fill_append(r, p, msg);
-		p->due = false;
+		p->send_now = false;
 		p->sent = now;
 		p->commit_sent = r->commit;
 		return true;
@@ -244,7 +249,9 @@
 	return false;
 }
 
-/* Entries from the follower's next one on, one at least where there is one. */
+/*
+ * Adds the entries that the follower needs next, at least one if there is any.
+ */
 static void fill_append(struct dl_rlog *r, struct rlog_peer *p,
 			struct dl_rlog_msg *msg)
 {
@@ -272,7 +279,7 @@
 	p->next = r->snap.index + 1;
 }
 
-/* The piece of the snapshot that the follower wants next. */
+/* Adds the chunk of the snapshot that the follower needs next. */
 static void fill_snapshot(struct dl_rlog *r, struct rlog_peer *p,
 			  struct dl_rlog_msg *msg)
 {
@@ -284,18 +291,19 @@
 	msg->kind = DL_RLOG_SNAPSHOT;
 	msg->snapshot = r->snap;
 	msg->snapshot.data = (struct dl_str){ r->snap.data.s + p->snap_offset,
-					      MIN(left, r->conf.piece_bytes) };
+					      MIN(left, r->conf.chunk_bytes) };
 	msg->index = r->snap.index;
 	msg->offset = p->snap_offset;
 	msg->total = r->snap.data.n;
 }
 
-/* A follower holds entries up to an index, synced. */
+/* Handles that a follower has synced the entries up to an index. */
 static void acknowledge(struct dl_rlog *r, struct rlog_peer *p,
 			const struct dl_rlog_msg *m)
 {
-	if (!rlog_check(r, m->index <= rlog_last(&r->log),
-			"a follower holds more than its leader"))
+	if (!rlog_invariant(
+		    r, m->index <= rlog_last(&r->log),
+		    "a follower acknowledged more than its leader holds"))
 		return;
 	p->match = MAX(p->match, m->index);
 	p->next = MAX(p->next, p->match + 1);
@@ -306,7 +314,7 @@
 	p->mode = RLOG_REPLICATE;
 }
 
-/* A follower's answer to entries, a heartbeat or a whole snapshot. */
+/* Handles a follower's reply to entries, a heartbeat or a whole snapshot. */
 void rlog_on_append_reply(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			  int64_t now)
 {
@@ -317,12 +325,12 @@
 	if (m->fresh) {
 		if (p->mode != RLOG_SNAPSHOT) {
 			begin_snapshot(r, p);
-			p->due = true;
+			p->send_now = true;
 		}
 		return;
 	}
 	if (m->stamp)
-		p->acked = MAX(p->acked, m->stamp);
+		p->acked_stamp = MAX(p->acked_stamp, m->stamp);
 	if (m->ok) {
 		acknowledge(r, p, m);
 		if (r->role == DL_RLOG_LEADER)
@@ -331,16 +339,16 @@
 			transfer_step(r, now);
 		return;
 	}
-	/* Overtaken by a newer answer, or a snapshot is on its way. */
+	/* A newer reply has arrived, or a snapshot is being sent. */
 	if (m->commit <= p->match || m->commit >= p->next ||
 	    p->mode == RLOG_SNAPSHOT)
 		return;
 	p->next = MAX(MIN(m->commit, m->index + 1), p->match + 1);
 	p->mode = RLOG_PROBE;
-	p->due = true;
+	p->send_now = true;
 }
 
-/* A follower has a piece of the snapshot and wants the next. */
+/* Handles that a follower has a chunk of the snapshot and needs the next. */
 void rlog_on_snapshot_reply(struct dl_rlog *r, const struct dl_rlog_msg *m,
 			    int64_t now)
 {
@@ -349,15 +357,15 @@
 	if (r->role != DL_RLOG_LEADER || !p || m->term != r->term)
 		return;
 	if (!m->fresh && m->stamp)
-		p->acked = MAX(p->acked, m->stamp);
+		p->acked_stamp = MAX(p->acked_stamp, m->stamp);
 	if (p->mode != RLOG_SNAPSHOT || m->index != p->snap_index ||
 	    m->offset == p->snap_offset || m->offset > r->snap.data.n)
 		return;
 	p->snap_offset = m->offset;
-	p->due = true;
+	p->send_now = true;
 }
 
-/* Hand over to the best follower; -EAGAIN where none is there. */
+/* Starts a leadership transfer to the most up-to-date follower. */
 int dl_rlog_transfer(struct dl_rlog *r, int64_t now)
 {
 	if (r->role != DL_RLOG_LEADER)
@@ -371,13 +379,14 @@
 }
 
 /*
- * Ask the voter that holds everything to stand.  The lease has ended for this
- * term, whether or not it comes to that; where it does not, step down.
+ * Asks a voter that holds the whole log to start an election.  The lease has
+ * ended for this term even if the transfer fails; if it times out, the leader
+ * steps down.
  */
 static void transfer_step(struct dl_rlog *r, int64_t now)
 {
 	if (now >= r->transfer_until) {
-		rlog_follow(r, r->term, now);
+		rlog_become_follower(r, r->term, now);
 		return;
 	}
 	for (uint32_t i = 0; i < r->peers_count; i++) {
--- a/src/state/rlog_repair.c
+++ b/src/state/rlog_reconfig.c
@@ -1,9 +1,8 @@
 /*
- * Repair and changes of the replica group: the leader brings the members to
- * what the operators want, one change at a time.  A new identity comes in as
- * a learner, becomes a voter once it holds everything, and only then the one
- * that it replaces goes.  Doing the same again does no harm: each step is
- * chosen from the members as they are.
+ * Membership changes: the leader brings the members to the configured list, one
+ * change at a time.  A new identity is added as a learner and becomes a voter
+ * once it holds the whole log; only then is the member it replaces removed.
+ * Repeating a step is harmless, since each is chosen from the current members.
  */
 #include "state/rlog_int.h"
 
@@ -12,11 +11,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An identity that asks says hello twice a second; so long it counts. */
-#define SEEN_MS 3000
+/* A join request counts for this long; they are sent twice a second. */
+#define JOIN_VALID_MS 3000
 
-/* One look at the members and the change that it leads to. */
-struct repair {
+/* The search for the next change; next is the membership that it leads to. */
+struct reconfig {
 	struct dl_rlog *r;
 	int64_t now;
 	struct dl_rlog_members next;
@@ -30,15 +29,15 @@
 static int64_t heard_at(const struct dl_rlog *r, uint64_t id, int64_t now);
 static bool is_superseded(const struct dl_rlog *r,
 			  const struct dl_rlog_member *m, int64_t now);
-static bool keeps_quorum(const struct repair *s);
-static void waits(struct repair *s, const char *what, uint64_t vm);
-static bool try_promote(struct repair *s);
-static bool try_add(struct repair *s);
-static bool try_remove(struct repair *s);
-static bool all_wanted_vote(const struct repair *s, uint64_t *missing);
+static bool keeps_quorum(const struct reconfig *s);
+static void set_waiting_for(struct reconfig *s, const char *what, uint64_t vm);
+static bool try_promote(struct reconfig *s);
+static bool try_add(struct reconfig *s);
+static bool try_remove(struct reconfig *s);
+static bool all_wanted_vote(const struct reconfig *s, uint64_t *missing);
 static void drop_member(struct dl_rlog_members *members, uint64_t id);
 
-/* The VMs that are wanted; without a list, those that are members now. */
+/* The VMs that should have replicas; without a list, those of the members. */
 static uint32_t wanted_vms(const struct dl_rlog *r,
 			   uint64_t out[DL_RLOG_MEMBERS_MAX])
 {
@@ -82,9 +81,9 @@
 		if (r->peers[i].member.id == id)
 			at = r->peers[i].heard;
 	}
-	for (uint32_t i = 0; i < r->seen_count; i++) {
-		if (r->seen[i].id == id)
-			at = MAX(at, r->seen[i].at);
+	for (uint32_t i = 0; i < r->joins_count; i++) {
+		if (r->joins[i].id == id)
+			at = MAX(at, r->joins[i].at);
 	}
 	return at;
 }
@@ -97,8 +96,8 @@
 }
 
 /*
- * Whether another identity on the same VM is heard since; a voter goes for
- * another voter only.
+ * Whether another identity on the same VM was heard more recently.  A voter is
+ * superseded by another voter only.
  */
 static bool is_superseded(const struct dl_rlog *r,
 			  const struct dl_rlog_member *m, int64_t now)
@@ -114,8 +113,8 @@
 	return false;
 }
 
-/* Whether a majority of the next voters is heard now. */
-static bool keeps_quorum(const struct repair *s)
+/* Whether a majority of the next voters is heard from now. */
+static bool keeps_quorum(const struct reconfig *s)
 {
 	uint32_t live = 0;
 
@@ -127,18 +126,18 @@
 	return live >= rlog_majority(&s->next);
 }
 
-static void waits(struct repair *s, const char *what, uint64_t vm)
+static void set_waiting_for(struct reconfig *s, const char *what, uint64_t vm)
 {
 	char text[24];
 
-	if (s->r->waits[0])
+	if (s->r->waiting_for[0])
 		return;
-	snprintf(s->r->waits, sizeof(s->r->waits), "%s %s", what,
+	snprintf(s->r->waiting_for, sizeof(s->r->waiting_for), "%s %s", what,
 		 dl_vm_text(vm, text));
 }
 
-/* Make a learner that holds everything a voter. */
-static bool try_promote(struct repair *s)
+/* Promotes a learner that holds the whole log to a voter. */
+static bool try_promote(struct reconfig *s)
 {
 	for (uint32_t i = 0; i < s->r->members.count; i++) {
 		const struct dl_rlog_member *m = &s->r->members.at[i];
@@ -147,47 +146,50 @@
 		if (m->voter || !p || !is_wanted(s->r, m->vm))
 			continue;
 		if (!is_live(s->r, m->id, s->now)) {
-			waits(s, "to hear the learner", m->vm);
+			set_waiting_for(s, "for contact with the learner",
+					m->vm);
 			continue;
 		}
 		if (p->match < s->r->commit) {
-			waits(s, "until everything is held by", m->vm);
+			set_waiting_for(s, "for the whole log to reach", m->vm);
 			continue;
 		}
 		s->next = s->r->members;
 		s->next.at[i].voter = true;
 		if (keeps_quorum(s))
 			return true;
-		waits(s, "for a majority to be heard, to add", m->vm);
+		set_waiting_for(s, "for contact with a majority, to add",
+				m->vm);
 	}
 	return false;
 }
 
-/* Take an identity that asked, on a VM that is wanted, in as a learner. */
-static bool try_add(struct repair *s)
+/* Adds an identity that asked to join, on a wanted VM, as a learner. */
+static bool try_add(struct reconfig *s)
 {
-	for (uint32_t i = 0; i < s->r->seen_count; i++) {
-		const struct rlog_seen *seen = &s->r->seen[i];
+	for (uint32_t i = 0; i < s->r->joins_count; i++) {
+		const struct rlog_join_request *join = &s->r->joins[i];
 
-		if (s->now - seen->at > SEEN_MS || !is_wanted(s->r, seen->vm) ||
-		    rlog_member_find(&s->r->members, seen->id))
+		if (s->now - join->at > JOIN_VALID_MS ||
+		    !is_wanted(s->r, join->vm) ||
+		    rlog_member_find(&s->r->members, join->id))
 			continue;
 		if (s->r->members.count == DL_RLOG_MEMBERS_MAX) {
-			waits(s, "for room among the members, to add",
-			      seen->vm);
+			set_waiting_for(s, "for a free member slot, to add",
+					join->vm);
 			continue;
 		}
 		s->next = s->r->members;
 		s->next.at[s->next.count++] = (struct dl_rlog_member){
-			.vm = seen->vm,
-			.id = seen->id,
+			.vm = join->vm,
+			.id = join->id,
 		};
 		return true;
 	}
 	return false;
 }
 
-static bool all_wanted_vote(const struct repair *s, uint64_t *missing)
+static bool all_wanted_vote(const struct reconfig *s, uint64_t *missing)
 {
 	uint64_t vms[DL_RLOG_MEMBERS_MAX];
 	uint32_t n = wanted_vms(s->r, vms);
@@ -220,11 +222,12 @@
 }
 
 /*
- * Remove what has been replaced, or is not wanted once all that are wanted
- * vote.  A learner that asked under a newer identity goes at once.  This
- * replica itself goes last, by handing over first.
+ * Removes a member that has been superseded, or is not wanted once all wanted
+ * VMs have voters.  A learner that asked to join under a newer identity is
+ * removed at once.  This replica itself is removed last, after a leadership
+ * transfer.
  */
-static bool try_remove(struct repair *s)
+static bool try_remove(struct reconfig *s)
 {
 	uint64_t missing = DL_VM_NONE;
 	bool complete = all_wanted_vote(s, &missing);
@@ -238,14 +241,15 @@
 		if (wanted && !is_superseded(s->r, m, s->now))
 			continue;
 		if (!wanted && m->voter && !complete) {
-			waits(s, "for the new replica", missing);
+			set_waiting_for(s, "for a voter on", missing);
 			continue;
 		}
 		s->next = s->r->members;
 		drop_member(&s->next, m->id);
 		if (keeps_quorum(s))
 			return true;
-		waits(s, "for a majority to be heard, to remove", m->vm);
+		set_waiting_for(s, "for contact with a majority, to remove",
+				m->vm);
 	}
 	if (complete && !is_wanted(s->r, s->r->conf.self) &&
 	    s->r->members.count > 1)
@@ -254,20 +258,21 @@
 }
 
 /*
- * Take the next step, where there is one.  A change waits for the one before
- * it, and for an entry of this leader's own term, to be committed.
+ * Starts the next membership change, if there is one.  A change waits until the
+ * one before it, and an entry of this leader's own term, are committed.
  */
-void rlog_repair(struct dl_rlog *r, int64_t now)
+void rlog_reconfigure(struct dl_rlog *r, int64_t now)
 {
-	struct repair s = { .r = r, .now = now };
+	struct reconfig s = { .r = r, .now = now };
 	struct dl_str data;
 
-	r->waits[0] = '\0';
-	rlog_group_decide(r, now);
+	r->waiting_for[0] = '\0';
+	rlog_choose_voters(r, now);
 	if (r->commit < r->term_start || r->members_index > r->commit) {
 		if (r->members_index > r->commit)
-			waits(&s, "for the last change to be committed by",
-			      r->conf.self);
+			set_waiting_for(
+				&s, "for the last change to be committed by",
+				r->conf.self);
 		return;
 	}
 	if (!try_promote(&s) && !try_add(&s) && !try_remove(&s))
@@ -277,8 +282,9 @@
 	free((char *)data.s);
 }
 
-/* Name the replicas that are wanted from now on. */
-void dl_rlog_want(struct dl_rlog *r, const uint64_t *vms, uint32_t count)
+/* Sets the VMs that should have replicas from now on. */
+void dl_rlog_set_replicas(struct dl_rlog *r, const uint64_t *vms,
+			  uint32_t count)
 {
 	r->wanted_count = MIN(count, DL_RLOG_MEMBERS_MAX);
 	if (r->wanted_count)
@@ -286,14 +292,15 @@
 }
 
 /*
- * Whether a list could be carried out: a majority of it must be heard now, as
- * members or by their hello, or the group would be left without a quorum.
+ * Checks whether a list can be put into effect: a majority of it must be heard
+ * from now, as members or by their join requests, or the group would lose its
+ * quorum.
  */
-int dl_rlog_want_check(const struct dl_rlog *r, const uint64_t *vms,
-		       uint32_t count, int64_t now, struct dl_err *err)
+int dl_rlog_check_replicas(const struct dl_rlog *r, const uint64_t *vms,
+			   uint32_t count, int64_t now, struct dl_err *err)
 {
 	uint32_t live = 0;
-	char text[24], silent[24] = "none";
+	char text[24], silent_vm[24] = "none";
 
 	for (uint32_t i = 0; i < count; i++) {
 		bool heard = vms[i] == r->conf.self;
@@ -304,18 +311,19 @@
 			heard = heard ||
 				(m->vm == vms[i] && is_live(r, m->id, now));
 		}
-		for (uint32_t j = 0; j < r->seen_count; j++)
-			heard = heard || (r->seen[j].vm == vms[i] &&
-					  now - r->seen[j].at <= SEEN_MS);
+		for (uint32_t j = 0; j < r->joins_count; j++)
+			heard = heard ||
+				(r->joins[j].vm == vms[i] &&
+				 now - r->joins[j].at <= JOIN_VALID_MS);
 		live += heard;
 		if (!heard)
-			memcpy(silent, dl_vm_text(vms[i], text),
-			       sizeof(silent));
+			memcpy(silent_vm, dl_vm_text(vms[i], text),
+			       sizeof(silent_vm));
 	}
 	if (!count || live >= count / 2 + 1)
 		return 0;
-	return dl_err_set(err, -EINVAL, DL_STEP_CHECK, silent,
-			  "only %u of %u listed replicas are heard; "
+	return dl_err_set(err, -EINVAL, DL_STEP_CHECK, silent_vm,
+			  "only %u of %u listed replicas are reachable; "
 			  "the quorum would be lost",
 			  live, count);
 }
--- a/test/fake/disk.c
+++ b/test/fake/disk.c
@@ -1,4 +1,4 @@
-/* The disk in memory: each file as written and as synced. */
+/* A disk in memory: each file as written and as synced. */
 #include "disk.h"
 
 #include <errno.h>
@@ -7,29 +7,29 @@
 
 #include <glib.h>
 
-/* A write, or where data is NULL a cut at the offset. */
-struct span {
+/* A write, or a truncation to the offset if data is NULL. */
+struct change {
 	uint64_t offset;
 	uint64_t n;
 	guint8 *data;
 };
 
-static void span_clear(gpointer p)
+static void change_clear(gpointer p)
 {
-	g_free(((struct span *)p)->data);
+	g_free(((struct change *)p)->data);
 }
 
 struct file {
 	gint refs;
 	GByteArray *now;
 	GByteArray *synced;
-	GArray *unsynced; /* of struct span, in the order of writing */
+	GArray *unsynced; /* of struct change, in the order of writing */
 };
 
-/* A name made, moved or dropped since the folder was synced. */
+/* A name created, renamed or removed since the directory was synced. */
 struct name_op {
-	char *from; /* dropped; NULL for none */
-	char *to;   /* made; NULL for none */
+	char *from; /* removed name; NULL for none */
+	char *to;   /* created name; NULL for none */
 	struct file *file;
 };
 
@@ -37,9 +37,9 @@
 	int64_t due;
 	int code;
 	struct dl_disk_done done;
-	struct file *sync; /* what becomes synced at the end */
-	guint spans;	   /* how many writes the sync covers */
-	bool folder;
+	struct file *sync; /* the file to mark as synced on completion */
+	guint changes;	   /* number of writes that the sync covers */
+	bool syncs_dir;
 	guint names;
 };
 
@@ -53,7 +53,7 @@
 	int fail_code;
 	uint32_t crash_in;
 	bool down;
-	GHashTable *names; /* to struct file */
+	GHashTable *names; /* name to struct file */
 	GHashTable *synced_names;
 	GPtrArray *name_ops;
 	GQueue pending;
@@ -142,17 +142,17 @@
 	d->crash_in = ops + 1;
 }
 
-bool fake_disk_down(const struct fake_disk *d)
+bool fake_disk_is_down(const struct fake_disk *d)
 {
 	return d->down;
 }
 
-uint64_t fake_disk_count(const struct fake_disk *d)
+uint64_t fake_disk_op_count(const struct fake_disk *d)
 {
 	return d->count;
 }
 
-/* Count an operation; NULL where it fails, or the VM is down, instead. */
+/* Counts an operation; returns NULL if it fails or the VM goes down. */
 static struct pending *begin(struct fake_disk *d, struct dl_disk_done done,
 			     uint32_t ms)
 {
@@ -183,7 +183,8 @@
 	g_ptr_array_add(d->name_ops, op);
 }
 
-static void put(GByteArray *to, uint64_t offset, const guint8 *data, uint64_t n)
+static void put_bytes(GByteArray *to, uint64_t offset, const guint8 *data,
+		      uint64_t n)
 {
 	guint had = to->len;
 
@@ -195,10 +196,10 @@
 		memcpy(to->data + offset, data, n);
 }
 
-static void put_span(GByteArray *to, const struct span *s)
+static void apply_change(GByteArray *to, const struct change *s)
 {
 	if (s->data)
-		put(to, s->offset, s->data, s->n);
+		put_bytes(to, s->offset, s->data, s->n);
 	else if (to->len > s->offset)
 		g_byte_array_set_size(to, (guint)s->offset);
 }
@@ -207,7 +208,7 @@
 		       struct dl_str data, struct dl_disk_done done)
 {
 	struct fake_disk *d = disk;
-	struct span span = { offset, data.n, NULL };
+	struct change change = { offset, data.n, NULL };
 	struct file *f;
 
 	if (!begin(d, done, 0))
@@ -218,14 +219,14 @@
 		f->refs = 1;
 		f->now = g_byte_array_new();
 		f->synced = g_byte_array_new();
-		f->unsynced = g_array_new(FALSE, FALSE, sizeof(struct span));
-		g_array_set_clear_func(f->unsynced, span_clear);
+		f->unsynced = g_array_new(FALSE, FALSE, sizeof(struct change));
+		g_array_set_clear_func(f->unsynced, change_clear);
 		g_hash_table_insert(d->names, g_strdup(name), f);
 		name_op(d, NULL, name, f);
 	}
-	put(f->now, offset, (const guint8 *)data.s, data.n);
-	span.data = g_memdup2(data.s, data.n);
-	g_array_append_val(f->unsynced, span);
+	put_bytes(f->now, offset, (const guint8 *)data.s, data.n);
+	change.data = g_memdup2(data.s, data.n);
+	g_array_append_val(f->unsynced, change);
 }
 
 static void disk_sync(void *disk, const char *name, struct dl_disk_done done)
@@ -243,7 +244,7 @@
 		return;
 	}
 	x->sync = file_ref(f);
-	x->spans = f->unsynced->len;
+	x->changes = f->unsynced->len;
 }
 
 static void disk_rename(void *disk, const char *from, const char *to,
@@ -261,14 +262,14 @@
 	name_op(d, from, to, f);
 }
 
-static void disk_sync_folder(void *disk, struct dl_disk_done done)
+static void disk_sync_dir(void *disk, struct dl_disk_done done)
 {
 	struct fake_disk *d = disk;
 	struct pending *x = begin(d, done, d->sync_min);
 
 	if (!x)
 		return;
-	x->folder = true;
+	x->syncs_dir = true;
 	x->names = d->name_ops->len;
 }
 
@@ -313,12 +314,12 @@
 {
 	struct fake_disk *d = disk;
 	struct file *f = g_hash_table_lookup(d->names, name);
-	struct span span = { size, 0, NULL };
+	struct change change = { size, 0, NULL };
 
 	if (!f)
 		return -ENOENT;
 	g_byte_array_set_size(f->now, (guint)size);
-	g_array_append_val(f->unsynced, span);
+	g_array_append_val(f->unsynced, change);
 	return 0;
 }
 
@@ -326,7 +327,7 @@
 	.write = disk_write,
 	.sync = disk_sync,
 	.rename = disk_rename,
-	.sync_folder = disk_sync_folder,
+	.sync_dir = disk_sync_dir,
 	.unlink = disk_unlink,
 	.read = disk_read,
 	.list = disk_list,
@@ -354,14 +355,14 @@
 	int code = x->code;
 
 	if (x->sync && !code) {
-		for (guint i = 0; i < x->spans; i++)
-			put_span(x->sync->synced,
-				 &g_array_index(x->sync->unsynced, struct span,
-						i));
-		if (x->spans)
-			g_array_remove_range(x->sync->unsynced, 0, x->spans);
+		for (guint i = 0; i < x->changes; i++)
+			apply_change(x->sync->synced,
+				     &g_array_index(x->sync->unsynced,
+						    struct change, i));
+		if (x->changes)
+			g_array_remove_range(x->sync->unsynced, 0, x->changes);
 	}
-	if (x->folder && !code)
+	if (x->syncs_dir && !code)
 		apply_name_ops(d, x->names);
 	pending_free(x);
 	done.fn(done.arg, code);
@@ -387,19 +388,22 @@
 	return ((struct pending *)d->pending.head->data)->due;
 }
 
-/* Each write since the sync: lost, whole, or a part of it from anywhere. */
-static void tear(struct fake_disk *d, struct file *f)
+/*
+ * Applies of each write since the last sync nothing, all, or a part from its
+ * beginning or up to its end.
+ */
+static void lose_unsynced_writes(struct fake_disk *d, struct file *f)
 {
 	GByteArray *left = g_byte_array_new();
 
-	put(left, 0, f->synced->data, f->synced->len);
+	put_bytes(left, 0, f->synced->data, f->synced->len);
 	for (guint i = 0; i < f->unsynced->len; i++) {
-		struct span s = g_array_index(f->unsynced, struct span, i);
+		struct change s = g_array_index(f->unsynced, struct change, i);
 		uint64_t from = 0, to = s.n;
 
 		if (!s.data) {
 			if (g_rand_boolean(d->rand))
-				put_span(left, &s);
+				apply_change(left, &s);
 			continue;
 		}
 		switch (g_rand_int_range(d->rand, 0, 4)) {
@@ -416,15 +420,15 @@
 		default:
 			break;
 		}
-		put(left, s.offset + from, s.data + from, to - from);
+		put_bytes(left, s.offset + from, s.data + from, to - from);
 	}
 	g_byte_array_set_size(f->now, 0);
-	put(f->now, 0, left->data, left->len);
+	put_bytes(f->now, 0, left->data, left->len);
 	g_byte_array_free(left, TRUE);
 }
 
-/* What is there after a start is what would be there after another. */
-static void settle(struct fake_disk *d)
+/* Marks everything as synced: what survived the crash survives later ones. */
+static void mark_all_synced(struct fake_disk *d)
 {
 	GHashTableIter iter;
 	gpointer f;
@@ -435,7 +439,7 @@
 
 		g_array_set_size(file->unsynced, 0);
 		g_byte_array_set_size(file->synced, 0);
-		put(file->synced, 0, file->now->data, file->now->len);
+		put_bytes(file->synced, 0, file->now->data, file->now->len);
 	}
 }
 
@@ -459,10 +463,10 @@
 	g_hash_table_remove_all(d->names);
 	g_hash_table_iter_init(&iter, d->synced_names);
 	while (g_hash_table_iter_next(&iter, &name, &f)) {
-		tear(d, f);
+		lose_unsynced_writes(d, f);
 		g_hash_table_replace(d->names, g_strdup(name), file_ref(f));
 	}
-	settle(d);
+	mark_all_synced(d);
 }
 
 void fake_disk_wipe(struct fake_disk *d)
@@ -494,7 +498,7 @@
 	return f ? f->now->len : 0;
 }
 
-bool fake_disk_flip(struct fake_disk *d, uint64_t at)
+bool fake_disk_flip_bit(struct fake_disk *d, uint64_t at)
 {
 	struct file *f = largest(d);
 
--- a/test/test_disk.c
+++ b/test/test_disk.c
@@ -68,7 +68,7 @@
 	disk.ops->write(disk.disk, "a.tmp", 5, DL_STR(" world"), DONE(1));
 	disk.ops->sync(disk.disk, "a.tmp", DONE(2));
 	disk.ops->rename(disk.disk, "a.tmp", "a", DONE(3));
-	disk.ops->sync_folder(disk.disk, DONE(4));
+	disk.ops->sync_dir(disk.disk, DONE(4));
 	disk.ops->write(disk.disk, "a", 6, DL_STR("W"), DONE(5));
 	run_loop();
 	ck_assert_int_eq(ended, 6);
@@ -120,11 +120,11 @@
 	struct dl_rlog_snapshot snap = { .index = 1,
 					 .term = 1,
 					 .data = DL_STR("state") };
-	struct dl_rlog_unit unit = { .cluster = 5,
-				     .term = 1,
-				     .vote = 9,
-				     .count = 2,
-				     .entries = entries };
+	struct dl_rlog_record unit = { .cluster = 5,
+				       .term = 1,
+				       .vote = 9,
+				       .count = 2,
+				       .entries = entries };
 	struct dl_rlog_image image;
 	struct dl_rlog_store *store;
 	struct dl_err err;
--- a/test/test_orders.c
+++ b/test/test_orders.c
@@ -1,8 +1,8 @@
 /*
- * Orders to endpoints: one order-giver at a time as seen by an endpoint that
- * ignores fencing numbers, whatever pauses, clocks and the network do; the
- * wished end is reached; the weight store is never asked for more than it
- * gives.
+ * Orders to endpoints.  An endpoint that ignores fencing tokens never sees an
+ * order of an earlier leader after one of a later leader, whatever pauses,
+ * clocks and the network do; every endpoint reaches its goal; the weight store
+ * is never asked for more than its rate.
  */
 #include <check.h>
 #include <errno.h>
@@ -14,17 +14,17 @@
 #include "daisyledge/orders.h"
 #include "fake/suite.h"
 
-#define SEED	    20261202
-#define RUNS	    200
-#define RUNS_SLOW   20 /* under a sanitizer, each takes twenty times as long */
-#define CHAOS_MS    120000
-#define CALM_MS	    600000
-#define STEP_MS	    20
-#define LEADERS	    3
-#define ENDPOINTS   6
-#define STORE_MB_S  2000
-#define LOAD_MB	    4000
-#define FLIGHTS_MAX 256
+#define SEED	   20261202
+#define RUNS	   200
+#define RUNS_SLOW  20 /* a sanitizer makes each run 20 times slower */
+#define CHAOS_MS   120000
+#define CALM_MS	   600000
+#define STEP_MS	   20
+#define LEADERS	   3
+#define ENDPOINTS  6
+#define STORE_MB_S 2000
+#define LOAD_MB	   4000
+#define SENT_MAX   256
 
 static struct dl_orders_conf limits(void)
 {
@@ -32,11 +32,11 @@
 
 	dl_orders_defaults(&c);
 	c.load_mb = LOAD_MB;
-	c.settle_ms = 40000;
+	c.announce_timeout_ms = 40000;
 	return c;
 }
 
-/* Two services: "strict" checks fencing numbers, "loose" ignores them. */
+/* Two services: "strict" checks fencing tokens, "loose" ignores them. */
 static struct dl_conf *make_conf(const char *version, uint32_t endpoints)
 {
 	static struct dl_faults faults;
@@ -76,7 +76,7 @@
 	return e;
 }
 
-/* A planner that leads in term 1 from time 0, with its bucket filled. */
+/* A planner that leads in term 1 from time 0. */
 static struct dl_orders *make_leader(const char *version, uint32_t endpoints)
 {
 	struct dl_orders_conf c = limits();
@@ -85,11 +85,11 @@
 
 	dl_orders_configure(o, conf, 0);
 	dl_conf_free(conf);
-	ck_assert_int_eq(dl_orders_lead(o, 1, 1000000, 0), 0);
+	ck_assert_int_eq(dl_orders_set_leader(o, 1, 1000000, 0), 0);
 	return o;
 }
 
-START_TEST(those_as_wished_stay)
+START_TEST(fulfilled_endpoints_are_kept)
 {
 	struct dl_orders *o = make_leader("1", 2);
 	struct dl_order_endpoint e[] = {
@@ -104,20 +104,20 @@
 	dl_name_set(&e[3].role, DL_STR("both"));
 	dl_name_set(&e[2].role, DL_STR("both"));
 	for (int i = 0; i < 4; i++)
-		dl_orders_endpoint(o, &e[i], 0);
+		dl_orders_update_endpoint(o, &e[i], 0);
 	ck_assert(dl_orders_next(o, 10000, &order));
 	ck_assert_str_eq(order.endpoint.s, "10.0.0.2:1");
 	ck_assert_str_eq(order.version.s, "1");
 	ck_assert_uint_eq(order.fence, 1);
 	ck_assert(!dl_orders_next(o, 10000, &order));
 	dl_orders_summarize(o, 10000, &s);
-	ck_assert_uint_eq(s.wished, 2);
-	ck_assert_uint_eq(s.done, 1);
+	ck_assert_uint_eq(s.assigned, 2);
+	ck_assert_uint_eq(s.completed, 1);
 	dl_orders_free(o);
 }
 END_TEST
 
-START_TEST(loads_wait_for_the_store)
+START_TEST(loads_wait_for_weight_store)
 {
 	struct dl_orders *o = make_leader("1", 0);
 	int64_t first = -1, second = -1;
@@ -129,7 +129,7 @@
 
 		snprintf(id, sizeof(id), "10.0.1.%d:1", i + 1);
 		e = announce(id, "strict", "", "");
-		dl_orders_endpoint(o, &e, 0);
+		dl_orders_update_endpoint(o, &e, 0);
 	}
 	for (int64_t t = 0; t < 10000 && second < 0; t += 10) {
 		if (!dl_orders_next(o, t, &order))
@@ -138,16 +138,16 @@
 			first = t;
 		else
 			second = t;
-		ck_assert_ptr_null(dl_orders_broken(o));
+		ck_assert_ptr_null(dl_orders_check(o));
 	}
-	/* An empty bucket at first, one load each two seconds after. */
+	/* The bucket starts empty and allows one load every two seconds. */
 	ck_assert_int_eq(first, 2000);
 	ck_assert_int_eq(second, 4000);
 	dl_orders_free(o);
 }
 END_TEST
 
-/* No more endpoints load at once than the share that may be put out. */
+/* No more endpoints load at once than the share that may be out of service. */
 START_TEST(pool_keeps_its_capacity)
 {
 	struct dl_orders *o = make_leader("1", 0);
@@ -160,7 +160,7 @@
 
 		snprintf(id, sizeof(id), "10.0.1.%d:1", i + 1);
 		e = announce(id, "strict", "a", "0");
-		dl_orders_endpoint(o, &e, 0);
+		dl_orders_update_endpoint(o, &e, 0);
 	}
 	for (int64_t t = 0; t < 30000; t += 100) {
 		if (!dl_orders_next(o, t, &order))
@@ -173,16 +173,19 @@
 }
 END_TEST
 
-/* What is seen done makes room at once; a restart forgets what was accepted. */
-START_TEST(announcements_tell_the_end)
+/*
+ * An announced goal frees a slot at once; a restarted endpoint has lost what it
+ * accepted.
+ */
+START_TEST(announcement_completes_order)
 {
 	struct dl_orders *o = make_leader("1", 0);
 	struct dl_order_endpoint a = announce("10.0.0.1:1", "strict", "a", "");
 	struct dl_order_endpoint b = announce("10.0.0.2:1", "strict", "", "");
 	struct dl_order order;
 
-	dl_orders_endpoint(o, &a, 0);
-	dl_orders_endpoint(o, &b, 0);
+	dl_orders_update_endpoint(o, &a, 0);
+	dl_orders_update_endpoint(o, &b, 0);
 	ck_assert(dl_orders_next(o, 5000, &order));
 	ck_assert_str_eq(order.endpoint.s, "10.0.0.1:1");
 	dl_orders_result(o, order.id, DL_ORDER_ACCEPTED, 5100);
@@ -190,10 +193,10 @@
 	ck_assert_str_eq(order.endpoint.s, "10.0.0.2:1");
 	dl_orders_result(o, order.id, DL_ORDER_ACCEPTED, 7200);
 	a.incarnation++;
-	dl_orders_endpoint(o, &a, 9000);
-	ck_assert(!dl_orders_next(o, 9200, &order)); /* b has the one place */
+	dl_orders_update_endpoint(o, &a, 9000);
+	ck_assert(!dl_orders_next(o, 9200, &order)); /* b uses the only slot */
 	b = announce("10.0.0.2:1", "strict", "a", "");
-	dl_orders_endpoint(o, &b, 9300);
+	dl_orders_update_endpoint(o, &b, 9300);
 	ck_assert(dl_orders_next(o, 9400, &order));
 	ck_assert_str_eq(order.endpoint.s, "10.0.0.1:1");
 	dl_orders_free(o);
@@ -201,23 +204,24 @@
 END_TEST
 
 /*
- * The worst that clocks and the network may do: the earlier leader's clock is
- * the slowest, its last order is sent at the end of a lease renewed when the
- * new leader was elected, and arrives as late as it can; the new leader's
- * clock is the fastest.
+ * The worst case for clocks and network: the earlier leader's clock is the
+ * slowest, it sends its last order at the end of a lease renewed when the new
+ * leader was elected, the order arrives as late as possible, and the new
+ * leader's clock is the fastest.
  */
-START_TEST(hold_covers_the_worst)
+START_TEST(hold_covers_worst_case)
 {
 	struct dl_orders *o = make_leader("1", 0);
 	struct dl_orders_conf c = limits();
 	struct dl_order_endpoint e = announce("10.0.0.1:1", "loose", "", "");
 	double slow = 1.0 - c.drift_permille / 2000.0;
 	double fast = 1.0 + c.drift_permille / 2000.0;
-	double latest = (c.lease_ms + c.under_way_ms) / slow + c.network_ms;
+	double latest =
+		(c.lease_ms + c.send_timeout_ms) / slow + c.network_delay_ms;
 	struct dl_order order;
 	int64_t t = 0;
 
-	dl_orders_endpoint(o, &e, 0);
+	dl_orders_update_endpoint(o, &e, 0);
 	while (!dl_orders_next(o, t, &order))
 		t++;
 	ck_assert_double_ge((double)t / fast, latest);
@@ -226,32 +230,32 @@
 }
 END_TEST
 
-START_TEST(fenced_gives_no_more)
+START_TEST(fenced_leader_stops)
 {
 	struct dl_orders *o = make_leader("1", 0);
 	struct dl_order_endpoint e = announce("10.0.0.1:1", "strict", "", "");
 	struct dl_order order, again;
 
-	dl_orders_endpoint(o, &e, 0);
+	dl_orders_update_endpoint(o, &e, 0);
 	ck_assert(dl_orders_next(o, 5000, &order));
 	ck_assert(dl_orders_may_send(o, &order, 5000));
-	ck_assert(!dl_orders_may_send(o, &order, order.give_up));
+	ck_assert(!dl_orders_may_send(o, &order, order.deadline));
 	dl_orders_result(o, order.id, DL_ORDER_FENCED, 5001);
 	ck_assert(!dl_orders_may_send(o, &order, 5001));
 	ck_assert(!dl_orders_next(o, 50000, &again));
 	ck_assert_int_eq(dl_orders_wakeup(o, 50000), INT64_MAX);
-	ck_assert_int_eq(dl_orders_lead(o, 0, 0, 0), -ESTALE);
-	ck_assert_int_eq(dl_orders_lead(o, 3, 1000000, 50000), 0);
-	ck_assert_int_eq(dl_orders_lead(o, 2, 1000000, 50000), -ESTALE);
+	ck_assert_int_eq(dl_orders_set_leader(o, 0, 0, 0), -ESTALE);
+	ck_assert_int_eq(dl_orders_set_leader(o, 3, 1000000, 50000), 0);
+	ck_assert_int_eq(dl_orders_set_leader(o, 2, 1000000, 50000), -ESTALE);
 	ck_assert(dl_orders_next(o, 60000, &again));
 	ck_assert_uint_eq(again.fence, 3);
-	dl_orders_lost(o);
+	dl_orders_clear_leader(o);
 	ck_assert(!dl_orders_may_send(o, &again, 60000));
 	dl_orders_free(o);
 }
 END_TEST
 
-/* An endpoint that may still get an order gets no second one meanwhile. */
+/* An endpoint gets no second order while an earlier one may still arrive. */
 START_TEST(one_order_at_a_time)
 {
 	struct dl_orders *o = make_leader("1", 0);
@@ -259,53 +263,53 @@
 	struct dl_conf *conf = make_conf("2", 0);
 	struct dl_order order, again;
 
-	dl_orders_endpoint(o, &e, 0);
+	dl_orders_update_endpoint(o, &e, 0);
 	ck_assert(dl_orders_next(o, 5000, &order));
 	dl_orders_configure(o, conf, 5100);
 	dl_orders_result(o, order.id, DL_ORDER_UNKNOWN, 5200);
-	dl_orders_endpoint_gone(o, DL_STR("10.0.0.1:1"));
+	dl_orders_remove_endpoint(o, DL_STR("10.0.0.1:1"));
 	e.incarnation++;
-	dl_orders_endpoint(o, &e, 5300);
+	dl_orders_update_endpoint(o, &e, 5300);
 	ck_assert(!dl_orders_next(o, 11999, &again));
 	ck_assert(dl_orders_next(o, 12000, &again));
 	ck_assert_str_eq(again.version.s, "2");
-	dl_orders_endpoint_gone(o, DL_STR("10.0.0.1:1"));
+	dl_orders_remove_endpoint(o, DL_STR("10.0.0.1:1"));
 	ck_assert(!dl_orders_next(o, 30000, &again));
-	ck_assert_ptr_null(dl_orders_broken(o));
+	ck_assert_ptr_null(dl_orders_check(o));
 	dl_conf_free(conf);
 	dl_orders_free(o);
 }
 END_TEST
 
 /*
- * The fakes: processes that lead in turn, each with a clock of its own, and
- * endpoints of both kinds.  An order is in flight for as long as its sender
+ * A simulation of processes that lead in turn, each with its own clock, and of
+ * endpoints of both services.  An order is in flight for as long as its sender
  * and the network may take.
  */
 struct process {
 	struct dl_orders *orders;
 	double rate;
 	int64_t offset;
-	int64_t paused_until; /* true time */
-	bool holds;	      /* an order planned before a pause */
+	int64_t paused_until; /* in simulated time */
+	bool has_held;	      /* an order is planned but not sent yet */
 	struct dl_order held;
 };
 
 struct fake_endpoint {
-	struct dl_order_endpoint says;
+	struct dl_order_endpoint announced;
 	bool loose;
 	bool tells_version;
 	uint64_t max_fence;
 	struct dl_order loading;
-	int64_t loaded_at; /* 0: nothing is loaded */
+	int64_t loaded_at; /* 0: no load in progress */
 };
 
-struct flight {
+struct sent_order {
 	struct dl_order order;
 	int from;
 	int64_t arrives;
 	int64_t answer_at; /* 0: not arrived yet */
-	int64_t give_up;
+	int64_t deadline;
 	bool lost;
 	enum dl_order_result result;
 };
@@ -315,8 +319,8 @@
 	int64_t now;
 	struct process process[LEADERS];
 	struct fake_endpoint endpoint[ENDPOINTS];
-	struct flight flight[FLIGHTS_MAX];
-	int flights;
+	struct sent_order sent_order[SENT_MAX];
+	int sent_count;
 	int leader;
 	uint64_t term;
 	uint64_t loads;
@@ -357,7 +361,8 @@
 		snprintf(id, sizeof(id), "10.0.1.%d:1", i + 1);
 		e->loose = i % 2;
 		e->tells_version = i % 3 != 0;
-		e->says = announce(id, e->loose ? "loose" : "strict", "", "");
+		e->announced =
+			announce(id, e->loose ? "loose" : "strict", "", "");
 	}
 	dl_conf_free(conf);
 }
@@ -370,8 +375,9 @@
 }
 
 /*
- * Elect at any time: the earlier leader's lease, renewed until now, may run on
- * for its whole length.  Only the leader of the latest term renews.
+ * Elects a leader at random times: the earlier leader's lease, renewed until
+ * now, may continue for its full duration.  Only the leader of the latest term
+ * renews its lease.
  */
 static void elect(struct world *w)
 {
@@ -386,63 +392,69 @@
 	local = clock_of(w, w->leader);
 	if (p->paused_until > w->now || chance(w, 300))
 		return;
-	dl_orders_lead(p->orders, w->term, local + limits().lease_ms, local);
+	dl_orders_set_leader(p->orders, w->term, local + limits().lease_ms,
+			     local);
 }
 
-/* Send what was planned, if it may still be sent after whatever pause. */
+/* Sends the planned order if it may still be sent, after any pause. */
 static void send_held(struct world *w, int from)
 {
 	struct process *p = &w->process[from];
-	struct flight *f = &w->flight[w->flights];
+	struct sent_order *f = &w->sent_order[w->sent_count];
 	int64_t local = clock_of(w, from);
 
-	p->holds = false;
+	p->has_held = false;
 	if (!dl_orders_may_send(p->orders, &p->held, local) ||
-	    w->flights == FLIGHTS_MAX) {
+	    w->sent_count == SENT_MAX) {
 		dl_orders_result(p->orders, p->held.id, DL_ORDER_FAILED, local);
 		return;
 	}
 	memset(f, 0, sizeof(*f));
 	f->order = p->held;
 	f->from = from;
-	f->give_up =
-		w->now + (int64_t)((double)(p->held.give_up - local) / p->rate);
+	f->deadline = w->now +
+		      (int64_t)((double)(p->held.deadline - local) / p->rate);
 	f->arrives = w->now + g_rand_int_range(w->rand, 0, 50);
 	if (chance(w, 200))
-		f->arrives = f->give_up +
-			     g_rand_int_range(w->rand, 0,
-					      (gint32)limits().network_ms);
+		f->arrives =
+			f->deadline +
+			g_rand_int_range(w->rand, 0,
+					 (gint32)limits().network_delay_ms);
 	f->lost = chance(w, 100);
-	w->flights++;
+	w->sent_count++;
 	w->orders++;
 }
 
-static void plan(struct world *w, int from)
+static void plan_and_send(struct world *w, int from)
 {
 	struct process *p = &w->process[from];
 
 	if (p->paused_until > w->now)
 		return;
-	if (p->holds) {
+	if (p->has_held) {
 		send_held(w, from);
 		return;
 	}
 	if (!dl_orders_next(p->orders, clock_of(w, from), &p->held))
 		return;
-	p->holds = true;
+	p->has_held = true;
 	if (chance(w, 100))
 		p->paused_until = w->now + g_rand_int_range(w->rand, 0, 20000);
 	else
 		send_held(w, from);
 }
 
-/* An endpoint takes an order: here is the invariant. */
-static void arrive(struct world *w, struct flight *f)
+/*
+ * Delivers an order to its endpoint and checks that no "loose" endpoint gets an
+ * order of an earlier term.
+ */
+static void receive_order(struct world *w, struct sent_order *f)
 {
 	struct fake_endpoint *e = &w->endpoint[0];
 
 	for (int i = 1; i < ENDPOINTS; i++) {
-		if (strcmp(w->endpoint[i].says.id.s, f->order.endpoint.s) == 0)
+		if (strcmp(w->endpoint[i].announced.id.s,
+			   f->order.endpoint.s) == 0)
 			e = &w->endpoint[i];
 	}
 	f->result = DL_ORDER_ACCEPTED;
@@ -454,8 +466,8 @@
 		return;
 	}
 	e->max_fence = f->order.fence;
-	if (e->says.models_count &&
-	    strcmp(e->says.models[0].s, f->order.model.s) == 0 &&
+	if (e->announced.models_count &&
+	    strcmp(e->announced.models[0].s, f->order.model.s) == 0 &&
 	    strcmp(e->loading.version.s, f->order.version.s) == 0)
 		return;
 	w->loads++;
@@ -463,50 +475,52 @@
 	e->loaded_at = w->now + g_rand_int_range(w->rand, 500, 20000);
 }
 
-static void fly(struct world *w)
+static void deliver_orders(struct world *w)
 {
-	for (int i = 0; i < w->flights; i++) {
-		struct flight *f = &w->flight[i];
+	for (int i = 0; i < w->sent_count; i++) {
+		struct sent_order *f = &w->sent_order[i];
 		struct process *p = &w->process[f->from];
 
 		if (!f->answer_at && f->arrives <= w->now) {
 			if (!f->lost)
-				arrive(w, f);
+				receive_order(w, f);
 			f->answer_at = w->now + 10;
 			f->lost = f->lost || chance(w, 100);
 		}
 		if (p->paused_until > w->now || !f->answer_at ||
-		    (f->answer_at > w->now || (f->lost && f->give_up > w->now)))
+		    (f->answer_at > w->now ||
+		     (f->lost && f->deadline > w->now)))
 			continue;
 		dl_orders_result(p->orders, f->order.id,
-				 f->lost || f->answer_at > f->give_up ?
+				 f->lost || f->answer_at > f->deadline ?
 					 DL_ORDER_UNKNOWN :
 					 f->result,
 				 clock_of(w, f->from));
-		*f = w->flight[--w->flights];
+		*f = w->sent_order[--w->sent_count];
 		i--;
 	}
 }
 
-/* Endpoints finish loads, restart, and announce themselves. */
-static void live(struct world *w)
+/* Lets endpoints finish loads, restart and announce themselves. */
+static void run_endpoints(struct world *w)
 {
 	for (int i = 0; i < ENDPOINTS; i++) {
 		struct fake_endpoint *e = &w->endpoint[i];
 
 		if (chance(w, 1)) {
-			e->says.incarnation++;
-			e->says.models_count = 0;
+			e->announced.incarnation++;
+			e->announced.models_count = 0;
 			e->loaded_at = 0;
-			memset(&e->says.version, 0, sizeof(e->says.version));
+			memset(&e->announced.version, 0,
+			       sizeof(e->announced.version));
 			memset(&e->loading, 0, sizeof(e->loading));
 		}
 		if (e->loaded_at && e->loaded_at <= w->now) {
-			e->says.models[0] = e->loading.model;
-			e->says.models_count = 1;
+			e->announced.models[0] = e->loading.model;
+			e->announced.models_count = 1;
 			if (e->tells_version) {
-				e->says.version = e->loading.version;
-				e->says.role = e->loading.role;
+				e->announced.version = e->loading.version;
+				e->announced.role = e->loading.role;
 			}
 			e->loaded_at = 0;
 		}
@@ -514,8 +528,9 @@
 			if (w->process[p].paused_until > w->now ||
 			    g_rand_int_range(w->rand, 0, 10))
 				continue;
-			dl_orders_endpoint(w->process[p].orders, &e->says,
-					   clock_of(w, p));
+			dl_orders_update_endpoint(w->process[p].orders,
+						  &e->announced,
+						  clock_of(w, p));
 		}
 	}
 }
@@ -528,14 +543,14 @@
 		if (chance(w, 1))
 			w->process[p].paused_until =
 				w->now + g_rand_int_range(w->rand, 0, 60000);
-		plan(w, p);
-		ck_assert_ptr_null(dl_orders_broken(w->process[p].orders));
+		plan_and_send(w, p);
+		ck_assert_ptr_null(dl_orders_check(w->process[p].orders));
 	}
-	fly(w);
-	live(w);
+	deliver_orders(w);
+	run_endpoints(w);
 }
 
-START_TEST(one_order_giver_at_a_time)
+START_TEST(single_order_source)
 {
 	struct dl_orders_summary s = { 0 };
 	struct world w;
@@ -545,16 +560,18 @@
 	while (w.now < CHAOS_MS)
 		step(&w);
 	w.calm = true;
-	while (w.now < CHAOS_MS + CALM_MS && (!s.wished || s.done < s.wished)) {
+	while (w.now < CHAOS_MS + CALM_MS &&
+	       (!s.assigned || s.completed < s.assigned)) {
 		step(&w);
 		dl_orders_summarize(w.process[w.leader].orders,
 				    clock_of(&w, w.leader), &s);
-		s.wished = s.wished < ENDPOINTS || w.now < CHAOS_MS + 120000 ?
-				   0 :
-				   s.wished;
+		s.assigned = s.assigned < ENDPOINTS ||
+					     w.now < CHAOS_MS + 120000 ?
+				     0 :
+				     s.assigned;
 	}
-	ck_assert_uint_eq(s.wished, ENDPOINTS);
-	ck_assert_uint_eq(s.done, ENDPOINTS);
+	ck_assert_uint_eq(s.assigned, ENDPOINTS);
+	ck_assert_uint_eq(s.completed, ENDPOINTS);
 	for (int i = 0; i < ENDPOINTS; i++)
 		ck_assert_str_eq(w.endpoint[i].loading.version.s, "1");
 	most = (uint64_t)(w.now + (int64_t)w.term * limits().lease_ms) *
@@ -573,14 +590,14 @@
 
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 0);
-	tcase_add_test(t, those_as_wished_stay);
-	tcase_add_test(t, loads_wait_for_the_store);
+	tcase_add_test(t, fulfilled_endpoints_are_kept);
+	tcase_add_test(t, loads_wait_for_weight_store);
 	tcase_add_test(t, pool_keeps_its_capacity);
-	tcase_add_test(t, announcements_tell_the_end);
-	tcase_add_test(t, hold_covers_the_worst);
-	tcase_add_test(t, fenced_gives_no_more);
+	tcase_add_test(t, announcement_completes_order);
+	tcase_add_test(t, hold_covers_worst_case);
+	tcase_add_test(t, fenced_leader_stops);
 	tcase_add_test(t, one_order_at_a_time);
-	tcase_add_loop_test(t, one_order_giver_at_a_time, 0,
+	tcase_add_loop_test(t, single_order_source, 0,
 			    g_getenv("DL_SANITIZED") ? RUNS_SLOW : RUNS);
 	return suite_run(s);
 }
--- a/test/test_rlog_random.c
+++ b/test/test_rlog_random.c
@@ -1,10 +1,10 @@
 /*
  * The replicated log under random faults: crashes, kills, pauses, lost disks,
- * cut and lossy links, clocks that drift, changes of the replica list.  What
- * must hold is checked inside, after every step.
+ * partitioned and lossy links, clock drift, changes of the replica list.  The
+ * fake group checks the invariants after every step.
  *
- *   DL_SEEDS=N    so many seeds in place of a million steps
- *   DL_SEED=N     this one seed, and what happened in it
+ *   DL_SEEDS=N    run N seeds instead of a million steps
+ *   DL_SEED=N     run this one seed and print its events
  */
 #include <check.h>
 #include <errno.h>
@@ -22,30 +22,30 @@
 #define CALM_MS		60000
 
 /*
- * Seeds that showed a fault: 22, a lost disk whose settings do not list the
- * leader; 272, a learner whose change was never committed; 231, a first sync
- * that failed.
+ * Seeds that once failed: 22, a lost disk whose settings do not list the
+ * leader; 272, a learner whose addition was never committed; 231, a failed
+ * first sync.
  */
-static const uint32_t kept_seeds[] = { 22, 231, 272 };
+static const uint32_t failing_seeds[] = { 22, 231, 272 };
 
 struct trial {
 	struct group *group;
 	GRand *rand;
-	bool say;
-	bool starts; /* replicas end and start together, often */
+	bool verbose;
+	bool restarts; /* replicas often restart together */
 };
 
-/* One of so many faults, where they do. */
-#define STARTS_FAULTS 5
+/* One in this many faults is a joint restart, where these are enabled. */
+#define RESTART_ONE_IN 5
 
 static uint32_t below(struct trial *t, uint32_t n)
 {
 	return (uint32_t)g_rand_int_range(t->rand, 0, (gint32)n);
 }
 
-static void say(const struct trial *t, const char *what, uint64_t vm)
+static void log_event(const struct trial *t, const char *what, uint64_t vm)
 {
-	if (t->say)
+	if (t->verbose)
 		printf("%8lld %s %llu\n", (long long)group_now(t->group), what,
 		       (unsigned long long)vm);
 }
@@ -59,8 +59,8 @@
 
 static const uint32_t list_sizes[] = { 3, 5, 4, 3 };
 
-/* A disk may go only while all others hold everything. */
-static bool whole(struct trial *t)
+/* Whether every replica holds the whole log: only then may a disk be lost. */
+static bool all_replicas_complete(struct trial *t)
 {
 	struct dl_rlog_status s;
 	uint64_t leader = group_leader(t->group);
@@ -70,7 +70,7 @@
 		return false;
 	dl_rlog_get_status(group_rlog(t->group, leader),
 			   group_local(t->group, leader), &s);
-	if (!s.voter || !s.lease || s.waits[0] || s.last != s.commit)
+	if (!s.voter || !s.lease || s.waiting_for[0] || s.last != s.commit)
 		return false;
 	for (uint32_t i = 0; i < s.count; i++) {
 		if (!s.peers[i].member.voter ||
@@ -82,83 +82,83 @@
 	return s.count >= 2 && held == s.count + 1;
 }
 
-static void fault(struct trial *t)
+static void inject_fault(struct trial *t)
 {
 	struct group *g = t->group;
 	uint64_t vm = 1 + below(t, 5), other = 1 + below(t, 5);
 	struct fake_link_conf calm = { .delay_min_ms = 1, .delay_max_ms = 4 };
-	struct fake_link_conf rough = { .loss_permille = below(t, 200),
+	struct fake_link_conf lossy = { .loss_permille = below(t, 200),
 					.dup_permille = below(t, 200),
 					.delay_min_ms = 1,
 					.delay_max_ms = 1 + below(t, 300) };
 
 	switch (below(t, 18)) {
 	case 0:
-		say(t, "crash", vm);
+		log_event(t, "crash", vm);
 		group_crash(g, vm);
 		break;
 	case 1:
-		say(t, "kill", vm);
+		log_event(t, "kill", vm);
 		group_kill(g, vm);
 		break;
 	case 2:
 	case 3:
-		say(t, "crash soon", vm);
+		log_event(t, "crash soon", vm);
 		fake_disk_crash_after(group_disk(g, vm), below(t, 20));
 		break;
 	case 4:
-		say(t, "EIO soon", vm);
+		log_event(t, "EIO soon", vm);
 		fake_disk_fail_after(group_disk(g, vm), below(t, 20),
 				     below(t, 2) ? -EIO : -ENOSPC);
 		break;
 	case 5:
-		if (!whole(t))
+		if (!all_replicas_complete(t))
 			break;
-		say(t, "lost disk", vm);
+		log_event(t, "lost disk", vm);
 		group_wipe(g, vm);
 		break;
 	case 6:
-		say(t, "isolated", vm);
+		log_event(t, "isolated", vm);
 		fake_link_isolate(group_link(g), vm);
 		break;
 	case 7:
-		say(t, "deaf", vm);
+		log_event(t, "receives nothing", vm);
 		fake_link_cut(group_link(g), DL_VM_NONE, vm);
 		break;
 	case 8:
-		say(t, "one link", vm);
+		log_event(t, "link cut", vm);
 		fake_link_cut(group_link(g), vm, other);
 		break;
 	case 9:
 	case 10:
-		say(t, "healed", 0);
+		log_event(t, "healed", 0);
 		fake_link_heal(group_link(g));
 		break;
 	case 11:
-		say(t, "rough", 0);
-		fake_link_set(group_link(g), &rough);
+		log_event(t, "lossy links", 0);
+		fake_link_set(group_link(g), &lossy);
 		break;
 	case 12:
-		say(t, "calm", 0);
+		log_event(t, "good links", 0);
 		fake_link_set(group_link(g), &calm);
 		break;
 	case 13:
-		say(t, "paused", vm);
+		log_event(t, "paused", vm);
 		group_pause(g, vm, below(t, 5000));
 		break;
 	case 14:
 		if (group_leader(g)) {
-			say(t, "transfer", group_leader(g));
+			log_event(t, "transfer", group_leader(g));
 			dl_rlog_transfer(group_rlog(g, group_leader(g)),
 					 group_local(g, group_leader(g)));
 		}
 		break;
 	case 15:
-		if (whole(t)) {
+		if (all_replicas_complete(t)) {
 			uint32_t i = below(t, G_N_ELEMENTS(lists));
 
-			say(t, "list", i);
-			group_want(g, lists[i], list_sizes[i]);
+			log_event(t, "replica list", i);
+			group_set_replicas(g, lists[i], list_sizes[i]);
 		}
 		break;
 	default:
@@ -167,11 +167,11 @@
 }
 
 /*
- * Most replicas end and are back at once, while one or another is frozen, cut
- * off or without its disk: what a replica that has just started may grant
- * depends on what it promised before.
+ * Restarts most replicas at once, while one may be frozen, isolated or without
+ * its disk.  A replica that has just started must not grant a vote against a
+ * promise that it made before.
  */
-static void start_together(struct trial *t)
+static void restart_together(struct trial *t)
 {
 	struct group *g = t->group;
 	uint64_t leader = group_leader(g);
@@ -179,16 +179,16 @@
 	uint32_t all = below(t, 3);
 
 	if (frozen && below(t, 2)) {
-		say(t, "paused", frozen);
+		log_event(t, "paused", frozen);
 		group_pause(g, frozen, below(t, 2500));
 	} else if (frozen && below(t, 2)) {
-		say(t, "isolated", frozen);
+		log_event(t, "isolated", frozen);
 		fake_link_isolate(group_link(g), frozen);
 	}
-	if (whole(t) && below(t, 6) == 0) {
+	if (all_replicas_complete(t) && below(t, 6) == 0) {
 		uint64_t vm = 1 + below(t, 5);
 
-		say(t, "lost disk", vm);
+		log_event(t, "lost disk", vm);
 		group_wipe(g, vm);
 	}
 	for (uint64_t vm = 1; vm <= 5; vm++) {
@@ -196,7 +196,7 @@
 			continue;
 		if (!below(t, 8))
 			continue;
-		say(t, "started again", vm);
+		log_event(t, "restart", vm);
 		if (below(t, 2))
 			group_kill(g, vm);
 		else
@@ -210,7 +210,7 @@
 		fake_link_heal(group_link(g));
 }
 
-/* Start what is down, and what has halted, again. */
+/* Restarts replicas that are down or halted. */
 static void restart_some(struct trial *t, bool all)
 {
 	for (uint64_t vm = 1; vm <= 5; vm++) {
@@ -221,7 +221,7 @@
 			continue;
 		if (rlog)
 			dl_rlog_get_status(rlog, 0, &s);
-		if (rlog && !group_up(t->group, vm))
+		if (rlog && !group_is_up(t->group, vm))
 			group_crash(t->group, vm);
 		else if (s.role == DL_RLOG_HALTED)
 			group_kill(t->group, vm);
@@ -242,9 +242,9 @@
 	}
 }
 
-static void show(struct trial *t)
+static void print_status(struct trial *t)
 {
-	for (uint64_t vm = 1; t->say && vm <= 5; vm++) {
+	for (uint64_t vm = 1; t->verbose && vm <= 5; vm++) {
 		struct dl_rlog *rlog = group_rlog(t->group, vm);
 		struct dl_rlog_status s = { 0 };
 
@@ -254,8 +254,8 @@
 		       "%u applied %u snapshot %u waits \"%s\" %s\n",
 		       (unsigned)vm, (unsigned)s.id, s.role, (unsigned)s.term,
 		       (unsigned)s.commit, (unsigned)s.last, (unsigned)s.synced,
-		       (unsigned)s.applied, (unsigned)s.snapshot, s.waits,
-		       s.halted);
+		       (unsigned)s.applied, (unsigned)s.snapshot, s.waiting_for,
+		       s.halt_reason);
 		for (uint32_t i = 0; i < s.count; i++)
 			printf("   peer %u id %x voter %d match %u heard %lld\n",
 			       (unsigned)s.peers[i].member.vm,
@@ -266,9 +266,12 @@
 	}
 }
 
-/* One seed: trouble, then calm in which all must come to agree. */
-static void run_seed(uint32_t seed, bool starts, bool aloud,
-		     struct group_count *sum)
+/*
+ * Runs one seed: a phase of faults, then one without, in which all replicas
+ * must converge.
+ */
+static void run_seed(uint32_t seed, bool restarts, bool verbose,
+		     struct group_counters *sum)
 {
 	struct group_conf conf = {
 		.seed = seed,
@@ -276,25 +279,25 @@
 		.link = { .delay_min_ms = 1, .delay_max_ms = 4 },
 		.sync_max_ms = 1 + seed % 20,
 		.snapshot_entries = 10 + seed % 50,
-		.piece_bytes = 50 + seed % 300,
+		.chunk_bytes = 50 + seed % 300,
 		.snapshot_padding = seed % 700,
 		.drift = true,
 	};
 	struct trial t = { .group = group_new(&conf),
 			   .rand = g_rand_new_with_seed(seed ^ 0x5eed),
-			   .say = aloud,
-			   .starts = starts };
+			   .verbose = verbose,
+			   .restarts = restarts };
 	struct fake_link_conf calm = { .delay_min_ms = 1, .delay_max_ms = 4 };
-	const struct group_count *count = group_counted(t.group);
+	const struct group_counters *count = group_get_counters(t.group);
 	bool same;
 
 	restart_some(&t, true);
 	group_run(t.group, 3000);
 	for (int i = 0; i < ROUNDS && !count->violations; i++) {
-		if (starts && below(&t, STARTS_FAULTS) == 0)
-			start_together(&t);
+		if (restarts && below(&t, RESTART_ONE_IN) == 0)
+			restart_together(&t);
 		else
-			fault(&t);
+			inject_fault(&t);
 		propose_some(&t);
 		group_run(t.group, below(&t, 400));
 		restart_some(&t, false);
@@ -310,13 +313,15 @@
 		group_run(t.group, 500);
 		restart_some(&t, true);
 	}
-	same = group_settle(t.group, CALM_MS);
+	same = group_wait_leader(t.group, CALM_MS);
 	if (same && group_leader(t.group))
 		group_propose(t.group, group_leader(t.group), 8);
-	same = same && group_converge(t.group, CALM_MS);
-	show(&t);
+	same = same && group_wait_converged(t.group, CALM_MS);
+	print_status(&t);
 	ck_assert_str_eq(group_violation(t.group), "");
-	ck_assert_msg(same, "seed %u: no agreement in the calm", seed);
+	ck_assert_msg(same,
+		      "seed %u: replicas do not converge after the faults",
+		      seed);
 	ck_assert_msg(count->damaged == 0, "seed %u: a torn tail was refused",
 		      seed);
 	sum->steps += count->steps;
@@ -328,33 +333,33 @@
 	group_free(t.group);
 }
 
-START_TEST(kept)
+START_TEST(regression_seeds)
 {
-	struct group_count sum = { 0 };
+	struct group_counters sum = { 0 };
 
-	run_seed(kept_seeds[_i], false, false, &sum);
+	run_seed(failing_seeds[_i], false, false, &sum);
 }
 END_TEST
 
-/* As many seeds as there is time for, or are asked for. */
-static void run_seeds(bool starts)
+/* Runs seeds until the step limit, or as many as requested. */
+static void run_seeds(bool restarts)
 {
 	const char *seeds = getenv("DL_SEEDS"), *one = getenv("DL_SEED");
 	uint64_t steps = getenv("DL_SANITIZED") ? SANITIZED_STEPS : CI_STEPS;
 	uint32_t n = seeds ? (uint32_t)strtoul(seeds, NULL, 10) : UINT32_MAX;
 	uint32_t from = one ? (uint32_t)strtoul(one, NULL, 10) : 1, i;
-	struct group_count sum = { 0 };
+	struct group_counters sum = { 0 };
 
 	if (seeds)
 		steps = UINT64_MAX;
 	for (i = 0; i < n && sum.steps < steps; i++) {
-		run_seed(from + i, starts, one != NULL, &sum);
+		run_seed(from + i, restarts, one != NULL, &sum);
 		if (one)
 			break;
 	}
 	printf("%u seeds%s, %llu steps, %llu acknowledged, %llu leaders, "
 	       "%llu reads, %llu restores\n",
-	       i, starts ? " with starts together" : "",
+	       i, restarts ? " with joint restarts" : "",
 	       (unsigned long long)sum.steps, (unsigned long long)sum.acked,
 	       (unsigned long long)sum.leaders, (unsigned long long)sum.reads,
 	       (unsigned long long)sum.restores);
@@ -366,7 +371,7 @@
 }
 END_TEST
 
-START_TEST(many_seeds_of_starts)
+START_TEST(many_seeds_with_restarts)
 {
 	run_seeds(true);
 }
@@ -379,8 +384,9 @@
 
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 0);
-	tcase_add_loop_test(t, kept, 0, G_N_ELEMENTS(kept_seeds));
+	tcase_add_loop_test(t, regression_seeds, 0,
+			    G_N_ELEMENTS(failing_seeds));
 	tcase_add_test(t, many_seeds);
-	tcase_add_test(t, many_seeds_of_starts);
+	tcase_add_test(t, many_seeds_with_restarts);
 	return suite_run(s);
 }
