--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -192,8 +192,8 @@
 	e->draining = true;
 	if (!again)
 		e->stop_at = entry_now(e);
-	for (uint32_t i = 0; i < e->doors_count; i++)
-		dl_httpd_last_answers(e->doors[i].httpd);
+	for (uint32_t i = 0; i < e->listeners_count; i++)
+		dl_httpd_last_answers(e->listeners[i].httpd);
 	dl_memb_self(e->node.memb, true, e->version, entry_now(e));
 	if (again)
 		entry_calls_abort(e);
@@ -215,10 +215,10 @@
 		holder->drained(holder);
 }
 
-static int open_door(struct entry *e, uint64_t address, unsigned uses,
-		     struct dl_err *err)
+static int open_listener(struct entry *e, uint64_t address, unsigned uses,
+			 struct dl_err *err)
 {
-	struct door *door = &e->doors[e->doors_count++];
+	struct listener *listener = &e->listeners[e->listeners_count++];
 	struct dl_httpd_conf conf = {
 		.address = address,
 		.body_max = BODY_MAX,
@@ -228,16 +228,16 @@
 
 	if (e->node.settings.foreign)
 		conf.read_ms = FOREIGN_IDLE_MS;
-	door->e = e;
-	door->uses = uses;
-	return dl_httpd_open(e->node.loop, &conf, &httpd_ops, door,
-			     &door->httpd, err);
+	listener->e = e;
+	listener->uses = uses;
+	return dl_httpd_open(e->node.loop, &conf, &httpd_ops, listener,
+			     &listener->httpd, err);
 }
 
 static int start_http(struct entry *e, struct dl_err *err)
 {
 	const struct dl_settings *s = &e->node.settings;
-	unsigned rest = DOOR_CALLERS;
+	unsigned rest = LISTENER_CALLERS;
 	int rc;
 
 	if (s->http == DL_VM_NONE)
@@ -245,18 +245,19 @@
 				  "http is missing");
 	rc = dl_httpc_open(e->node.loop, &e->httpc);
 	if (!rc && s->ready)
-		rc = open_door(e, s->ready, DOOR_READY, err);
+		rc = open_listener(e, s->ready, LISTENER_READY, err);
 	if (s->foreign)
-		return rc ? rc : open_door(e, s->http, DOOR_CALLERS, err);
+		return rc ? rc :
+			    open_listener(e, s->http, LISTENER_CALLERS, err);
 	if (!rc && s->endpoints)
-		rc = open_door(e, s->endpoints, DOOR_ENDPOINTS, err);
+		rc = open_listener(e, s->endpoints, LISTENER_ENDPOINTS, err);
 	else
-		rest |= DOOR_ENDPOINTS;
+		rest |= LISTENER_ENDPOINTS;
 	if (!rc && s->operators)
-		rc = open_door(e, s->operators, DOOR_OPERATORS, err);
+		rc = open_listener(e, s->operators, LISTENER_OPERATORS, err);
 	else
-		rest |= DOOR_OPERATORS;
-	return rc ? rc : open_door(e, s->http, rest, err);
+		rest |= LISTENER_OPERATORS;
+	return rc ? rc : open_listener(e, s->http, rest, err);
 }
 
 static int start(struct entry *e, const char *settings, struct dl_err *err)
--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -255,27 +255,27 @@
 };
 
 /* Who a path is for; a door serves one or more of them. */
-enum door_use {
-	DOOR_CALLERS = 1,
-	DOOR_ENDPOINTS = 2,
-	DOOR_OPERATORS = 4,
-	DOOR_READY = 8, /* the balancer's */
-	DOOR_ANY = 15,	/* health: on every door */
+enum listener_use {
+	LISTENER_CALLERS = 1,
+	LISTENER_ENDPOINTS = 2,
+	LISTENER_OPERATORS = 4,
+	LISTENER_READY = 8, /* the balancer's */
+	LISTENER_ANY = 15,  /* health: on every door */
 };
 
 /* One address that is listened on. */
-struct door {
+struct listener {
 	struct entry *e;
 	unsigned uses;
 	struct dl_httpd *httpd;
 };
 
-#define DOORS_MAX 4
+#define LISTENERS_MAX 4
 
 struct entry {
 	struct dl_node node;
-	struct door doors[DOORS_MAX];
-	uint32_t doors_count;
+	struct listener listeners[LISTENERS_MAX];
+	uint32_t listeners_count;
 	struct dl_httpc *httpc;
 
 	/* configuration in force */
--- a/src/main/entry_http.c
+++ b/src/main/entry_http.c
@@ -29,20 +29,22 @@
 };
 
 static const struct route routes[] = {
-	{ DOOR_CALLERS, "POST", "/v1/completions", false,
+	{ LISTENER_CALLERS, "POST", "/v1/completions", false,
 	  entry_call_completion },
-	{ DOOR_CALLERS, NULL, "/s/", true, entry_call_plain },
-	{ DOOR_ENDPOINTS, "POST", "/v1/endpoints", false, post_endpoint },
-	{ DOOR_OPERATORS, "POST", "/v1/config", false, entry_ops_config_post },
-	{ DOOR_OPERATORS, "GET", "/v1/config", false, entry_ops_config_get },
-	{ DOOR_OPERATORS, "GET", "/v1/config/history", false,
+	{ LISTENER_CALLERS, NULL, "/s/", true, entry_call_plain },
+	{ LISTENER_ENDPOINTS, "POST", "/v1/endpoints", false, post_endpoint },
+	{ LISTENER_OPERATORS, "POST", "/v1/config", false,
+	  entry_ops_config_post },
+	{ LISTENER_OPERATORS, "GET", "/v1/config", false,
+	  entry_ops_config_get },
+	{ LISTENER_OPERATORS, "GET", "/v1/config/history", false,
 	  entry_ops_history },
-	{ DOOR_OPERATORS, "GET", "/v1/status", false, entry_ops_status },
-	{ DOOR_ANY, "GET", "/healthz", false, get_health },
-	{ DOOR_ANY, "GET", "/readyz", false, get_ready },
-	{ DOOR_READY, "GET", "/-/ready", false, get_ready },
-	{ DOOR_OPERATORS, "GET", "/metrics", false, get_metrics },
-	{ DOOR_OPERATORS, "GET", "/v1/traces", false, get_traces },
+	{ LISTENER_OPERATORS, "GET", "/v1/status", false, entry_ops_status },
+	{ LISTENER_ANY, "GET", "/healthz", false, get_health },
+	{ LISTENER_ANY, "GET", "/readyz", false, get_ready },
+	{ LISTENER_READY, "GET", "/-/ready", false, get_ready },
+	{ LISTENER_OPERATORS, "GET", "/metrics", false, get_metrics },
+	{ LISTENER_OPERATORS, "GET", "/v1/traces", false, get_traces },
 };
 
 #define ROUTES (sizeof(routes) / sizeof(routes[0]))
@@ -146,9 +148,9 @@
 static const struct dl_keys *keys_of(const struct entry *e, unsigned use)
 {
 	switch (use) {
-	case DOOR_ENDPOINTS:
+	case LISTENER_ENDPOINTS:
 		return &e->node.settings.endpoint_keys;
-	case DOOR_OPERATORS:
+	case LISTENER_OPERATORS:
 		return &e->node.settings.operator_keys;
 	default:
 		return NULL;
@@ -179,24 +181,25 @@
 {
 	struct dl_str method = dl_httpd_method(req);
 	struct dl_str path = dl_httpd_path(req);
-	struct door *door = arg;
+	struct listener *listener = arg;
 	bool known = false;
 	struct dl_err err;
 
-	if (door->e->node.settings.foreign && door->uses == DOOR_CALLERS) {
-		entry_route_request(door->e, req);
+	if (listener->e->node.settings.foreign &&
+	    listener->uses == LISTENER_CALLERS) {
+		entry_route_request(listener->e, req);
 		return;
 	}
 	for (size_t i = 0; i < ROUTES; i++) {
-		if (!(routes[i].use & door->uses) ||
+		if (!(routes[i].use & listener->uses) ||
 		    !path_fits(&routes[i], path))
 			continue;
 		known = true;
 		if (routes[i].method &&
 		    !dl_str_eq(method, dl_str_of(routes[i].method)))
 			continue;
-		if (may(door->e, routes[i].use, req))
-			routes[i].handle(door->e, req);
+		if (may(listener->e, routes[i].use, req))
+			routes[i].handle(listener->e, req);
 		return;
 	}
 	dl_count(DL_METRIC_bad_requests, 1);
