--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -10,7 +10,7 @@
  *   entry_try.c   one attempt of it at an endpoint
  *   entry_route.c requests that are passed on as they are: where they go
  *   entry_relay.c one attempt of such a request
- *   entry_ticket.c memory for prompts that no one engine holds
+ *   entry_reservation.c memory for prompts that no one engine holds
  *   entry_quarantine.c requests under which endpoints crash
  *   entry_limit.c limits that endpoints name of themselves
  *   entry_backoff.c endpoints that ask this VM to wait
@@ -170,8 +170,9 @@
 	uint64_t content; /* hash of its path, workspace and body */
 	size_t buffered;  /* counted against this VM's bound */
 
-	struct tickets *tickets; /* memory on engines; NULL for none */
-	bool routed;		 /* passed on as it is, see entry_route.c */
+	struct reservations
+		*reservations; /* memory on engines; NULL for none */
+	bool routed;	       /* passed on as it is, see entry_route.c */
 	struct call_route route;
 
 	/* asking */
@@ -370,13 +371,13 @@
 void entry_relay_send(struct call *c);
 void entry_relay_no_memory(struct call *c);
 
-/* entry_ticket.c */
-bool entry_ticket_needed(const struct call *c);
-void entry_ticket_reserve(struct call *c);
-void entry_ticket_note_refused(struct call *c);
-struct dl_str entry_ticket_name(const struct call *c, struct dl_str address);
-void entry_ticket_release(struct call *c);
-void entry_ticket_tick(struct entry *e, int64_t now);
+/* entry_reservation.c */
+bool entry_reservation_needed(const struct call *c);
+void entry_reservation_start(struct call *c);
+void entry_reservation_note_refused(struct call *c);
+struct dl_str entry_reservation_id(const struct call *c, struct dl_str address);
+void entry_reservation_release(struct call *c);
+void entry_reservation_tick(struct entry *e, int64_t now);
 
 /* entry_quarantine.c */
 void entry_quarantine_open(struct entry *e);
--- a/src/main/entry_backoff.c
+++ b/src/main/entry_backoff.c
@@ -119,7 +119,7 @@
 				  c->e->node.self, c->usage.wait_ms);
 		return;
 	}
-	entry_ticket_release(c);
+	entry_reservation_release(c);
 	entry_grant_release(c);
 	c->first_byte_at = 0;
 	entry_grant_ask(c);
--- a/src/main/entry_call.c
+++ b/src/main/entry_call.c
@@ -137,7 +137,7 @@
 void call_settle(struct call *c, enum dl_outcome outcome, uint16_t status)
 {
 	entry_try_cancel(c);
-	entry_ticket_release(c);
+	entry_reservation_release(c);
 	entry_grant_release(c);
 	entry_grant_cancel(c);
 	/* An earlier attempt may have run, whatever became of the last one. */
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -81,7 +81,7 @@
 /* Give back what was granted, and ask for another place. */
 static void ask_anew(struct call *c)
 {
-	entry_ticket_release(c);
+	entry_reservation_release(c);
 	entry_grant_release(c);
 	c->first_byte_at = 0;
 	entry_grant_ask(c);
@@ -121,9 +121,9 @@
 	for (uint8_t i = 1; i < c->grant.endpoints; i++) {
 		struct dl_str name = dl_name_str(&c->grant.endpoint[i]);
 
-		if (!is_there(c, i) && !c->tickets)
+		if (!is_there(c, i) && !c->reservations)
 			continue;
-		out->ticket[out->helpers] = entry_ticket_name(c, name);
+		out->ticket[out->helpers] = entry_reservation_id(c, name);
 		out->helper[out->helpers++] = name;
 	}
 }
@@ -137,7 +137,7 @@
 	if (c->stream && c->idempotent && c->route.sent + 1 < c->route.attempts)
 		patient = MAX(c->route.give_up_ms * SILENT_PERMILLE / PERMILLE,
 			      expected);
-	if (c->tickets)
+	if (c->reservations)
 		patient = MIN(patient, MAX(UNUSED_MS, expected));
 	return patient;
 }
@@ -193,8 +193,8 @@
 		not_there(c);
 		return;
 	}
-	if (entry_ticket_needed(c))
-		entry_ticket_reserve(c);
+	if (entry_reservation_needed(c))
+		entry_reservation_start(c);
 	else
 		entry_relay_send(c);
 }
@@ -244,7 +244,7 @@
 /* Some engine of the group has not the memory: ask for another group. */
 void entry_relay_no_memory(struct call *c)
 {
-	entry_ticket_note_refused(c);
+	entry_reservation_note_refused(c);
 	if (++c->route.tries < TRIES_MAX) {
 		ask_anew(c);
 		return;
--- a/src/main/entry_ticket.c
+++ b/src/main/entry_reservation.c
@@ -25,8 +25,8 @@
 #define STATUS_MISDIRECTED 421
 
 /* One engine's part. */
-struct ticket {
-	struct tickets *set;
+struct reservation {
+	struct reservations *set;
 	struct dl_name address;
 	struct dl_name instance;
 	char id[TEXT_MAX];
@@ -37,12 +37,12 @@
 	struct dl_httpc_call *order; /* in flight */
 };
 
-struct tickets {
+struct reservations {
 	struct call *c;
 	uint8_t count;
 	bool asked; /* the first answers are still awaited */
 	int64_t renew_at;
-	struct ticket at[DL_GROUP_MAX];
+	struct reservation at[DL_GROUP_MAX];
 };
 
 static void on_head(void *arg, const struct dl_httpc_head *head);
@@ -55,13 +55,13 @@
 static const struct dl_httpc_ops release_ops = { 0 };
 
 /* Send an order about a part; its call, or NULL. */
-static struct dl_httpc_call *order(struct entry *e, const struct ticket *t,
-				   uint32_t hold_ms,
-				   const struct dl_httpc_ops *ops, void *arg)
+static struct dl_httpc_call *
+send_reservation(struct entry *e, const struct reservation *r, uint32_t hold_ms,
+		 const struct dl_httpc_ops *ops, void *arg)
 {
-	struct dl_reservation what = { .id = dl_str_of(t->id),
-				       .instance = dl_name_str(&t->instance),
-				       .tokens = t->tokens,
+	struct dl_reservation what = { .id = dl_str_of(r->id),
+				       .instance = dl_name_str(&r->instance),
+				       .tokens = r->tokens,
 				       .hold_ms = hold_ms };
 	struct dl_header headers[DL_DIALECT_HEADERS_MAX];
 	char text[DL_DIALECT_TEXT_MAX];
@@ -70,7 +70,7 @@
 				    .gap_ms = ANSWER_MS,
 				    .close_ends = true };
 
-	if (!dl_vm_parse(dl_name_str(&t->address), &req.to))
+	if (!dl_vm_parse(dl_name_str(&r->address), &req.to))
 		return NULL;
 	platform_dialect.reservation(&what, &req, headers, text);
 	return dl_httpc_start(e->httpc, &req, ops, arg);
@@ -78,26 +78,26 @@
 
 static void on_head(void *arg, const struct dl_httpc_head *head)
 {
-	struct ticket *t = arg;
-	struct call *c = t->set->c;
+	struct reservation *r = arg;
+	struct call *c = r->set->c;
 	struct dl_answer_head said;
 
 	platform_dialect.answer(head->headers, head->headers_count, &said);
-	entry_backoff_named(c, &t->address,
+	entry_backoff_named(c, &r->address,
 			    entry_endpoint_start(c->e, dl_name_str(&c->service),
-						 dl_name_str(&t->address)),
+						 dl_name_str(&r->address)),
 			    head->status, said.retry_after_ms);
 	if (said.leaving && head->status != STATUS_MISDIRECTED)
-		entry_announce_leaves(c->e, dl_name_str(&t->address),
-				      dl_name_str(&t->instance), c->dispatcher);
+		entry_announce_leaves(c->e, dl_name_str(&r->address),
+				      dl_name_str(&r->instance), c->dispatcher);
 	if (head->status == 200)
-		t->held = true;
+		r->held = true;
 	else
-		t->refused = true;
+		r->refused = true;
 }
 
 /* All have answered: send the request, or give back what was got. */
-static void settle(struct tickets *set)
+static void on_all_answered(struct reservations *set)
 {
 	bool all = true;
 
@@ -116,60 +116,61 @@
 static void on_end(void *arg, const struct dl_attempt *attempt,
 		   const struct dl_err *err)
 {
-	struct ticket *t = arg;
+	struct reservation *r = arg;
 
-	t->order = NULL;
-	t->unreachable = attempt->broke == DL_BROKE_CONNECT;
-	if (attempt->broke != DL_BROKE_NOTHING && t->set->asked)
-		t->refused = true;
-	if (t->refused)
+	r->order = NULL;
+	r->unreachable = attempt->broke == DL_BROKE_CONNECT;
+	if (attempt->broke != DL_BROKE_NOTHING && r->set->asked)
+		r->refused = true;
+	if (r->refused)
 		dl_msg(DL_MSG_TICKET_REFUSED,
 		       "request=%s endpoint=%s tokens=%lu status=%u broke=%d",
-		       t->set->c->id_text, t->address.s,
-		       (unsigned long)t->tokens, attempt->status,
+		       r->set->c->id_text, r->address.s,
+		       (unsigned long)r->tokens, attempt->status,
 		       attempt->broke);
-	if (t->set->asked)
-		settle(t->set);
+	if (r->set->asked)
+		on_all_answered(r->set);
 }
 
 /* Whether the memory of what was granted is spread over its engines. */
-bool entry_ticket_needed(const struct call *c)
+bool entry_reservation_needed(const struct call *c)
 {
 	return c->grant.endpoints > 1 && c->grant.share_tokens[1] > 0;
 }
 
 /* Reserve every part; entry_relay_send() or _no_memory() follows. */
-void entry_ticket_reserve(struct call *c)
+void entry_reservation_start(struct call *c)
 {
-	struct tickets *set = g_new0(struct tickets, 1);
+	struct reservations *set = g_new0(struct reservations, 1);
 
 	set->c = c;
 	set->asked = true;
 	set->renew_at = entry_now(c->e) + RENEW_MS;
-	c->tickets = set;
+	c->reservations = set;
 	for (uint8_t i = 1; i < c->grant.endpoints; i++) {
 		const struct dl_directory_entry *d = dl_directory_find(
 			c->e->directory, dl_name_str(&c->grant.endpoint[i]));
-		struct ticket *t = &set->at[set->count++];
+		struct reservation *r = &set->at[set->count++];
 
-		t->set = set;
-		t->address = c->grant.endpoint[i];
+		r->set = set;
+		r->address = c->grant.endpoint[i];
 		if (d)
-			t->instance = d->instance;
-		t->tokens = c->grant.share_tokens[i];
-		snprintf(t->id, sizeof(t->id), "%s-%u-%u", c->id_text,
+			r->instance = d->instance;
+		r->tokens = c->grant.share_tokens[i];
+		snprintf(r->id, sizeof(r->id), "%s-%u-%u", c->id_text,
 			 c->route.tries, i);
-		t->refused = !d || d->leaving;
-		t->unreachable = d && d->leaving;
+		r->refused = !d || d->leaving;
+		r->unreachable = d && d->leaving;
 	}
 	for (uint8_t i = 0; i < set->count; i++) {
-		struct ticket *t = &set->at[i];
+		struct reservation *r = &set->at[i];
 
-		if (!t->refused)
-			t->order = order(c->e, t, HOLD_MS, &reserve_ops, t);
-		t->refused = !t->order;
+		if (!r->refused)
+			r->order = send_reservation(c->e, r, HOLD_MS,
+						    &reserve_ops, r);
+		r->refused = !r->order;
 	}
-	settle(set);
+	on_all_answered(set);
 }
 
 /*
@@ -177,63 +178,65 @@
  * are granted again within milliseconds, four times in vain.  One that could
  * not be reached is told to the dispatcher.
  */
-void entry_ticket_note_refused(struct call *c)
+void entry_reservation_note_refused(struct call *c)
 {
-	for (uint8_t i = 0; c->tickets && i < c->tickets->count; i++) {
-		const struct ticket *t = &c->tickets->at[i];
+	for (uint8_t i = 0; c->reservations && i < c->reservations->count;
+	     i++) {
+		const struct reservation *r = &c->reservations->at[i];
 
-		if (!t->refused || c->tried == G_N_ELEMENTS(c->tried_ids))
+		if (!r->refused || c->tried == G_N_ELEMENTS(c->tried_ids))
 			continue;
-		c->tried_ids[c->tried++] = t->address;
-		if (t->unreachable)
-			c->usage.at_fault = t->address;
+		c->tried_ids[c->tried++] = r->address;
+		if (r->unreachable)
+			c->usage.at_fault = r->address;
 	}
 }
 
 /* The name of the part on one engine, empty where none is reserved there. */
-struct dl_str entry_ticket_name(const struct call *c, struct dl_str address)
+struct dl_str entry_reservation_id(const struct call *c, struct dl_str address)
 {
-	for (uint8_t i = 0; c->tickets && i < c->tickets->count; i++) {
-		if (dl_name_eq(&c->tickets->at[i].address, address))
-			return dl_str_of(c->tickets->at[i].id);
+	for (uint8_t i = 0; c->reservations && i < c->reservations->count;
+	     i++) {
+		if (dl_name_eq(&c->reservations->at[i].address, address))
+			return dl_str_of(c->reservations->at[i].id);
 	}
 	return (struct dl_str){ "", 0 };
 }
 
 /* Give back all parts; also those whose answer is still awaited. */
-void entry_ticket_release(struct call *c)
+void entry_reservation_release(struct call *c)
 {
-	struct tickets *set = c->tickets;
+	struct reservations *set = c->reservations;
 
 	if (!set)
 		return;
-	c->tickets = NULL;
+	c->reservations = NULL;
 	for (uint8_t i = 0; i < set->count; i++) {
-		struct ticket *t = &set->at[i];
+		struct reservation *r = &set->at[i];
 
-		if (t->order)
-			dl_httpc_cancel(t->order);
-		if (t->held || t->order)
-			order(c->e, t, 0, &release_ops, NULL);
+		if (r->order)
+			dl_httpc_cancel(r->order);
+		if (r->held || r->order)
+			send_reservation(c->e, r, 0, &release_ops, NULL);
 	}
 	g_free(set);
 }
 
 /* Renew what is held. */
-void entry_ticket_tick(struct entry *e, int64_t now)
+void entry_reservation_tick(struct entry *e, int64_t now)
 {
 	for (struct call *c = e->calls; c; c = c->next) {
-		struct tickets *set = c->tickets;
+		struct reservations *set = c->reservations;
 
 		if (!set || set->asked || now < set->renew_at)
 			continue;
 		set->renew_at = now + RENEW_MS;
 		for (uint8_t i = 0; i < set->count; i++) {
-			struct ticket *t = &set->at[i];
+			struct reservation *r = &set->at[i];
 
-			if (!t->order)
-				t->order =
-					order(e, t, HOLD_MS, &reserve_ops, t);
+			if (!r->order)
+				r->order = send_reservation(e, r, HOLD_MS,
+							    &reserve_ops, r);
 		}
 	}
 }
