--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -213,23 +213,25 @@
 	struct reading *reading; /* beside the loop, NULL when done */
 	char *body_first;	 /* of the attempt in flight */
 	uint32_t attempts;
-	bool held_back; /* the attempt was given up before it was sent */
-	uint8_t tried;
+	bool aborted_unsent; /* the attempt was given up before it was sent */
+	uint8_t tried_count;
 	struct dl_name tried_ids[3];
-	uint64_t start; /* of the endpoint that it was sent to; 0: not known */
+	uint64_t endpoint_start; /* of the endpoint that it was sent to; 0: not
+				    known */
 	int64_t attempt_at, first_byte_at;
 	struct dl_sse sse;
 	bool sse_done, sse_bad;
-	uint64_t pieces;    /* chunks of text from the endpoint */
-	uint64_t relayed;   /* chunks given to the caller */
-	uint64_t skip;	    /* chunks of a resumed stream already relayed */
-	bool overdue;	    /* its deadline had passed at the last tick */
-	bool may_have_run;  /* some attempt is not provably "not run" */
-	bool answering;	    /* the caller has the head of the answer */
-	uint16_t status;    /* the endpoint's */
-	GString *text;	    /* of an answer that is given whole */
-	GPtrArray *headers; /* of a plain service's answer, names and values */
-	size_t length;	    /* its content length, SIZE_MAX unknown */
+	uint64_t chunks_received; /* chunks of text from the endpoint */
+	uint64_t relayed;	  /* chunks given to the caller */
+	uint64_t resume_offset; /* chunks of a resumed stream already relayed */
+	bool overdue;		/* its deadline had passed at the last tick */
+	bool may_have_run;	/* some attempt is not provably "not run" */
+	bool response_started;	/* the caller has the head of the answer */
+	uint16_t status;	/* the endpoint's */
+	GString *response_buf;	/* of an answer that is given whole */
+	GPtrArray *response_headers; /* of a plain service's answer, names and
+					values */
+	size_t response_length;	     /* its content length, SIZE_MAX unknown */
 	uint64_t used_prompt, used_output;
 	struct dl_usage usage;
 
--- a/src/main/entry_answer.c
+++ b/src/main/entry_answer.c
@@ -43,11 +43,11 @@
 
 	if (!c->http)
 		return;
-	if (c->answering && c->routed) {
+	if (c->response_started && c->routed) {
 		dl_httpd_finish(c->http, false);
 		return;
 	}
-	if (c->answering) {
+	if (c->response_started) {
 		if (c->kind == DL_POOL_MODEL)
 			end_stream_event(c, reason);
 		dl_httpd_finish(c->http, c->kind == DL_POOL_MODEL);
@@ -78,7 +78,8 @@
 
 	json_object_set_new(choice, "index", json_integer(0));
 	json_object_set_new(choice, "text",
-			    json_stringn(c->text->str, c->text->len));
+			    json_stringn(c->response_buf->str,
+					 c->response_buf->len));
 	json_object_set_new(choice, "finish_reason", json_string("stop"));
 	json_array_append_new(choices, choice);
 	json_object_set_new(usage, "prompt_tokens",
@@ -104,7 +105,7 @@
 
 	if (!c->http)
 		return;
-	if (c->answering) {
+	if (c->response_started) {
 		if (c->kind == DL_POOL_MODEL) {
 			end_stream_event(c, "");
 			dl_httpd_send(c->http, DL_STR("data: [DONE]\n\n"));
--- a/src/main/entry_attempt.c
+++ b/src/main/entry_attempt.c
@@ -17,8 +17,8 @@
 /* The endpoint that was granted is not asked for again. */
 void call_note_tried(struct call *c)
 {
-	if (c->tried < G_N_ELEMENTS(c->tried_ids))
-		c->tried_ids[c->tried++] = c->grant.endpoint[0];
+	if (c->tried_count < G_N_ELEMENTS(c->tried_ids))
+		c->tried_ids[c->tried_count++] = c->grant.endpoint[0];
 }
 
 /* What the attempt took, for the dispatcher; tokens as they are known. */
@@ -29,7 +29,7 @@
 		       attempt->received != DL_RECV_NOT_RUN;
 	c->usage.failed = failed;
 	c->usage.unreachable = attempt->broke == DL_BROKE_CONNECT &&
-			       !c->held_back;
+			       !c->aborted_unsent;
 	c->usage.prompt_tokens = prompt;
 	c->usage.output_tokens = output;
 	if (c->first_byte_at >= c->attempt_at)
@@ -40,17 +40,17 @@
 /* Forget the headers of an earlier attempt's answer. */
 void call_headers_begin(struct call *c)
 {
-	if (c->headers)
-		g_ptr_array_set_size(c->headers, 0);
+	if (c->response_headers)
+		g_ptr_array_set_size(c->response_headers, 0);
 	else
-		c->headers = g_ptr_array_new_with_free_func(g_free);
+		c->response_headers = g_ptr_array_new_with_free_func(g_free);
 }
 
 /* Keep a copy of a header of the endpoint's answer for the caller. */
 void call_headers_keep(struct call *c, const struct dl_header *h)
 {
-	g_ptr_array_add(c->headers, g_strndup(h->name.s, h->name.n));
-	g_ptr_array_add(c->headers, g_strndup(h->value.s, h->value.n));
+	g_ptr_array_add(c->response_headers, g_strndup(h->name.s, h->name.n));
+	g_ptr_array_add(c->response_headers, g_strndup(h->value.s, h->value.n));
 }
 
 /* The headers that were kept, max at most; returns how many. */
@@ -59,11 +59,12 @@
 {
 	size_t n = 0;
 
-	for (guint i = 0; c->headers && i + 1 < c->headers->len && n < max;
+	for (guint i = 0;
+	     c->response_headers && i + 1 < c->response_headers->len && n < max;
 	     i += 2)
 		out[n++] = (struct dl_header){
-			dl_str_of(c->headers->pdata[i]),
-			dl_str_of(c->headers->pdata[i + 1]),
+			dl_str_of(c->response_headers->pdata[i]),
+			dl_str_of(c->response_headers->pdata[i + 1]),
 		};
 	return n;
 }
--- a/src/main/entry_call.c
+++ b/src/main/entry_call.c
@@ -55,12 +55,12 @@
 	free(c->body_first);
 	dl_completion_free(&c->completion);
 	g_free((char *)c->key.s);
-	if (c->text)
-		g_string_free(c->text, TRUE);
+	if (c->response_buf)
+		g_string_free(c->response_buf, TRUE);
 	if (c->final_body)
 		g_string_free(c->final_body, TRUE);
-	if (c->headers)
-		g_ptr_array_free(c->headers, TRUE);
+	if (c->response_headers)
+		g_ptr_array_free(c->response_headers, TRUE);
 	g_free(c);
 }
 
@@ -172,7 +172,7 @@
 		 (unsigned long)e->node.self, (unsigned long)c->id);
 	c->owner = dl_hash(dl_str_of(c->id_text), 0);
 	c->buffered = dl_httpd_body(req).n;
-	c->length = SIZE_MAX;
+	c->response_length = SIZE_MAX;
 	c->next = e->calls;
 	if (c->next)
 		c->next->prev = c;
@@ -282,13 +282,13 @@
 		learn_ratio(c);
 		if (!c->stream)
 			c->final_body = call_completion_json(c);
-		else if (!c->answering)
+		else if (!c->response_started)
 			entry_try_begin_stream(c);
 	} else {
 		if (c->status >= 500)
 			outcome = DL_OUTCOME_FAILED;
-		c->final_body =
-			g_string_new_len(c->text->str, (gssize)c->text->len);
+		c->final_body = g_string_new_len(c->response_buf->str,
+						 (gssize)c->response_buf->len);
 	}
 	entry_call_span(c, "body",
 			c->first_byte_at ? c->first_byte_at : c->attempt_at,
--- a/src/main/entry_limit.c
+++ b/src/main/entry_limit.c
@@ -51,7 +51,7 @@
 {
 	struct dl_limit_frame f = { .service = c->service,
 				    .endpoint = c->grant.endpoint[0],
-				    .start = c->start,
+				    .start = c->endpoint_start,
 				    .limit = limit };
 	struct entry *e = c->e;
 	struct entry_pool *p = entry_pool_find(e, dl_name_str(&c->service));
--- a/src/main/entry_quarantine.c
+++ b/src/main/entry_quarantine.c
@@ -101,16 +101,17 @@
 	uint64_t address;
 
 	if (err && err->code == -ECONNREFUSED)
-		entry_quarantine_crashed(e, c->start);
-	if (!c->start || !c->content || attempt->sent == DL_SENT_NOTHING ||
+		entry_quarantine_crashed(e, c->endpoint_start);
+	if (!c->endpoint_start || !c->content ||
+	    attempt->sent == DL_SENT_NOTHING ||
 	    attempt->broke == DL_BROKE_NOTHING ||
 	    attempt->broke == DL_BROKE_GARBLED)
 		return;
-	dl_quarantine_broke(e->quarantine.known, c->content, c->start,
+	dl_quarantine_broke(e->quarantine.known, c->content, c->endpoint_start,
 			    entry_now(e));
 	if (attempt->broke == DL_BROKE_RESET &&
 	    dl_vm_parse(dl_name_str(&c->grant.endpoint[0]), &address))
-		probe_soon(e, c->start, address);
+		probe_soon(e, c->endpoint_start, address);
 }
 
 /* An endpoint has answered the request whole: it is harmless. */
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -209,11 +209,12 @@
 	c->status = 0;
 	c->route.head = (struct relay_head){ .length = SIZE_MAX };
 	c->route.instance = endpoint_of(c, 0)->instance;
-	c->start = entry_endpoint_start(c->e, dl_name_str(&c->service),
-					dl_name_str(&c->grant.endpoint[0]));
-	if (!c->text)
-		c->text = g_string_new(NULL);
-	g_string_truncate(c->text, 0);
+	c->endpoint_start =
+		entry_endpoint_start(c->e, dl_name_str(&c->service),
+				     dl_name_str(&c->grant.endpoint[0]));
+	if (!c->response_buf)
+		c->response_buf = g_string_new(NULL);
+	g_string_truncate(c->response_buf, 0);
 	send_to(c, to);
 }
 
@@ -225,14 +226,14 @@
 {
 	struct call *c = arg;
 
-	c->held_back = !is_there(c, 0) || entry_backoff_holds(c);
-	return !c->held_back;
+	c->aborted_unsent = !is_there(c, 0) || entry_backoff_holds(c);
+	return !c->aborted_unsent;
 }
 
 /* The attempt was given up before it was sent. */
 static void go_elsewhere(struct call *c)
 {
-	c->held_back = false;
+	c->aborted_unsent = false;
 	if (!is_there(c, 0))
 		not_there(c);
 	else if (entry_backoff_holds(c))
@@ -263,7 +264,7 @@
 		if (platform_dialect.passes(h->name))
 			call_headers_keep(c, h);
 	}
-	c->length = events ? SIZE_MAX : c->route.head.length;
+	c->response_length = events ? SIZE_MAX : c->route.head.length;
 }
 
 /* Whether an answer carries the id that this caller sent, or none. */
@@ -304,11 +305,11 @@
 				      c->dispatcher);
 	c->route.head.retry_after_ms = said.retry_after_ms;
 	c->route.head.turned_away =
-		entry_backoff_named(c, &c->grant.endpoint[0], c->start,
+		entry_backoff_named(c, &c->grant.endpoint[0], c->endpoint_start,
 				    head->status, said.retry_after_ms);
 	dl_name_set(&c->route.head.at_fault, said.at_fault);
 	c->route.head.events = c->stream && head->status == 200;
-	if (!c->answering)
+	if (!c->response_started)
 		keep_headers(c, head, c->route.head.events);
 }
 
@@ -344,8 +345,8 @@
 	struct dl_header headers[DL_DIALECT_HEADERS_MAX];
 	size_t n = call_headers_fill(c, headers, DL_DIALECT_HEADERS_MAX);
 
-	c->answering = true;
-	dl_httpd_begin(c->http, c->status, headers, n, c->length);
+	c->response_started = true;
+	dl_httpd_begin(c->http, c->status, headers, n, c->response_length);
 }
 
 /* The longest pause that the caller saw between two events. */
@@ -372,7 +373,7 @@
 				c->grant.endpoint[0].s);
 		entry_grant_first(c);
 	}
-	if (!c->answering)
+	if (!c->response_started)
 		begin_answer(c);
 	if (id)
 		c->route.after_event = id;
@@ -387,9 +388,10 @@
 	size_t used = 0;
 	bool go_on = true;
 
-	while (used < c->text->len) {
-		const char *from = c->text->str + used;
-		const char *end = memmem(from, c->text->len - used, "\n\n", 2);
+	while (used < c->response_buf->len) {
+		const char *from = c->response_buf->str + used;
+		const char *end =
+			memmem(from, c->response_buf->len - used, "\n\n", 2);
 		struct dl_str event;
 
 		if (!end)
@@ -398,7 +400,7 @@
 		used += event.n;
 		go_on = pass_event(c, event);
 	}
-	g_string_erase(c->text, 0, (gssize)used);
+	g_string_erase(c->response_buf, 0, (gssize)used);
 	return go_on;
 }
 
@@ -408,18 +410,18 @@
 
 	if (c->route.head.foreign || c->route.head.too_long)
 		return true;
-	if (c->answering && !c->route.head.events)
+	if (c->response_started && !c->route.head.events)
 		return dl_httpd_send(c->http, piece);
-	g_string_append_len(c->text, piece.s, (gssize)piece.n);
+	g_string_append_len(c->response_buf, piece.s, (gssize)piece.n);
 	if (c->route.head.events) {
-		c->route.head.too_long = c->text->len > EVENT_MAX;
+		c->route.head.too_long = c->response_buf->len > EVENT_MAX;
 		return pass_events(c);
 	}
-	if (c->text->len > HOLD_MAX) {
+	if (c->response_buf->len > HOLD_MAX) {
 		begin_answer(c);
-		dl_httpd_send(c->http,
-			      (struct dl_str){ c->text->str, c->text->len });
-		g_string_truncate(c->text, 0);
+		dl_httpd_send(c->http, (struct dl_str){ c->response_buf->str,
+							c->response_buf->len });
+		g_string_truncate(c->response_buf, 0);
 	}
 	return true;
 }
@@ -444,16 +446,16 @@
 static void finish(struct call *c)
 {
 	struct dl_header headers[DL_DIALECT_HEADERS_MAX];
-	struct dl_str rest = { c->text->str, c->text->len };
+	struct dl_str rest = { c->response_buf->str, c->response_buf->len };
 	size_t n;
 
 	call_settle(c,
 		    c->status >= STATUS_ERROR ? DL_OUTCOME_FAILED :
 						DL_OUTCOME_DONE,
 		    c->status);
-	if (c->route.head.events && !c->answering)
+	if (c->route.head.events && !c->response_started)
 		begin_answer(c);
-	if (c->answering) {
+	if (c->response_started) {
 		if (rest.n)
 			dl_httpd_send(c->http, rest);
 		dl_httpd_finish(c->http, true);
@@ -474,7 +476,7 @@
 		.deadline = c->deadline,
 	};
 
-	if (c->route.sent >= c->route.attempts || c->tried >= 3 ||
+	if (c->route.sent >= c->route.attempts || c->tried_count >= 3 ||
 	    c->route.connects >= CONNECTS_MAX)
 		return false;
 	return dl_call_next(&state, a, entry_call_budget(c), entry_now(c->e)) ==
@@ -530,7 +532,7 @@
 	bool whole;
 
 	c->attempt = NULL;
-	if (c->held_back) {
+	if (c->aborted_unsent) {
 		go_elsewhere(c);
 		return;
 	}
--- a/src/main/entry_reservation.c
+++ b/src/main/entry_reservation.c
@@ -184,9 +184,9 @@
 	     i++) {
 		const struct reservation *r = &c->reservations->at[i];
 
-		if (!r->refused || c->tried == G_N_ELEMENTS(c->tried_ids))
+		if (!r->refused || c->tried_count == G_N_ELEMENTS(c->tried_ids))
 			continue;
-		c->tried_ids[c->tried++] = r->address;
+		c->tried_ids[c->tried_count++] = r->address;
 		if (r->unreachable)
 			c->usage.at_fault = r->address;
 	}
--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -118,8 +118,8 @@
 		headers[n++] = (struct dl_header){ DL_STR("Content-Type"),
 						   DL_STR("application/json") };
 	}
-	if (c->skip) {
-		snprintf(offset, sizeof(offset), "%" PRIu64, c->skip);
+	if (c->resume_offset) {
+		snprintf(offset, sizeof(offset), "%" PRIu64, c->resume_offset);
 		headers[n++] =
 			(struct dl_header){ DL_STR("Daisyledge-Resume-Offset"),
 					    dl_str_of(offset) };
@@ -140,8 +140,8 @@
 	c->sse_done = false;
 	c->sse_bad = false;
 	dl_sse_close(&c->sse);
-	if (c->text && !c->skip)
-		g_string_truncate(c->text, 0);
+	if (c->response_buf && !c->resume_offset)
+		g_string_truncate(c->response_buf, 0);
 	if (!dl_vm_parse(dl_name_str(&c->grant.endpoint[0]), &to) ||
 	    (c->kind == DL_POOL_MODEL && !build_model_body(c))) {
 		dl_err_set(&err, -ENOMEM, DL_STEP_SEND, NULL,
@@ -149,8 +149,9 @@
 		entry_call_end(c, DL_OUTCOME_NOT_RUN, 503, "internal", &err);
 		return;
 	}
-	c->start = entry_endpoint_start(c->e, dl_name_str(&c->service),
-					dl_name_str(&c->grant.endpoint[0]));
+	c->endpoint_start =
+		entry_endpoint_start(c->e, dl_name_str(&c->service),
+				     dl_name_str(&c->grant.endpoint[0]));
 	if (c->attempts > 1)
 		dl_count(DL_METRIC_retries_total, 1);
 	send_attempt(c, to);
@@ -193,7 +194,7 @@
 
 static void keep_headers(struct call *c, const struct dl_httpc_head *head)
 {
-	c->length = SIZE_MAX;
+	c->response_length = SIZE_MAX;
 	call_headers_begin(c);
 	for (size_t i = 0; i < head->headers_count; i++) {
 		const struct dl_header *h = &head->headers[i];
@@ -201,7 +202,7 @@
 
 		if (dl_header_is(h->name, "content-length") &&
 		    dl_str_to_u64(h->value, &length))
-			c->length = (size_t)length;
+			c->response_length = (size_t)length;
 		if (is_hop_header(h->name) || is_own_header(h->name))
 			continue;
 		call_headers_keep(c, h);
@@ -213,8 +214,8 @@
 {
 	struct call *c = arg;
 
-	c->held_back = entry_backoff_holds(c);
-	return !c->held_back;
+	c->aborted_unsent = entry_backoff_holds(c);
+	return !c->aborted_unsent;
 }
 
 /* The whole seconds of a Retry-After header, in ms; 0: none. */
@@ -239,12 +240,12 @@
 
 	entry_call_span(c, "connect", c->attempt_at, c->grant.endpoint[0].s);
 	c->status = head->status;
-	entry_backoff_named(c, &c->grant.endpoint[0], c->start, head->status,
-			    retry_after_ms(head));
+	entry_backoff_named(c, &c->grant.endpoint[0], c->endpoint_start,
+			    head->status, retry_after_ms(head));
 	if (c->kind == DL_POOL_PLAIN)
 		keep_headers(c, head);
-	if (!c->text)
-		c->text = g_string_new(NULL);
+	if (!c->response_buf)
+		c->response_buf = g_string_new(NULL);
 }
 
 /* The number behind a key in a chunk, found without reading it whole. */
@@ -286,13 +287,13 @@
 		{ DL_STR("Daisyledge-Request"), dl_str_of(c->id_text) },
 	};
 
-	c->answering = true;
+	c->response_started = true;
 	dl_httpd_begin(c->http, 200, headers, 3, SIZE_MAX);
 }
 
 static bool relay_chunk(struct call *c, struct dl_str data)
 {
-	if (!c->answering)
+	if (!c->response_started)
 		entry_try_begin_stream(c);
 	c->relayed++;
 	dl_httpd_send(c->http, DL_STR("data: "));
@@ -320,9 +321,9 @@
 		return false;
 	if (!find_number(data, "\"index\"", &index))
 		return true;
-	if (index > c->pieces)
+	if (index > c->chunks_received)
 		return false;
-	*drop = index < c->pieces;
+	*drop = index < c->chunks_received;
 	return true;
 }
 
@@ -345,12 +346,13 @@
 			c->sse_bad = true;
 		else if (!drop) {
 			note_first(c);
-			c->pieces++;
+			c->chunks_received++;
 			if (c->stream)
 				go_on = relay_chunk(c, data);
 			else
 				g_string_append_len(
-					c->text, json_string_value(text),
+					c->response_buf,
+					json_string_value(text),
 					(gssize)json_string_length(text));
 		}
 	}
@@ -371,8 +373,9 @@
 	bool go_on = true;
 
 	if (c->status != 200) {
-		if (c->text->len + piece.n <= HOLD_MAX)
-			g_string_append_len(c->text, piece.s, (gssize)piece.n);
+		if (c->response_buf->len + piece.n <= HOLD_MAX)
+			g_string_append_len(c->response_buf, piece.s,
+					    (gssize)piece.n);
 		return true;
 	}
 	if (dl_sse_feed(&c->sse, piece)) {
@@ -393,10 +396,11 @@
 	headers[n++] = (struct dl_header){ DL_STR("Daisyledge-Request"),
 					   dl_str_of(c->id_text) };
 	n += call_headers_fill(c, headers + n, HEADERS_MAX - n);
-	c->answering = true;
-	dl_httpd_begin(c->http, c->status, headers, n, c->length);
-	dl_httpd_send(c->http, (struct dl_str){ c->text->str, c->text->len });
-	g_string_truncate(c->text, 0);
+	c->response_started = true;
+	dl_httpd_begin(c->http, c->status, headers, n, c->response_length);
+	dl_httpd_send(c->http, (struct dl_str){ c->response_buf->str,
+						c->response_buf->len });
+	g_string_truncate(c->response_buf, 0);
 }
 
 static bool on_plain_body(void *arg, struct dl_str piece)
@@ -405,11 +409,11 @@
 
 	if (!c->first_byte_at)
 		note_first(c);
-	c->pieces += piece.n;
-	if (c->answering)
+	c->chunks_received += piece.n;
+	if (c->response_started)
 		return dl_httpd_send(c->http, piece);
-	g_string_append_len(c->text, piece.s, (gssize)piece.n);
-	if (c->text->len > HOLD_MAX)
+	g_string_append_len(c->response_buf, piece.s, (gssize)piece.n);
+	if (c->response_buf->len > HOLD_MAX)
 		begin_plain(c);
 	return true;
 }
@@ -421,15 +425,15 @@
 	if (c->usage.ran)
 		cancel_at_engine(c);
 	entry_grant_release(c);
-	c->pieces = 0;
-	c->skip = 0;
+	c->chunks_received = 0;
+	c->resume_offset = 0;
 	c->first_byte_at = 0;
 	entry_grant_ask(c);
 }
 
 static void resume(struct call *c)
 {
-	c->skip = c->pieces;
+	c->resume_offset = c->chunks_received;
 	entry_try_start(c);
 }
 
@@ -476,9 +480,9 @@
 	enum dl_outcome outcome = dl_call_outcome(&a);
 	struct dl_call_state state = {
 		.idempotent = c->idempotent,
-		.resumable = c->kind == DL_POOL_MODEL && c->pieces > 0 &&
-			     a.broke != DL_BROKE_GARBLED &&
-			     !entry_backoff_holds(c),
+		.resumable =
+			c->kind == DL_POOL_MODEL && c->chunks_received > 0 &&
+			a.broke != DL_BROKE_GARBLED && !entry_backoff_holds(c),
 		.attempts = c->attempts,
 		.bytes_to_caller = c->relayed,
 		.deadline = c->deadline,
@@ -486,7 +490,7 @@
 	};
 
 	c->attempt = NULL;
-	if (c->held_back && !c->pieces) {
+	if (c->aborted_unsent && !c->chunks_received) {
 		entry_backoff_give_back(c);
 		return;
 	}
