--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -180,15 +180,16 @@
 	uint64_t dispatcher;
 	struct dl_name domain; /* whose pool is asked */
 	int64_t asked_at, ask_again_at;
-	int64_t waits_since; /* in its state, while it asks or is queued */
-	uint32_t unsure_ms;  /* waited until the version was sure */
-	uint32_t asking_ms;  /* waited for a dispatcher's answer in all */
-	uint32_t queued_ms;  /* and in queues */
+	int64_t wait_started_at; /* in its state, while it asks or is queued */
+	uint32_t unsure_ms;	 /* waited until the version was sure */
+	uint32_t asking_ms;	 /* waited for a dispatcher's answer in all */
+	uint32_t queued_ms;	 /* and in queues */
 	uint32_t asks_lost;
-	uint32_t disowned; /* asks of a VM that did not know that it dispatches
-			    */
-	bool by_itself;	   /* placed here for want of a dispatcher */
-	uint32_t spilled;  /* domains tried beside the first */
+	uint32_t not_dispatcher_replies; /* asks of a VM that did not know that
+					  * it dispatches
+					  */
+	bool placed_locally;	    /* placed here for want of a dispatcher */
+	uint32_t spill_tried_count; /* domains tried beside the first */
 	struct dl_name spill_tried[DL_SPILL_MAX + 1];
 	struct dl_name hints[DL_SPILL_MAX]; /* domains that were named */
 	uint32_t hints_count;
@@ -196,14 +197,16 @@
 	enum dl_reason reason; /* of the final refusal */
 	uint32_t retry_ms;     /* and when the caller may come back */
 	bool refused;
-	bool sent_away; /* by the own domain's dispatcher, which has not refused
-			 */
+	bool redirected; /* by the own domain's dispatcher, which has not
+			  * refused
+			  */
 
 	/* granted */
 	struct dl_ask_frame ask; /* as last sent; its workspace is ours */
 	struct dl_answer grant;
 	bool granted;
-	uint32_t unused; /* grants given back, as an endpoint asked to wait */
+	uint32_t grants_unused; /* grants given back, as an endpoint asked to
+				   wait */
 	uint32_t lease_ms;
 	int64_t renew_at;
 
@@ -429,7 +432,7 @@
 			const struct dl_answer_frame *f);
 void entry_grant_release(struct call *c);
 /* Its first event has come. */
-void entry_grant_first(struct call *c);
+void entry_grant_first_event(struct call *c);
 void entry_grant_cancel(struct call *c);
 void entry_grant_down(struct entry *e, uint64_t vm);
 void entry_grant_tick(struct entry *e, int64_t now);
--- a/src/main/entry_backoff.c
+++ b/src/main/entry_backoff.c
@@ -113,8 +113,8 @@
 	dl_msg(DL_MSG_GRANT_UNUSED,
 	       "request=%s endpoint=%s left_ms=%u dispatcher=%lx unused=%u",
 	       c->id_text, c->usage.asked_to_wait.s, c->usage.wait_ms,
-	       (unsigned long)c->dispatcher, c->unused);
-	if (++c->unused > UNUSED_MAX) {
+	       (unsigned long)c->dispatcher, c->grants_unused);
+	if (++c->grants_unused > UNUSED_MAX) {
 		entry_call_refuse(c, DL_REASON_BACKOFF, DL_STEP_PLACE,
 				  c->e->node.self, c->usage.wait_ms);
 		return;
--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -17,12 +17,12 @@
  * one that lost its power: until membership knows, each request would wait this
  * long for it, so the first that waited in vain speaks for all.
  */
-#define ASK_LOST_MS 180
+#define ASK_TIMEOUT_MS 180
 /* Two VMs may differ for a moment about who dispatches. */
 #define ASK_AGAIN_MS 50
 /* A VM that says that it does not dispatch is alive, and will hear that it
  * does; only after a second of this is the ask counted as lost. */
-#define DISOWNED_MAX 20
+#define NOT_DISPATCHER_MAX 20
 /* After so many lost asks an entry places by itself. */
 #define ASKS_LOST_MAX	 2
 #define RETRY_DEFAULT_MS 1000
@@ -43,7 +43,7 @@
 
 	memset(&c->ask, 0, sizeof(c->ask));
 	c->ask.service = c->service;
-	c->ask.settled = c->sent_away || c->refused;
+	c->ask.settled = c->redirected || c->refused;
 	c->ask.standby = g_hash_table_size(c->e->lost) > 0;
 	ask->request = c->ask_id;
 	ask->entry = c->e->node.self;
@@ -97,7 +97,7 @@
 	struct entry_pool *p = entry_pool_find(c->e, service_of(c));
 
 	c->dispatcher = c->e->node.self;
-	c->by_itself = local;
+	c->placed_locally = local;
 	if (!p) {
 		entry_call_refuse(c, DL_REASON_NO_ENDPOINT, DL_STEP_PLACE,
 				  DL_VM_NONE, RETRY_DEFAULT_MS);
@@ -112,10 +112,10 @@
 	int64_t now = entry_now(c->e);
 
 	if (c->state == CALL_ASKING)
-		c->asking_ms += (uint32_t)(now - c->waits_since);
+		c->asking_ms += (uint32_t)(now - c->wait_started_at);
 	else if (c->state == CALL_QUEUED)
-		c->queued_ms += (uint32_t)(now - c->waits_since);
-	c->waits_since = now;
+		c->queued_ms += (uint32_t)(now - c->wait_started_at);
+	c->wait_started_at = now;
 }
 
 /* Ask for an endpoint; the call may be over when this returns. */
@@ -134,7 +134,7 @@
 	c->state = CALL_ASKING;
 	c->asked_at = entry_now(e);
 	c->ask_again_at = 0;
-	c->by_itself = false;
+	c->placed_locally = false;
 	fill_ask(c);
 	c->dispatcher =
 		entry_pool_owner(e, service_of(c), dl_name_str(&c->domain));
@@ -168,7 +168,7 @@
  * Tell the dispatcher that the first event has come: where engines work in
  * passes it shows when one ended.
  */
-void entry_grant_first(struct call *c)
+void entry_grant_first_event(struct call *c)
 {
 	struct entry_pool *p;
 
@@ -263,7 +263,7 @@
 
 static bool was_tried(const struct call *c, const struct dl_name *domain)
 {
-	for (uint32_t i = 0; i < c->spilled; i++) {
+	for (uint32_t i = 0; i < c->spill_tried_count; i++) {
 		if (dl_name_eq(&c->spill_tried[i], dl_name_str(domain)))
 			return true;
 	}
@@ -291,9 +291,9 @@
 		if (was_tried(c, &c->hints[i]) ||
 		    dl_name_eq(&c->domain, dl_name_str(&c->hints[i])))
 			continue;
-		if (c->spilled > DL_SPILL_MAX)
+		if (c->spill_tried_count > DL_SPILL_MAX)
 			return false;
-		c->spill_tried[c->spilled++] = c->domain;
+		c->spill_tried[c->spill_tried_count++] = c->domain;
 		c->domain = c->hints[i];
 		c->asks_lost = 0;
 		entry_grant_ask(c);
@@ -310,9 +310,9 @@
 {
 	if (next_domain(c))
 		return;
-	c->spilled = 0;
+	c->spill_tried_count = 0;
 	c->hints_count = 0;
-	c->sent_away = false;
+	c->redirected = false;
 	c->refused = false;
 	c->asks_lost = 0;
 	c->domain = *dl_settings_pool_domain(&c->e->node.settings);
@@ -353,7 +353,7 @@
 /* The dispatcher sends it to a pool that is much better off. */
 static void go_away(struct call *c, const struct dl_name *domain)
 {
-	c->sent_away = true;
+	c->redirected = true;
 	c->domain = *domain;
 	entry_grant_ask(c);
 }
@@ -361,7 +361,7 @@
 /* The others refused: the own domain, which was better off, decides. */
 static void come_back(struct call *c)
 {
-	c->sent_away = false;
+	c->redirected = false;
 	c->domain = *dl_settings_pool_domain(&c->e->node.settings);
 	entry_grant_ask(c);
 }
@@ -374,7 +374,7 @@
 	if (f->answer.reason == DL_REASON_NO_DISPATCHER) {
 		note_wait(c);
 		c->state = CALL_ASKING;
-		if (++c->disowned % DISOWNED_MAX == 0)
+		if (++c->not_dispatcher_replies % NOT_DISPATCHER_MAX == 0)
 			c->asks_lost++;
 		c->ask_again_at = entry_now(c->e) + ASK_AGAIN_MS;
 		return;
@@ -386,7 +386,7 @@
 	note_refusal(c, &f->answer);
 	if (spill(c, f))
 		return;
-	if (c->sent_away) {
+	if (c->redirected) {
 		come_back(c);
 		return;
 	}
@@ -461,7 +461,7 @@
 static bool lost(const struct call *c, int64_t now)
 {
 	return c->state == CALL_ASKING && !c->ask_again_at &&
-	       now - c->asked_at > ASK_LOST_MS;
+	       now - c->asked_at > ASK_TIMEOUT_MS;
 }
 
 /* The dispatcher named now; our own where we place by ourselves. */
@@ -500,7 +500,7 @@
 		return;
 	}
 	owner = owner_now(c);
-	if (owner != c->dispatcher && !c->by_itself) {
+	if (owner != c->dispatcher && !c->placed_locally) {
 		entry_grant_cancel(c);
 		entry_grant_ask(c);
 	}
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -371,7 +371,7 @@
 		c->first_byte_at = entry_now(c->e);
 		entry_call_span(c, "first_event", c->attempt_at,
 				c->grant.endpoint[0].s);
-		entry_grant_first(c);
+		entry_grant_first_event(c);
 	}
 	if (!c->response_started)
 		begin_answer(c);
