--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -201,18 +201,18 @@
 
 static void on_gone(void *arg, struct dl_httpd_req *req)
 {
-	struct http_holder *holder = dl_httpd_data(req);
+	struct http_owner *owner = dl_httpd_data(req);
 
-	if (holder)
-		holder->gone(holder);
+	if (owner)
+		owner->closed(owner);
 }
 
 static void on_drained(void *arg, struct dl_httpd_req *req)
 {
-	struct http_holder *holder = dl_httpd_data(req);
+	struct http_owner *owner = dl_httpd_data(req);
 
-	if (holder && holder->drained)
-		holder->drained(holder);
+	if (owner && owner->drained)
+		owner->drained(owner);
 }
 
 static int open_listener(struct entry *e, uint64_t address, unsigned uses,
--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -120,10 +120,11 @@
 };
 
 enum call_state {
-	CALL_READING,  /* its body is parsed beside the loop */
-	CALL_UNSURE,   /* which version is in force is not known for sure */
-	CALL_CLAIMING, /* its idempotency key */
-	CALL_ASKING,   /* no word from the dispatcher yet */
+	CALL_PARSING,	      /* its body is parsed beside the loop */
+	CALL_AWAITING_CONFIG, /* which version is in force is not known for sure
+			       */
+	CALL_CLAIMING,	      /* its idempotency key */
+	CALL_ASKING,	      /* no word from the dispatcher yet */
 	CALL_QUEUED,
 	CALL_RUNNING,	/* at an endpoint */
 	CALL_RECORDING, /* its outcome, under its idempotency key */
@@ -135,22 +136,23 @@
  * Whoever holds a request of the server; the first member of what is kept with
  * it.  gone: the request is freed afterwards, and must not be answered.
  */
-struct http_holder {
-	void (*gone)(struct http_holder *self);
-	void (*drained)(struct http_holder *self); /* may be NULL */
+struct http_owner {
+	void (*closed)(struct http_owner *self);
+	void (*drained)(struct http_owner *self); /* may be NULL */
 };
 
 /* One request of a caller, from its arrival to its answer. */
 struct call {
-	struct http_holder holder; /* first */
+	struct http_owner http_owner; /* first */
 	struct entry *e;
 	struct call *next, *prev;
 	struct dl_httpd_req *http; /* NULL once the caller has gone */
 	enum call_state state;
 	uint64_t id;
 	char id_text[REQUEST_ID_TEXT];
-	uint64_t owner; /* of its claims: the same id, unique everywhere */
-	int64_t begun, deadline;
+	uint64_t
+		claim_owner; /* of its claims: the same id, unique everywhere */
+	int64_t arrived_at, deadline;
 	int64_t granted_at; /* the last time; 0 for never */
 
 	/* what it is */
@@ -167,8 +169,8 @@
 	uint32_t prefix_tokens;
 	uint32_t connect_ms, gap_ms;
 	uint32_t retry_permille;
-	uint64_t content; /* hash of its path, workspace and body */
-	size_t buffered;  /* counted against this VM's bound */
+	uint64_t content_hash; /* hash of its path, workspace and body */
+	size_t buffered;       /* counted against this VM's bound */
 
 	struct reservations
 		*reservations; /* memory on engines; NULL for none */
@@ -213,8 +215,8 @@
 	/* attempts */
 	struct dl_httpc_call *attempt;
 	struct dl_completion completion;
-	struct reading *reading; /* beside the loop, NULL when done */
-	char *body_first;	 /* of the attempt in flight */
+	struct parse_job *parse_job; /* beside the loop, NULL when done */
+	char *body_first;	     /* of the attempt in flight */
 	uint32_t attempts;
 	bool aborted_unsent; /* the attempt was given up before it was sent */
 	uint8_t tried_count;
@@ -227,7 +229,7 @@
 	uint64_t chunks_received; /* chunks of text from the endpoint */
 	uint64_t relayed;	  /* chunks given to the caller */
 	uint64_t resume_offset; /* chunks of a resumed stream already relayed */
-	bool overdue;		/* its deadline had passed at the last tick */
+	bool deadline_passed;	/* its deadline had passed at the last tick */
 	bool may_have_run;	/* some attempt is not provably "not run" */
 	bool response_started;	/* the caller has the head of the answer */
 	uint16_t status;	/* the endpoint's */
@@ -242,9 +244,9 @@
 	struct dl_str key; /* claim key, owned */
 	uint64_t body_hash;
 	bool claimed;
-	uint64_t recording; /* command id, 0 for none */
-	int64_t record_by;  /* the answer waits for it no longer */
-	uint64_t claiming;
+	uint64_t outcome_cmd;	  /* command id, 0 for none */
+	int64_t outcome_deadline; /* the answer waits for it no longer */
+	uint64_t claim_cmd;
 
 	/* the answer, kept while its outcome is recorded */
 	enum dl_outcome outcome;
@@ -356,11 +358,11 @@
 		       uint64_t peer, uint32_t retry_ms);
 void entry_call_end(struct call *c, enum dl_outcome outcome, uint16_t status,
 		    const char *reason, const struct dl_err *err);
-void entry_call_whole(struct call *c);
+void entry_call_complete(struct call *c);
 void entry_call_span(struct call *c, const char *name, int64_t from,
 		     const char *peer);
 void entry_calls_abort(struct entry *e);
-struct dl_retry_budget *entry_call_budget(struct call *c);
+struct dl_retry_budget *entry_call_retry_budget(struct call *c);
 
 /* entry_route.c */
 void entry_route_request(struct entry *e, struct dl_httpd_req *req);
--- a/src/main/entry_answer.c
+++ b/src/main/entry_answer.c
@@ -98,7 +98,7 @@
 }
 
 /* Give the caller its whole answer, or the end of it. */
-void call_answer_whole(struct call *c)
+void call_answer_complete(struct call *c)
 {
 	struct dl_header headers[64];
 	size_t n;
--- a/src/main/entry_call.c
+++ b/src/main/entry_call.c
@@ -21,8 +21,8 @@
 #define STATUS_SLOW_DOWN 429
 #define STATUS_TOO_LONG	 413
 
-static void on_gone(struct http_holder *self);
-static void on_drained(struct http_holder *self);
+static void on_closed(struct http_owner *self);
+static void on_drained(struct http_owner *self);
 
 /* A copy of bytes, freed with g_free(). */
 struct dl_str call_copy_str(struct dl_str s)
@@ -45,13 +45,13 @@
 	e->buffered -= c->buffered;
 	dl_gauge(DL_METRIC_streams_open, e->calls_count);
 	dl_gauge(DL_METRIC_buffered_bytes, (int64_t)e->buffered);
-	if (c->claiming)
-		entry_cmd_forget(e, c->claiming);
-	if (c->recording)
-		entry_cmd_forget(e, c->recording);
+	if (c->claim_cmd)
+		entry_cmd_forget(e, c->claim_cmd);
+	if (c->outcome_cmd)
+		entry_cmd_forget(e, c->outcome_cmd);
 	dl_sse_close(&c->sse);
-	if (c->reading)
-		call_reading_forget(c->reading);
+	if (c->parse_job)
+		call_parse_forget(c->parse_job);
 	free(c->body_first);
 	dl_completion_free(&c->completion);
 	g_free((char *)c->key.s);
@@ -74,8 +74,8 @@
 		return;
 	s = &c->spans[c->spans_count++];
 	s->name = name;
-	s->from_ms = (uint32_t)(from - c->begun);
-	s->to_ms = (uint32_t)(entry_now(c->e) - c->begun);
+	s->from_ms = (uint32_t)(from - c->arrived_at);
+	s->to_ms = (uint32_t)(entry_now(c->e) - c->arrived_at);
 	g_strlcpy(s->peer, peer ? peer : "", sizeof(s->peer));
 }
 
@@ -118,17 +118,17 @@
 	       "retry_ms=%u content=%016lx target_ms=%u gap_ms=%u "
 	       "unsure_ms=%u asking_ms=%u queued_ms=%u",
 	       c->id_text, c->route.attempt_id.s, c->service.s, c->workspace.s,
-	       dl_outcome_name(c->outcome), c->status, (long)(now - c->begun),
-	       (unsigned long)c->prompt_tokens, (unsigned long)c->e->version,
-	       c->grant.endpoint[0].s, helpers, c->grant.endpoints,
-	       c->grant.away,
-	       c->granted_at ? (long)(c->granted_at - c->begun) : -1,
+	       dl_outcome_name(c->outcome), c->status,
+	       (long)(now - c->arrived_at), (unsigned long)c->prompt_tokens,
+	       (unsigned long)c->e->version, c->grant.endpoint[0].s, helpers,
+	       c->grant.endpoints, c->grant.away,
+	       c->granted_at ? (long)(c->granted_at - c->arrived_at) : -1,
 	       c->grant.predicted_ttft_ms,
-	       c->first_byte_at ? (long)(c->first_byte_at - c->begun) : -1,
+	       c->first_byte_at ? (long)(c->first_byte_at - c->arrived_at) : -1,
 	       c->route.pause_ms, c->routed ? c->route.tries : c->attempts,
 	       c->routed ? c->route.sent : c->attempts,
 	       dl_reason_name(c->reason), c->retry_ms,
-	       (unsigned long)c->content, c->route.target_ms,
+	       (unsigned long)c->content_hash, c->route.target_ms,
 	       c->stream ? c->route.gap_ms : 0, c->unsure_ms, c->asking_ms,
 	       c->queued_ms);
 }
@@ -148,9 +148,10 @@
 	c->outcome = outcome;
 	c->status = status;
 	count_outcome(outcome);
-	dl_observe(DL_HIST_request_ms, entry_now(c->e) - c->begun);
+	dl_observe(DL_HIST_request_ms, entry_now(c->e) - c->arrived_at);
 	if (c->first_byte_at)
-		dl_observe(DL_HIST_first_event_ms, c->first_byte_at - c->begun);
+		dl_observe(DL_HIST_first_event_ms,
+			   c->first_byte_at - c->arrived_at);
 	if (c->relayed > 1)
 		dl_observe(DL_HIST_pause_ms, c->route.pause_ms);
 	say_ended(c);
@@ -162,15 +163,15 @@
 {
 	struct call *c = g_new0(struct call, 1);
 
-	c->holder.gone = on_gone;
-	c->holder.drained = on_drained;
+	c->http_owner.closed = on_closed;
+	c->http_owner.drained = on_drained;
 	c->e = e;
 	c->http = req;
-	c->begun = entry_now(e) - dl_httpd_age_ms(req);
+	c->arrived_at = entry_now(e) - dl_httpd_age_ms(req);
 	c->id = ++e->next_id;
 	snprintf(c->id_text, sizeof(c->id_text), "%012lx-%lx",
 		 (unsigned long)e->node.self, (unsigned long)c->id);
-	c->owner = dl_hash(dl_str_of(c->id_text), 0);
+	c->claim_owner = dl_hash(dl_str_of(c->id_text), 0);
 	c->buffered = dl_httpd_body(req).n;
 	c->response_length = SIZE_MAX;
 	c->next = e->calls;
@@ -237,17 +238,17 @@
 {
 	struct call *c = arg;
 
-	c->recording = 0;
-	call_answer_whole(c);
+	c->outcome_cmd = 0;
+	call_answer_complete(c);
 	call_free(c);
 }
 
 /* The record takes its time: the caller does not wait for it. */
 static void record_late(struct call *c, int64_t now)
 {
-	if (now < c->record_by && now < c->deadline)
+	if (now < c->outcome_deadline && now < c->deadline)
 		return;
-	call_answer_whole(c);
+	call_answer_complete(c);
 	call_free(c);
 }
 
@@ -273,7 +274,7 @@
 }
 
 /* The endpoint has answered whole. */
-void entry_call_whole(struct call *c)
+void entry_call_complete(struct call *c)
 {
 	struct entry_cmd_done done = { on_recorded, c };
 	enum dl_outcome outcome = DL_OUTCOME_DONE;
@@ -299,12 +300,12 @@
 		call_record_outcome(c, done);
 		return;
 	}
-	call_answer_whole(c);
+	call_answer_complete(c);
 	call_free(c);
 }
 
 /* The caller has left: nobody reads the answer, so the work stops. */
-static void on_gone(struct http_holder *self)
+static void on_closed(struct http_owner *self)
 {
 	struct call *c = (struct call *)self;
 	struct dl_attempt a = { 0 };
@@ -325,7 +326,7 @@
 }
 
 /* The caller has read what it was sent. */
-static void on_drained(struct http_holder *self)
+static void on_drained(struct http_owner *self)
 {
 	struct call *c = (struct call *)self;
 
@@ -336,7 +337,7 @@
 static enum dl_step waiting_step(enum call_state state)
 {
 	switch (state) {
-	case CALL_READING:
+	case CALL_PARSING:
 		return DL_STEP_READ;
 	case CALL_CLAIMING:
 		return DL_STEP_CLAIM;
@@ -355,8 +356,8 @@
 	 * What came of the attempt until now is taken in before the next tick:
 	 * where this process stood still its answer may be there, unread.
 	 */
-	if (c->attempt && !c->overdue) {
-		c->overdue = true;
+	if (c->attempt && !c->deadline_passed) {
+		c->deadline_passed = true;
 		return;
 	}
 	dl_count(DL_METRIC_requests_late, 1);
@@ -386,7 +387,7 @@
 		next = c->next;
 		if (c->state == CALL_RECORDING)
 			record_late(c, now);
-		else if (c->state == CALL_UNSURE && now >= c->deadline)
+		else if (c->state == CALL_AWAITING_CONFIG && now >= c->deadline)
 			entry_route_give_up(c);
 		else if (now >= c->deadline)
 			late(c);
@@ -401,7 +402,7 @@
 	struct dl_err err;
 
 	if (c->state == CALL_RECORDING) {
-		call_answer_whole(c);
+		call_answer_complete(c);
 		call_free(c);
 		return;
 	}
@@ -427,7 +428,7 @@
 }
 
 /* The retry budget of the call's service on this VM. */
-struct dl_retry_budget *entry_call_budget(struct call *c)
+struct dl_retry_budget *entry_call_retry_budget(struct call *c)
 {
 	struct entry *e = c->e;
 	struct dl_retry_budget *b =
--- a/src/main/entry_call.h
+++ b/src/main/entry_call.h
@@ -25,7 +25,7 @@
 			 size_t max);
 
 /* entry_read.c: the result of a parse under way is dropped */
-void call_reading_forget(struct reading *reading);
+void call_parse_forget(struct parse_job *job);
 
 /* entry_claim.c */
 int call_claim(struct call *c);
@@ -35,7 +35,7 @@
 /* entry_answer.c */
 void call_answer_error(struct call *c, const char *reason,
 		       const struct dl_err *err, uint32_t retry_ms);
-void call_answer_whole(struct call *c);
+void call_answer_complete(struct call *c);
 GString *call_completion_json(struct call *c);
 
 #endif
--- a/src/main/entry_claim.c
+++ b/src/main/entry_claim.c
@@ -23,7 +23,7 @@
 	struct entry_cmd_done nobody = { NULL, NULL };
 
 	cmd.key = c->key;
-	cmd.owner = c->owner;
+	cmd.owner = c->claim_owner;
 	entry_cmd_send(c->e, &cmd, CLAIM_MS * 2, nobody);
 }
 
@@ -33,13 +33,13 @@
 	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_OUTCOME };
 
 	cmd.key = c->key;
-	cmd.owner = c->owner;
+	cmd.owner = c->claim_owner;
 	cmd.status = c->status;
 	if (c->final_body && c->final_body->len <= OUTCOME_KEPT_MAX)
 		cmd.outcome = (struct dl_str){ c->final_body->str,
 					       c->final_body->len };
-	c->recording = entry_cmd_send(c->e, &cmd, RECORD_MS, done);
-	c->record_by = entry_now(c->e) + RECORD_WAIT_MS;
+	c->outcome_cmd = entry_cmd_send(c->e, &cmd, RECORD_MS, done);
+	c->outcome_deadline = entry_now(c->e) + RECORD_WAIT_MS;
 }
 
 /*
@@ -57,7 +57,7 @@
 		send_unclaim(c);
 	else if (c->outcome == DL_OUTCOME_FAILED)
 		call_record_outcome(c, nobody);
-	c->recording = 0;
+	c->outcome_cmd = 0;
 }
 
 static void repeat_outcome(struct call *c, const struct dl_cstore_reply *reply)
@@ -67,7 +67,7 @@
 	call_settle(c,
 		    reply->status >= 500 ? DL_OUTCOME_FAILED : DL_OUTCOME_DONE,
 		    reply->status);
-	call_answer_whole(c);
+	call_answer_complete(c);
 	call_free(c);
 }
 
@@ -87,8 +87,8 @@
 {
 	struct call *c = arg;
 
-	c->claiming = 0;
-	entry_call_span(c, "claim", c->begun, NULL);
+	c->claim_cmd = 0;
+	entry_call_span(c, "claim", c->arrived_at, NULL);
 	if (reply->code == DL_EREUSED) {
 		refuse_key(c, STATUS_KEY_REUSED, DL_OUTCOME_NOT_RUN,
 			   DL_REASON_IN_PROGRESS);
@@ -104,7 +104,8 @@
 		repeat_outcome(c, reply);
 		return;
 	}
-	if (reply->claim == DL_CLAIM_RUNNING && reply->owner != c->owner) {
+	if (reply->claim == DL_CLAIM_RUNNING &&
+	    reply->owner != c->claim_owner) {
 		refuse_key(c, STATUS_IN_PROGRESS, DL_OUTCOME_UNKNOWN,
 			   DL_REASON_IN_PROGRESS);
 		return;
@@ -144,9 +145,9 @@
 	c->key = call_copy_str((struct dl_str){ joined, (size_t)n });
 	c->state = CALL_CLAIMING;
 	cmd.key = c->key;
-	cmd.owner = c->owner;
+	cmd.owner = c->claim_owner;
 	cmd.body_hash = dl_hash(body, 0);
 	cmd.expires_s = CLAIM_EXPIRES_S;
-	c->claiming = entry_cmd_send(c->e, &cmd, claim_ms(c), done);
+	c->claim_cmd = entry_cmd_send(c->e, &cmd, claim_ms(c), done);
 	return 0;
 }
--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -60,7 +60,7 @@
 	ask->target_ms = c->route.target_ms;
 	ask->gap_ms = c->stream ? c->route.gap_ms : 0;
 	if (c->routed && c->stream && !c->relayed)
-		ask->first_by = c->begun + c->route.give_up_ms;
+		ask->first_by = c->arrived_at + c->route.give_up_ms;
 	ask->tried = c->tried_count;
 	memcpy(ask->tried_ids, c->tried_ids, sizeof(ask->tried_ids));
 }
@@ -123,8 +123,8 @@
 {
 	struct entry *e = c->e;
 
-	if (!c->content)
-		c->content = call_content(c);
+	if (!c->content_hash)
+		c->content_hash = call_content(c);
 	if (entry_quarantine_refuses(c))
 		return;
 	if (c->domain.n == 0)
--- a/src/main/entry_ops.c
+++ b/src/main/entry_ops.c
@@ -18,7 +18,7 @@
 #define ASK_MAX		 64   /* dispatchers asked for their pools */
 
 struct ops {
-	struct http_holder holder; /* first */
+	struct http_owner http_owner; /* first */
 	struct entry *e;
 	uint64_t change;	   /* the command of an apply, 0 for others */
 	struct dl_httpd_req *http; /* NULL once the operator has gone */
@@ -35,7 +35,7 @@
  * after its operator was told that nobody answers.  Questions go on to their
  * end, and their answers are dropped.
  */
-static void on_gone(struct http_holder *self)
+static void on_closed(struct http_owner *self)
 {
 	struct ops *o = (struct ops *)self;
 
@@ -50,7 +50,7 @@
 {
 	struct ops *o = g_new0(struct ops, 1);
 
-	o->holder.gone = on_gone;
+	o->http_owner.closed = on_closed;
 	o->e = e;
 	o->http = req;
 	dl_httpd_set_data(req, o);
--- a/src/main/entry_quarantine.c
+++ b/src/main/entry_quarantine.c
@@ -102,13 +102,13 @@
 
 	if (err && err->code == -ECONNREFUSED)
 		entry_quarantine_crashed(e, c->endpoint_start);
-	if (!c->endpoint_start || !c->content ||
+	if (!c->endpoint_start || !c->content_hash ||
 	    attempt->sent == DL_SENT_NOTHING ||
 	    attempt->broke == DL_BROKE_NOTHING ||
 	    attempt->broke == DL_BROKE_GARBLED)
 		return;
-	dl_quarantine_broke(e->quarantine.known, c->content, c->endpoint_start,
-			    entry_now(e));
+	dl_quarantine_broke(e->quarantine.known, c->content_hash,
+			    c->endpoint_start, entry_now(e));
 	if (attempt->broke == DL_BROKE_RESET &&
 	    dl_vm_parse(dl_name_str(&c->grant.endpoint[0]), &address))
 		probe_soon(e, c->endpoint_start, address);
@@ -118,11 +118,11 @@
 void entry_quarantine_answered(struct call *c)
 {
 	const struct dl_quarantine *known = c->e->quarantine.known;
-	struct dl_crash harmless = { .request = c->content };
+	struct dl_crash harmless = { .request = c->content_hash };
 
-	if (!dl_quarantine_suspects(known, c->content))
+	if (!dl_quarantine_suspects(known, c->content_hash))
 		return;
-	harmless.cleared = dl_quarantine_cleared(known, c->content) + 1;
+	harmless.cleared = dl_quarantine_cleared(known, c->content_hash) + 1;
 	quarantine_note(&c->e->quarantine, &harmless, entry_now(c->e));
 }
 
@@ -133,7 +133,7 @@
 bool entry_quarantine_refuses(struct call *c)
 {
 	uint32_t left = dl_quarantine_left_ms(c->e->quarantine.known,
-					      c->content, entry_now(c->e));
+					      c->content_hash, entry_now(c->e));
 
 	if (!left)
 		return false;
--- a/src/main/entry_read.c
+++ b/src/main/entry_read.c
@@ -20,7 +20,7 @@
 #define BAD_DEADLINE	  "Daisyledge-Deadline-Ms makes no sense"
 
 /* A body on its way through the thread pool. */
-struct reading {
+struct parse_job {
 	uv_work_t work;
 	struct call *call;  /* NULL once it is over */
 	struct dl_str body; /* a copy: the caller may leave */
@@ -48,7 +48,7 @@
 	if (s.n && (!dl_str_to_u64(s, &ms) || ms < MIN_DEADLINE_MS ||
 		    ms > MAX_DEADLINE_MS))
 		return false;
-	c->deadline = c->begun + (int64_t)ms;
+	c->deadline = c->arrived_at + (int64_t)ms;
 	return true;
 }
 
@@ -136,7 +136,7 @@
 {
 	struct dl_str key = dl_httpd_header(c->http, "idempotency-key");
 
-	dl_retry_budget_first(entry_call_budget(c));
+	dl_retry_budget_first(entry_call_retry_budget(c));
 	if (c->e->draining) {
 		entry_call_refuse(c, DL_REASON_DRAINING, DL_STEP_ADMIT,
 				  c->e->node.self, RETRY_AFTER_MS);
@@ -192,21 +192,21 @@
 
 static void read_beside(uv_work_t *work)
 {
-	struct reading *r = work->data;
+	struct parse_job *r = work->data;
 
 	r->rc = dl_completion_parse(r->body, &r->completion, &r->err);
 }
 
 static void on_read_beside(uv_work_t *work, int status)
 {
-	struct reading *r = work->data;
+	struct parse_job *r = work->data;
 	struct call *c = r->call;
 
 	if (c) {
-		c->reading = NULL;
+		c->parse_job = NULL;
 		c->completion = r->completion;
 		r->completion.rest = NULL;
-		entry_call_span(c, "read", c->begun, NULL);
+		entry_call_span(c, "read", c->arrived_at, NULL);
 		on_read(c, r->rc, &r->err);
 	}
 	dl_completion_free(&r->completion);
@@ -215,9 +215,9 @@
 }
 
 /* Its request is over: the parse under way ends for nobody. */
-void call_reading_forget(struct reading *reading)
+void call_parse_forget(struct parse_job *job)
 {
-	reading->call = NULL;
+	job->call = NULL;
 }
 
 /*
@@ -228,13 +228,13 @@
  */
 static void start_reading(struct call *c, struct dl_str body)
 {
-	struct reading *r = g_new0(struct reading, 1);
+	struct parse_job *r = g_new0(struct parse_job, 1);
 
 	r->call = c;
 	r->body = call_copy_str(body);
 	r->work.data = r;
-	c->reading = r;
-	c->state = CALL_READING;
+	c->parse_job = r;
+	c->state = CALL_PARSING;
 	uv_queue_work(c->e->node.loop, &r->work, read_beside, on_read_beside);
 }
 
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -479,8 +479,8 @@
 	if (c->route.sent >= c->route.attempts || c->tried_count >= 3 ||
 	    c->route.connects >= CONNECTS_MAX)
 		return false;
-	return dl_call_next(&state, a, entry_call_budget(c), entry_now(c->e)) ==
-	       DL_NEXT_RETRY;
+	return dl_call_next(&state, a, entry_call_retry_budget(c),
+			    entry_now(c->e)) == DL_NEXT_RETRY;
 }
 
 static void give_up(struct call *c, enum dl_outcome outcome,
@@ -556,7 +556,8 @@
 	       a.received, a.broke, c->status, c->route.head.retry_after_ms,
 	       c->route.head.leaving, dl_outcome_name(outcome),
 	       (unsigned long)c->relayed, c->route.head.at_fault.s,
-	       dl_step_name(err->step), err->text, (unsigned long)c->content);
+	       dl_step_name(err->step), err->text,
+	       (unsigned long)c->content_hash);
 	if (!whole && !may_go_on(c, &a)) {
 		give_up(c, outcome, err);
 		return;
--- a/src/main/entry_route.c
+++ b/src/main/entry_route.c
@@ -68,7 +68,7 @@
 
 	for (uint32_t i = 0; i < route->targets_count; i++)
 		sum += route->targets[i].weight;
-	at = sum ? c->owner % sum : 0;
+	at = sum ? c->claim_owner % sum : 0;
 	for (uint32_t i = 0; i < route->targets_count; i++) {
 		if (at < route->targets[i].weight)
 			return &c->e->conf->services[route->targets[i].service];
@@ -230,13 +230,13 @@
 		return true;
 	/* Callers name a bound that most answers stay far below. */
 	if (m->usual_output && m->usual_output < output &&
-	    c->begun <= c->e->stop_at + STOP_TAKES_MS)
+	    c->arrived_at <= c->e->stop_at + STOP_TAKES_MS)
 		output = m->usual_output;
 	if (c->stream && m->slots)
 		takes += STREAM_FACTOR * (double)output /
 			 (m->stride ? m->stride : 1) *
 			 dl_engine_write_ms(m, 1, 0);
-	return c->begun + (int64_t)takes <=
+	return c->arrived_at + (int64_t)takes <=
 	       c->e->stop_at + stop_ms - STOP_MARGIN_MS;
 }
 
@@ -257,7 +257,7 @@
 		return;
 	left = in->patience_ms ? MIN(in->patience_ms, route->timeout_ms) :
 				 route->timeout_ms;
-	c->deadline = c->begun + left;
+	c->deadline = c->arrived_at + left;
 	fill_route(c, route);
 	service = pick(c, route);
 	if (!service) {
@@ -267,7 +267,7 @@
 	}
 	fill_service(c, service);
 	fill_size(c, in, service);
-	dl_retry_budget_first(entry_call_budget(c));
+	dl_retry_budget_first(entry_call_retry_budget(c));
 	if (e->node.stopping && !ends_before_stop(c, service)) {
 		entry_call_refuse(c, DL_REASON_DRAINING, DL_STEP_ADMIT,
 				  e->node.self, RETRY_ELSEWHERE_MS);
@@ -285,13 +285,13 @@
 static bool wait_for_word(struct call *c, uint32_t left_ms)
 {
 	int64_t now = entry_now(c->e);
-	uint32_t waited = (uint32_t)(now - c->begun);
+	uint32_t waited = (uint32_t)(now - c->arrived_at);
 	uint32_t ms = entry_lease_patience(
 		c->e, left_ms > waited ? left_ms - waited : 0);
 
 	if (!ms || !has_room(c->e))
 		return false;
-	c->state = CALL_UNSURE;
+	c->state = CALL_AWAITING_CONFIG;
 	c->deadline = now + ms;
 	dl_count(DL_METRIC_requests_unsure, 1);
 	dl_msg(DL_MSG_REQUEST_UNSURE, "request=%s for_ms=%u heard_ms=%ld",
@@ -309,7 +309,7 @@
 	read_inbound(req, &in);
 	if (!dl_name_set(&c->route.attempt_id, in.attempt_id))
 		c->route.attempt_id.n = 0;
-	c->deadline = c->begun + 1;
+	c->deadline = c->arrived_at + 1;
 	if (!entry_lease_holds(e) && wait_for_word(c, in.patience_ms))
 		return;
 	begin(c, &in);
@@ -324,11 +324,11 @@
 	while (c) {
 		struct dl_inbound in;
 
-		if (c->state != CALL_UNSURE) {
+		if (c->state != CALL_AWAITING_CONFIG) {
 			c = c->next;
 			continue;
 		}
-		c->unsure_ms = (uint32_t)(entry_now(e) - c->begun);
+		c->unsure_ms = (uint32_t)(entry_now(e) - c->arrived_at);
 		read_inbound(c->http, &in);
 		begin(c, &in);
 		c = e->calls;
--- a/src/main/entry_trace.c
+++ b/src/main/entry_trace.c
@@ -34,7 +34,7 @@
 	t->class_name = c->class_name;
 	t->outcome = outcome;
 	t->status = status;
-	t->total_ms = (uint32_t)(entry_now(e) - c->begun);
+	t->total_ms = (uint32_t)(entry_now(e) - c->arrived_at);
 	memcpy(t->spans, c->spans, sizeof(t->spans));
 	t->spans_count = c->spans_count;
 }
--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -500,12 +500,12 @@
 			outcome != DL_OUTCOME_DONE);
 	if (outcome == DL_OUTCOME_DONE ||
 	    (c->kind == DL_POOL_PLAIN && a.received == DL_RECV_WHOLE)) {
-		entry_call_whole(c);
+		entry_call_complete(c);
 		return;
 	}
 	entry_call_span(c, broke_name(a.broke), c->attempt_at,
 			c->grant.endpoint[0].s);
-	switch (dl_call_next(&state, &a, entry_call_budget(c),
+	switch (dl_call_next(&state, &a, entry_call_retry_budget(c),
 			     entry_now(c->e))) {
 	case DL_NEXT_RETRY:
 		retry(c);
