--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -89,16 +89,16 @@
 };
 
 /* The head of an endpoint's answer to a routed request. */
-struct relay_head {
+struct response_head {
 	bool not_run;
-	bool foreign;		 /* it answers another request */
-	bool events;		 /* a stream, passed on event by event */
-	bool too_long;		 /* an event past its bound */
+	bool wrong_request;	 /* it answers another request */
+	bool is_event_stream;	 /* a stream, passed on event by event */
+	bool event_too_long;	 /* an event past its bound */
 	bool leaving;		 /* the endpoint is */
-	bool turned_away;	 /* until retry_after_ms from then */
+	bool backoff_requested;	 /* until retry_after_ms from then */
 	uint32_t retry_after_ms; /* as the endpoint says; 0: not said */
 	struct dl_name at_fault; /* a helper that is, as the lead says */
-	size_t length;		 /* SIZE_MAX: not said */
+	size_t content_length;	 /* SIZE_MAX: not said */
 };
 
 /* What a routed request has beside the others. */
@@ -107,16 +107,16 @@
 	struct dl_name attempt_id; /* the caller's */
 	struct dl_name instance;   /* the start that it was sent to last */
 	uint32_t target_ms, gap_ms;
-	uint32_t give_up_ms;  /* callers do after such a silence */
-	uint32_t attempts;    /* endpoints that it may be sent to */
-	uint32_t tries;	      /* grants that led to an endpoint, or nowhere */
-	uint32_t connects;    /* endpoints that could not be reached */
-	uint32_t sent;	      /* those at which it may have run */
-	uint64_t after_event; /* the last event that the caller has */
-	bool resumes;	      /* the endpoint begins behind after_event */
-	int64_t event_at;     /* the last event that was passed on */
-	uint32_t pause_ms;    /* the longest between two of them */
-	struct relay_head head;
+	uint32_t give_up_ms;	/* callers do after such a silence */
+	uint32_t attempts_max;	/* endpoints that it may be sent to */
+	uint32_t tries;		/* grants that led to an endpoint, or nowhere */
+	uint32_t free_failures; /* endpoints that could not be reached */
+	uint32_t sent;		/* those at which it may have run */
+	uint64_t last_event_id; /* the last event that the caller has */
+	bool resumes;		/* the endpoint begins behind after_event */
+	int64_t last_event_at;	/* the last event that was passed on */
+	uint32_t longest_pause_ms; /* the longest between two of them */
+	struct response_head head;
 };
 
 enum call_state {
@@ -369,9 +369,10 @@
 /* The version in force is sure: those that wait for it go on. */
 void entry_route_resume(struct entry *e);
 /* Refuse one that has waited for it in vain, at its deadline. */
-void entry_route_give_up(struct call *c);
-bool entry_route_allow(struct call *c, const struct dl_route_conf **route);
-bool entry_route_leads(const struct call *c, const struct dl_route_conf *route);
+void entry_route_refuse_no_quorum(struct call *c);
+bool entry_route_authorize(struct call *c, const struct dl_route_conf **route);
+bool entry_route_has_service(const struct call *c,
+			     const struct dl_route_conf *route);
 
 /* entry_relay.c */
 void entry_relay_start(struct call *c);
--- a/src/main/entry_call.c
+++ b/src/main/entry_call.c
@@ -125,7 +125,8 @@
 	       c->granted_at ? (long)(c->granted_at - c->arrived_at) : -1,
 	       c->grant.predicted_ttft_ms,
 	       c->first_byte_at ? (long)(c->first_byte_at - c->arrived_at) : -1,
-	       c->route.pause_ms, c->routed ? c->route.tries : c->attempts,
+	       c->route.longest_pause_ms,
+	       c->routed ? c->route.tries : c->attempts,
 	       c->routed ? c->route.sent : c->attempts,
 	       dl_reason_name(c->reason), c->retry_ms,
 	       (unsigned long)c->content_hash, c->route.target_ms,
@@ -153,7 +154,7 @@
 		dl_observe(DL_HIST_first_event_ms,
 			   c->first_byte_at - c->arrived_at);
 	if (c->relayed > 1)
-		dl_observe(DL_HIST_pause_ms, c->route.pause_ms);
+		dl_observe(DL_HIST_pause_ms, c->route.longest_pause_ms);
 	say_ended(c);
 	entry_trace_add(c->e, c, outcome, status);
 }
@@ -388,7 +389,7 @@
 		if (c->state == CALL_RECORDING)
 			record_late(c, now);
 		else if (c->state == CALL_AWAITING_CONFIG && now >= c->deadline)
-			entry_route_give_up(c);
+			entry_route_refuse_no_quorum(c);
 		else if (now >= c->deadline)
 			late(c);
 	}
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -21,7 +21,7 @@
  * domain that is cut off with a third of the endpoints, streams were broken off
  * after three of the others.
  */
-#define CONNECTS_MAX 12
+#define FREE_FAILURES_MAX 12
 /* Kept of the caller's time for the way back. */
 #define HOP_MARGIN_MS 5
 /*
@@ -116,7 +116,7 @@
 	out->instance = dl_name_str(&endpoint_of(c, 0)->instance);
 	out->left_ms = (uint32_t)MAX(left, 1);
 	out->resumes = c->route.resumes;
-	out->after_event = c->route.after_event;
+	out->after_event = c->route.last_event_id;
 	out->priority = (uint8_t)MIN(c->grant.priority / 32, 9);
 	for (uint8_t i = 1; i < c->grant.endpoints; i++) {
 		struct dl_str name = dl_name_str(&c->grant.endpoint[i]);
@@ -134,7 +134,8 @@
 	uint32_t expected = c->grant.predicted_ttft_ms * 2;
 
 	/* Without another attempt there is nothing to gain by giving up. */
-	if (c->stream && c->idempotent && c->route.sent + 1 < c->route.attempts)
+	if (c->stream && c->idempotent &&
+	    c->route.sent + 1 < c->route.attempts_max)
 		patient = MAX(c->route.give_up_ms * SILENT_PERMILLE / PERMILLE,
 			      expected);
 	if (c->reservations)
@@ -182,9 +183,9 @@
 {
 	const struct dl_route_conf *route;
 
-	if (!entry_route_allow(c, &route))
+	if (!entry_route_authorize(c, &route))
 		return;
-	if (!entry_route_leads(c, route)) {
+	if (!entry_route_has_service(c, route)) {
 		entry_call_refuse(c, DL_REASON_NO_ENDPOINT, DL_STEP_PLACE,
 				  c->e->node.self, RETRY_SOON_MS);
 		return;
@@ -207,7 +208,7 @@
 	dl_vm_parse(dl_name_str(&c->grant.endpoint[0]), &to);
 	c->attempt_at = entry_now(c->e);
 	c->status = 0;
-	c->route.head = (struct relay_head){ .length = SIZE_MAX };
+	c->route.head = (struct response_head){ .content_length = SIZE_MAX };
 	c->route.instance = endpoint_of(c, 0)->instance;
 	c->endpoint_start =
 		entry_endpoint_start(c->e, dl_name_str(&c->service),
@@ -264,7 +265,7 @@
 		if (platform_dialect.passes(h->name))
 			call_headers_keep(c, h);
 	}
-	c->response_length = events ? SIZE_MAX : c->route.head.length;
+	c->response_length = events ? SIZE_MAX : c->route.head.content_length;
 }
 
 /* Whether an answer carries the id that this caller sent, or none. */
@@ -294,23 +295,23 @@
 	c->status = head->status;
 	c->route.head.not_run = said.not_run ||
 				head->status == STATUS_MISDIRECTED;
-	c->route.head.foreign = !is_ours(c, said.attempt_id);
-	if (!c->route.head.foreign)
+	c->route.head.wrong_request = !is_ours(c, said.attempt_id);
+	if (!c->route.head.wrong_request)
 		entry_limit_named(c, said.limit);
-	c->route.head.length = said.length;
+	c->route.head.content_length = said.length;
 	c->route.head.leaving = said.leaving;
 	if (said.leaving && is_of_start(c, head->status, said.at_fault))
 		entry_announce_leaves(c->e, dl_name_str(&c->grant.endpoint[0]),
 				      dl_name_str(&c->route.instance),
 				      c->dispatcher);
 	c->route.head.retry_after_ms = said.retry_after_ms;
-	c->route.head.turned_away =
+	c->route.head.backoff_requested =
 		entry_backoff_named(c, &c->grant.endpoint[0], c->endpoint_start,
 				    head->status, said.retry_after_ms);
 	dl_name_set(&c->route.head.at_fault, said.at_fault);
-	c->route.head.events = c->stream && head->status == 200;
+	c->route.head.is_event_stream = c->stream && head->status == 200;
 	if (!c->response_started)
-		keep_headers(c, head, c->route.head.events);
+		keep_headers(c, head, c->route.head.is_event_stream);
 }
 
 /* The id of an event, 0 where it has none. */
@@ -354,9 +355,11 @@
 {
 	int64_t now = entry_now(c->e);
 
-	if (c->route.event_at && now - c->route.event_at > c->route.pause_ms)
-		c->route.pause_ms = (uint32_t)(now - c->route.event_at);
-	c->route.event_at = now;
+	if (c->route.last_event_at &&
+	    now - c->route.last_event_at > c->route.longest_pause_ms)
+		c->route.longest_pause_ms =
+			(uint32_t)(now - c->route.last_event_at);
+	c->route.last_event_at = now;
 }
 
 /* Pass one whole event on; those that the caller has had are dropped. */
@@ -365,7 +368,7 @@
 	uint64_t id = event_id(event);
 
 	if (id && (c->route.resumes || c->relayed) &&
-	    id <= c->route.after_event)
+	    id <= c->route.last_event_id)
 		return true;
 	if (!c->first_byte_at) {
 		c->first_byte_at = entry_now(c->e);
@@ -376,7 +379,7 @@
 	if (!c->response_started)
 		begin_answer(c);
 	if (id)
-		c->route.after_event = id;
+		c->route.last_event_id = id;
 	note_pause(c);
 	c->relayed++;
 	return dl_httpd_send(c->http, event);
@@ -408,13 +411,13 @@
 {
 	struct call *c = arg;
 
-	if (c->route.head.foreign || c->route.head.too_long)
+	if (c->route.head.wrong_request || c->route.head.event_too_long)
 		return true;
-	if (c->response_started && !c->route.head.events)
+	if (c->response_started && !c->route.head.is_event_stream)
 		return dl_httpd_send(c->http, piece);
 	g_string_append_len(c->response_buf, piece.s, (gssize)piece.n);
-	if (c->route.head.events) {
-		c->route.head.too_long = c->response_buf->len > EVENT_MAX;
+	if (c->route.head.is_event_stream) {
+		c->route.head.event_too_long = c->response_buf->len > EVENT_MAX;
 		return pass_events(c);
 	}
 	if (c->response_buf->len > HOLD_MAX) {
@@ -433,7 +436,7 @@
 	struct dl_attempt a = *attempt;
 
 	if (a.received != DL_RECV_NOTHING &&
-	    (c->route.head.foreign || c->route.head.too_long)) {
+	    (c->route.head.wrong_request || c->route.head.event_too_long)) {
 		a.broke = DL_BROKE_GARBLED;
 		a.received = DL_RECV_HEAD;
 	} else if (c->route.head.not_run && a.received != DL_RECV_NOTHING) {
@@ -453,7 +456,7 @@
 		    c->status >= STATUS_ERROR ? DL_OUTCOME_FAILED :
 						DL_OUTCOME_DONE,
 		    c->status);
-	if (c->route.head.events && !c->response_started)
+	if (c->route.head.is_event_stream && !c->response_started)
 		begin_answer(c);
 	if (c->response_started) {
 		if (rest.n)
@@ -476,8 +479,8 @@
 		.deadline = c->deadline,
 	};
 
-	if (c->route.sent >= c->route.attempts || c->tried_count >= 3 ||
-	    c->route.connects >= CONNECTS_MAX)
+	if (c->route.sent >= c->route.attempts_max || c->tried_count >= 3 ||
+	    c->route.free_failures >= FREE_FAILURES_MAX)
 		return false;
 	return dl_call_next(&state, a, entry_call_retry_budget(c),
 			    entry_now(c->e)) == DL_NEXT_RETRY;
@@ -505,7 +508,7 @@
  */
 static bool is_free(const struct call *c, const struct dl_attempt *a)
 {
-	return was_unreached(c, a) || c->route.head.turned_away;
+	return was_unreached(c, a) || c->route.head.backoff_requested;
 }
 
 /*
@@ -516,7 +519,7 @@
 			  enum dl_outcome outcome)
 {
 	if (is_free(c, a))
-		c->route.connects++;
+		c->route.free_failures++;
 	else
 		c->route.tries++;
 	c->route.sent += outcome != DL_OUTCOME_NOT_RUN;
@@ -539,7 +542,7 @@
 	entry_quarantine_attempt(c, &a, err);
 	/* A stream that goes on elsewhere got an error in place of events. */
 	whole = a.received == DL_RECV_WHOLE && a.broke == DL_BROKE_NOTHING &&
-		!(c->relayed && !c->route.head.events);
+		!(c->relayed && !c->route.head.is_event_stream);
 	call_fill_usage(c, &a, c->prompt_tokens, c->output_tokens,
 			c->status >= STATUS_ERROR || !whole);
 	blame(c);
--- a/src/main/entry_route.c
+++ b/src/main/entry_route.c
@@ -90,7 +90,7 @@
 	r->kind = route->kind;
 	r->target_ms = route->target_ms;
 	r->gap_ms = route->gap_ms;
-	r->attempts = route->attempts;
+	r->attempts_max = route->attempts;
 	r->give_up_ms = give_up_ms(route);
 	c->stream = route->kind == DL_ROUTE_STREAM;
 	c->idempotent = c->stream ? route->resumable :
@@ -116,7 +116,7 @@
 				   service->pool.engine.usual_output;
 	c->prefix = in->prefix;
 	c->prefix_tokens = in->prefix_tokens;
-	c->route.after_event = in->after_event;
+	c->route.last_event_id = in->after_event;
 	c->route.resumes = in->resumes;
 }
 
@@ -141,7 +141,7 @@
 }
 
 /* Nothing can be said for sure about the request here and now. */
-void entry_route_give_up(struct call *c)
+void entry_route_refuse_no_quorum(struct call *c)
 {
 	entry_call_refuse(c, DL_REASON_NO_QUORUM, DL_STEP_CHECK,
 			  c->e->node.self, group_back_ms(c->e));
@@ -158,7 +158,7 @@
 	const struct dl_conf *conf = c->e->conf;
 
 	if (!entry_lease_holds(c->e)) {
-		entry_route_give_up(c);
+		entry_route_refuse_no_quorum(c);
 		return false;
 	}
 	*route = dl_conf_route(conf, dl_httpd_host(c->http),
@@ -193,7 +193,7 @@
  * The same again before each attempt, since a change may have come while the
  * request waited.
  */
-bool entry_route_allow(struct call *c, const struct dl_route_conf **route)
+bool entry_route_authorize(struct call *c, const struct dl_route_conf **route)
 {
 	struct dl_inbound in;
 
@@ -202,7 +202,8 @@
 }
 
 /* Whether a route still leads to the service that was picked. */
-bool entry_route_leads(const struct call *c, const struct dl_route_conf *route)
+bool entry_route_has_service(const struct call *c,
+			     const struct dl_route_conf *route)
 {
 	const struct dl_conf *conf = c->e->conf;
 
