--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -167,8 +167,8 @@
 	entry_lease_tick(e, now);
 	entry_quarantine_tick(e, now);
 	entry_limit_tick(e, now);
-	if (now - e->counted_at >= COUNT_EVERY_MS) {
-		e->counted_at = now;
+	if (now - e->metrics_updated_at >= COUNT_EVERY_MS) {
+		e->metrics_updated_at = now;
 		count_live(e);
 	}
 	if (out_of_time(e, now))
@@ -269,17 +269,17 @@
 	/* Before any thread parses: the hash of JSON objects is seeded once. */
 	json_object_seed(0);
 	e->next_id = e->node.incarnation;
-	e->replica_heard = entry_now(e);
+	e->replica_heard_at = entry_now(e);
 	e->started_at = entry_now(e);
 	e->directory = dl_directory_new();
 	e->reports = dl_reports_new();
 	e->backoff = dl_backoff_new();
 	entry_quarantine_open(e);
-	e->lost = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					g_free);
+	e->unreachable_vms = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						   g_free, g_free);
 	e->asks = g_hash_table_new(g_int64_hash, g_int64_equal);
-	e->budgets = g_hash_table_new(g_str_hash, g_str_equal);
-	e->ratios =
+	e->retry_budgets = g_hash_table_new(g_str_hash, g_str_equal);
+	e->bytes_per_token =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	return start_http(e, err);
 }
--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -52,19 +52,20 @@
 	struct entry_pool *next;
 	struct dl_name service;
 	struct dl_pool *pool;
-	bool leading;
-	bool silent;	       /* no endpoint is heard */
-	GHashTable *announced; /* endpoint to its last struct announced */
+	bool dispatching;
+	bool all_silent; /* no endpoint is heard */
+	GHashTable
+		*announced; /* endpoint to its last struct announced_endpoint */
 	struct dl_spill spill;
-	int64_t led_since;
-	struct held_ask *held; /* until the endpoints are known */
-	uint64_t limits_told;  /* the dispatcher that was told of limits */
-	int64_t limit_named;   /* when an answer named one last; 0: never */
+	int64_t dispatching_since;
+	struct held_ask *held_asks; /* until the endpoints are known */
+	uint64_t limits_sent_to;    /* the dispatcher that was told of limits */
+	int64_t limit_seen_at; /* when an answer named one last; 0: never */
 };
 
 /* What an endpoint announced that only the order planner asks for. */
-struct announced {
-	int64_t heard;
+struct announced_endpoint {
+	int64_t heard_at;
 	uint64_t incarnation;
 	bool leaving;
 	struct dl_name models[DL_ANNOUNCED_MODELS_MAX];
@@ -73,12 +74,12 @@
 };
 
 /* What the dispatcher of another failure domain last said of its pool. */
-struct entry_far {
-	struct entry_far *next;
+struct remote_pool {
+	struct remote_pool *next;
 	struct dl_name service;
 	struct dl_name domain;
 	struct dl_pool_summary summary;
-	int64_t heard;
+	int64_t heard_at;
 };
 
 /* One hop of a request, for traces; times since the request came. */
@@ -292,17 +293,17 @@
 	size_t conf_text_n;
 	struct conf_reading *conf_reading; /* a newer one, beside the loop */
 	struct conf_reading *conf_next;	   /* the one after it */
-	int64_t conf_rests_until;	   /* nothing is read before, */
-	int64_t conf_waits_since;	   /* unless something waits for long */
-	int64_t conf_read_at;		   /* the last one, beside the loop */
+	int64_t conf_read_not_before;	   /* nothing is read before, */
+	int64_t conf_waiting_since;	   /* unless something waits for long */
+	int64_t conf_last_read_at;	   /* the last one, beside the loop */
 	char *conf_pushed; /* the same as it came, for those who ask us */
 	size_t conf_pushed_n;
 	uint64_t version;
-	int64_t pulled_at;
-	int64_t replica_heard;
+	int64_t conf_pulled_at;
+	int64_t replica_heard_at;
 
 	struct dl_lease lease;
-	bool lease_noted;
+	bool lease_logged;
 	struct dl_directory *directory;
 	struct dl_reports *reports; /* that replicas passed on */
 	struct dl_backoff *backoff; /* of endpoints towards this VM */
@@ -311,29 +312,30 @@
 
 	/* dispatching */
 	struct entry_pool *pools;
-	struct entry_far *far;
-	GHashTable
-		*lost; /* VM that does not answer to when that was last seen */
-	int64_t summaries_at;
-	int64_t counted_at;
+	struct remote_pool *remote_pools;
+	GHashTable *unreachable_vms; /* VM that does not answer to when that was
+					last seen */
+	int64_t summaries_sent_at;
+	int64_t metrics_updated_at;
 
 	/* requests */
 	struct call *calls;
 	uint32_t calls_count;
 	uint64_t next_id;
-	GHashTable *asks;    /* ask id to its call */
-	GHashTable *budgets; /* service to its retry budget */
-	GHashTable *ratios;  /* workspace to bytes a token, thousandths */
+	GHashTable *asks;	   /* ask id to its call */
+	GHashTable *retry_budgets; /* service to its retry budget */
+	GHashTable
+		*bytes_per_token; /* workspace to bytes a token, thousandths */
 	uint64_t buffered;
 
 	/* commands and questions to the replicas */
 	struct entry_cmd *cmds;
 	uint64_t next_cmd;
 	uint64_t leader; /* best guess */
-	uint32_t replica_turn;
+	uint32_t next_replica;
 
 	struct trace *traces; /* a ring */
-	uint32_t traces_at;
+	uint32_t traces_next;
 
 	int64_t started_at;
 	bool draining; /* by signal or by the operators */
@@ -481,7 +483,7 @@
 void entry_reach_tick(struct entry *e);
 
 /* entry_far.c */
-bool entry_far_fresh(const struct entry *e, const struct entry_far *far,
+bool entry_far_fresh(const struct entry *e, const struct remote_pool *far,
 		     struct dl_str service);
 void entry_far_offer(struct entry *e, struct dl_str service,
 		     struct dl_answer_frame *f);
--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -26,7 +26,7 @@
 	const struct dl_directory_entry *d =
 		dl_directory_find(e->directory, address);
 	const struct entry_pool *p;
-	const struct announced *a;
+	const struct announced_endpoint *a;
 
 	if (d)
 		return d->leaving ? 0 : named_start(d);
@@ -42,7 +42,8 @@
 static void remember(struct entry *e, struct entry_pool *p,
 		     struct dl_announcement *a)
 {
-	struct announced *n = g_hash_table_lookup(p->announced, a->report.id.s);
+	struct announced_endpoint *n =
+		g_hash_table_lookup(p->announced, a->report.id.s);
 	struct dl_str id = dl_name_str(&a->report.id);
 
 	if (n && n->incarnation != a->report.incarnation && !n->leaving)
@@ -50,10 +51,10 @@
 	if (n && n->incarnation == a->report.incarnation && n->leaving)
 		a->report.leaving = true;
 	if (!n) {
-		n = g_new0(struct announced, 1);
+		n = g_new0(struct announced_endpoint, 1);
 		g_hash_table_insert(p->announced, g_strdup(a->report.id.s), n);
 	}
-	n->heard = entry_now(e);
+	n->heard_at = entry_now(e);
 	n->incarnation = a->report.incarnation;
 	n->leaving = a->report.leaving;
 	memcpy(n->models, a->models, sizeof(n->models));
--- a/src/main/entry_call.c
+++ b/src/main/entry_call.c
@@ -265,13 +265,13 @@
 		return;
 	milli = c->prompt_bytes * 1000 / c->used_prompt;
 	milli = CLAMP(milli, RATIO_MIN_MILLI, RATIO_MAX_MILLI);
-	old = g_hash_table_lookup(e->ratios, c->workspace.s);
+	old = g_hash_table_lookup(e->bytes_per_token, c->workspace.s);
 	if (old)
 		milli = (GPOINTER_TO_SIZE(old) * 7 + milli) / 8;
-	else if (g_hash_table_size(e->ratios) >= RATIOS_MAX)
+	else if (g_hash_table_size(e->bytes_per_token) >= RATIOS_MAX)
 		return;
 	name = g_strdup(c->workspace.s);
-	g_hash_table_replace(e->ratios, name, GSIZE_TO_POINTER(milli));
+	g_hash_table_replace(e->bytes_per_token, name, GSIZE_TO_POINTER(milli));
 }
 
 /* The endpoint has answered whole. */
@@ -433,12 +433,13 @@
 {
 	struct entry *e = c->e;
 	struct dl_retry_budget *b =
-		g_hash_table_lookup(e->budgets, c->service.s);
+		g_hash_table_lookup(e->retry_budgets, c->service.s);
 
 	if (!b) {
 		b = g_new0(struct dl_retry_budget, 1);
 		dl_retry_budget_init(b, c->retry_permille, RETRY_BURST);
-		g_hash_table_insert(e->budgets, g_strdup(c->service.s), b);
+		g_hash_table_insert(e->retry_budgets, g_strdup(c->service.s),
+				    b);
 	}
 	return b;
 }
--- a/src/main/entry_cmd.c
+++ b/src/main/entry_cmd.c
@@ -102,8 +102,8 @@
 
 	if (n == 0)
 		return DL_VM_NONE;
-	e->replica_turn++;
-	return all[e->replica_turn % n];
+	e->next_replica++;
+	return all[e->next_replica % n];
 }
 
 /* Have a guess at who leads, where there is none. */
@@ -250,7 +250,7 @@
 void entry_cmd_frame(struct entry *e, uint64_t from,
 		     const struct dl_frame *frame)
 {
-	e->replica_heard = entry_now(e);
+	e->replica_heard_at = entry_now(e);
 	if (frame->kind == DL_FRAME_CMD_REPLY)
 		on_reply(e, from, frame);
 	else
--- a/src/main/entry_conf.c
+++ b/src/main/entry_conf.c
@@ -167,8 +167,8 @@
 	int64_t now = entry_now(e);
 
 	e->conf_reading = NULL;
-	e->conf_read_at = now;
-	e->conf_rests_until = now + REST_SHARE * (now - r->began);
+	e->conf_last_read_at = now;
+	e->conf_read_not_before = now + REST_SHARE * (now - r->began);
 	if (status == 0)
 		take_read(e, r);
 }
@@ -180,8 +180,8 @@
 
 	if (!next || e->conf_reading)
 		return;
-	if (now < e->conf_rests_until &&
-	    now - e->conf_waits_since < WAIT_MAX_MS)
+	if (now < e->conf_read_not_before &&
+	    now - e->conf_waiting_since < WAIT_MAX_MS)
 		return;
 	e->conf_next = NULL;
 	start_reading(e, next);
@@ -195,8 +195,9 @@
 static void start_reading(struct entry *e, struct conf_reading *r)
 {
 	r->began = entry_now(e);
-	r->waited_ms = (uint32_t)(r->began - e->conf_waits_since);
-	r->rested_ms = e->conf_read_at ? r->began - e->conf_read_at : -1;
+	r->waited_ms = (uint32_t)(r->began - e->conf_waiting_since);
+	r->rested_ms = e->conf_last_read_at ? r->began - e->conf_last_read_at :
+					      -1;
 	if (r->pushed_n <= READ_INLINE_MAX) {
 		read_pushed(r);
 		take_read(e, r);
@@ -228,7 +229,7 @@
 		g_free(e->conf_next->pushed);
 		g_free(e->conf_next);
 	} else {
-		e->conf_waits_since = entry_now(e);
+		e->conf_waiting_since = entry_now(e);
 	}
 	e->conf_next = r;
 	read_next(e, entry_now(e));
@@ -256,7 +257,7 @@
 		take(e, version, text);
 	dl_reader_close(&r);
 	if (entry_cmd_is_replica(e, from))
-		e->replica_heard = entry_now(e);
+		e->replica_heard_at = entry_now(e);
 }
 
 static void on_pull(struct entry *e, uint64_t from, const struct dl_frame *f)
@@ -316,9 +317,9 @@
 {
 	int64_t now = entry_now(e);
 
-	if (version <= coming(e) || now - e->pulled_at < PULL_GAP_MS)
+	if (version <= coming(e) || now - e->conf_pulled_at < PULL_GAP_MS)
 		return;
-	e->pulled_at = now;
+	e->conf_pulled_at = now;
 	pull(e, vm);
 }
 
@@ -335,16 +336,16 @@
 	const struct dl_settings *s = &e->node.settings;
 	uint64_t newest, vm;
 
-	dl_gauge(DL_METRIC_replica_heard_ms_ago, now - e->replica_heard);
+	dl_gauge(DL_METRIC_replica_heard_ms_ago, now - e->replica_heard_at);
 	read_next(e, now);
-	if (now - e->pulled_at < PULL_EVERY_MS)
+	if (now - e->conf_pulled_at < PULL_EVERY_MS)
 		return;
 	newest = dl_memb_newest(e->node.memb, &vm);
 	if (newest > coming(e)) {
 		entry_conf_shown(e, newest, vm);
 		return;
 	}
-	e->pulled_at = now;
+	e->conf_pulled_at = now;
 	if (coming(e) || !s->replicas_count)
 		return;
 	pull(e, s->replicas[(uint64_t)now / PULL_EVERY_MS % s->replicas_count]);
--- a/src/main/entry_far.c
+++ b/src/main/entry_far.c
@@ -12,11 +12,11 @@
 #define SUMMARY_OLD_MS 3000
 
 /* Whether a summary is of this service and still says something. */
-bool entry_far_fresh(const struct entry *e, const struct entry_far *far,
+bool entry_far_fresh(const struct entry *e, const struct remote_pool *far,
 		     struct dl_str service)
 {
 	return dl_name_eq(&far->service, service) &&
-	       entry_now(e) - far->heard <= SUMMARY_OLD_MS;
+	       entry_now(e) - far->heard_at <= SUMMARY_OLD_MS;
 }
 
 /* Other domains that a refused request may try, the least loaded first. */
@@ -24,12 +24,12 @@
 		     struct dl_answer_frame *f)
 {
 	uint64_t backlog[DL_SPILL_MAX];
-	const struct entry_far *far;
+	const struct remote_pool *far;
 	uint32_t k;
 
 	if (f->answer.verdict != DL_REFUSED)
 		return;
-	for (far = e->far; far; far = far->next) {
+	for (far = e->remote_pools; far; far = far->next) {
 		if (!entry_far_fresh(e, far, service) ||
 		    far->summary.endpoints == 0)
 			continue;
@@ -46,13 +46,13 @@
 	}
 }
 
-static struct entry_far *far_find(struct entry *e,
-				  const struct dl_name *service,
-				  const struct dl_name *domain)
+static struct remote_pool *far_find(struct entry *e,
+				    const struct dl_name *service,
+				    const struct dl_name *domain)
 {
-	struct entry_far *far;
+	struct remote_pool *far;
 
-	for (far = e->far; far; far = far->next) {
+	for (far = e->remote_pools; far; far = far->next) {
 		if (dl_name_eq(&far->service, dl_name_str(service)) &&
 		    dl_name_eq(&far->domain, dl_name_str(domain)))
 			return far;
@@ -62,8 +62,8 @@
 		return NULL;
 	far->service = *service;
 	far->domain = *domain;
-	far->next = e->far;
-	e->far = far;
+	far->next = e->remote_pools;
+	e->remote_pools = far;
 	return far;
 }
 
@@ -72,7 +72,7 @@
 {
 	struct dl_name service, domain;
 	struct dl_pool_summary summary;
-	struct entry_far *far;
+	struct remote_pool *far;
 
 	if (dl_summary_read(f->body, &service, &domain, &summary))
 		return;
@@ -80,7 +80,7 @@
 	if (!far)
 		return;
 	far->summary = summary;
-	far->heard = entry_now(e);
+	far->heard_at = entry_now(e);
 }
 
 static bool seen_domain(const struct dl_name *seen, uint32_t n,
@@ -125,11 +125,11 @@
 /* A dispatcher elsewhere cannot be reached: spill there no more for now. */
 void entry_far_down(struct entry *e, uint64_t vm)
 {
-	struct entry_far *far;
+	struct remote_pool *far;
 
-	for (far = e->far; far; far = far->next) {
+	for (far = e->remote_pools; far; far = far->next) {
 		if (entry_pool_owner(e, dl_name_str(&far->service),
 				     dl_name_str(&far->domain)) == vm)
-			far->heard = -SUMMARY_OLD_MS - 1;
+			far->heard_at = -SUMMARY_OLD_MS - 1;
 	}
 }
--- a/src/main/entry_http.c
+++ b/src/main/entry_http.c
@@ -72,7 +72,7 @@
 
 static void get_health(struct entry *e, struct dl_httpd_req *req)
 {
-	bool quiet = entry_now(e) - e->replica_heard > REPLICA_QUIET_MS;
+	bool quiet = entry_now(e) - e->replica_heard_at > REPLICA_QUIET_MS;
 
 	dl_httpd_reply(req, 200, NULL, 0,
 		       quiet ? DL_STR("ok, but no replica has been heard\n") :
--- a/src/main/entry_lease.c
+++ b/src/main/entry_lease.c
@@ -12,9 +12,9 @@
 {
 	bool holds = entry_lease_holds(e);
 
-	if (holds == e->lease_noted)
+	if (holds == e->lease_logged)
 		return;
-	e->lease_noted = holds;
+	e->lease_logged = holds;
 	dl_msg(holds ? DL_MSG_LEASE_HELD : DL_MSG_LEASE_LOST,
 	       "version=%lu age_ms=%ld leader=%lx", (unsigned long)e->version,
 	       (long)dl_lease_age(&e->lease, dl_node_boot_ms()),
@@ -53,7 +53,7 @@
 /* How long a request without a word of the group may wait for one. */
 uint32_t entry_lease_patience(const struct entry *e, uint32_t left_ms)
 {
-	return dl_lease_patience(&e->lease, e->started_at, e->replica_heard,
+	return dl_lease_patience(&e->lease, e->started_at, e->replica_heard_at,
 				 left_ms, entry_now(e));
 }
 
@@ -74,7 +74,7 @@
 	dl_reader_close(&r);
 	if (bad)
 		return;
-	e->replica_heard = entry_now(e);
+	e->replica_heard_at = entry_now(e);
 	e->leader = dl_lease_take(&e->lease, &a, e->version, dl_node_boot_ms());
 	if (a.sure)
 		entry_conf_shown(e, a.version, from);
--- a/src/main/entry_limit.c
+++ b/src/main/entry_limit.c
@@ -23,16 +23,17 @@
 	    entry_endpoint_start(e, dl_name_str(&f->service), address))
 		return;
 	if (f->limit != DL_UNLIMITED)
-		p->limit_named = entry_now(e);
+		p->limit_seen_at = entry_now(e);
 	if (!dl_pool_limit(p->pool, address, f->limit, entry_now(e)))
 		return;
 	if (f->limit == DL_UNLIMITED)
 		dl_msg(DL_MSG_LIMIT_OVER, "endpoint=%s from=%lx leading=%d",
-		       address.s, (unsigned long)from, p->leading);
+		       address.s, (unsigned long)from, p->dispatching);
 	else
 		dl_msg(DL_MSG_LIMIT_NAMED,
 		       "endpoint=%s limit_per_1000s=%u from=%lx leading=%d",
-		       address.s, f->limit, (unsigned long)from, p->leading);
+		       address.s, f->limit, (unsigned long)from,
+		       p->dispatching);
 }
 
 static void tell(struct entry *e, uint64_t dispatcher,
@@ -95,12 +96,12 @@
 	uint64_t owner;
 	uint32_t at = 0;
 
-	if (!p->limit_named || now - p->limit_named > RECENT_MS)
+	if (!p->limit_seen_at || now - p->limit_seen_at > RECENT_MS)
 		return;
 	owner = entry_pool_owner(e, service, domain);
-	if (owner == p->limits_told || owner == DL_VM_NONE)
+	if (owner == p->limits_sent_to || owner == DL_VM_NONE)
 		return;
-	p->limits_told = owner;
+	p->limits_sent_to = owner;
 	while (owner != e->node.self &&
 	       dl_pool_limit_next(p->pool, &at, now - RECENT_MS, &f.endpoint,
 				  &f.limit)) {
--- a/src/main/entry_ops.c
+++ b/src/main/entry_ops.c
@@ -424,7 +424,7 @@
 	struct entry_pool *p;
 
 	for (p = e->pools; p; p = p->next) {
-		if (!p->leading)
+		if (!p->dispatching)
 			continue;
 		json_array_append_new(pools, pool_json(e, p));
 		add_endpoints(p, endpoints);
@@ -435,7 +435,7 @@
 }
 
 static json_t *one_announced(const char *service, const char *id,
-			     const struct announced *a)
+			     const struct announced_endpoint *a)
 {
 	json_t *o = json_object(), *models = json_array();
 
@@ -462,13 +462,13 @@
 		GHashTableIter it;
 		gpointer id, a;
 
-		if (!p->leading)
+		if (!p->dispatching)
 			continue;
 		g_hash_table_iter_init(&it, p->announced);
 		while (g_hash_table_iter_next(&it, &id, &a)) {
-			const struct announced *n = a;
+			const struct announced_endpoint *n = a;
 
-			if (entry_now(e) - n->heard > ANNOUNCED_OLD_MS)
+			if (entry_now(e) - n->heard_at > ANNOUNCED_OLD_MS)
 				g_hash_table_iter_remove(&it);
 			else
 				json_array_append_new(
@@ -595,7 +595,7 @@
 			    json_integer((json_int_t)e->version));
 	json_object_set_new(o->root, "draining", json_boolean(e->draining));
 	json_object_set_new(o->root, "replica_heard_ms_ago",
-			    json_integer(entry_now(e) - e->replica_heard));
+			    json_integer(entry_now(e) - e->replica_heard_at));
 	json_object_set_new(o->root, "vms", vms_json(e));
 	json_object_set_new(o->root, "pools", json_array());
 	json_object_set_new(o->root, "endpoints", json_array());
--- a/src/main/entry_pool.c
+++ b/src/main/entry_pool.c
@@ -97,7 +97,7 @@
 		return;
 	conf = s->pool;
 	conf.reports_together = e->node.settings.foreign;
-	if (!p->leading && !e->node.settings.foreign &&
+	if (!p->dispatching && !e->node.settings.foreign &&
 	    conf.report_gone_ms > KEPT_REPORT_MS)
 		conf.report_gone_ms = KEPT_REPORT_MS;
 	dl_pool_configure(p->pool, &conf);
@@ -110,14 +110,14 @@
 	uint64_t owner = entry_pool_owner(e, dl_name_str(&p->service), domain);
 	bool leading = owner == e->node.self;
 
-	if (leading && !p->leading) {
-		p->led_since = entry_now(e);
+	if (leading && !p->dispatching) {
+		p->dispatching_since = entry_now(e);
 		dl_msg(DL_MSG_POOL_LEAD, "service=%s", p->service.s);
 		dl_pool_lead(p->pool, entry_now(e));
 	}
-	if (leading == p->leading)
+	if (leading == p->dispatching)
 		return;
-	p->leading = leading;
+	p->dispatching = leading;
 	put_conf(e, p);
 }
 
@@ -171,7 +171,7 @@
 
 static bool drop_held(struct entry_pool *p, uint64_t entry, uint64_t request)
 {
-	struct held_ask **at = &p->held, *h;
+	struct held_ask **at = &p->held_asks, *h;
 
 	while ((h = *at) &&
 	       (h->frame.ask.request != request || h->frame.ask.entry != entry))
@@ -195,9 +195,9 @@
 			continue;
 		}
 		*at = p->next;
-		while (p->held)
-			drop_held(p, p->held->frame.ask.entry,
-				  p->held->frame.ask.request);
+		while (p->held_asks)
+			drop_held(p, p->held_asks->frame.ask.entry,
+				  p->held_asks->frame.ask.request);
 		dl_pool_free(p->pool);
 		g_hash_table_destroy(p->announced);
 		free(p);
@@ -263,11 +263,11 @@
 	struct dl_answer_frame f = { .service = p->service, .spill_count = 1 };
 	struct dl_pool_summary own, others[DL_SPILL_MAX];
 	const struct dl_name *domains[DL_SPILL_MAX];
-	const struct entry_far *far;
+	const struct remote_pool *far;
 	uint32_t n = 0;
 	int to;
 
-	for (far = e->far; far && n < DL_SPILL_MAX; far = far->next) {
+	for (far = e->remote_pools; far && n < DL_SPILL_MAX; far = far->next) {
 		if (!entry_far_fresh(e, far, dl_name_str(&p->service)))
 			continue;
 		domains[n] = &far->domain;
@@ -297,7 +297,7 @@
 /* A dispatcher that has just taken over and has heard no endpoint yet. */
 static bool knows_nobody(struct entry *e, struct entry_pool *p)
 {
-	return entry_now(e) - p->led_since <= KNOW_ENDPOINTS_MS &&
+	return entry_now(e) - p->dispatching_since <= KNOW_ENDPOINTS_MS &&
 	       !knows_endpoints(e, p);
 }
 
@@ -315,8 +315,8 @@
 	h->frame = *f;
 	dl_name_set(&h->workspace, f->ask.workspace);
 	h->frame.ask.workspace = dl_name_str(&h->workspace);
-	h->next = p->held;
-	p->held = h;
+	h->next = p->held_asks;
+	p->held_asks = h;
 	queued.answer.request = f->ask.request;
 	queued.answer.entry = f->ask.entry;
 	queued.answer.verdict = DL_QUEUED;
@@ -326,11 +326,11 @@
 /* Ask the pool what was held, once it knows its endpoints. */
 static void let_go_held(struct entry *e, struct entry_pool *p)
 {
-	struct held_ask *h = p->held, *next;
+	struct held_ask *h = p->held_asks, *next;
 
-	if (!h || (p->leading && knows_nobody(e, p)))
+	if (!h || (p->dispatching && knows_nobody(e, p)))
 		return;
-	p->held = NULL;
+	p->held_asks = NULL;
 	for (; h; h = next) {
 		next = h->next;
 		entry_pool_ask(e, p, &h->frame, false);
@@ -357,17 +357,17 @@
 	struct dl_answer answer;
 
 	update_leading(e, p);
-	asked.alone = local && !p->leading;
-	asked.standby = f->standby && !p->leading;
-	if (f->standby && !p->leading)
+	asked.alone = local && !p->dispatching;
+	asked.standby = f->standby && !p->dispatching;
+	if (f->standby && !p->dispatching)
 		local = local || knows_endpoints(e, p);
-	if (p->leading && !local && knows_nobody(e, p)) {
+	if (p->dispatching && !local && knows_nobody(e, p)) {
 		hold(e, p, f);
 		return;
 	}
-	if (p->leading && !local && !f->settled && send_away(e, p, ask))
+	if (p->dispatching && !local && !f->settled && send_away(e, p, ask))
 		return;
-	if (p->leading || local) {
+	if (p->dispatching || local) {
 		dl_pool_ask(p->pool, ask, entry_now(e), &answer);
 	} else {
 		memset(&answer, 0, sizeof(answer));
@@ -516,17 +516,17 @@
 {
 	bool silent = dl_pool_is_silent(p->pool, now);
 
-	if (silent == p->silent)
+	if (silent == p->all_silent)
 		return;
-	p->silent = silent;
+	p->all_silent = silent;
 	dl_msg(silent ? DL_MSG_POOL_SILENT : DL_MSG_POOL_HEARD,
-	       "service=%s leading=%d", p->service.s, p->leading);
+	       "service=%s leading=%d", p->service.s, p->dispatching);
 }
 
 /* Hand out what became ready, and tell other domains of the load. */
 void entry_pool_tick(struct entry *e, int64_t now)
 {
-	bool summaries = now - e->summaries_at >= SUMMARY_EVERY_MS;
+	bool summaries = now - e->summaries_sent_at >= SUMMARY_EVERY_MS;
 	struct entry_pool *p;
 	struct dl_answer answer;
 	int64_t queued = 0, endpoints = 0;
@@ -538,7 +538,7 @@
 		if (!summaries)
 			continue;
 		note_silence(p, now);
-		if (p->leading) {
+		if (p->dispatching) {
 			struct dl_pool_summary s;
 
 			dl_pool_summarize(p->pool, now, &s);
@@ -549,7 +549,7 @@
 	}
 	if (!summaries)
 		return;
-	e->summaries_at = now;
+	e->summaries_sent_at = now;
 	dl_reports_forget(e->reports, now - FORGET_REPORTS_MS);
 	entry_reach_tick(e);
 	dl_gauge(DL_METRIC_queue_entries, queued);
--- a/src/main/entry_reach.c
+++ b/src/main/entry_reach.c
@@ -26,10 +26,10 @@
 
 	if (vm == e->node.self || vm == DL_VM_NONE)
 		return;
-	if (!g_hash_table_contains(e->lost, &vm))
+	if (!g_hash_table_contains(e->unreachable_vms, &vm))
 		dl_msg(DL_MSG_VM_UNREACHABLE, "vm=%lx for_ms=%d",
 		       (unsigned long)vm, LOST_MS);
-	g_hash_table_replace(e->lost, g_memdup2(&vm, sizeof(vm)),
+	g_hash_table_replace(e->unreachable_vms, g_memdup2(&vm, sizeof(vm)),
 			     g_memdup2(&now, sizeof(now)));
 	dl_memb_unreachable(e->node.memb, vm, true);
 }
@@ -47,10 +47,10 @@
 /* A VM has sent something. */
 void entry_reach_heard(struct entry *e, uint64_t vm)
 {
-	const int64_t *at = g_hash_table_lookup(e->lost, &vm);
+	const int64_t *at = g_hash_table_lookup(e->unreachable_vms, &vm);
 
 	if (at && ends(e, vm, *at, LOST_MIN_MS))
-		g_hash_table_remove(e->lost, &vm);
+		g_hash_table_remove(e->unreachable_vms, &vm);
 }
 
 static gboolean is_over(gpointer vm, gpointer at, gpointer e)
@@ -61,5 +61,5 @@
 /* Try again what was lost a while ago. */
 void entry_reach_tick(struct entry *e)
 {
-	g_hash_table_foreach_remove(e->lost, is_over, e);
+	g_hash_table_foreach_remove(e->unreachable_vms, is_over, e);
 }
--- a/src/main/entry_read.c
+++ b/src/main/entry_read.c
@@ -113,7 +113,8 @@
 {
 	const struct dl_completion *completion = &c->completion;
 	uint64_t milli = BYTES_PER_TOKEN_MILLI;
-	gpointer known = g_hash_table_lookup(c->e->ratios, c->workspace.s);
+	gpointer known =
+		g_hash_table_lookup(c->e->bytes_per_token, c->workspace.s);
 
 	if (known)
 		milli = GPOINTER_TO_SIZE(known);
--- a/src/main/entry_trace.c
+++ b/src/main/entry_trace.c
@@ -27,7 +27,7 @@
 
 	if (!e->traces)
 		e->traces = g_new0(struct trace, TRACES_KEPT);
-	t = &e->traces[e->traces_at++ % TRACES_KEPT];
+	t = &e->traces[e->traces_next++ % TRACES_KEPT];
 	memcpy(t->id_text, c->id_text, sizeof(t->id_text));
 	t->service = c->service;
 	t->workspace = c->workspace;
@@ -77,12 +77,12 @@
 char *entry_trace_json(const struct entry *e)
 {
 	json_t *root = json_object(), *list = json_array();
-	uint32_t n = MIN(e->traces_at, TRACES_KEPT);
+	uint32_t n = MIN(e->traces_next, TRACES_KEPT);
 	char *text;
 
 	for (uint32_t i = 0; i < n; i++)
 		json_array_append_new(
-			list, trace_json(&e->traces[(e->traces_at - 1 - i) %
+			list, trace_json(&e->traces[(e->traces_next - 1 - i) %
 						    TRACES_KEPT]));
 	json_object_set_new(root, "traces", list);
 	text = json_dumps(root, JSON_COMPACT);
