--- a/src/main/entry_answer.c
+++ b/src/main/entry_answer.c
@@ -3,8 +3,8 @@
 
 #include "main/entry_call.h"
 
-static size_t answer_headers(const struct call *c, struct dl_header *out,
-			     const char *retry_after)
+static size_t fill_headers(const struct call *c, struct dl_header *out,
+			   const char *retry_after)
 {
 	size_t n = 0;
 
@@ -20,7 +20,7 @@
 	return n;
 }
 
-static void end_stream_event(struct call *c, const char *reason)
+static void send_end_event(struct call *c, const char *reason)
 {
 	char event[256];
 	int n;
@@ -49,7 +49,7 @@
 	}
 	if (c->response_started) {
 		if (c->kind == DL_POOL_MODEL)
-			end_stream_event(c, reason);
+			send_end_event(c, reason);
 		dl_httpd_finish(c->http, c->kind == DL_POOL_MODEL);
 		return;
 	}
@@ -58,7 +58,7 @@
 	else
 		snprintf(seconds, sizeof(seconds), "%u",
 			 (retry_ms + 999) / 1000);
-	count = answer_headers(c, headers, retry_ms ? seconds : NULL);
+	count = fill_headers(c, headers, retry_ms ? seconds : NULL);
 	headers[count++] = (struct dl_header){ DL_STR("Content-Type"),
 					       DL_STR("application/json") };
 	body = dl_error_body(reason, dl_step_name(err->step), err->peer,
@@ -107,13 +107,13 @@
 		return;
 	if (c->response_started) {
 		if (c->kind == DL_POOL_MODEL) {
-			end_stream_event(c, "");
+			send_end_event(c, "");
 			dl_httpd_send(c->http, DL_STR("data: [DONE]\n\n"));
 		}
 		dl_httpd_finish(c->http, true);
 		return;
 	}
-	n = answer_headers(c, headers, NULL);
+	n = fill_headers(c, headers, NULL);
 	if (c->kind == DL_POOL_PLAIN)
 		n += call_headers_fill(c, headers + n, 63 - n);
 	else
