--- a/src/main/entry_call.c
+++ b/src/main/entry_call.c
@@ -13,13 +13,13 @@
 #define RATIO_MIN_MILLI 250
 #define RATIO_MAX_MILLI 16000
 /* Retries that may come at once before the share of first tries bounds them. */
-#define RETRY_BURST	 10
-#define RETRY_AFTER_MS	 1000
-#define STATUS_LATE	 504
-#define STATUS_CANNOT	 503
-#define STATUS_BROKEN	 502
-#define STATUS_SLOW_DOWN 429
-#define STATUS_TOO_LONG	 413
+#define RETRY_BURST		 10
+#define RETRY_AFTER_MS		 1000
+#define STATUS_GATEWAY_TIMEOUT	 504
+#define STATUS_UNAVAILABLE	 503
+#define STATUS_BAD_GATEWAY	 502
+#define STATUS_TOO_MANY_REQUESTS 429
+#define STATUS_CONTENT_TOO_LARGE 413
 
 static void on_closed(struct http_owner *self);
 static void on_drained(struct http_owner *self);
@@ -92,7 +92,7 @@
 }
 
 /* The engines that read a prompt with the one that answers. */
-static void name_helpers(const struct call *c, char *text, size_t size)
+static void format_helpers(const struct call *c, char *text, size_t size)
 {
 	size_t at = 0;
 
@@ -104,12 +104,12 @@
 }
 
 /* One line for each request: what became of it, and of what. */
-static void say_ended(const struct call *c)
+static void log_request_ended(const struct call *c)
 {
 	char helpers[DL_GROUP_MAX * 24];
 	int64_t now = entry_now(c->e);
 
-	name_helpers(c, helpers, sizeof(helpers));
+	format_helpers(c, helpers, sizeof(helpers));
 	dl_msg(DL_MSG_REQUEST_ENDED,
 	       "request=%s attempt=%s service=%s workspace=%s outcome=%s "
 	       "status=%u ms=%ld prompt=%lu version=%lu endpoint=%s "
@@ -155,7 +155,7 @@
 			   c->first_byte_at - c->arrived_at);
 	if (c->relayed > 1)
 		dl_observe(DL_HIST_pause_ms, c->route.longest_pause_ms);
-	say_ended(c);
+	log_request_ended(c);
 	entry_trace_add(c->e, c, outcome, status);
 }
 
@@ -194,28 +194,29 @@
 {
 	struct dl_err err;
 	char text[24];
-	uint16_t status = STATUS_CANNOT;
+	uint16_t status = STATUS_UNAVAILABLE;
 
 	switch (reason) {
 	case DL_REASON_RATE:
 	case DL_REASON_CONCURRENCY:
 	case DL_REASON_QUEUE_FULL:
 	case DL_REASON_SHED:
-		status = STATUS_SLOW_DOWN;
+		status = STATUS_TOO_MANY_REQUESTS;
 		break;
 	case DL_REASON_TOO_LONG:
-		status = STATUS_TOO_LONG;
+		status = STATUS_CONTENT_TOO_LARGE;
 		retry_ms = 0;
 		break;
 	default:
 		break;
 	}
-	if ((c->routed || status != STATUS_TOO_LONG) && retry_ms == 0)
+	if ((c->routed || status != STATUS_CONTENT_TOO_LARGE) && retry_ms == 0)
 		retry_ms = RETRY_AFTER_MS;
 	c->reason = reason;
 	c->retry_ms = retry_ms;
 	if (c->routed)
-		status = c->may_have_run ? STATUS_BROKEN : STATUS_CANNOT;
+		status = c->may_have_run ? STATUS_BAD_GATEWAY :
+					   STATUS_UNAVAILABLE;
 	dl_err_set(&err, -EAGAIN, step,
 		   peer == DL_VM_NONE ? "" : dl_vm_text(peer, text), "%s", "");
 	call_settle(c, DL_OUTCOME_NOT_RUN, status);
@@ -245,7 +246,7 @@
 }
 
 /* The record takes its time: the caller does not wait for it. */
-static void record_late(struct call *c, int64_t now)
+static void stop_waiting_for_record(struct call *c, int64_t now)
 {
 	if (now < c->outcome_deadline && now < c->deadline)
 		return;
@@ -254,7 +255,7 @@
 }
 
 /* What a workspace's text takes a token, as its endpoints count. */
-static void learn_ratio(struct call *c)
+static void learn_bytes_per_token(struct call *c)
 {
 	struct entry *e = c->e;
 	uint64_t milli;
@@ -281,7 +282,7 @@
 	enum dl_outcome outcome = DL_OUTCOME_DONE;
 
 	if (c->kind == DL_POOL_MODEL) {
-		learn_ratio(c);
+		learn_bytes_per_token(c);
 		if (!c->stream)
 			c->final_body = call_completion_json(c);
 		else if (!c->response_started)
@@ -335,7 +336,7 @@
 		dl_httpc_resume(c->attempt);
 }
 
-static enum dl_step waiting_step(enum call_state state)
+static enum dl_step step_of_state(enum call_state state)
 {
 	switch (state) {
 	case CALL_PARSING:
@@ -347,7 +348,7 @@
 	}
 }
 
-static void late(struct call *c)
+static void expire(struct call *c)
 {
 	struct dl_attempt a = { 0 };
 	enum dl_outcome outcome;
@@ -364,8 +365,9 @@
 	dl_count(DL_METRIC_requests_late, 1);
 	dl_msg(DL_MSG_ENTRY_LATE, "request=%s state=%d", c->id_text, c->state);
 	if (c->state != CALL_RUNNING) {
-		entry_call_refuse(c, DL_REASON_DEADLINE, waiting_step(c->state),
-				  c->dispatcher, RETRY_AFTER_MS);
+		entry_call_refuse(c, DL_REASON_DEADLINE,
+				  step_of_state(c->state), c->dispatcher,
+				  RETRY_AFTER_MS);
 		return;
 	}
 	if (c->attempt)
@@ -376,7 +378,7 @@
 	c->usage.ran = a.sent != DL_SENT_NOTHING;
 	dl_err_set(&err, -ETIMEDOUT, DL_STEP_BODY, c->grant.endpoint[0].s,
 		   "the deadline has passed");
-	entry_call_end(c, outcome, STATUS_LATE, "deadline", &err);
+	entry_call_end(c, outcome, STATUS_GATEWAY_TIMEOUT, "deadline", &err);
 }
 
 /* End what has run out of time. */
@@ -387,18 +389,18 @@
 	for (c = e->calls; c; c = next) {
 		next = c->next;
 		if (c->state == CALL_RECORDING)
-			record_late(c, now);
+			stop_waiting_for_record(c, now);
 		else if (c->state == CALL_AWAITING_CONFIG && now >= c->deadline)
 			entry_route_refuse_no_quorum(c);
 		else if (now >= c->deadline)
-			late(c);
+			expire(c);
 	}
 }
 
 static void abort_call(struct call *c)
 {
 	struct dl_attempt a = { 0 };
-	uint16_t status = STATUS_CANNOT;
+	uint16_t status = STATUS_UNAVAILABLE;
 	enum dl_outcome outcome;
 	struct dl_err err;
 
@@ -413,7 +415,7 @@
 	dl_err_set(&err, -ECANCELED, DL_STEP_BODY, NULL, "this VM stops");
 	outcome = dl_call_outcome(&a);
 	if (c->routed && (c->may_have_run || outcome != DL_OUTCOME_NOT_RUN))
-		status = STATUS_BROKEN;
+		status = STATUS_BAD_GATEWAY;
 	entry_call_end(c, outcome, status, "stopping", &err);
 }
 
