--- a/src/main/entry_claim.c
+++ b/src/main/entry_claim.c
@@ -12,19 +12,19 @@
 /* How long an answer waits for the record of its outcome, and how long the
  * record itself is tried: a new leader is found within that. */
 #define RECORD_WAIT_MS	   1000
-#define RECORD_MS	   30000
-#define OUTCOME_KEPT_MAX   16384
+#define RECORD_TIMEOUT_MS  30000
+#define OUTCOME_BYTES_MAX  16384
 #define STATUS_KEY_REUSED  422
 #define STATUS_IN_PROGRESS 409
 
 static void send_unclaim(struct call *c)
 {
 	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_UNCLAIM };
-	struct entry_cmd_done nobody = { NULL, NULL };
+	struct entry_cmd_done no_callback = { NULL, NULL };
 
 	cmd.key = c->key;
 	cmd.owner = c->claim_owner;
-	entry_cmd_send(c->e, &cmd, CLAIM_MS * 2, nobody);
+	entry_cmd_send(c->e, &cmd, CLAIM_MS * 2, no_callback);
 }
 
 /* Record the outcome of a claimed request; done is told once. */
@@ -35,10 +35,10 @@
 	cmd.key = c->key;
 	cmd.owner = c->claim_owner;
 	cmd.status = c->status;
-	if (c->final_body && c->final_body->len <= OUTCOME_KEPT_MAX)
+	if (c->final_body && c->final_body->len <= OUTCOME_BYTES_MAX)
 		cmd.outcome = (struct dl_str){ c->final_body->str,
 					       c->final_body->len };
-	c->outcome_cmd = entry_cmd_send(c->e, &cmd, RECORD_MS, done);
+	c->outcome_cmd = entry_cmd_send(c->e, &cmd, RECORD_TIMEOUT_MS, done);
 	c->outcome_deadline = entry_now(c->e) + RECORD_WAIT_MS;
 }
 
@@ -49,18 +49,18 @@
  */
 void call_settle_claim(struct call *c)
 {
-	struct entry_cmd_done nobody = { NULL, NULL };
+	struct entry_cmd_done no_callback = { NULL, NULL };
 
 	if (!c->claimed)
 		return;
 	if (c->outcome == DL_OUTCOME_NOT_RUN)
 		send_unclaim(c);
 	else if (c->outcome == DL_OUTCOME_FAILED)
-		call_record_outcome(c, nobody);
+		call_record_outcome(c, no_callback);
 	c->outcome_cmd = 0;
 }
 
-static void repeat_outcome(struct call *c, const struct dl_cstore_reply *reply)
+static void replay_outcome(struct call *c, const struct dl_cstore_reply *reply)
 {
 	c->final_body =
 		g_string_new_len(reply->outcome.s, (gssize)reply->outcome.n);
@@ -101,7 +101,7 @@
 		return;
 	}
 	if (reply->claim == DL_CLAIM_DONE) {
-		repeat_outcome(c, reply);
+		replay_outcome(c, reply);
 		return;
 	}
 	if (reply->claim == DL_CLAIM_RUNNING &&
@@ -119,7 +119,7 @@
  * whose claim comes late can still run, and one without a quorum is told so
  * before its caller has given up.
  */
-static uint32_t claim_ms(const struct call *c)
+static uint32_t claim_timeout_ms(const struct call *c)
 {
 	int64_t half = (c->deadline - entry_now(c->e)) / 2;
 
@@ -148,6 +148,6 @@
 	cmd.owner = c->claim_owner;
 	cmd.body_hash = dl_hash(body, 0);
 	cmd.expires_s = CLAIM_EXPIRES_S;
-	c->claim_cmd = entry_cmd_send(c->e, &cmd, claim_ms(c), done);
+	c->claim_cmd = entry_cmd_send(c->e, &cmd, claim_timeout_ms(c), done);
 	return 0;
 }
