--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -233,7 +233,7 @@
 	dl_packer_close(&pk);
 }
 
-static void take_grant(struct call *c, const struct dl_answer *answer)
+static void accept_grant(struct call *c, const struct dl_answer *answer)
 {
 	int64_t now = entry_now(c->e);
 
@@ -285,7 +285,7 @@
 }
 
 /* Ask the next domain that was named and not tried; false where none is. */
-static bool next_domain(struct call *c)
+static bool ask_next_domain(struct call *c)
 {
 	for (uint32_t i = 0; i < c->hints_count; i++) {
 		if (was_tried(c, &c->hints[i]) ||
@@ -306,9 +306,9 @@
  * The dispatcher of another domain does not answer: the next one, or the own
  * domain again, which names those that it still hears.
  */
-static void ask_elsewhere(struct call *c)
+static void ask_other_domain(struct call *c)
 {
-	if (next_domain(c))
+	if (ask_next_domain(c))
 		return;
 	c->spill_tried_count = 0;
 	c->hints_count = 0;
@@ -319,7 +319,7 @@
 	entry_grant_ask(c);
 }
 
-static bool may_spill(enum dl_reason reason)
+static bool can_spill(enum dl_reason reason)
 {
 	switch (reason) {
 	case DL_REASON_RATE:
@@ -337,7 +337,7 @@
  */
 static bool spill(struct call *c, const struct dl_answer_frame *f)
 {
-	return may_spill(f->answer.reason) && next_domain(c);
+	return can_spill(f->answer.reason) && ask_next_domain(c);
 }
 
 /* The soonest of the retry times that the pools named. */
@@ -351,7 +351,7 @@
 }
 
 /* The dispatcher sends it to a pool that is much better off. */
-static void go_away(struct call *c, const struct dl_name *domain)
+static void follow_redirect(struct call *c, const struct dl_name *domain)
 {
 	c->redirected = true;
 	c->domain = *domain;
@@ -359,14 +359,14 @@
 }
 
 /* The others refused: the own domain, which was better off, decides. */
-static void come_back(struct call *c)
+static void return_to_own_domain(struct call *c)
 {
 	c->redirected = false;
 	c->domain = *dl_settings_pool_domain(&c->e->node.settings);
 	entry_grant_ask(c);
 }
 
-static void take_refusal(struct call *c, const struct dl_answer_frame *f)
+static void handle_refusal(struct call *c, const struct dl_answer_frame *f)
 {
 	enum dl_step step = c->state == CALL_QUEUED ? DL_STEP_QUEUE :
 						      DL_STEP_ADMIT;
@@ -380,14 +380,14 @@
 		return;
 	}
 	if (f->answer.reason == DL_REASON_NONE && f->spill_count) {
-		go_away(c, &f->spill[0]);
+		follow_redirect(c, &f->spill[0]);
 		return;
 	}
 	note_refusal(c, &f->answer);
 	if (spill(c, f))
 		return;
 	if (c->redirected) {
-		come_back(c);
+		return_to_own_domain(c);
 		return;
 	}
 	entry_call_refuse(c, c->last_refusal.reason, step, c->dispatcher,
@@ -395,8 +395,8 @@
 }
 
 /* A grant that crossed with the cancellation of its ask. */
-static void give_back(struct entry *e, uint64_t from,
-		      const struct dl_answer_frame *f)
+static void release_late_grant(struct entry *e, uint64_t from,
+			       const struct dl_answer_frame *f)
 {
 	struct dl_usage unused = { 0 };
 	struct entry_pool *p;
@@ -425,12 +425,12 @@
 	if (!c || c->dispatcher != from || c->granted) {
 		dl_count(DL_METRIC_late_frames_dropped, 1);
 		if (f->answer.verdict == DL_GRANTED)
-			give_back(e, from, f);
+			release_late_grant(e, from, f);
 		return;
 	}
 	switch (f->answer.verdict) {
 	case DL_GRANTED:
-		take_grant(c, &f->answer);
+		accept_grant(c, &f->answer);
 		return;
 	case DL_QUEUED:
 		note_wait(c);
@@ -438,7 +438,7 @@
 		return;
 	case DL_REFUSED:
 		note_hints(c, f);
-		take_refusal(c, f);
+		handle_refusal(c, f);
 		return;
 	}
 }
@@ -458,14 +458,14 @@
 	}
 }
 
-static bool lost(const struct call *c, int64_t now)
+static bool ask_timed_out(const struct call *c, int64_t now)
 {
 	return c->state == CALL_ASKING && !c->ask_again_at &&
 	       now - c->asked_at > ASK_TIMEOUT_MS;
 }
 
 /* The dispatcher named now; our own where we place by ourselves. */
-static uint64_t owner_now(struct call *c)
+static uint64_t current_dispatcher(struct call *c)
 {
 	return entry_pool_owner(c->e, service_of(c), dl_name_str(&c->domain));
 }
@@ -475,20 +475,20 @@
 	if (own_domain(c))
 		entry_grant_ask(c);
 	else
-		ask_elsewhere(c);
+		ask_other_domain(c);
 }
 
-static void watch(struct call *c, int64_t now)
+static void tick_call(struct call *c, int64_t now)
 {
 	uint64_t owner;
 
 	if (c->granted) {
-		call_renew(c, owner_now(c), now);
+		call_renew(c, current_dispatcher(c), now);
 		return;
 	}
 	if (c->state != CALL_ASKING && c->state != CALL_QUEUED)
 		return;
-	if (lost(c, now)) {
+	if (ask_timed_out(c, now)) {
 		entry_reach_lost(c->e, c->dispatcher);
 		c->asks_lost++;
 		entry_grant_cancel(c);
@@ -499,7 +499,7 @@
 		ask_again(c);
 		return;
 	}
-	owner = owner_now(c);
+	owner = current_dispatcher(c);
 	if (owner != c->dispatcher && !c->placed_locally) {
 		entry_grant_cancel(c);
 		entry_grant_ask(c);
@@ -513,6 +513,6 @@
 
 	for (c = e->calls; c; c = next) {
 		next = c->next;
-		watch(c, now);
+		tick_call(c, now);
 	}
 }
