--- a/src/main/entry_http.c
+++ b/src/main/entry_http.c
@@ -12,7 +12,7 @@
 #define ANNOUNCE_EVERY_MS 1000
 #define GONE_AFTER_MS	  5000
 /* Without a replica for so long, health says so. */
-#define REPLICA_QUIET_MS 10000
+#define REPLICA_SILENT_MS 10000
 
 static void get_health(struct entry *e, struct dl_httpd_req *req);
 static void get_ready(struct entry *e, struct dl_httpd_req *req);
@@ -72,11 +72,11 @@
 
 static void get_health(struct entry *e, struct dl_httpd_req *req)
 {
-	bool quiet = entry_now(e) - e->replica_heard_at > REPLICA_QUIET_MS;
+	bool silent = entry_now(e) - e->replica_heard_at > REPLICA_SILENT_MS;
 
 	dl_httpd_reply(req, 200, NULL, 0,
-		       quiet ? DL_STR("ok, but no replica has been heard\n") :
-			       DL_STR("ok\n"));
+		       silent ? DL_STR("ok, but no replica has been heard\n") :
+				DL_STR("ok\n"));
 }
 
 static void get_ready(struct entry *e, struct dl_httpd_req *req)
@@ -136,7 +136,7 @@
 	entry_http_json(req, 200, strdup(answer));
 }
 
-static bool path_fits(const struct route *r, struct dl_str path)
+static bool path_matches(const struct route *r, struct dl_str path)
 {
 	size_t n = strlen(r->path);
 
@@ -158,7 +158,8 @@
 }
 
 /* Whether what was sent is signed as the door asks; answers where not. */
-static bool may(struct entry *e, unsigned use, struct dl_httpd_req *req)
+static bool check_signature(struct entry *e, unsigned use,
+			    struct dl_httpd_req *req)
 {
 	const struct dl_keys *keys = keys_of(e, use);
 	struct dl_signed what = { dl_httpd_method(req), dl_httpd_path(req),
@@ -192,13 +193,13 @@
 	}
 	for (size_t i = 0; i < ROUTES; i++) {
 		if (!(routes[i].use & listener->uses) ||
-		    !path_fits(&routes[i], path))
+		    !path_matches(&routes[i], path))
 			continue;
 		known = true;
 		if (routes[i].method &&
 		    !dl_str_eq(method, dl_str_of(routes[i].method)))
 			continue;
-		if (may(listener->e, routes[i].use, req))
+		if (check_signature(listener->e, routes[i].use, req))
 			routes[i].handle(listener->e, req);
 		return;
 	}
