--- a/src/main/entry_read.c
+++ b/src/main/entry_read.c
@@ -9,10 +9,10 @@
 /* What a token of a prompt takes until the endpoint has told otherwise. */
 #define BYTES_PER_TOKEN_MILLI 4000
 /* Up to here, a millisecond or so, parsing on the loop is cheaper. */
-#define READ_INLINE_MAX 32768
+#define PARSE_INLINE_MAX 32768
 /* Where a caller names none, until its class is known: no parse takes longer.
  */
-#define READ_DEADLINE_MS  10000
+#define PARSE_DEADLINE_MS 10000
 #define RETRY_AFTER_MS	  1000
 #define MIN_DEADLINE_MS	  1
 #define MAX_DEADLINE_MS	  86400000
@@ -29,7 +29,7 @@
 	int rc;
 };
 
-static void bad(struct call *c, uint16_t status, const char *why)
+static void reject(struct call *c, uint16_t status, const char *why)
 {
 	struct dl_err err;
 
@@ -71,11 +71,11 @@
  * Whether the caller says that its request may be repeated; otherwise holds
  * where it says nothing.  A misspelt word is a fault, never taken for yes.
  */
-static bool read_idempotent(struct call *c, bool otherwise)
+static bool read_idempotent(struct call *c, bool default_value)
 {
 	struct dl_str s = dl_httpd_header(c->http, "daisyledge-idempotent");
 
-	c->idempotent = otherwise;
+	c->idempotent = default_value;
 	if (s.n == 0)
 		return true;
 	c->idempotent = dl_str_eq(s, DL_STR("yes"));
@@ -109,7 +109,7 @@
 	return NULL;
 }
 
-static void estimate(struct call *c)
+static void estimate_tokens(struct call *c)
 {
 	const struct dl_completion *completion = &c->completion;
 	uint64_t milli = BYTES_PER_TOKEN_MILLI;
@@ -150,13 +150,13 @@
 	}
 	if (key.n && !c->idempotent) {
 		if (call_claim(c))
-			bad(c, 400, "Idempotency-Key is too long");
+			reject(c, 400, "Idempotency-Key is too long");
 		return;
 	}
 	entry_grant_ask(c);
 }
 
-static bool no_conf(struct call *c)
+static bool refuse_without_conf(struct call *c)
 {
 	if (c->e->conf)
 		return false;
@@ -166,39 +166,39 @@
 }
 
 /* The request is read, or cannot be: go on with it. */
-static void on_read(struct call *c, int rc, const struct dl_err *err)
+static void on_parsed(struct call *c, int rc, const struct dl_err *err)
 {
 	const struct dl_service_conf *service;
 	const char *fault;
 
 	if (rc) {
-		bad(c, 400, err->text);
+		reject(c, 400, err->text);
 		return;
 	}
 	service = dl_conf_service_of_model(c->e->conf,
 					   dl_name_str(&c->completion.model));
 	if (!service) {
-		bad(c, 404, "no service has this model");
+		reject(c, 404, "no service has this model");
 		return;
 	}
 	c->stream = c->completion.stream;
 	fault = read_common(c, service, true);
 	if (fault) {
-		bad(c, 400, fault);
+		reject(c, 400, fault);
 		return;
 	}
-	estimate(c);
+	estimate_tokens(c);
 	submit(c);
 }
 
-static void read_beside(uv_work_t *work)
+static void parse_work(uv_work_t *work)
 {
 	struct parse_job *r = work->data;
 
 	r->rc = dl_completion_parse(r->body, &r->completion, &r->err);
 }
 
-static void on_read_beside(uv_work_t *work, int status)
+static void on_parse_done(uv_work_t *work, int status)
 {
 	struct parse_job *r = work->data;
 	struct call *c = r->call;
@@ -208,7 +208,7 @@
 		c->completion = r->completion;
 		r->completion.rest = NULL;
 		entry_call_span(c, "read", c->arrived_at, NULL);
-		on_read(c, r->rc, &r->err);
+		on_parsed(c, r->rc, &r->err);
 	}
 	dl_completion_free(&r->completion);
 	g_free((char *)r->body.s);
@@ -227,7 +227,7 @@
  * function of a copy of the body, so it runs in the loop's thread pool and its
  * result comes back to the loop.
  */
-static void start_reading(struct call *c, struct dl_str body)
+static void start_parse(struct call *c, struct dl_str body)
 {
 	struct parse_job *r = g_new0(struct parse_job, 1);
 
@@ -236,7 +236,7 @@
 	r->work.data = r;
 	c->parse_job = r;
 	c->state = CALL_PARSING;
-	uv_queue_work(c->e->node.loop, &r->work, read_beside, on_read_beside);
+	uv_queue_work(c->e->node.loop, &r->work, parse_work, on_parse_done);
 }
 
 /* POST /v1/completions */
@@ -247,23 +247,23 @@
 	struct dl_err err = { 0 };
 	int rc;
 
-	if (no_conf(c))
+	if (refuse_without_conf(c))
 		return;
 	if (!has_room(e)) {
 		entry_call_refuse(c, DL_REASON_BUSY, DL_STEP_READ, e->node.self,
 				  RETRY_AFTER_MS);
 		return;
 	}
-	if (!read_deadline(c, READ_DEADLINE_MS)) {
-		bad(c, 400, BAD_DEADLINE);
+	if (!read_deadline(c, PARSE_DEADLINE_MS)) {
+		reject(c, 400, BAD_DEADLINE);
 		return;
 	}
-	if (body.n > READ_INLINE_MAX) {
-		start_reading(c, body);
+	if (body.n > PARSE_INLINE_MAX) {
+		start_parse(c, body);
 		return;
 	}
 	rc = dl_completion_parse(body, &c->completion, &err);
-	on_read(c, rc, &err);
+	on_parsed(c, rc, &err);
 }
 
 /* The service named in "/s/SERVICE/...". */
@@ -284,20 +284,21 @@
 }
 
 /* Whether the operators say that a call may be repeated. */
-static bool may_repeat(struct call *c, const struct dl_service_conf *service)
+static bool is_idempotent(struct call *c, const struct dl_service_conf *service)
 {
 	struct dl_str method = dl_httpd_method(c->http);
 	struct dl_str path = dl_httpd_path(c->http);
 	size_t skip = strlen(PLAIN_PATH_PREFIX) + service->name.n;
-	bool otherwise = false;
+	bool default_value = false;
 
 	if (service->get_is_idempotent && (dl_str_eq(method, DL_STR("GET")) ||
 					   dl_str_eq(method, DL_STR("HEAD"))))
-		otherwise = true;
+		default_value = true;
 	path = (struct dl_str){ path.s + skip, path.n - skip };
 	for (uint32_t i = 0; i < service->idempotent_paths_count; i++)
-		otherwise |= path_begins(path, &service->idempotent_paths[i]);
-	return otherwise;
+		default_value |=
+			path_begins(path, &service->idempotent_paths[i]);
+	return default_value;
 }
 
 /* /s/SERVICE/... */
@@ -307,16 +308,16 @@
 	struct call *c = call_new(e, req);
 	const char *fault;
 
-	if (no_conf(c))
+	if (refuse_without_conf(c))
 		return;
 	service = dl_conf_service(e->conf, service_in_path(dl_httpd_path(req)));
 	if (!service || service->kind != DL_POOL_PLAIN) {
-		bad(c, 404, "no such service");
+		reject(c, 404, "no such service");
 		return;
 	}
-	fault = read_common(c, service, may_repeat(c, service));
+	fault = read_common(c, service, is_idempotent(c, service));
 	if (fault)
-		bad(c, 400, fault);
+		reject(c, 400, fault);
 	else
 		submit(c);
 }
