--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -12,9 +12,9 @@
 #include "main/entry_call.h"
 #include "platform/platform.h"
 
-#define HOLD_MAX  (8u << 20)
-#define EVENT_MAX (1u << 20)
-#define TRIES_MAX 4 /* grants asked for, counting those that led nowhere */
+#define HELD_BODY_MAX (8u << 20)
+#define EVENT_MAX     (1u << 20)
+#define TRIES_MAX     4 /* grants asked for, counting those that led nowhere */
 /*
  * Endpoints that could not be reached, or that turned the request away for some
  * time, cost the others nothing, and their dispatcher is told: of a failure
@@ -28,15 +28,15 @@
  * A silent endpoint is given up while the caller still waits: at this share of
  * the time after which callers give up, so that another one can go on.
  */
-#define SILENT_PERMILLE 600
-#define PERMILLE	1000
+#define SILENCE_PERMILLE 600
+#define PERMILLE	 1000
 /*
  * Memory reserved on other engines is not kept longer for one that is silent:
  * two thirds of the 9 s after which engines count it as kept from others.  One
  * that hung with its health good held fifteen parts for 9.6 s.
  */
-#define UNUSED_MS     6000
-#define RETRY_SOON_MS 100
+#define RESERVED_SILENCE_MS 6000
+#define RETRY_SOON_MS	    100
 /* Streams of two seconds hold what is asked for. */
 #define NO_MEMORY_RETRY_MS 2000
 #define STATUS_ERROR	   500
@@ -49,10 +49,10 @@
 static void on_end(void *arg, const struct dl_attempt *attempt,
 		   const struct dl_err *err);
 
-static bool on_ready(void *arg);
+static bool on_connected(void *arg);
 
 static const struct dl_httpc_ops relay_ops = { on_head, on_body, on_end,
-					       on_ready };
+					       on_connected };
 
 static const struct dl_directory_entry *endpoint_of(const struct call *c,
 						    uint8_t i)
@@ -62,7 +62,7 @@
 }
 
 /* Whether an endpoint is still the one that was granted, and stays. */
-static bool is_there(const struct call *c, uint8_t i)
+static bool is_available(const struct call *c, uint8_t i)
 {
 	const struct dl_directory_entry *d = endpoint_of(c, i);
 
@@ -79,7 +79,7 @@
 }
 
 /* Give back what was granted, and ask for another place. */
-static void ask_anew(struct call *c)
+static void release_and_ask(struct call *c)
 {
 	entry_reservation_release(c);
 	entry_grant_release(c);
@@ -91,7 +91,7 @@
  * A group fails with the one that cannot be reached: its lead, which says so,
  * is as good as before.
  */
-static void blame(struct call *c)
+static void note_at_fault(struct call *c)
 {
 	const struct dl_name *at_fault = &c->route.head.at_fault;
 
@@ -101,10 +101,10 @@
 }
 
 /* Ask for another endpoint, beside those that were tried. */
-static void ask_again(struct call *c)
+static void ask_without_tried(struct call *c)
 {
 	call_note_tried(c);
-	ask_anew(c);
+	release_and_ask(c);
 }
 
 static void fill_outbound(struct call *c, struct dl_outbound *out)
@@ -121,26 +121,27 @@
 	for (uint8_t i = 1; i < c->grant.endpoints; i++) {
 		struct dl_str name = dl_name_str(&c->grant.endpoint[i]);
 
-		if (!is_there(c, i) && !c->reservations)
+		if (!is_available(c, i) && !c->reservations)
 			continue;
 		out->ticket[out->helpers] = entry_reservation_id(c, name);
 		out->helper[out->helpers++] = name;
 	}
 }
 
-static uint32_t silent_ms(const struct call *c)
+static uint32_t silence_limit_ms(const struct call *c)
 {
-	uint32_t patient = (uint32_t)MAX(c->deadline - entry_now(c->e), 1);
+	uint32_t limit_ms = (uint32_t)MAX(c->deadline - entry_now(c->e), 1);
 	uint32_t expected = c->grant.predicted_ttft_ms * 2;
 
 	/* Without another attempt there is nothing to gain by giving up. */
 	if (c->stream && c->idempotent &&
 	    c->route.sent + 1 < c->route.attempts_max)
-		patient = MAX(c->route.give_up_ms * SILENT_PERMILLE / PERMILLE,
-			      expected);
+		limit_ms =
+			MAX(c->route.give_up_ms * SILENCE_PERMILLE / PERMILLE,
+			    expected);
 	if (c->reservations)
-		patient = MIN(patient, MAX(UNUSED_MS, expected));
-	return patient;
+		limit_ms = MIN(limit_ms, MAX(RESERVED_SILENCE_MS, expected));
+	return limit_ms;
 }
 
 static void send_to(struct call *c, uint64_t to)
@@ -161,18 +162,18 @@
 	req.host = dl_httpd_authority(c->http);
 	req.body = dl_httpd_body(c->http);
 	req.connect_ms = c->connect_ms;
-	req.gap_ms = silent_ms(c);
+	req.gap_ms = silence_limit_ms(c);
 	req.close_ends = true;
 	req.keep = c->idempotent;
 	c->attempt = dl_httpc_start(c->e->httpc, &req, &relay_ops, c);
 }
 
 /* The endpoint that was granted is not there any more, or leaves. */
-static void not_there(struct call *c)
+static void retry_unavailable(struct call *c)
 {
 	c->usage.unreachable = is_leaving(c, 0);
 	if (++c->route.tries < TRIES_MAX)
-		ask_again(c);
+		ask_without_tried(c);
 	else
 		entry_call_refuse(c, DL_REASON_NO_ENDPOINT, DL_STEP_PLACE,
 				  c->e->node.self, RETRY_SOON_MS);
@@ -190,8 +191,8 @@
 				  c->e->node.self, RETRY_SOON_MS);
 		return;
 	}
-	if (!is_there(c, 0)) {
-		not_there(c);
+	if (!is_available(c, 0)) {
+		retry_unavailable(c);
 		return;
 	}
 	if (entry_reservation_needed(c))
@@ -223,20 +224,20 @@
  * The connection stands.  What was known of the endpoint when the attempt began
  * may have changed while it was made.
  */
-static bool on_ready(void *arg)
+static bool on_connected(void *arg)
 {
 	struct call *c = arg;
 
-	c->aborted_unsent = !is_there(c, 0) || entry_backoff_holds(c);
+	c->aborted_unsent = !is_available(c, 0) || entry_backoff_holds(c);
 	return !c->aborted_unsent;
 }
 
 /* The attempt was given up before it was sent. */
-static void go_elsewhere(struct call *c)
+static void retry_unsent(struct call *c)
 {
 	c->aborted_unsent = false;
-	if (!is_there(c, 0))
-		not_there(c);
+	if (!is_available(c, 0))
+		retry_unavailable(c);
 	else if (entry_backoff_holds(c))
 		entry_backoff_give_back(c);
 	else
@@ -248,7 +249,7 @@
 {
 	entry_reservation_note_refused(c);
 	if (++c->route.tries < TRIES_MAX) {
-		ask_anew(c);
+		release_and_ask(c);
 		return;
 	}
 	entry_call_refuse(c, DL_REASON_QUEUE_FULL, DL_STEP_PLACE,
@@ -269,7 +270,7 @@
 }
 
 /* Whether an answer carries the id that this caller sent, or none. */
-static bool is_ours(const struct call *c, struct dl_str id)
+static bool is_own_attempt(const struct call *c, struct dl_str id)
 {
 	return id.n == 0 || dl_name_eq(&c->route.attempt_id, id);
 }
@@ -278,8 +279,8 @@
  * Whether an answer is of the start that was named to it; another one at its
  * address answers 421, and names no other endpoint that is at fault.
  */
-static bool is_of_start(const struct call *c, uint16_t status,
-			struct dl_str at_fault)
+static bool is_from_instance(const struct call *c, uint16_t status,
+			     struct dl_str at_fault)
 {
 	return status != STATUS_MISDIRECTED ||
 	       (at_fault.n && !dl_name_eq(&c->grant.endpoint[0], at_fault));
@@ -295,12 +296,12 @@
 	c->status = head->status;
 	c->route.head.not_run = said.not_run ||
 				head->status == STATUS_MISDIRECTED;
-	c->route.head.wrong_request = !is_ours(c, said.attempt_id);
+	c->route.head.wrong_request = !is_own_attempt(c, said.attempt_id);
 	if (!c->route.head.wrong_request)
 		entry_limit_named(c, said.limit);
 	c->route.head.content_length = said.length;
 	c->route.head.leaving = said.leaving;
-	if (said.leaving && is_of_start(c, head->status, said.at_fault))
+	if (said.leaving && is_from_instance(c, head->status, said.at_fault))
 		entry_announce_leaves(c->e, dl_name_str(&c->grant.endpoint[0]),
 				      dl_name_str(&c->route.instance),
 				      c->dispatcher);
@@ -341,7 +342,7 @@
 	return 0;
 }
 
-static void begin_answer(struct call *c)
+static void begin_response(struct call *c)
 {
 	struct dl_header headers[DL_DIALECT_HEADERS_MAX];
 	size_t n = call_headers_fill(c, headers, DL_DIALECT_HEADERS_MAX);
@@ -363,7 +364,7 @@
 }
 
 /* Pass one whole event on; those that the caller has had are dropped. */
-static bool pass_event(struct call *c, struct dl_str event)
+static bool relay_event(struct call *c, struct dl_str event)
 {
 	uint64_t id = event_id(event);
 
@@ -377,7 +378,7 @@
 		entry_grant_first_event(c);
 	}
 	if (!c->response_started)
-		begin_answer(c);
+		begin_response(c);
 	if (id)
 		c->route.last_event_id = id;
 	note_pause(c);
@@ -386,7 +387,7 @@
 }
 
 /* Pass on what is whole of the bytes that have come. */
-static bool pass_events(struct call *c)
+static bool relay_events(struct call *c)
 {
 	size_t used = 0;
 	bool go_on = true;
@@ -401,7 +402,7 @@
 			break;
 		event = (struct dl_str){ from, (size_t)(end - from) + 2 };
 		used += event.n;
-		go_on = pass_event(c, event);
+		go_on = relay_event(c, event);
 	}
 	g_string_erase(c->response_buf, 0, (gssize)used);
 	return go_on;
@@ -418,10 +419,10 @@
 	g_string_append_len(c->response_buf, piece.s, (gssize)piece.n);
 	if (c->route.head.is_event_stream) {
 		c->route.head.event_too_long = c->response_buf->len > EVENT_MAX;
-		return pass_events(c);
+		return relay_events(c);
 	}
-	if (c->response_buf->len > HOLD_MAX) {
-		begin_answer(c);
+	if (c->response_buf->len > HELD_BODY_MAX) {
+		begin_response(c);
 		dl_httpd_send(c->http, (struct dl_str){ c->response_buf->str,
 							c->response_buf->len });
 		g_string_truncate(c->response_buf, 0);
@@ -430,8 +431,8 @@
 }
 
 /* What came of the attempt, with what the head of the answer said. */
-static struct dl_attempt judged(const struct call *c,
-				const struct dl_attempt *attempt)
+static struct dl_attempt classify_attempt(const struct call *c,
+					  const struct dl_attempt *attempt)
 {
 	struct dl_attempt a = *attempt;
 
@@ -446,7 +447,7 @@
 }
 
 /* The endpoint's answer is whole: the caller gets it, whatever it says. */
-static void finish(struct call *c)
+static void finish_response(struct call *c)
 {
 	struct dl_header headers[DL_DIALECT_HEADERS_MAX];
 	struct dl_str rest = { c->response_buf->str, c->response_buf->len };
@@ -457,7 +458,7 @@
 						DL_OUTCOME_DONE,
 		    c->status);
 	if (c->route.head.is_event_stream && !c->response_started)
-		begin_answer(c);
+		begin_response(c);
 	if (c->response_started) {
 		if (rest.n)
 			dl_httpd_send(c->http, rest);
@@ -470,7 +471,7 @@
 }
 
 /* Whether another endpoint may be tried after an attempt. */
-static bool may_go_on(struct call *c, const struct dl_attempt *a)
+static bool may_retry(struct call *c, const struct dl_attempt *a)
 {
 	struct dl_call_state state = {
 		.idempotent = c->idempotent,
@@ -486,8 +487,8 @@
 			    entry_now(c->e)) == DL_NEXT_RETRY;
 }
 
-static void give_up(struct call *c, enum dl_outcome outcome,
-		    const struct dl_err *err)
+static void end_failed(struct call *c, enum dl_outcome outcome,
+		       const struct dl_err *err)
 {
 	bool not_run = outcome == DL_OUTCOME_NOT_RUN && !c->may_have_run;
 
@@ -496,7 +497,7 @@
 }
 
 /* Whether an endpoint of the group could not be reached, which is known now. */
-static bool was_unreached(const struct call *c, const struct dl_attempt *a)
+static bool was_unreachable(const struct call *c, const struct dl_attempt *a)
 {
 	return a->broke == DL_BROKE_CONNECT || c->usage.at_fault.n;
 }
@@ -506,9 +507,9 @@
  * offer that one again: its caller is not the worse for it either, while there
  * are others.
  */
-static bool is_free(const struct call *c, const struct dl_attempt *a)
+static bool costs_no_attempt(const struct call *c, const struct dl_attempt *a)
 {
-	return was_unreached(c, a) || c->route.head.backoff_requested;
+	return was_unreachable(c, a) || c->route.head.backoff_requested;
 }
 
 /*
@@ -518,7 +519,7 @@
 static void count_attempt(struct call *c, const struct dl_attempt *a,
 			  enum dl_outcome outcome)
 {
-	if (is_free(c, a))
+	if (costs_no_attempt(c, a))
 		c->route.free_failures++;
 	else
 		c->route.tries++;
@@ -530,25 +531,25 @@
 		   const struct dl_err *err)
 {
 	struct call *c = arg;
-	struct dl_attempt a = judged(c, attempt);
+	struct dl_attempt a = classify_attempt(c, attempt);
 	enum dl_outcome outcome = dl_call_outcome(&a);
-	bool whole;
+	bool complete;
 
 	c->attempt = NULL;
 	if (c->aborted_unsent) {
-		go_elsewhere(c);
+		retry_unsent(c);
 		return;
 	}
 	entry_quarantine_attempt(c, &a, err);
 	/* A stream that goes on elsewhere got an error in place of events. */
-	whole = a.received == DL_RECV_WHOLE && a.broke == DL_BROKE_NOTHING &&
-		!(c->relayed && !c->route.head.is_event_stream);
+	complete = a.received == DL_RECV_WHOLE && a.broke == DL_BROKE_NOTHING &&
+		   !(c->relayed && !c->route.head.is_event_stream);
 	call_fill_usage(c, &a, c->prompt_tokens, c->output_tokens,
-			c->status >= STATUS_ERROR || !whole);
-	blame(c);
+			c->status >= STATUS_ERROR || !complete);
+	note_at_fault(c);
 	count_attempt(c, &a, outcome);
-	if (whole && (c->status < STATUS_ERROR || !may_go_on(c, &a))) {
-		finish(c);
+	if (complete && (c->status < STATUS_ERROR || !may_retry(c, &a))) {
+		finish_response(c);
 		return;
 	}
 	dl_msg(DL_MSG_ATTEMPT_BROKE,
@@ -561,15 +562,15 @@
 	       (unsigned long)c->relayed, c->route.head.at_fault.s,
 	       dl_step_name(err->step), err->text,
 	       (unsigned long)c->content_hash);
-	if (!whole && !may_go_on(c, &a)) {
-		give_up(c, outcome, err);
+	if (!complete && !may_retry(c, &a)) {
+		end_failed(c, outcome, err);
 		return;
 	}
 	if (c->relayed)
 		c->route.resumes = true;
 	dl_count(DL_METRIC_retries_total, 1);
-	if (is_free(c, &a))
-		ask_anew(c);
+	if (costs_no_attempt(c, &a))
+		release_and_ask(c);
 	else
-		ask_again(c);
+		ask_without_tried(c);
 }
