--- a/src/main/entry_reservation.c
+++ b/src/main/entry_reservation.c
@@ -20,7 +20,7 @@
 #define RENEW_MS 1100
 /* An engine answers an order at once. */
 #define CONNECT_MS	   400
-#define ANSWER_MS	   600
+#define RESPONSE_MS	   600
 #define TEXT_MAX	   96
 #define STATUS_MISDIRECTED 421
 
@@ -34,15 +34,15 @@
 	bool held;
 	bool refused;
 	bool unreachable;
-	struct dl_httpc_call *order; /* in flight */
+	struct dl_httpc_call *in_flight; /* in flight */
 };
 
 struct reservations {
 	struct call *c;
 	uint8_t count;
-	bool asked; /* the first answers are still awaited */
+	bool pending; /* the first answers are still awaited */
 	int64_t renew_at;
-	struct reservation at[DL_GROUP_MAX];
+	struct reservation parts[DL_GROUP_MAX];
 };
 
 static void on_head(void *arg, const struct dl_httpc_head *head);
@@ -67,7 +67,7 @@
 	char text[DL_DIALECT_TEXT_MAX];
 	struct dl_httpc_req req = { .headers = headers,
 				    .connect_ms = CONNECT_MS,
-				    .gap_ms = ANSWER_MS,
+				    .gap_ms = RESPONSE_MS,
 				    .close_ends = true };
 
 	if (!dl_vm_parse(dl_name_str(&r->address), &req.to))
@@ -102,11 +102,11 @@
 	bool all = true;
 
 	for (uint8_t i = 0; i < set->count; i++) {
-		if (set->at[i].order)
+		if (set->parts[i].in_flight)
 			return;
-		all = all && set->at[i].held && !set->at[i].refused;
+		all = all && set->parts[i].held && !set->parts[i].refused;
 	}
-	set->asked = false;
+	set->pending = false;
 	if (all)
 		entry_relay_send(set->c);
 	else
@@ -118,9 +118,9 @@
 {
 	struct reservation *r = arg;
 
-	r->order = NULL;
+	r->in_flight = NULL;
 	r->unreachable = attempt->broke == DL_BROKE_CONNECT;
-	if (attempt->broke != DL_BROKE_NOTHING && r->set->asked)
+	if (attempt->broke != DL_BROKE_NOTHING && r->set->pending)
 		r->refused = true;
 	if (r->refused)
 		dl_msg(DL_MSG_TICKET_REFUSED,
@@ -128,7 +128,7 @@
 		       r->set->c->id_text, r->address.s,
 		       (unsigned long)r->tokens, attempt->status,
 		       attempt->broke);
-	if (r->set->asked)
+	if (r->set->pending)
 		on_all_answered(r->set);
 }
 
@@ -144,13 +144,13 @@
 	struct reservations *set = g_new0(struct reservations, 1);
 
 	set->c = c;
-	set->asked = true;
+	set->pending = true;
 	set->renew_at = entry_now(c->e) + RENEW_MS;
 	c->reservations = set;
 	for (uint8_t i = 1; i < c->grant.endpoints; i++) {
 		const struct dl_directory_entry *d = dl_directory_find(
 			c->e->directory, dl_name_str(&c->grant.endpoint[i]));
-		struct reservation *r = &set->at[set->count++];
+		struct reservation *r = &set->parts[set->count++];
 
 		r->set = set;
 		r->address = c->grant.endpoint[i];
@@ -163,12 +163,12 @@
 		r->unreachable = d && d->leaving;
 	}
 	for (uint8_t i = 0; i < set->count; i++) {
-		struct reservation *r = &set->at[i];
+		struct reservation *r = &set->parts[i];
 
 		if (!r->refused)
-			r->order = send_reservation(c->e, r, HOLD_MS,
-						    &reserve_ops, r);
-		r->refused = !r->order;
+			r->in_flight = send_reservation(c->e, r, HOLD_MS,
+							&reserve_ops, r);
+		r->refused = !r->in_flight;
 	}
 	on_all_answered(set);
 }
@@ -182,7 +182,7 @@
 {
 	for (uint8_t i = 0; c->reservations && i < c->reservations->count;
 	     i++) {
-		const struct reservation *r = &c->reservations->at[i];
+		const struct reservation *r = &c->reservations->parts[i];
 
 		if (!r->refused || c->tried_count == G_N_ELEMENTS(c->tried_ids))
 			continue;
@@ -197,8 +197,8 @@
 {
 	for (uint8_t i = 0; c->reservations && i < c->reservations->count;
 	     i++) {
-		if (dl_name_eq(&c->reservations->at[i].address, address))
-			return dl_str_of(c->reservations->at[i].id);
+		if (dl_name_eq(&c->reservations->parts[i].address, address))
+			return dl_str_of(c->reservations->parts[i].id);
 	}
 	return (struct dl_str){ "", 0 };
 }
@@ -212,11 +212,11 @@
 		return;
 	c->reservations = NULL;
 	for (uint8_t i = 0; i < set->count; i++) {
-		struct reservation *r = &set->at[i];
+		struct reservation *r = &set->parts[i];
 
-		if (r->order)
-			dl_httpc_cancel(r->order);
-		if (r->held || r->order)
+		if (r->in_flight)
+			dl_httpc_cancel(r->in_flight);
+		if (r->held || r->in_flight)
 			send_reservation(c->e, r, 0, &release_ops, NULL);
 	}
 	g_free(set);
@@ -228,15 +228,15 @@
 	for (struct call *c = e->calls; c; c = c->next) {
 		struct reservations *set = c->reservations;
 
-		if (!set || set->asked || now < set->renew_at)
+		if (!set || set->pending || now < set->renew_at)
 			continue;
 		set->renew_at = now + RENEW_MS;
 		for (uint8_t i = 0; i < set->count; i++) {
-			struct reservation *r = &set->at[i];
+			struct reservation *r = &set->parts[i];
 
-			if (!r->order)
-				r->order = send_reservation(e, r, HOLD_MS,
-							    &reserve_ops, r);
+			if (!r->in_flight)
+				r->in_flight = send_reservation(
+					e, r, HOLD_MS, &reserve_ops, r);
 		}
 	}
 }
