--- a/src/main/entry_route.c
+++ b/src/main/entry_route.c
@@ -20,21 +20,21 @@
  * Callers give a stream up after a pause of this, or of so many times its
  * target or pause, whichever is longest (as the platform's callers do).
  */
-#define GIVE_UP_MS	2000
-#define GIVE_UP_TARGETS 4
-#define GIVE_UP_GAPS	8
+#define CALLER_SILENCE_MS      2000
+#define CALLER_SILENCE_TARGETS 4
+#define CALLER_SILENCE_GAPS    8
 /* Refused for what another VM may have: it is tried at once. */
 #define RETRY_SOON_MS 100
 /* Another VM takes it: no longer than the way there, of a target of 300 ms. */
-#define RETRY_ELSEWHERE_MS 20
+#define RETRY_OTHER_VM_MS 20
 /*
  * Refused for want of the group's word, after waiting for it where it seemed
  * near.  A leader that does not answer has a successor in 1.0 to 1.5 s, and the
  * words come after that; a start of everything takes 0.4 s where all voters are
  * back, and as long as this where one is not.
  */
-#define GROUP_BACK_MS 2500
-#define GROUP_SOON_MS 300
+#define GROUP_RETRY_MS	    2500
+#define GROUP_RETRY_SOON_MS 300
 /*
  * A VM that stops still takes what will have ended by then, and this much
  * sooner: callers keep coming for seconds, also where it is the only VM of
@@ -47,22 +47,23 @@
  * by then, and callers that come later find another VM.  Taken after 3.7 s of
  * 8, a short stream that engines were slow at was cut.
  */
-#define STOP_TAKES_MS 2700
+#define STOP_USUAL_OUTPUT_MS 2700
 /* A stream takes about twice as long as its engine alone would need. */
-#define STREAM_FACTOR	2.0
-#define STATUS_NO_KEY	401
-#define STATUS_NO_ROUTE 404
+#define STREAM_FACTOR	    2.0
+#define STATUS_UNAUTHORIZED 401
+#define STATUS_NOT_FOUND    404
 
-static uint32_t give_up_ms(const struct dl_route_conf *route)
+static uint32_t caller_silence_ms(const struct dl_route_conf *route)
 {
-	uint32_t ms = MAX(GIVE_UP_MS, route->target_ms * GIVE_UP_TARGETS);
+	uint32_t ms = MAX(CALLER_SILENCE_MS,
+			  route->target_ms * CALLER_SILENCE_TARGETS);
 
-	return MAX(ms, route->gap_ms * GIVE_UP_GAPS);
+	return MAX(ms, route->gap_ms * CALLER_SILENCE_GAPS);
 }
 
 /* One of the route's services, by their weights. */
-static const struct dl_service_conf *pick(const struct call *c,
-					  const struct dl_route_conf *route)
+static const struct dl_service_conf *
+pick_service(const struct call *c, const struct dl_route_conf *route)
 {
 	uint64_t sum = 0, at;
 
@@ -91,7 +92,7 @@
 	r->target_ms = route->target_ms;
 	r->gap_ms = route->gap_ms;
 	r->attempts_max = route->attempts;
-	r->give_up_ms = give_up_ms(route);
+	r->give_up_ms = caller_silence_ms(route);
 	c->stream = route->kind == DL_ROUTE_STREAM;
 	c->idempotent = c->stream ? route->resumable :
 				    route->kind == DL_ROUTE_IDEMPOTENT;
@@ -121,7 +122,7 @@
 }
 
 /* A final word about a request that no route or key lets in. */
-static void not_allowed(struct call *c, uint16_t status, const char *why)
+static void reject(struct call *c, uint16_t status, const char *why)
 {
 	struct dl_err err;
 
@@ -131,28 +132,29 @@
 }
 
 /* When the group's word may be had again; another VM may have it sooner. */
-static uint32_t group_back_ms(const struct entry *e)
+static uint32_t group_retry_ms(const struct entry *e)
 {
 	int64_t up = entry_now(e) - e->started_at;
 
-	if (e->lease.held_from || up >= GROUP_BACK_MS - GROUP_SOON_MS)
-		return e->lease.held_from ? GROUP_BACK_MS : GROUP_SOON_MS;
-	return (uint32_t)(GROUP_BACK_MS - up);
+	if (e->lease.held_from || up >= GROUP_RETRY_MS - GROUP_RETRY_SOON_MS)
+		return e->lease.held_from ? GROUP_RETRY_MS :
+					    GROUP_RETRY_SOON_MS;
+	return (uint32_t)(GROUP_RETRY_MS - up);
 }
 
 /* Nothing can be said for sure about the request here and now. */
 void entry_route_refuse_no_quorum(struct call *c)
 {
 	entry_call_refuse(c, DL_REASON_NO_QUORUM, DL_STEP_CHECK,
-			  c->e->node.self, group_back_ms(c->e));
+			  c->e->node.self, group_retry_ms(c->e));
 }
 
 /*
  * Find the request's route and workspace in the configuration in force; false,
  * and answered, where there is none.
  */
-static bool allow(struct call *c, const struct dl_inbound *in,
-		  const struct dl_route_conf **route)
+static bool authorize(struct call *c, const struct dl_inbound *in,
+		      const struct dl_route_conf **route)
 {
 	const struct dl_conf_workspace *ws = NULL;
 	const struct dl_conf *conf = c->e->conf;
@@ -164,13 +166,13 @@
 	*route = dl_conf_route(conf, dl_httpd_host(c->http),
 			       dl_httpd_path(c->http));
 	if (!*route) {
-		not_allowed(c, STATUS_NO_ROUTE, "no route has this path");
+		reject(c, STATUS_NOT_FOUND, "no route has this path");
 		return false;
 	}
 	if (!(*route)->public && conf->workspaces_count) {
 		ws = dl_conf_key(conf, in->key);
 		if (!ws) {
-			not_allowed(c, STATUS_NO_KEY, "no workspace's key");
+			reject(c, STATUS_UNAUTHORIZED, "no workspace's key");
 			return false;
 		}
 		c->workspace = ws->limits.name;
@@ -198,7 +200,7 @@
 	struct dl_inbound in;
 
 	read_inbound(c->http, &in);
-	return allow(c, &in, route);
+	return authorize(c, &in, route);
 }
 
 /* Whether a route still leads to the service that was picked. */
@@ -231,7 +233,7 @@
 		return true;
 	/* Callers name a bound that most answers stay far below. */
 	if (m->usual_output && m->usual_output < output &&
-	    c->arrived_at <= c->e->stop_at + STOP_TAKES_MS)
+	    c->arrived_at <= c->e->stop_at + STOP_USUAL_OUTPUT_MS)
 		output = m->usual_output;
 	if (c->stream && m->slots)
 		takes += STREAM_FACTOR * (double)output /
@@ -247,20 +249,20 @@
 }
 
 /* Find out what a request is and where it goes, and ask for a place. */
-static void begin(struct call *c, const struct dl_inbound *in)
+static void admit(struct call *c, const struct dl_inbound *in)
 {
 	const struct dl_service_conf *service;
 	const struct dl_route_conf *route;
 	struct entry *e = c->e;
 	uint32_t left;
 
-	if (!allow(c, in, &route))
+	if (!authorize(c, in, &route))
 		return;
 	left = in->patience_ms ? MIN(in->patience_ms, route->timeout_ms) :
 				 route->timeout_ms;
 	c->deadline = c->arrived_at + left;
 	fill_route(c, route);
-	service = pick(c, route);
+	service = pick_service(c, route);
 	if (!service) {
 		entry_call_refuse(c, DL_REASON_NO_ENDPOINT, DL_STEP_CHECK,
 				  e->node.self, RETRY_SOON_MS);
@@ -271,7 +273,7 @@
 	dl_retry_budget_first(entry_call_retry_budget(c));
 	if (e->node.stopping && !ends_before_stop(c, service)) {
 		entry_call_refuse(c, DL_REASON_DRAINING, DL_STEP_ADMIT,
-				  e->node.self, RETRY_ELSEWHERE_MS);
+				  e->node.self, RETRY_OTHER_VM_MS);
 		return;
 	}
 	if (!has_room(e)) {
@@ -283,7 +285,7 @@
 }
 
 /* Let a request wait until the version in force is sure, for some time. */
-static bool wait_for_word(struct call *c, uint32_t left_ms)
+static bool wait_for_config(struct call *c, uint32_t left_ms)
 {
 	int64_t now = entry_now(c->e);
 	uint32_t waited = (uint32_t)(now - c->arrived_at);
@@ -311,9 +313,9 @@
 	if (!dl_name_set(&c->route.attempt_id, in.attempt_id))
 		c->route.attempt_id.n = 0;
 	c->deadline = c->arrived_at + 1;
-	if (!entry_lease_holds(e) && wait_for_word(c, in.patience_ms))
+	if (!entry_lease_holds(e) && wait_for_config(c, in.patience_ms))
 		return;
-	begin(c, &in);
+	admit(c, &in);
 }
 
 /* Those that waited for the version in force go on; what ends is freed. */
@@ -331,7 +333,7 @@
 		}
 		c->unsure_ms = (uint32_t)(entry_now(e) - c->arrived_at);
 		read_inbound(c->http, &in);
-		begin(c, &in);
+		admit(c, &in);
 		c = e->calls;
 	}
 }
