--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -12,7 +12,7 @@
 #define HEADERS_MAX 64
 /* An answer up to here is held until it is whole, so that it can be told
  * whole or retried; a larger one is passed on as it comes. */
-#define HOLD_MAX (1u << 20)
+#define HELD_BODY_MAX (1u << 20)
 /* The first token may come this much later than predicted. */
 #define FIRST_TOKEN_FACTOR 3
 /* What is kept for the way back of the endpoint's last bytes. */
@@ -25,11 +25,11 @@
 static void on_end(void *arg, const struct dl_attempt *attempt,
 		   const struct dl_err *err);
 
-static bool on_ready(void *arg);
+static bool on_connected(void *arg);
 
 static const struct dl_httpc_ops ops_table[] = {
-	[DL_POOL_MODEL] = { on_head, on_model_body, on_end, on_ready },
-	[DL_POOL_PLAIN] = { on_head, on_plain_body, on_end, on_ready },
+	[DL_POOL_MODEL] = { on_head, on_model_body, on_end, on_connected },
+	[DL_POOL_PLAIN] = { on_head, on_plain_body, on_end, on_connected },
 };
 
 /* The endpoint's own host is named in place of the caller's. */
@@ -39,8 +39,8 @@
 }
 
 /* The headers of ours that every endpoint gets. */
-static size_t own_headers(struct call *c, struct dl_header *out, char *numbers,
-			  size_t n)
+static size_t fill_own_headers(struct call *c, struct dl_header *out,
+			       char *numbers, size_t n)
 {
 	int64_t left = c->deadline - entry_now(c->e) - HOP_MARGIN_MS;
 	size_t count = 0;
@@ -64,7 +64,8 @@
 	       g_ascii_strncasecmp(name.s, "daisyledge-", 11) == 0;
 }
 
-static size_t caller_headers(struct call *c, struct dl_header *out, size_t max)
+static size_t fill_caller_headers(struct call *c, struct dl_header *out,
+				  size_t max)
 {
 	struct dl_header all[HEADERS_MAX];
 	size_t n = dl_httpd_headers(c->http, all, HEADERS_MAX);
@@ -101,7 +102,7 @@
 	char left[24], offset[24];
 	size_t n;
 
-	n = own_headers(c, headers, left, sizeof(left));
+	n = fill_own_headers(c, headers, left, sizeof(left));
 	req.connect_ms = c->connect_ms;
 	req.gap_ms =
 		c->gap_ms + c->grant.predicted_ttft_ms * FIRST_TOKEN_FACTOR;
@@ -109,7 +110,7 @@
 		req.method = dl_httpd_method(c->http);
 		req.path = plain_path(c);
 		req.body = dl_httpd_body(c->http);
-		n += caller_headers(c, headers + n, HEADERS_MAX - n);
+		n += fill_caller_headers(c, headers + n, HEADERS_MAX - n);
 	} else {
 		req.method = DL_STR("POST");
 		req.path = DL_STR("/v1/completions");
@@ -164,7 +165,7 @@
  */
 static void cancel_at_engine(struct call *c)
 {
-	static const struct dl_httpc_ops nobody = { 0 };
+	static const struct dl_httpc_ops no_callbacks = { 0 };
 	struct dl_httpc_req req = { .method = DL_STR("DELETE") };
 	char path[REQUEST_ID_TEXT + 16];
 
@@ -175,7 +176,7 @@
 	req.path = dl_str_of(path);
 	req.connect_ms = c->connect_ms;
 	req.gap_ms = c->gap_ms;
-	dl_httpc_start(c->e->httpc, &req, &nobody, NULL);
+	dl_httpc_start(c->e->httpc, &req, &no_callbacks, NULL);
 }
 
 /* Stop the attempt in flight; the engine is told, so that it stops too. */
@@ -210,7 +211,7 @@
 }
 
 /* The connection stands; the endpoint may have asked to wait meanwhile. */
-static bool on_ready(void *arg)
+static bool on_connected(void *arg)
 {
 	struct call *c = arg;
 
@@ -268,7 +269,7 @@
 }
 
 /* Whether a chunk names another request than ours. */
-static bool is_foreign(const struct call *c, struct dl_str data)
+static bool is_other_request(const struct call *c, struct dl_str data)
 {
 	const char *id = memmem(data.s, data.n, "\"id\"", 4);
 	size_t n = strlen(c->id_text);
@@ -301,7 +302,7 @@
 	return dl_httpd_send(c->http, DL_STR("\n\n"));
 }
 
-static void note_first(struct call *c)
+static void note_first_byte(struct call *c)
 {
 	if (c->first_byte_at)
 		return;
@@ -317,7 +318,7 @@
 	uint64_t index;
 
 	*drop = false;
-	if (is_foreign(c, data))
+	if (is_other_request(c, data))
 		return false;
 	if (!find_number(data, "\"index\"", &index))
 		return true;
@@ -327,7 +328,7 @@
 	return true;
 }
 
-static bool take_chunk(struct call *c, struct dl_str data)
+static bool handle_chunk(struct call *c, struct dl_str data)
 {
 	struct dl_chunk chunk;
 	bool drop, go_on = true;
@@ -345,7 +346,7 @@
 		if (!chunk_in_order(c, data, &drop))
 			c->sse_bad = true;
 		else if (!drop) {
-			note_first(c);
+			note_first_byte(c);
 			c->chunks_received++;
 			if (c->stream)
 				go_on = relay_chunk(c, data);
@@ -373,7 +374,7 @@
 	bool go_on = true;
 
 	if (c->status != 200) {
-		if (c->response_buf->len + piece.n <= HOLD_MAX)
+		if (c->response_buf->len + piece.n <= HELD_BODY_MAX)
 			g_string_append_len(c->response_buf, piece.s,
 					    (gssize)piece.n);
 		return true;
@@ -383,12 +384,12 @@
 		return true;
 	}
 	while (!c->sse_bad && dl_sse_next(&c->sse, &data))
-		go_on = take_chunk(c, data);
+		go_on = handle_chunk(c, data);
 	return go_on;
 }
 
 /* Pass on the head of a plain service's answer that is too large to hold. */
-static void begin_plain(struct call *c)
+static void begin_plain_response(struct call *c)
 {
 	struct dl_header headers[HEADERS_MAX];
 	size_t n = 0;
@@ -408,13 +409,13 @@
 	struct call *c = arg;
 
 	if (!c->first_byte_at)
-		note_first(c);
+		note_first_byte(c);
 	c->chunks_received += piece.n;
 	if (c->response_started)
 		return dl_httpd_send(c->http, piece);
 	g_string_append_len(c->response_buf, piece.s, (gssize)piece.n);
-	if (c->response_buf->len > HOLD_MAX)
-		begin_plain(c);
+	if (c->response_buf->len > HELD_BODY_MAX)
+		begin_plain_response(c);
 	return true;
 }
 
@@ -437,8 +438,8 @@
 	entry_try_start(c);
 }
 
-static struct dl_attempt judged(const struct call *c,
-				const struct dl_attempt *attempt)
+static struct dl_attempt classify_attempt(const struct call *c,
+					  const struct dl_attempt *attempt)
 {
 	struct dl_attempt a = *attempt;
 
@@ -450,7 +451,7 @@
 	return a;
 }
 
-static const char *broke_name(enum dl_broke broke)
+static const char *failure_name(enum dl_broke broke)
 {
 	static const char *const names[DL_BROKE_COUNT] = {
 		[DL_BROKE_NOTHING] = "endpoint-error",
@@ -465,7 +466,7 @@
 	return names[broke];
 }
 
-static uint16_t status_of(const struct call *c, enum dl_outcome outcome)
+static uint16_t error_status(const struct call *c, enum dl_outcome outcome)
 {
 	if (outcome == DL_OUTCOME_NOT_RUN)
 		return 503;
@@ -476,7 +477,7 @@
 		   const struct dl_err *err)
 {
 	struct call *c = arg;
-	struct dl_attempt a = judged(c, attempt);
+	struct dl_attempt a = classify_attempt(c, attempt);
 	enum dl_outcome outcome = dl_call_outcome(&a);
 	struct dl_call_state state = {
 		.idempotent = c->idempotent,
@@ -503,7 +504,7 @@
 		entry_call_complete(c);
 		return;
 	}
-	entry_call_span(c, broke_name(a.broke), c->attempt_at,
+	entry_call_span(c, failure_name(a.broke), c->attempt_at,
 			c->grant.endpoint[0].s);
 	switch (dl_call_next(&state, &a, entry_call_retry_budget(c),
 			     entry_now(c->e))) {
@@ -514,8 +515,8 @@
 		resume(c);
 		return;
 	case DL_NEXT_ANSWER:
-		entry_call_end(c, outcome, status_of(c, outcome),
-			       broke_name(a.broke), err);
+		entry_call_end(c, outcome, error_status(c, outcome),
+			       failure_name(a.broke), err);
 		return;
 	}
 }
