--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -1,27 +1,33 @@
 /*
- * The entry: what its parts share.  One loop, one thread; a part is one file.
+ * Declarations shared by the parts of the entry, the process that accepts
+ * callers' requests and dispatches them to endpoints.  It runs one event loop
+ * in one thread; each part is one file.
  *
- *   entry.c       start, stop, frames to their parts
- *   entry_http.c  the doors: which path goes where
- *   entry_call.c  the life of one request
- *   entry_read.c  what a request is
- *   entry_claim.c its idempotency key
- *   entry_answer.c what its caller is told
- *   entry_try.c   one attempt of it at an endpoint
- *   entry_route.c requests that are passed on as they are: where they go
- *   entry_relay.c one attempt of such a request
- *   entry_reservation.c memory for prompts that no one engine holds
- *   entry_quarantine.c requests under which endpoints crash
- *   entry_limit.c limits that endpoints name of themselves
- *   entry_backoff.c endpoints that ask this VM to wait
- *   entry_lease.c whether the configuration here may still be trusted
- *   entry_grant.c asking dispatchers, holding and giving back grants
- *   entry_renew.c keeping what was granted
- *   entry_pool.c  dispatching for the pools of this failure domain
- *   entry_cmd.c   commands to the replicas
- *   entry_conf.c  the configuration in force
- *   entry_ops.c   operators' doors
- *   entry_trace.c what became of recent requests
+ *   entry.c            start, stop, delivery of frames to the other parts
+ *   entry_http.c       HTTP listeners and the table of paths
+ *   entry_call.c       life cycle of one request
+ *   entry_read.c       parsing and checking a request
+ *   entry_claim.c      idempotency keys
+ *   entry_answer.c     responses to the caller
+ *   entry_try.c        one attempt of an API request at an endpoint
+ *   entry_attempt.c    what all kinds of attempts share
+ *   entry_route.c      routing and admission of requests passed on unchanged
+ *   entry_relay.c      one attempt of such a request
+ *   entry_reservation.c memory reserved for prompts too large for one engine
+ *   entry_quarantine.c requests that crash endpoints
+ *   entry_limit.c      request rate limits that endpoints announce themselves
+ *   entry_backoff.c    endpoints that asked this VM to back off
+ *   entry_lease.c      whether the local configuration is known to be current
+ *   entry_grant.c      requesting grants from dispatchers, returning them
+ *   entry_renew.c      renewing the leases of grants
+ *   entry_pool.c       dispatching for the pools of this failure domain
+ *   entry_announce.c   announcements of endpoints
+ *   entry_reach.c      VMs that do not respond to this one
+ *   entry_far.c        pools of other failure domains
+ *   entry_cmd.c        commands and queries to the replicas
+ *   entry_conf.c       the configuration in force
+ *   entry_ops.c        operators' HTTP API
+ *   entry_trace.c      traces of recent requests
  */
 #ifndef DL_MAIN_ENTRY_H
 #define DL_MAIN_ENTRY_H
@@ -47,23 +53,26 @@
 #define REQUEST_ID_TEXT 48
 #define SPANS_MAX	12
 
-/* A pool of this failure domain: led here, or kept in case it must be. */
+/*
+ * A pool of this failure domain: dispatched by this VM, or kept as a standby
+ * for the case that its dispatcher fails.
+ */
 struct entry_pool {
 	struct entry_pool *next;
 	struct dl_name service;
 	struct dl_pool *pool;
 	bool dispatching;
-	bool all_silent; /* no endpoint is heard */
-	GHashTable
-		*announced; /* endpoint to its last struct announced_endpoint */
+	bool all_silent; /* no endpoint sends heartbeats */
+	/* Endpoint id to its latest struct announced_endpoint. */
+	GHashTable *announced;
 	struct dl_spill spill;
 	int64_t dispatching_since;
-	struct held_ask *held_asks; /* until the endpoints are known */
-	uint64_t limits_sent_to;    /* the dispatcher that was told of limits */
-	int64_t limit_seen_at; /* when an answer named one last; 0: never */
+	struct held_ask *held_asks; /* until endpoints have reported */
+	uint64_t limits_sent_to;    /* dispatcher that has the limits */
+	int64_t limit_seen_at;	    /* in a response, latest; 0: never */
 };
 
-/* What an endpoint announced that only the order planner asks for. */
+/* What an endpoint announced that only the planner of orders uses. */
 struct announced_endpoint {
 	int64_t heard_at;
 	uint64_t incarnation;
@@ -73,7 +82,7 @@
 	struct dl_name version, role;
 };
 
-/* What the dispatcher of another failure domain last said of its pool. */
+/* The latest summary from the dispatcher of another failure domain's pool. */
 struct remote_pool {
 	struct remote_pool *next;
 	struct dl_name service;
@@ -82,81 +91,81 @@
 	int64_t heard_at;
 };
 
-/* One hop of a request, for traces; times since the request came. */
+/* One step of a request in its trace; times are since its arrival. */
 struct span {
 	const char *name;
 	uint32_t from_ms, to_ms;
 	char peer[24];
 };
 
-/* The head of an endpoint's answer to a routed request. */
+/* The head of an endpoint's response to a routed request. */
 struct response_head {
-	bool not_run;
-	bool wrong_request;	 /* it answers another request */
-	bool is_event_stream;	 /* a stream, passed on event by event */
-	bool event_too_long;	 /* an event past its bound */
-	bool leaving;		 /* the endpoint is */
-	bool backoff_requested;	 /* until retry_after_ms from then */
-	uint32_t retry_after_ms; /* as the endpoint says; 0: not said */
-	struct dl_name at_fault; /* a helper that is, as the lead says */
-	size_t content_length;	 /* SIZE_MAX: not said */
+	bool not_run;		 /* the request was not executed */
+	bool wrong_request;	 /* its id is of another request */
+	bool is_event_stream;	 /* forwarded event by event */
+	bool event_too_long;	 /* an event exceeds EVENT_MAX */
+	bool leaving;		 /* the endpoint is shutting down */
+	bool backoff_requested;	 /* for retry_after_ms */
+	uint32_t retry_after_ms; /* 0: not given */
+	struct dl_name at_fault; /* helper that the lead says failed */
+	size_t content_length;	 /* SIZE_MAX: not given */
 };
 
-/* What a routed request has beside the others. */
+/* State that only routed requests have. */
 struct call_route {
 	enum dl_route_kind kind;
-	struct dl_name attempt_id; /* the caller's */
-	struct dl_name instance;   /* the start that it was sent to last */
+	struct dl_name attempt_id; /* the caller's id for it */
+	struct dl_name instance;   /* endpoint instance sent to last */
 	uint32_t target_ms, gap_ms;
-	uint32_t give_up_ms;	/* callers do after such a silence */
-	uint32_t attempts_max;	/* endpoints that it may be sent to */
-	uint32_t tries;		/* grants that led to an endpoint, or nowhere */
-	uint32_t free_failures; /* endpoints that could not be reached */
-	uint32_t sent;		/* those at which it may have run */
-	uint64_t last_event_id; /* the last event that the caller has */
-	bool resumes;		/* the endpoint begins behind after_event */
-	int64_t last_event_at;	/* the last event that was passed on */
-	uint32_t longest_pause_ms; /* the longest between two of them */
+	uint32_t give_up_ms;	   /* silence after which callers give up */
+	uint32_t attempts_max;	   /* endpoints it may be sent to */
+	uint32_t tries;		   /* grants used up, sent or not */
+	uint32_t free_failures;	   /* failures that use up no try */
+	uint32_t sent;		   /* attempts that may have run it */
+	uint64_t last_event_id;	   /* the last one the caller has */
+	bool resumes;		   /* starts after last_event_id */
+	int64_t last_event_at;	   /* when it was forwarded */
+	uint32_t longest_pause_ms; /* between two events */
 	struct response_head head;
 };
 
 enum call_state {
-	CALL_PARSING,	      /* its body is parsed beside the loop */
-	CALL_AWAITING_CONFIG, /* which version is in force is not known for sure
-			       */
+	CALL_PARSING,	      /* its body, in the thread pool */
+	CALL_AWAITING_CONFIG, /* confirmation of the version in force */
 	CALL_CLAIMING,	      /* its idempotency key */
-	CALL_ASKING,	      /* no word from the dispatcher yet */
-	CALL_QUEUED,
-	CALL_RUNNING,	/* at an endpoint */
-	CALL_RECORDING, /* its outcome, under its idempotency key */
+	CALL_ASKING,	      /* no reply from the dispatcher yet */
+	CALL_QUEUED,	      /* by the dispatcher */
+	CALL_RUNNING,	      /* at an endpoint */
+	CALL_RECORDING,	      /* its outcome, under its idempotency key */
 };
 
 struct entry;
 
 /*
- * Whoever holds a request of the server; the first member of what is kept with
- * it.  gone: the request is freed afterwards, and must not be answered.
+ * Callbacks of the owner of a server's HTTP request; the first member of the
+ * structure that is attached to the request.  closed: the caller has left; the
+ * request is freed afterwards, and must not be answered.  drained: the caller
+ * has read what was sent.
  */
 struct http_owner {
 	void (*closed)(struct http_owner *self);
 	void (*drained)(struct http_owner *self); /* may be NULL */
 };
 
-/* One request of a caller, from its arrival to its answer. */
+/* One request of a caller, from its arrival to its response. */
 struct call {
 	struct http_owner http_owner; /* first */
 	struct entry *e;
 	struct call *next, *prev;
-	struct dl_httpd_req *http; /* NULL once the caller has gone */
+	struct dl_httpd_req *http; /* NULL once the caller has left */
 	enum call_state state;
 	uint64_t id;
 	char id_text[REQUEST_ID_TEXT];
-	uint64_t
-		claim_owner; /* of its claims: the same id, unique everywhere */
+	uint64_t claim_owner; /* hash of id_text: owner of its claims */
 	int64_t arrived_at, deadline;
-	int64_t granted_at; /* the last time; 0 for never */
+	int64_t granted_at; /* the last time; 0: never */
 
-	/* what it is */
+	/* the request */
 	struct dl_name service;
 	enum dl_pool_kind kind;
 	bool stream;
@@ -170,86 +179,81 @@
 	uint32_t prefix_tokens;
 	uint32_t connect_ms, gap_ms;
 	uint32_t retry_permille;
-	uint64_t content_hash; /* hash of its path, workspace and body */
-	size_t buffered;       /* counted against this VM's bound */
+	uint64_t content_hash; /* see call_content() */
+	size_t buffered;       /* bytes counted against buffer_mb */
 
-	struct reservations
-		*reservations; /* memory on engines; NULL for none */
-	bool routed;	       /* passed on as it is, see entry_route.c */
+	struct reservations *reservations; /* on engines; NULL for none */
+	bool routed; /* forwarded unchanged, see entry_route.c */
 	struct call_route route;
 
-	/* asking */
-	uint64_t ask_id; /* of the ask in flight, 0 for none */
+	/* requesting a grant from a dispatcher */
+	uint64_t ask_id; /* of the pending ask; 0: none */
 	uint64_t dispatcher;
-	struct dl_name domain; /* whose pool is asked */
+	struct dl_name domain; /* failure domain whose pool is asked */
 	int64_t asked_at, ask_again_at;
-	int64_t wait_started_at; /* in its state, while it asks or is queued */
-	uint32_t unsure_ms;	 /* waited until the version was sure */
-	uint32_t asking_ms;	 /* waited for a dispatcher's answer in all */
-	uint32_t queued_ms;	 /* and in queues */
+	int64_t wait_started_at; /* in CALL_ASKING or CALL_QUEUED */
+	uint32_t unsure_ms;	 /* total in CALL_AWAITING_CONFIG */
+	uint32_t asking_ms;	 /* total in CALL_ASKING */
+	uint32_t queued_ms;	 /* total in CALL_QUEUED */
 	uint32_t asks_lost;
-	uint32_t not_dispatcher_replies; /* asks of a VM that did not know that
-					  * it dispatches
-					  */
-	bool placed_locally;	    /* placed here for want of a dispatcher */
-	uint32_t spill_tried_count; /* domains tried beside the first */
+	/* From VMs that had not learnt yet that they are the dispatcher. */
+	uint32_t not_dispatcher_replies;
+	bool placed_locally;	    /* without a dispatcher */
+	uint32_t spill_tried_count; /* domains asked before this one */
 	struct dl_name spill_tried[DL_SPILL_MAX + 1];
-	struct dl_name hints[DL_SPILL_MAX]; /* domains that were named */
+	struct dl_name hints[DL_SPILL_MAX]; /* domains to try */
 	uint32_t hints_count;
 	struct dl_answer last_refusal;
 	enum dl_reason reason; /* of the final refusal */
-	uint32_t retry_ms;     /* and when the caller may come back */
+	uint32_t retry_ms;     /* and when the caller may retry */
 	bool refused;
-	bool redirected; /* by the own domain's dispatcher, which has not
-			  * refused
-			  */
+	/* By the dispatcher of this VM's domain, which has not refused it. */
+	bool redirected;
 
-	/* granted */
-	struct dl_ask_frame ask; /* as last sent; its workspace is ours */
+	/* the grant */
+	struct dl_ask_frame ask; /* as last sent; workspace points here */
 	struct dl_answer grant;
 	bool granted;
-	uint32_t grants_unused; /* grants given back, as an endpoint asked to
-				   wait */
+	uint32_t grants_unused; /* returned because of an endpoint's backoff */
 	uint32_t lease_ms;
 	int64_t renew_at;
 
 	/* attempts */
 	struct dl_httpc_call *attempt;
 	struct dl_completion completion;
-	struct parse_job *parse_job; /* beside the loop, NULL when done */
-	char *body_first;	     /* of the attempt in flight */
+	struct parse_job *parse_job; /* in the thread pool; NULL: none */
+	char *body_first;	     /* first part of the request body */
 	uint32_t attempts;
-	bool aborted_unsent; /* the attempt was given up before it was sent */
+	bool aborted_unsent; /* cancelled before it was sent */
 	uint8_t tried_count;
 	struct dl_name tried_ids[3];
-	uint64_t endpoint_start; /* of the endpoint that it was sent to; 0: not
-				    known */
+	/* Number of the endpoint instance it was sent to; 0: unknown. */
+	uint64_t endpoint_start;
 	int64_t attempt_at, first_byte_at;
 	struct dl_sse sse;
 	bool sse_done, sse_bad;
-	uint64_t chunks_received; /* chunks of text from the endpoint */
-	uint64_t relayed;	  /* chunks given to the caller */
-	uint64_t resume_offset; /* chunks of a resumed stream already relayed */
-	bool deadline_passed;	/* its deadline had passed at the last tick */
-	bool may_have_run;	/* some attempt is not provably "not run" */
-	bool response_started;	/* the caller has the head of the answer */
-	uint16_t status;	/* the endpoint's */
-	GString *response_buf;	/* of an answer that is given whole */
-	GPtrArray *response_headers; /* of a plain service's answer, names and
-					values */
-	size_t response_length;	     /* its content length, SIZE_MAX unknown */
+	uint64_t chunks_received;    /* bytes for a plain service */
+	uint64_t relayed;	     /* chunks or events sent to the caller */
+	uint64_t resume_offset;	     /* chunks that a resumed stream skips */
+	bool deadline_passed;	     /* at the last tick */
+	bool may_have_run;	     /* an attempt is not provably "not run" */
+	bool response_started;	     /* its head was sent to the caller */
+	uint16_t status;	     /* of the endpoint's response */
+	GString *response_buf;	     /* received, not sent yet */
+	GPtrArray *response_headers; /* alternating names and values */
+	size_t response_length;	     /* Content-Length; SIZE_MAX: unknown */
 	uint64_t used_prompt, used_output;
 	struct dl_usage usage;
 
 	/* idempotency */
-	struct dl_str key; /* claim key, owned */
+	struct dl_str key; /* claim key; allocated */
 	uint64_t body_hash;
 	bool claimed;
-	uint64_t outcome_cmd;	  /* command id, 0 for none */
-	int64_t outcome_deadline; /* the answer waits for it no longer */
-	uint64_t claim_cmd;
+	uint64_t outcome_cmd;	  /* command id; 0: none */
+	int64_t outcome_deadline; /* the response waits until then */
+	uint64_t claim_cmd;	  /* command id; 0: none */
 
-	/* the answer, kept while its outcome is recorded */
+	/* the response, kept while its outcome is recorded */
 	enum dl_outcome outcome;
 	GString *final_body;
 
@@ -257,22 +261,22 @@
 	uint32_t spans_count;
 };
 
-/* A command to the replicas; done is called once, also on failure. */
+/* Completion callback of a command to the replicas; called exactly once. */
 struct entry_cmd_done {
 	void (*done)(void *arg, const struct dl_cstore_reply *reply);
 	void *arg;
 };
 
-/* Who a path is for; a door serves one or more of them. */
+/* Groups of paths; a listener serves one or more of them. */
 enum listener_use {
 	LISTENER_CALLERS = 1,
 	LISTENER_ENDPOINTS = 2,
 	LISTENER_OPERATORS = 4,
-	LISTENER_READY = 8, /* the balancer's */
-	LISTENER_ANY = 15,  /* health: on every door */
+	LISTENER_READY = 8, /* the load balancer's check */
+	LISTENER_ANY = 15,  /* health: on every listener */
 };
 
-/* One address that is listened on. */
+/* One address that HTTP connections are accepted on. */
 struct listener {
 	struct entry *e;
 	unsigned uses;
@@ -291,12 +295,12 @@
 	struct dl_conf *conf;
 	char *conf_text;
 	size_t conf_text_n;
-	struct conf_reading *conf_reading; /* a newer one, beside the loop */
-	struct conf_reading *conf_next;	   /* the one after it */
-	int64_t conf_read_not_before;	   /* nothing is read before, */
-	int64_t conf_waiting_since;	   /* unless something waits for long */
-	int64_t conf_last_read_at;	   /* the last one, beside the loop */
-	char *conf_pushed; /* the same as it came, for those who ask us */
+	struct conf_reading *conf_reading; /* being parsed, in a thread */
+	struct conf_reading *conf_next;	   /* waiting to be parsed */
+	int64_t conf_read_not_before;	   /* earliest next parse, */
+	int64_t conf_waiting_since;	   /* unless conf_next waits too long */
+	int64_t conf_last_read_at;	   /* end of the last parse; 0: none */
+	char *conf_pushed; /* as received, to send to other VMs */
 	size_t conf_pushed_n;
 	uint64_t version;
 	int64_t conf_pulled_at;
@@ -305,16 +309,15 @@
 	struct dl_lease lease;
 	bool lease_logged;
 	struct dl_directory *directory;
-	struct dl_reports *reports; /* that replicas passed on */
-	struct dl_backoff *backoff; /* of endpoints towards this VM */
+	struct dl_reports *reports; /* forwarded by replicas */
+	struct dl_backoff *backoff; /* asked of this VM by endpoints */
 	struct quarantine quarantine;
-	GPtrArray *probes; /* of endpoints at which attempts broke off */
+	GPtrArray *probes; /* of endpoints after broken attempts */
 
 	/* dispatching */
 	struct entry_pool *pools;
 	struct remote_pool *remote_pools;
-	GHashTable *unreachable_vms; /* VM that does not answer to when that was
-					last seen */
+	GHashTable *unreachable_vms; /* VM to when it last failed to respond */
 	int64_t summaries_sent_at;
 	int64_t metrics_updated_at;
 
@@ -322,23 +325,22 @@
 	struct call *calls;
 	uint32_t calls_count;
 	uint64_t next_id;
-	GHashTable *asks;	   /* ask id to its call */
-	GHashTable *retry_budgets; /* service to its retry budget */
-	GHashTable
-		*bytes_per_token; /* workspace to bytes a token, thousandths */
-	uint64_t buffered;
+	GHashTable *asks;	     /* ask id to struct call */
+	GHashTable *retry_budgets;   /* service to struct dl_retry_budget */
+	GHashTable *bytes_per_token; /* workspace to bytes * 1000 a token */
+	uint64_t buffered;	     /* bytes of requests in memory */
 
-	/* commands and questions to the replicas */
+	/* commands and queries to the replicas */
 	struct entry_cmd *cmds;
 	uint64_t next_cmd;
-	uint64_t leader; /* best guess */
+	uint64_t leader; /* replica believed to lead */
 	uint32_t next_replica;
 
-	struct trace *traces; /* a ring */
+	struct trace *traces; /* ring buffer */
 	uint32_t traces_next;
 
 	int64_t started_at;
-	bool draining; /* by signal or by the operators */
+	bool draining; /* by signal or by operators */
 	int64_t stop_at;
 };
 
@@ -355,7 +357,7 @@
 void entry_call_plain(struct entry *e, struct dl_httpd_req *req);
 
 void entry_call_tick(struct entry *e, int64_t now);
-/* The final word: answers the caller, releases, traces, frees. */
+/* These two answer the caller, release what is held, and free the call. */
 void entry_call_refuse(struct call *c, enum dl_reason reason, enum dl_step step,
 		       uint64_t peer, uint32_t retry_ms);
 void entry_call_end(struct call *c, enum dl_outcome outcome, uint16_t status,
@@ -368,9 +370,9 @@
 
 /* entry_route.c */
 void entry_route_request(struct entry *e, struct dl_httpd_req *req);
-/* The version in force is sure: those that wait for it go on. */
+/* Continue with requests that waited for the version in force. */
 void entry_route_resume(struct entry *e);
-/* Refuse one that has waited for it in vain, at its deadline. */
+/* Refuse a request because the version in force is not confirmed. */
 void entry_route_refuse_no_quorum(struct call *c);
 bool entry_route_authorize(struct call *c, const struct dl_route_conf **route);
 bool entry_route_has_service(const struct call *c,
@@ -423,7 +425,7 @@
 void entry_lease_frame(struct entry *e, uint64_t from,
 		       const struct dl_frame *frame);
 void entry_lease_tick(struct entry *e, int64_t now);
-/* How long a request without a word of the group may wait for one, ms. */
+/* How long a request may wait for the replicas to confirm the version, ms. */
 uint32_t entry_lease_patience(const struct entry *e, uint32_t left_ms);
 
 /* entry_try.c */
@@ -436,7 +438,6 @@
 void entry_grant_answer(struct entry *e, uint64_t from,
 			const struct dl_answer_frame *f);
 void entry_grant_release(struct call *c);
-/* Its first event has come. */
 void entry_grant_first_event(struct call *c);
 void entry_grant_cancel(struct call *c);
 void entry_grant_down(struct entry *e, uint64_t vm);
@@ -464,7 +465,8 @@
 void entry_pool_tick(struct entry *e, int64_t now);
 
 /* entry_announce.c */
-/* Number of the start at an address, the same on all VMs; 0: not known. */
+/* Number of the endpoint instance at an address, equal on all VMs; 0: unknown.
+ */
 uint64_t entry_endpoint_start(struct entry *e, struct dl_str service,
 			      struct dl_str address);
 int entry_announce_take(struct entry *e, struct dl_announcement *a);
@@ -495,7 +497,7 @@
 /* entry_cmd.c */
 uint64_t entry_cmd_send(struct entry *e, const struct dl_cstore_cmd *cmd,
 			uint32_t time_ms, struct entry_cmd_done done);
-/* A question whose answer is JSON; done gets it in reply->outcome. */
+/* A query whose reply is JSON; done gets it in reply->outcome. */
 uint64_t entry_cmd_query(struct entry *e, uint64_t vm, struct dl_str question,
 			 uint32_t time_ms, struct entry_cmd_done done);
 void entry_cmd_forget(struct entry *e, uint64_t id);
@@ -503,11 +505,11 @@
 void entry_cmd_frame(struct entry *e, uint64_t from,
 		     const struct dl_frame *frame);
 void entry_cmd_tick(struct entry *e, int64_t now);
-/* Have a guess at who leads. */
+/* Choose a replica to contact as the leader. */
 void entry_cmd_leader(struct entry *e);
-/* As many as a group may have members, on their way in or out. */
+/* Most members of the replica group, including those joining or leaving. */
 #define ENTRY_REPLICAS_MAX 16
-/* The replicas as far as they are known; returns how many. */
+/* List the known replicas; returns how many. */
 uint32_t entry_cmd_replicas(const struct entry *e, uint64_t *out);
 bool entry_cmd_is_replica(struct entry *e, uint64_t vm);
 
@@ -524,7 +526,7 @@
 void entry_ops_history(struct entry *e, struct dl_httpd_req *req);
 void entry_ops_status(struct entry *e, struct dl_httpd_req *req);
 
-/* Another VM asks what this one knows. */
+/* Handle a status query of another VM. */
 void entry_ops_frame(struct entry *e, uint64_t from,
 		     const struct dl_frame *frame);
 
