--- a/src/main/entry_call.h
+++ b/src/main/entry_call.h
@@ -1,4 +1,4 @@
-/* A request among its own files: call, read, claim, answer. */
+/* Functions on a request that only the files that handle requests share. */
 #ifndef DL_MAIN_ENTRY_CALL_H
 #define DL_MAIN_ENTRY_CALL_H
 
@@ -24,7 +24,7 @@
 size_t call_headers_fill(const struct call *c, struct dl_header *out,
 			 size_t max);
 
-/* entry_read.c: the result of a parse under way is dropped */
+/* entry_read.c */
 void call_parse_forget(struct parse_job *job);
 
 /* entry_claim.c */
