--- a/src/main/entry_call.c
+++ b/src/main/entry_call.c
@@ -1,4 +1,4 @@
-/* The life of one request, from its arrival to its answer. */
+/* Life cycle of one request, from its arrival to its response. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,11 +8,11 @@
 #include "base/msg.h"
 #include "main/entry_call.h"
 
-/* Few workspaces are learned about; the rest use the default. */
+/* Bounds the table of bytes a token; further workspaces use the default. */
 #define RATIOS_MAX	32768
 #define RATIO_MIN_MILLI 250
 #define RATIO_MAX_MILLI 16000
-/* Retries that may come at once before the share of first tries bounds them. */
+/* Retries allowed in a burst, before their share of first tries bounds them. */
 #define RETRY_BURST		 10
 #define RETRY_AFTER_MS		 1000
 #define STATUS_GATEWAY_TIMEOUT	 504
@@ -24,13 +24,16 @@
 static void on_closed(struct http_owner *self);
 static void on_drained(struct http_owner *self);
 
-/* A copy of bytes, freed with g_free(). */
+/* Copies a string; the caller frees the bytes with g_free(). */
 struct dl_str call_copy_str(struct dl_str s)
 {
 	return (struct dl_str){ g_memdup2(s.s, s.n), s.n };
 }
 
-/* Free a request that is over; nothing of it is in flight any more. */
+/*
+ * Frees a request that has ended.  No attempt, ask or grant of it may be
+ * pending; pending commands and a parse are detached.
+ */
 void call_free(struct call *c)
 {
 	struct entry *e = c->e;
@@ -64,7 +67,7 @@
 	g_free(c);
 }
 
-/* Add a hop to the request's trace; from is when it began. */
+/* Adds a step to the request's trace that began at from and ends now. */
 void entry_call_span(struct call *c, const char *name, int64_t from,
 		     const char *peer)
 {
@@ -91,7 +94,7 @@
 	dl_count(counters[outcome], 1);
 }
 
-/* The engines that read a prompt with the one that answers. */
+/* Lists the helpers: engines that process the prompt along with the lead. */
 static void format_helpers(const struct call *c, char *text, size_t size)
 {
 	size_t at = 0;
@@ -103,7 +106,7 @@
 				       c->grant.endpoint[i].s);
 }
 
-/* One line for each request: what became of it, and of what. */
+/* Logs one line for each request, with its outcome, size and timing. */
 static void log_request_ended(const struct call *c)
 {
 	char helpers[DL_GROUP_MAX * 24];
@@ -134,14 +137,17 @@
 	       c->queued_ms);
 }
 
-/* Let go of everything but the answer itself. */
+/*
+ * Ends a request: releases all that it holds except its response, and counts,
+ * logs and traces its outcome.
+ */
 void call_settle(struct call *c, enum dl_outcome outcome, uint16_t status)
 {
 	entry_try_cancel(c);
 	entry_reservation_release(c);
 	entry_grant_release(c);
 	entry_grant_cancel(c);
-	/* An earlier attempt may have run, whatever became of the last one. */
+	/* An earlier attempt may have run even if the last one did not. */
 	if (outcome == DL_OUTCOME_NOT_RUN && c->may_have_run)
 		outcome = DL_OUTCOME_UNKNOWN;
 	if (outcome == DL_OUTCOME_DONE || outcome == DL_OUTCOME_FAILED)
@@ -159,7 +165,7 @@
 	entry_trace_add(c->e, c, outcome, status);
 }
 
-/* A request has arrived. */
+/* Allocates the state of a request that has arrived, and attaches it to req. */
 struct call *call_new(struct entry *e, struct dl_httpd_req *req)
 {
 	struct call *c = g_new0(struct call, 1);
@@ -188,7 +194,11 @@
 	return c;
 }
 
-/* Refuse: it has not run, and will not. */
+/*
+ * Refuses a request, which is not sent to an endpoint any more.  retry_ms is
+ * the delay after which the caller may retry; 0: the default, or none for an
+ * API request that is too long.
+ */
 void entry_call_refuse(struct call *c, enum dl_reason reason, enum dl_step step,
 		       uint64_t peer, uint32_t retry_ms)
 {
@@ -225,7 +235,7 @@
 	call_free(c);
 }
 
-/* End with an error; reason is for programs, err for people. */
+/* Ends a request with an error; reason is machine-readable, err is not. */
 void entry_call_end(struct call *c, enum dl_outcome outcome, uint16_t status,
 		    const char *reason, const struct dl_err *err)
 {
@@ -245,7 +255,7 @@
 	call_free(c);
 }
 
-/* The record takes its time: the caller does not wait for it. */
+/* Answers the caller where recording the outcome takes too long. */
 static void stop_waiting_for_record(struct call *c, int64_t now)
 {
 	if (now < c->outcome_deadline && now < c->deadline)
@@ -254,7 +264,10 @@
 	call_free(c);
 }
 
-/* What a workspace's text takes a token, as its endpoints count. */
+/*
+ * Updates the average of bytes a token of the workspace from the count of
+ * tokens that the endpoint reported.
+ */
 static void learn_bytes_per_token(struct call *c)
 {
 	struct entry *e = c->e;
@@ -275,7 +288,7 @@
 	g_hash_table_replace(e->bytes_per_token, name, GSIZE_TO_POINTER(milli));
 }
 
-/* The endpoint has answered whole. */
+/* Handles the complete response of an endpoint. */
 void entry_call_complete(struct call *c)
 {
 	struct entry_cmd_done done = { on_recorded, c };
@@ -306,7 +319,7 @@
 	call_free(c);
 }
 
-/* The caller has left: nobody reads the answer, so the work stops. */
+/* The caller has disconnected: cancels the request. */
 static void on_closed(struct http_owner *self)
 {
 	struct call *c = (struct call *)self;
@@ -327,7 +340,7 @@
 	call_free(c);
 }
 
-/* The caller has read what it was sent. */
+/* The caller has read what it was sent: reads on from the endpoint. */
 static void on_drained(struct http_owner *self)
 {
 	struct call *c = (struct call *)self;
@@ -355,8 +368,8 @@
 	struct dl_err err;
 
 	/*
-	 * What came of the attempt until now is taken in before the next tick:
-	 * where this process stood still its answer may be there, unread.
+	 * Waits for one more tick: after a stall of this process the response
+	 * may have arrived, but has not been read yet.
 	 */
 	if (c->attempt && !c->deadline_passed) {
 		c->deadline_passed = true;
@@ -381,7 +394,7 @@
 	entry_call_end(c, outcome, STATUS_GATEWAY_TIMEOUT, "deadline", &err);
 }
 
-/* End what has run out of time. */
+/* Ends the requests whose deadline has passed. */
 void entry_call_tick(struct entry *e, int64_t now)
 {
 	struct call *c, *next;
@@ -412,14 +425,18 @@
 	if (c->attempt)
 		a = dl_httpc_progress(c->attempt);
 	a.broke = DL_BROKE_RESET;
-	dl_err_set(&err, -ECANCELED, DL_STEP_BODY, NULL, "this VM stops");
+	dl_err_set(&err, -ECANCELED, DL_STEP_BODY, NULL,
+		   "this VM is shutting down");
 	outcome = dl_call_outcome(&a);
 	if (c->routed && (c->may_have_run || outcome != DL_OUTCOME_NOT_RUN))
 		status = STATUS_BAD_GATEWAY;
 	entry_call_end(c, outcome, status, "stopping", &err);
 }
 
-/* End every request now, each with an honest word. */
+/*
+ * Ends every request now; each caller is told whether its request may have
+ * been executed.
+ */
 void entry_calls_abort(struct entry *e)
 {
 	struct call *c, *next;
@@ -430,7 +447,7 @@
 	}
 }
 
-/* The retry budget of the call's service on this VM. */
+/* Returns this VM's retry budget for the call's service, created on demand. */
 struct dl_retry_budget *entry_call_retry_budget(struct call *c)
 {
 	struct entry *e = c->e;
