--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -1,6 +1,6 @@
 /*
- * One attempt at an endpoint: what is sent, what comes back, and what is done
- * when it breaks.
+ * One attempt of an API request at an endpoint: builds and sends the request,
+ * reads the response, and retries or resumes after a failure.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,12 +10,12 @@
 #include "protocol/api.h"
 
 #define HEADERS_MAX 64
-/* An answer up to here is held until it is whole, so that it can be told
- * whole or retried; a larger one is passed on as it comes. */
+/* A response up to this size is held until it is complete, so that the attempt
+ * can still be retried; a larger one is forwarded as it arrives. */
 #define HELD_BODY_MAX (1u << 20)
-/* The first token may come this much later than predicted. */
+/* The first token may take this multiple of its prediction beyond the gap. */
 #define FIRST_TOKEN_FACTOR 3
-/* What is kept for the way back of the endpoint's last bytes. */
+/* Reserved of the deadline for the transfer of the endpoint's last bytes. */
 #define HOP_MARGIN_MS 20
 #define MS_PER_S      1000
 
@@ -32,13 +32,13 @@
 	[DL_POOL_PLAIN] = { on_head, on_plain_body, on_end, on_connected },
 };
 
-/* The endpoint's own host is named in place of the caller's. */
+/* Host counts as hop-by-hop: the endpoint's replaces the caller's. */
 static bool is_hop_header(struct dl_str name)
 {
 	return dl_header_is_hop(name) || dl_header_is(name, "host");
 }
 
-/* The headers of ours that every endpoint gets. */
+/* Fills in the headers that every endpoint gets; returns how many. */
 static size_t fill_own_headers(struct call *c, struct dl_header *out,
 			       char *numbers, size_t n)
 {
@@ -129,7 +129,7 @@
 	c->attempt = dl_httpc_start(c->e->httpc, &req, &ops_table[c->kind], c);
 }
 
-/* Begin an attempt at the endpoint that was granted. */
+/* Starts an attempt at the endpoint that was granted. */
 void entry_try_start(struct call *c)
 {
 	struct dl_err err;
@@ -159,9 +159,9 @@
 }
 
 /*
- * Tell the engine that nobody waits for a request any more.  Closing the
- * connection says the same, but an engine keeps a broken stream for a while in
- * case it is resumed, and its memory with it.
+ * Cancels a request at the engine.  Closing the connection is not enough: an
+ * engine keeps a broken stream, and its memory, for a while in case it is
+ * resumed.
  */
 static void cancel_at_engine(struct call *c)
 {
@@ -179,7 +179,7 @@
 	dl_httpc_start(c->e->httpc, &req, &no_callbacks, NULL);
 }
 
-/* Stop the attempt in flight; the engine is told, so that it stops too. */
+/* Cancels the attempt in flight, also at the engine where it was sent. */
 void entry_try_cancel(struct call *c)
 {
 	bool sent;
@@ -210,7 +210,10 @@
 	}
 }
 
-/* The connection stands; the endpoint may have asked to wait meanwhile. */
+/*
+ * The connection is established; returns false to abort the attempt before it
+ * is sent, where the endpoint has asked this VM to back off in the meantime.
+ */
 static bool on_connected(void *arg)
 {
 	struct call *c = arg;
@@ -219,7 +222,7 @@
 	return !c->aborted_unsent;
 }
 
-/* The whole seconds of a Retry-After header, in ms; 0: none. */
+/* Returns the whole seconds of a Retry-After header in ms; 0: none. */
 static uint32_t retry_after_ms(const struct dl_httpc_head *head)
 {
 	uint64_t seconds;
@@ -249,7 +252,7 @@
 		c->response_buf = g_string_new(NULL);
 }
 
-/* The number behind a key in a chunk, found without reading it whole. */
+/* Finds the number that follows a key in a chunk, without parsing the JSON. */
 static bool find_number(struct dl_str data, const char *key, uint64_t *out)
 {
 	const char *at = memmem(data.s, data.n, key, strlen(key));
@@ -268,7 +271,7 @@
 	return dl_str_to_u64(digits, out);
 }
 
-/* Whether a chunk names another request than ours. */
+/* Whether a chunk carries the id of another request. */
 static bool is_other_request(const struct call *c, struct dl_str data)
 {
 	const char *id = memmem(data.s, data.n, "\"id\"", 4);
@@ -279,7 +282,7 @@
 	return !memmem(id, data.n - (size_t)(id - data.s), c->id_text, n);
 }
 
-/* Give the caller the head of a streamed answer. */
+/* Sends the head of a streamed response to the caller. */
 void entry_try_begin_stream(struct call *c)
 {
 	struct dl_header headers[] = {
@@ -312,7 +315,11 @@
 	dl_httpc_set_gap(c->attempt, c->gap_ms);
 }
 
-/* Late and repeated chunks are dropped, a gap or a foreign one breaks. */
+/*
+ * Checks a chunk's request id and index.  Sets drop for a late or repeated
+ * chunk; returns false for a gap or a chunk of another request, which break the
+ * stream.
+ */
 static bool chunk_in_order(struct call *c, struct dl_str data, bool *drop)
 {
 	uint64_t index;
@@ -388,7 +395,10 @@
 	return go_on;
 }
 
-/* Pass on the head of a plain service's answer that is too large to hold. */
+/*
+ * Starts to forward a plain service's response that is too large to hold: its
+ * head, and the body received so far.
+ */
 static void begin_plain_response(struct call *c)
 {
 	struct dl_header headers[HEADERS_MAX];
@@ -419,7 +429,7 @@
 	return true;
 }
 
-/* Begin again at another endpoint: nothing has reached the caller. */
+/* Starts over at another endpoint; nothing has been sent to the caller. */
 static void retry(struct call *c)
 {
 	call_note_tried(c);
@@ -438,6 +448,7 @@
 	entry_try_start(c);
 }
 
+/* Returns the result of an attempt; an incomplete or bad stream is garbled. */
 static struct dl_attempt classify_attempt(const struct call *c,
 					  const struct dl_attempt *attempt)
 {
