--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -1,8 +1,8 @@
 /*
- * The asking side of dispatch: a request asks the dispatcher of a pool, holds
- * what it is granted under a lease, and gives it back.  A dispatcher that
- * moves, dies or does not answer costs a second ask, never a second run:
- * nothing has gone to an endpoint before the grant.
+ * The client side of dispatch: an entry asks the dispatcher of a pool for an
+ * endpoint, holds the grant under a lease, and releases it.  Where a dispatcher
+ * moves, dies or does not reply, the ask is repeated; the request cannot run
+ * twice, since nothing is sent to an endpoint before the grant.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -13,17 +13,18 @@
 #include "main/entry_call.h"
 
 /*
- * A dispatcher answers within a loop's turn; later it is taken for lost.  For
- * one that lost its power: until membership knows, each request would wait this
- * long for it, so the first that waited in vain speaks for all.
+ * A dispatcher replies within one iteration of its event loop; after this time
+ * the ask counts as lost.  For a VM that lost power, each request would wait
+ * this long until membership notices, so the first timeout marks the VM as
+ * unreachable for all requests.
  */
 #define ASK_TIMEOUT_MS 180
-/* Two VMs may differ for a moment about who dispatches. */
+/* Two VMs may briefly disagree about which of them is the dispatcher. */
 #define ASK_AGAIN_MS 50
-/* A VM that says that it does not dispatch is alive, and will hear that it
- * does; only after a second of this is the ask counted as lost. */
+/* A VM that replies that it is not the dispatcher is alive and will learn that
+ * it is; such replies count as one lost ask only after a second of them. */
 #define NOT_DISPATCHER_MAX 20
-/* After so many lost asks an entry places by itself. */
+/* After this many lost asks an entry places the request itself. */
 #define ASKS_LOST_MAX	 2
 #define RETRY_DEFAULT_MS 1000
 
@@ -48,7 +49,7 @@
 	ask->request = c->ask_id;
 	ask->entry = c->e->node.self;
 	ask->workspace = dl_name_str(&c->workspace);
-	/* Where a pool is of one failure domain it says nothing. */
+	/* Without regions a pool has one failure domain, so none is sent. */
 	if (c->e->node.settings.region.n)
 		ask->failure_domain = c->e->node.settings.failure_domain;
 	ask->class = c->class;
@@ -88,9 +89,10 @@
 }
 
 /*
- * With no dispatcher in reach an entry places by itself from the reports that
- * reached it; for a moment two may then overcommit an endpoint, which its own
- * admission bounds.
+ * Asks the pool on this VM.  With local set no dispatcher can be reached: the
+ * entry then places the request from the reports that it has received.  Two
+ * entries may briefly overcommit an endpoint this way, which the endpoint's own
+ * admission control bounds.
  */
 static void ask_locally(struct call *c, bool local)
 {
@@ -106,7 +108,7 @@
 	entry_pool_ask(c->e, p, &c->ask, local);
 }
 
-/* Add the wait that ends now to those of its kind; another one begins. */
+/* Adds the time in the current waiting state to its total, and restarts it. */
 static void note_wait(struct call *c)
 {
 	int64_t now = entry_now(c->e);
@@ -118,7 +120,7 @@
 	c->wait_started_at = now;
 }
 
-/* Ask for an endpoint; the call may be over when this returns. */
+/* Asks for an endpoint; the call may have been freed when this returns. */
 void entry_grant_ask(struct call *c)
 {
 	struct entry *e = c->e;
@@ -165,8 +167,8 @@
 }
 
 /*
- * Tell the dispatcher that the first event has come: where engines work in
- * passes it shows when one ended.
+ * Tells the dispatcher that the first event has arrived: for engines that work
+ * in passes this shows when a pass ended.
  */
 void entry_grant_first_event(struct call *c)
 {
@@ -184,7 +186,7 @@
 		dl_pool_first(p->pool, c->grant.grant, entry_now(c->e));
 }
 
-/* Take back an ask that has not been granted. */
+/* Cancels an ask that has not been granted. */
 void entry_grant_cancel(struct call *c)
 {
 	struct entry *e = c->e;
@@ -209,7 +211,7 @@
 	c->ask_id = 0;
 }
 
-/* Give back what was granted, and say what came of it. */
+/* Releases the grant, and reports what the request used to the dispatcher. */
 void entry_grant_release(struct call *c)
 {
 	struct entry *e = c->e;
@@ -270,7 +272,7 @@
 	return false;
 }
 
-/* Keep the domains that a dispatcher names. */
+/* Keeps the failure domains that a dispatcher suggests. */
 static void note_hints(struct call *c, const struct dl_answer_frame *f)
 {
 	for (uint32_t i = 0; i < f->spill_count; i++) {
@@ -284,7 +286,7 @@
 	}
 }
 
-/* Ask the next domain that was named and not tried; false where none is. */
+/* Asks the next suggested domain not yet tried; false where there is none. */
 static bool ask_next_domain(struct call *c)
 {
 	for (uint32_t i = 0; i < c->hints_count; i++) {
@@ -303,8 +305,8 @@
 }
 
 /*
- * The dispatcher of another domain does not answer: the next one, or the own
- * domain again, which names those that it still hears.
+ * Called where the dispatcher of another domain does not reply: asks the next
+ * domain, or this VM's domain again, which suggests those it still hears from.
  */
 static void ask_other_domain(struct call *c)
 {
@@ -324,23 +326,23 @@
 	switch (reason) {
 	case DL_REASON_RATE:
 	case DL_REASON_CONCURRENCY:
-		return false; /* the workspace's own limit holds everywhere */
+		return false; /* a workspace's limit is the same everywhere */
 	default:
 		return true;
 	}
 }
 
 /*
- * For a failure domain whose pool is full or gone: try the others that its
- * dispatcher named, each once, so that a refusal is the fleet's and a storm
- * of asks is bounded by the number of domains.
+ * Where the pool of a failure domain is full or gone, tries the others that its
+ * dispatcher suggested, each once.  A refusal then holds for all of them, and
+ * the number of domains bounds the asks of one request.
  */
 static bool spill(struct call *c, const struct dl_answer_frame *f)
 {
 	return can_spill(f->answer.reason) && ask_next_domain(c);
 }
 
-/* The soonest of the retry times that the pools named. */
+/* Keeps the refusal with the earliest retry time. */
 static void note_refusal(struct call *c, const struct dl_answer *answer)
 {
 	if (c->refused &&
@@ -350,7 +352,7 @@
 	c->last_refusal = *answer;
 }
 
-/* The dispatcher sends it to a pool that is much better off. */
+/* The dispatcher redirects the request to a pool with much lower load. */
 static void follow_redirect(struct call *c, const struct dl_name *domain)
 {
 	c->redirected = true;
@@ -358,7 +360,7 @@
 	entry_grant_ask(c);
 }
 
-/* The others refused: the own domain, which was better off, decides. */
+/* The other domains have refused; this VM's domain, which has not, decides. */
 static void return_to_own_domain(struct call *c)
 {
 	c->redirected = false;
@@ -394,7 +396,7 @@
 			  c->last_refusal.retry_after_ms);
 }
 
-/* A grant that crossed with the cancellation of its ask. */
+/* Releases a grant that crossed with the cancellation of its ask. */
 static void release_late_grant(struct entry *e, uint64_t from,
 			       const struct dl_answer_frame *f)
 {
@@ -416,7 +418,7 @@
 	dl_packer_close(&pk);
 }
 
-/* A dispatcher has answered; matched by id, never by order. */
+/* Handles a dispatcher's reply; matched to its ask by id, never by order. */
 void entry_grant_answer(struct entry *e, uint64_t from,
 			const struct dl_answer_frame *f)
 {
@@ -443,7 +445,7 @@
 	}
 }
 
-/* The connection to a VM is lost, and with it what was asked on it. */
+/* The connection to a VM is lost, and with it the asks sent on it. */
 void entry_grant_down(struct entry *e, uint64_t vm)
 {
 	struct call *c;
@@ -464,7 +466,7 @@
 	       now - c->asked_at > ASK_TIMEOUT_MS;
 }
 
-/* The dispatcher named now; our own where we place by ourselves. */
+/* Returns the VM that is the dispatcher of the call's pool now. */
 static uint64_t current_dispatcher(struct call *c)
 {
 	return entry_pool_owner(c->e, service_of(c), dl_name_str(&c->domain));
@@ -506,7 +508,10 @@
 	}
 }
 
-/* Renew what is held, ask again what was lost, follow moved dispatchers. */
+/*
+ * Renews grants, repeats lost asks, and asks the new dispatcher where it has
+ * moved.
+ */
 void entry_grant_tick(struct entry *e, int64_t now)
 {
 	struct call *c, *next;
