--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -1,8 +1,8 @@
 /*
- * One attempt of a routed request: the caller's request goes to the endpoint
- * as it came, the endpoint's answer comes back as it is.  Answers are held
- * until they are whole, streams are passed on event by event; a stream that
- * breaks goes on at another endpoint behind the last event that was passed on.
+ * One attempt of a routed request: forwards the caller's request to the
+ * endpoint, and the endpoint's response to the caller, unchanged.  Responses
+ * are held until they are complete; streams are forwarded event by event, and
+ * a broken one is resumed at another endpoint after the last event forwarded.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,30 +14,31 @@
 
 #define HELD_BODY_MAX (8u << 20)
 #define EVENT_MAX     (1u << 20)
-#define TRIES_MAX     4 /* grants asked for, counting those that led nowhere */
+#define TRIES_MAX     4 /* grants of a request, usable or not */
 /*
- * Endpoints that could not be reached, or that turned the request away for some
- * time, cost the others nothing, and their dispatcher is told: of a failure
- * domain that is cut off with a third of the endpoints, streams were broken off
- * after three of the others.
+ * Failures that cost the endpoint nothing and are reported to the dispatcher:
+ * it could not be reached, or asked to back off.  They have a limit of their
+ * own because, in a failure domain that was partitioned off with a third of the
+ * endpoints, streams were broken off after three of the unreachable ones.
  */
 #define FREE_FAILURES_MAX 12
-/* Kept of the caller's time for the way back. */
+/* Reserved of the deadline for the transfer of the response. */
 #define HOP_MARGIN_MS 5
 /*
- * A silent endpoint is given up while the caller still waits: at this share of
- * the time after which callers give up, so that another one can go on.
+ * An attempt at a silent endpoint ends at this share of the silence after which
+ * callers give up, so that another endpoint can continue in time.
  */
 #define SILENCE_PERMILLE 600
 #define PERMILLE	 1000
 /*
- * Memory reserved on other engines is not kept longer for one that is silent:
- * two thirds of the 9 s after which engines count it as kept from others.  One
- * that hung with its health good held fifteen parts for 9.6 s.
+ * The same limit where memory is reserved on other engines: two thirds of the
+ * 9 s after which engines count reserved memory as withheld from others.  An
+ * endpoint that hung while its health checks passed held 15 reservations for
+ * 9.6 s.
  */
 #define RESERVED_SILENCE_MS 6000
 #define RETRY_SOON_MS	    100
-/* Streams of two seconds hold what is asked for. */
+/* The memory is held by other streams, which take about two seconds. */
 #define NO_MEMORY_RETRY_MS 2000
 #define STATUS_ERROR	   500
 #define STATUS_MISDIRECTED 421
@@ -61,7 +62,7 @@
 				 dl_name_str(&c->grant.endpoint[i]));
 }
 
-/* Whether an endpoint is still the one that was granted, and stays. */
+/* Whether the granted endpoint still serves the service, and is not leaving. */
 static bool is_available(const struct call *c, uint8_t i)
 {
 	const struct dl_directory_entry *d = endpoint_of(c, i);
@@ -70,7 +71,7 @@
 	       dl_name_eq(&d->service, dl_name_str(&c->service));
 }
 
-/* Whether it was granted by a dispatcher that has not heard that it leaves. */
+/* Whether the granted endpoint is leaving; the dispatcher did not know. */
 static bool is_leaving(const struct call *c, uint8_t i)
 {
 	const struct dl_directory_entry *d = endpoint_of(c, i);
@@ -78,7 +79,7 @@
 	return d && d->leaving;
 }
 
-/* Give back what was granted, and ask for another place. */
+/* Releases the grant and the reservations, and asks for another endpoint. */
 static void release_and_ask(struct call *c)
 {
 	entry_reservation_release(c);
@@ -88,8 +89,8 @@
 }
 
 /*
- * A group fails with the one that cannot be reached: its lead, which says so,
- * is as good as before.
+ * Reports the helper that the lead of a group could not reach as at fault; the
+ * lead itself has not failed.
  */
 static void note_at_fault(struct call *c)
 {
@@ -100,7 +101,7 @@
 		c->usage.at_fault = *at_fault;
 }
 
-/* Ask for another endpoint, beside those that were tried. */
+/* Asks for an endpoint other than those already tried. */
 static void ask_without_tried(struct call *c)
 {
 	call_note_tried(c);
@@ -133,7 +134,7 @@
 	uint32_t limit_ms = (uint32_t)MAX(c->deadline - entry_now(c->e), 1);
 	uint32_t expected = c->grant.predicted_ttft_ms * 2;
 
-	/* Without another attempt there is nothing to gain by giving up. */
+	/* Ending the last attempt early would gain nothing. */
 	if (c->stream && c->idempotent &&
 	    c->route.sent + 1 < c->route.attempts_max)
 		limit_ms =
@@ -168,7 +169,7 @@
 	c->attempt = dl_httpc_start(c->e->httpc, &req, &relay_ops, c);
 }
 
-/* The endpoint that was granted is not there any more, or leaves. */
+/* The granted endpoint is gone or leaving: asks for another one. */
 static void retry_unavailable(struct call *c)
 {
 	c->usage.unreachable = is_leaving(c, 0);
@@ -179,7 +180,7 @@
 				  c->e->node.self, RETRY_SOON_MS);
 }
 
-/* Begin an attempt at the endpoint that was granted. */
+/* Starts an attempt at the endpoint that was granted. */
 void entry_relay_start(struct call *c)
 {
 	const struct dl_route_conf *route;
@@ -201,7 +202,7 @@
 		entry_relay_send(c);
 }
 
-/* All that the attempt needs is there: send it. */
+/* Sends the request; memory on other engines is reserved where needed. */
 void entry_relay_send(struct call *c)
 {
 	uint64_t to = DL_VM_NONE;
@@ -221,8 +222,8 @@
 }
 
 /*
- * The connection stands.  What was known of the endpoint when the attempt began
- * may have changed while it was made.
+ * The connection is established.  Returns false to abort the attempt where the
+ * endpoint has become unavailable, or asked to back off, in the meantime.
  */
 static bool on_connected(void *arg)
 {
@@ -232,7 +233,7 @@
 	return !c->aborted_unsent;
 }
 
-/* The attempt was given up before it was sent. */
+/* Continues after an attempt that was aborted before it was sent. */
 static void retry_unsent(struct call *c)
 {
 	c->aborted_unsent = false;
@@ -244,7 +245,7 @@
 		entry_relay_send(c);
 }
 
-/* Some engine of the group has not the memory: ask for another group. */
+/* A reservation failed on an engine of the group: asks for another group. */
 void entry_relay_no_memory(struct call *c)
 {
 	entry_reservation_note_refused(c);
@@ -269,15 +270,16 @@
 	c->response_length = events ? SIZE_MAX : c->route.head.content_length;
 }
 
-/* Whether an answer carries the id that this caller sent, or none. */
+/* Whether a response carries the caller's attempt id, or none. */
 static bool is_own_attempt(const struct call *c, struct dl_str id)
 {
 	return id.n == 0 || dl_name_eq(&c->route.attempt_id, id);
 }
 
 /*
- * Whether an answer is of the start that was named to it; another one at its
- * address answers 421, and names no other endpoint that is at fault.
+ * Whether a response comes from the endpoint instance that was addressed.
+ * Another instance at the same address answers 421, and names no other endpoint
+ * as at fault.
  */
 static bool is_from_instance(const struct call *c, uint16_t status,
 			     struct dl_str at_fault)
@@ -315,7 +317,7 @@
 		keep_headers(c, head, c->route.head.is_event_stream);
 }
 
-/* The id of an event, 0 where it has none. */
+/* Returns the id of an event; 0: none. */
 static uint64_t event_id(struct dl_str event)
 {
 	const char *at = event.s, *end = event.s + event.n;
@@ -351,7 +353,7 @@
 	dl_httpd_begin(c->http, c->status, headers, n, c->response_length);
 }
 
-/* The longest pause that the caller saw between two events. */
+/* Updates the longest pause between two events sent to the caller. */
 static void note_pause(struct call *c)
 {
 	int64_t now = entry_now(c->e);
@@ -363,7 +365,7 @@
 	c->route.last_event_at = now;
 }
 
-/* Pass one whole event on; those that the caller has had are dropped. */
+/* Forwards a complete event; drops one that the caller already has. */
 static bool relay_event(struct call *c, struct dl_str event)
 {
 	uint64_t id = event_id(event);
@@ -386,7 +388,7 @@
 	return dl_httpd_send(c->http, event);
 }
 
-/* Pass on what is whole of the bytes that have come. */
+/* Forwards the complete events among the bytes received. */
 static bool relay_events(struct call *c)
 {
 	size_t used = 0;
@@ -430,7 +432,7 @@
 	return true;
 }
 
-/* What came of the attempt, with what the head of the answer said. */
+/* Returns the result of the attempt, adjusted by the head of the response. */
 static struct dl_attempt classify_attempt(const struct call *c,
 					  const struct dl_attempt *attempt)
 {
@@ -446,7 +448,7 @@
 	return a;
 }
 
-/* The endpoint's answer is whole: the caller gets it, whatever it says. */
+/* Sends the endpoint's complete response to the caller, whatever its status. */
 static void finish_response(struct call *c)
 {
 	struct dl_header headers[DL_DIALECT_HEADERS_MAX];
@@ -470,7 +472,7 @@
 	call_free(c);
 }
 
-/* Whether another endpoint may be tried after an attempt. */
+/* Whether another endpoint may be tried after this attempt. */
 static bool may_retry(struct call *c, const struct dl_attempt *a)
 {
 	struct dl_call_state state = {
@@ -496,16 +498,15 @@
 		       not_run ? "not-run" : "broken", err);
 }
 
-/* Whether an endpoint of the group could not be reached, which is known now. */
+/* Whether the endpoint, or a helper of its group, could not be reached. */
 static bool was_unreachable(const struct call *c, const struct dl_attempt *a)
 {
 	return a->broke == DL_BROKE_CONNECT || c->usage.at_fault.n;
 }
 
 /*
- * Whether an attempt cost its endpoint nothing and taught the dispatcher not to
- * offer that one again: its caller is not the worse for it either, while there
- * are others.
+ * Whether an attempt cost its endpoint nothing and the dispatcher will not
+ * offer that endpoint again.  Such an attempt uses up no try of the request.
  */
 static bool costs_no_attempt(const struct call *c, const struct dl_attempt *a)
 {
@@ -513,8 +514,9 @@
 }
 
 /*
- * One that ran nothing is none of the route's attempts: a stream that broke and
- * was refused by the next endpoint, which was full, was cut there.
+ * Counts an attempt.  One that ran nothing is not counted against the route's
+ * attempts: otherwise a broken stream was cut off because the next endpoint was
+ * full and refused it.
  */
 static void count_attempt(struct call *c, const struct dl_attempt *a,
 			  enum dl_outcome outcome)
@@ -541,7 +543,7 @@
 		return;
 	}
 	entry_quarantine_attempt(c, &a, err);
-	/* A stream that goes on elsewhere got an error in place of events. */
+	/* A resumed stream that gets an error is not complete. */
 	complete = a.received == DL_RECV_WHOLE && a.broke == DL_BROKE_NOTHING &&
 		   !(c->relayed && !c->route.head.is_event_stream);
 	call_fill_usage(c, &a, c->prompt_tokens, c->output_tokens,
