--- a/src/main/entry_reservation.c
+++ b/src/main/entry_reservation.c
@@ -1,8 +1,8 @@
 /*
- * Memory for a prompt that no one engine can hold: reserved on every other
- * engine of its group before the request is sent, all or nothing.  A
- * reservation is short and renewed, so that whatever dies leaves nothing behind
- * for longer than the engines themselves would free it.
+ * Memory for a prompt too large for one engine: reserved on every other engine
+ * of its group before the request is sent, all or nothing.  Reservations are
+ * short and renewed, so that memory is not held after a failure for longer than
+ * the engines themselves take to free it.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,18 +13,18 @@
 #include "platform/platform.h"
 
 /*
- * Below the four seconds after which memory that nobody uses counts as lost;
- * three renewals in it, so that a lost one costs nothing.
+ * Less than the 4 s after which engines count unused memory as lost, and three
+ * times the renewal period, so that a lost renewal does no harm.
  */
 #define HOLD_MS	 3500
 #define RENEW_MS 1100
-/* An engine answers an order at once. */
+/* Engines reply to a reservation at once. */
 #define CONNECT_MS	   400
 #define RESPONSE_MS	   600
 #define TEXT_MAX	   96
 #define STATUS_MISDIRECTED 421
 
-/* One engine's part. */
+/* The reservation on one engine. */
 struct reservation {
 	struct reservations *set;
 	struct dl_name address;
@@ -34,13 +34,13 @@
 	bool held;
 	bool refused;
 	bool unreachable;
-	struct dl_httpc_call *in_flight; /* in flight */
+	struct dl_httpc_call *in_flight; /* to reserve or renew it */
 };
 
 struct reservations {
 	struct call *c;
 	uint8_t count;
-	bool pending; /* the first answers are still awaited */
+	bool pending; /* some have not been replied to yet */
 	int64_t renew_at;
 	struct reservation parts[DL_GROUP_MAX];
 };
@@ -51,10 +51,13 @@
 
 static const struct dl_httpc_ops reserve_ops = { .head = on_head,
 						 .end = on_end };
-/* One that is lost ends with its hold. */
+/* Without callbacks: a lost release is made up for by the hold's expiry. */
 static const struct dl_httpc_ops release_ops = { 0 };
 
-/* Send an order about a part; its call, or NULL. */
+/*
+ * Sends a request to reserve memory for hold_ms, or to release it (0); returns
+ * the HTTP call, or NULL.
+ */
 static struct dl_httpc_call *
 send_reservation(struct entry *e, const struct reservation *r, uint32_t hold_ms,
 		 const struct dl_httpc_ops *ops, void *arg)
@@ -96,7 +99,10 @@
 		r->refused = true;
 }
 
-/* All have answered: send the request, or give back what was got. */
+/*
+ * Once all engines have replied: sends the request where all memory was
+ * reserved, or asks for another group.
+ */
 static void on_all_answered(struct reservations *set)
 {
 	bool all = true;
@@ -132,13 +138,16 @@
 		on_all_answered(r->set);
 }
 
-/* Whether the memory of what was granted is spread over its engines. */
+/* Whether the grant needs memory on several engines. */
 bool entry_reservation_needed(const struct call *c)
 {
 	return c->grant.endpoints > 1 && c->grant.share_tokens[1] > 0;
 }
 
-/* Reserve every part; entry_relay_send() or _no_memory() follows. */
+/*
+ * Reserves memory on every helper; entry_relay_send() or
+ * entry_relay_no_memory() follows.
+ */
 void entry_reservation_start(struct call *c)
 {
 	struct reservations *set = g_new0(struct reservations, 1);
@@ -174,9 +183,9 @@
 }
 
 /*
- * The endpoints that refused: the next group is without them, or the same ones
- * are granted again within milliseconds, four times in vain.  One that could
- * not be reached is told to the dispatcher.
+ * Excludes the endpoints that refused from the next group; otherwise the same
+ * ones are granted again within milliseconds, until all four tries have failed.
+ * One that could not be reached is reported to the dispatcher.
  */
 void entry_reservation_note_refused(struct call *c)
 {
@@ -192,7 +201,7 @@
 	}
 }
 
-/* The name of the part on one engine, empty where none is reserved there. */
+/* Returns the id of the reservation on an engine; empty: none. */
 struct dl_str entry_reservation_id(const struct call *c, struct dl_str address)
 {
 	for (uint8_t i = 0; c->reservations && i < c->reservations->count;
@@ -203,7 +212,7 @@
 	return (struct dl_str){ "", 0 };
 }
 
-/* Give back all parts; also those whose answer is still awaited. */
+/* Releases all reservations, including those not replied to yet. */
 void entry_reservation_release(struct call *c)
 {
 	struct reservations *set = c->reservations;
@@ -222,7 +231,7 @@
 	g_free(set);
 }
 
-/* Renew what is held. */
+/* Renews the reservations that are due. */
 void entry_reservation_tick(struct entry *e, int64_t now)
 {
 	for (struct call *c = e->calls; c; c = c->next) {
