--- a/src/main/entry_attempt.c
+++ b/src/main/entry_attempt.c
@@ -1,9 +1,9 @@
-/* What every attempt notes of a request, whichever way it is spoken. */
+/* Bookkeeping of attempts that API requests and routed requests share. */
 #include "main/entry_call.h"
 
 /*
- * What the same request of the same workspace has in common each time.  Not the
- * host: callers may name the VM that they ask.
+ * Hashes workspace, method, path and body, to recognise a request that is sent
+ * again.  The host is left out, since callers may address different VMs.
  */
 uint64_t call_content(const struct call *c)
 {
@@ -14,14 +14,17 @@
 	return dl_hash(dl_httpd_body(c->http), hash);
 }
 
-/* The endpoint that was granted is not asked for again. */
+/* Excludes the granted endpoint from further asks of this request. */
 void call_note_tried(struct call *c)
 {
 	if (c->tried_count < G_N_ELEMENTS(c->tried_ids))
 		c->tried_ids[c->tried_count++] = c->grant.endpoint[0];
 }
 
-/* What the attempt took, for the dispatcher; tokens as they are known. */
+/*
+ * Fills in what the attempt used, to be reported to the dispatcher; prompt and
+ * output are tokens, counted by the endpoint or estimated.
+ */
 void call_fill_usage(struct call *c, const struct dl_attempt *attempt,
 		     uint64_t prompt, uint64_t output, bool failed)
 {
@@ -37,7 +40,7 @@
 	c->usage.total_ms = (uint32_t)(entry_now(c->e) - c->attempt_at);
 }
 
-/* Forget the headers of an earlier attempt's answer. */
+/* Clears the headers kept of an earlier attempt's response. */
 void call_headers_begin(struct call *c)
 {
 	if (c->response_headers)
@@ -46,14 +49,14 @@
 		c->response_headers = g_ptr_array_new_with_free_func(g_free);
 }
 
-/* Keep a copy of a header of the endpoint's answer for the caller. */
+/* Keeps a copy of a header of the endpoint's response for the caller. */
 void call_headers_keep(struct call *c, const struct dl_header *h)
 {
 	g_ptr_array_add(c->response_headers, g_strndup(h->name.s, h->name.n));
 	g_ptr_array_add(c->response_headers, g_strndup(h->value.s, h->value.n));
 }
 
-/* The headers that were kept, max at most; returns how many. */
+/* Lists at most max of the headers that were kept; returns how many. */
 size_t call_headers_fill(const struct call *c, struct dl_header *out,
 			 size_t max)
 {
