--- a/src/main/entry_answer.c
+++ b/src/main/entry_answer.c
@@ -1,4 +1,5 @@
-/* What a caller is told: headers, errors, whole answers and ends of streams. */
+/* Responses to callers: headers, errors, complete bodies and ends of streams.
+ */
 #include <stdlib.h>
 
 #include "main/entry_call.h"
@@ -32,7 +33,10 @@
 	dl_httpd_send(c->http, (struct dl_str){ event, (size_t)n });
 }
 
-/* An error told to the caller, in the way that its answer still allows. */
+/*
+ * Sends an error to the caller: as a response, or, where the head of a response
+ * has been sent, as the end of the stream or by closing the connection.
+ */
 void call_answer_error(struct call *c, const char *reason,
 		       const struct dl_err *err, uint32_t retry_ms)
 {
@@ -68,7 +72,7 @@
 	free(body);
 }
 
-/* The JSON of a completion that is answered whole. */
+/* Returns the JSON of a completion that is not streamed. */
 GString *call_completion_json(struct call *c)
 {
 	json_t *root = json_object(), *choice = json_object();
@@ -97,7 +101,7 @@
 	return out;
 }
 
-/* Give the caller its whole answer, or the end of it. */
+/* Sends the caller its complete response, or the end of a started one. */
 void call_answer_complete(struct call *c)
 {
 	struct dl_header headers[64];
