--- a/src/main/entry_claim.c
+++ b/src/main/entry_claim.c
@@ -1,6 +1,6 @@
 /*
- * Idempotency keys: a claim stands in the log before the first byte leaves,
- * and the outcome is recorded under it.
+ * Idempotency keys: a claim of the key is committed to the replicas' log before
+ * anything is sent to an endpoint, and the outcome is recorded under it.
  */
 #include <errno.h>
 
@@ -9,8 +9,8 @@
 #define CLAIM_MS	2000
 #define CLAIM_EXPIRES_S 86400
 #define RETRY_AFTER_MS	1000
-/* How long an answer waits for the record of its outcome, and how long the
- * record itself is tried: a new leader is found within that. */
+/* How long a response waits for its outcome to be recorded, and how long
+ * recording is retried, which is enough for a new leader to be elected. */
 #define RECORD_WAIT_MS	   1000
 #define RECORD_TIMEOUT_MS  30000
 #define OUTCOME_BYTES_MAX  16384
@@ -27,7 +27,7 @@
 	entry_cmd_send(c->e, &cmd, CLAIM_MS * 2, no_callback);
 }
 
-/* Record the outcome of a claimed request; done is told once. */
+/* Records the outcome of a claimed request; done is called once. */
 void call_record_outcome(struct call *c, struct entry_cmd_done done)
 {
 	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_OUTCOME };
@@ -43,9 +43,9 @@
 }
 
 /*
- * A claim whose request did not run is taken back, so that the caller may
- * send it again at once; one whose outcome is unknown stays, so that nobody
- * runs it twice.
+ * Settles the claim of a request that has ended with an error.  The claim of a
+ * request that did not run is withdrawn, so that the caller can retry at once;
+ * one whose outcome is unknown stays, so that the request cannot run twice.
  */
 void call_settle_claim(struct call *c)
 {
@@ -95,7 +95,7 @@
 		return;
 	}
 	if (reply->code) {
-		c->claimed = true; /* it may stand: take it back */
+		c->claimed = true; /* it may be committed: withdraw it */
 		entry_call_refuse(c, DL_REASON_NO_QUORUM, DL_STEP_CLAIM,
 				  c->e->leader, RETRY_AFTER_MS);
 		return;
@@ -115,9 +115,9 @@
 }
 
 /*
- * How long a claim is tried: half of what is left at most, so that a request
- * whose claim comes late can still run, and one without a quorum is told so
- * before its caller has given up.
+ * Returns how long to try a claim: at most half of the time left, so that the
+ * request can still run after a late claim, and a caller learns of a missing
+ * quorum before it gives up.
  */
 static uint32_t claim_timeout_ms(const struct call *c)
 {
@@ -127,8 +127,8 @@
 }
 
 /*
- * The claim is in the log before the first byte leaves for an endpoint.
- * -EINVAL where the caller's key is longer than a claim may be.
+ * Claims the caller's idempotency key; the request continues once the claim is
+ * committed.  Returns -EINVAL where the key is too long.
  */
 int call_claim(struct call *c)
 {
