--- a/src/main/entry_route.c
+++ b/src/main/entry_route.c
@@ -1,6 +1,6 @@
 /*
- * Requests that are passed on as they are: which route, which workspace, which
- * service, and how long it may take.
+ * Admission of requests that are forwarded unchanged: finds the route,
+ * workspace, service and deadline of a request in the configuration in force.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -12,43 +12,45 @@
 #include "platform/platform.h"
 
 /*
- * Endpoints are half a millisecond away; one that is cut off is not waited for:
- * of a failure domain's request a few must find out that all others are.
+ * Bounds the configured connect timeout.  Endpoints are 0.5 ms away, and after
+ * a network partition a few requests of a failure domain have to time out on
+ * all the endpoints outside it.
  */
 #define CONNECT_MS 200
 /*
- * Callers give a stream up after a pause of this, or of so many times its
- * target or pause, whichever is longest (as the platform's callers do).
+ * The platform's callers give up on a stream after a silence of the longest of
+ * these: the constant, and multiples of the route's target and gap.
  */
 #define CALLER_SILENCE_MS      2000
 #define CALLER_SILENCE_TARGETS 4
 #define CALLER_SILENCE_GAPS    8
-/* Refused for what another VM may have: it is tried at once. */
+/* For refusals that may not apply on another VM, where a retry may be sent. */
 #define RETRY_SOON_MS 100
-/* Another VM takes it: no longer than the way there, of a target of 300 ms. */
+/* Another VM accepts it: about the time to reach it, of a 300 ms target. */
 #define RETRY_OTHER_VM_MS 20
 /*
- * Refused for want of the group's word, after waiting for it where it seemed
- * near.  A leader that does not answer has a successor in 1.0 to 1.5 s, and the
- * words come after that; a start of everything takes 0.4 s where all voters are
- * back, and as long as this where one is not.
+ * For refusals because the replicas have not confirmed the configuration, after
+ * any wait for it.  A leader that does not respond is replaced in 1.0 to 1.5 s,
+ * and confirmations follow after that.  A start of the whole deployment takes
+ * 0.4 s where all voters are back, and GROUP_RETRY_MS where one is not.
  */
 #define GROUP_RETRY_MS	    2500
 #define GROUP_RETRY_SOON_MS 300
 /*
- * A VM that stops still takes what will have ended by then, and this much
- * sooner: callers keep coming for seconds, also where it is the only VM of
- * their failure domain, and a request that is cut off is worse than one that is
- * refused.
+ * A VM that is stopping accepts requests that it expects to end this much
+ * before it exits.  Callers keep arriving for seconds, also where it is the
+ * only VM of their failure domain; the margin is there because cutting a
+ * request off is worse than refusing it.
  */
 #define STOP_MARGIN_MS 900
 /*
- * For so long it takes what usually ends in time: the balancer has asked twice
- * by then, and callers that come later find another VM.  Taken after 3.7 s of
- * 8, a short stream that engines were slow at was cut.
+ * For this long after the stop began the usual length of output decides what is
+ * accepted, afterwards the longest that the caller allows.  The load balancer
+ * has checked twice by then, so later callers reach another VM.  Accepted 3.7 s
+ * into a stop of 8 s, a short stream was cut off because engines were slow.
  */
 #define STOP_USUAL_OUTPUT_MS 2700
-/* A stream takes about twice as long as its engine alone would need. */
+/* A stream takes about twice as long as on an otherwise idle engine. */
 #define STREAM_FACTOR	    2.0
 #define STATUS_UNAUTHORIZED 401
 #define STATUS_NOT_FOUND    404
@@ -61,7 +63,7 @@
 	return MAX(ms, route->gap_ms * CALLER_SILENCE_GAPS);
 }
 
-/* One of the route's services, by their weights. */
+/* Picks one of the route's services by their weights; NULL: none. */
 static const struct dl_service_conf *
 pick_service(const struct call *c, const struct dl_route_conf *route)
 {
@@ -121,7 +123,7 @@
 	c->route.resumes = in->resumes;
 }
 
-/* A final word about a request that no route or key lets in. */
+/* Ends a request that has no route or no valid key. */
 static void reject(struct call *c, uint16_t status, const char *why)
 {
 	struct dl_err err;
@@ -131,7 +133,10 @@
 	entry_call_end(c, DL_OUTCOME_NOT_RUN, status, "not-allowed", &err);
 }
 
-/* When the group's word may be had again; another VM may have it sooner. */
+/*
+ * Returns after how many ms the replicas may confirm the configuration again;
+ * another VM may have it confirmed sooner.
+ */
 static uint32_t group_retry_ms(const struct entry *e)
 {
 	int64_t up = entry_now(e) - e->started_at;
@@ -142,7 +147,7 @@
 	return (uint32_t)(GROUP_RETRY_MS - up);
 }
 
-/* Nothing can be said for sure about the request here and now. */
+/* Refuses a request since the version in force cannot be confirmed. */
 void entry_route_refuse_no_quorum(struct call *c)
 {
 	entry_call_refuse(c, DL_REASON_NO_QUORUM, DL_STEP_CHECK,
@@ -150,8 +155,8 @@
 }
 
 /*
- * Find the request's route and workspace in the configuration in force; false,
- * and answered, where there is none.
+ * Finds the request's route and workspace in the configuration in force.
+ * Returns false, with the request ended, where it has none.
  */
 static bool authorize(struct call *c, const struct dl_inbound *in,
 		      const struct dl_route_conf **route)
@@ -166,13 +171,14 @@
 	*route = dl_conf_route(conf, dl_httpd_host(c->http),
 			       dl_httpd_path(c->http));
 	if (!*route) {
-		reject(c, STATUS_NOT_FOUND, "no route has this path");
+		reject(c, STATUS_NOT_FOUND, "no route matches this path");
 		return false;
 	}
 	if (!(*route)->public && conf->workspaces_count) {
 		ws = dl_conf_key(conf, in->key);
 		if (!ws) {
-			reject(c, STATUS_UNAUTHORIZED, "no workspace's key");
+			reject(c, STATUS_UNAUTHORIZED,
+			       "the key is missing or unknown");
 			return false;
 		}
 		c->workspace = ws->limits.name;
@@ -192,8 +198,8 @@
 }
 
 /*
- * The same again before each attempt, since a change may have come while the
- * request waited.
+ * Repeats authorize() before an attempt, since the configuration may have
+ * changed while the request waited.
  */
 bool entry_route_authorize(struct call *c, const struct dl_route_conf **route)
 {
@@ -203,7 +209,7 @@
 	return authorize(c, &in, route);
 }
 
-/* Whether a route still leads to the service that was picked. */
+/* Whether a route still includes the service that was picked. */
 bool entry_route_has_service(const struct call *c,
 			     const struct dl_route_conf *route)
 {
@@ -220,7 +226,7 @@
 	return false;
 }
 
-/* Whether a request will have ended when this process must. */
+/* Whether a request is expected to end before this process has to exit. */
 static bool ends_before_stop(const struct call *c,
 			     const struct dl_service_conf *service)
 {
@@ -231,7 +237,7 @@
 
 	if (!stop_ms)
 		return true;
-	/* Callers name a bound that most answers stay far below. */
+	/* Most responses stay far below the bound that callers give. */
 	if (m->usual_output && m->usual_output < output &&
 	    c->arrived_at <= c->e->stop_at + STOP_USUAL_OUTPUT_MS)
 		output = m->usual_output;
@@ -248,7 +254,7 @@
 	return e->buffered <= (uint64_t)e->node.settings.buffer_mb << 20;
 }
 
-/* Find out what a request is and where it goes, and ask for a place. */
+/* Routes and sizes a request, refuses it or asks for an endpoint. */
 static void admit(struct call *c, const struct dl_inbound *in)
 {
 	const struct dl_service_conf *service;
@@ -284,7 +290,10 @@
 	entry_grant_ask(c);
 }
 
-/* Let a request wait until the version in force is sure, for some time. */
+/*
+ * Lets a request wait until the version in force is confirmed; returns false
+ * where it cannot wait.
+ */
 static bool wait_for_config(struct call *c, uint32_t left_ms)
 {
 	int64_t now = entry_now(c->e);
@@ -302,7 +311,7 @@
 	return true;
 }
 
-/* A request has arrived on a door that passes requests on. */
+/* Handles a new request on a listener that forwards requests unchanged. */
 void entry_route_request(struct entry *e, struct dl_httpd_req *req)
 {
 	struct call *c = call_new(e, req);
@@ -318,12 +327,12 @@
 	admit(c, &in);
 }
 
-/* Those that waited for the version in force go on; what ends is freed. */
+/* Admits the requests that waited for the version in force to be confirmed. */
 void entry_route_resume(struct entry *e)
 {
 	struct call *c = e->calls;
 
-	/* One that begins may end others on its way: look from the start. */
+	/* admit() may free other calls, so start over after each. */
 	while (c) {
 		struct dl_inbound in;
 
