--- a/src/main/entry_read.c
+++ b/src/main/entry_read.c
@@ -1,4 +1,7 @@
-/* Reading a request: what it is, for whom, how urgent and how long. */
+/*
+ * Parsing and checking of API requests: service, workspace, class, deadline,
+ * idempotence and size.
+ */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,24 +9,24 @@
 #include "base/metric.h"
 #include "main/entry_call.h"
 
-/* What a token of a prompt takes until the endpoint has told otherwise. */
+/* Thousandths of bytes a token, until endpoints have reported token counts. */
 #define BYTES_PER_TOKEN_MILLI 4000
-/* Up to here, a millisecond or so, parsing on the loop is cheaper. */
+/* Up to this size, about 1 ms, parsing in the event loop is cheaper. */
 #define PARSE_INLINE_MAX 32768
-/* Where a caller names none, until its class is known: no parse takes longer.
- */
+/* Deadline until the request's class is known; no parse takes longer. */
 #define PARSE_DEADLINE_MS 10000
 #define RETRY_AFTER_MS	  1000
 #define MIN_DEADLINE_MS	  1
 #define MAX_DEADLINE_MS	  86400000
 #define PLAIN_PATH_PREFIX "/s/"
-#define BAD_DEADLINE	  "Daisyledge-Deadline-Ms makes no sense"
+#define BAD_DEADLINE                                                           \
+	"Daisyledge-Deadline-Ms must be a number from 1 to 86400000"
 
-/* A body on its way through the thread pool. */
+/* A request body that is parsed in the thread pool. */
 struct parse_job {
 	uv_work_t work;
-	struct call *call;  /* NULL once it is over */
-	struct dl_str body; /* a copy: the caller may leave */
+	struct call *call;  /* NULL once it has ended */
+	struct dl_str body; /* a copy; outlives the HTTP request */
 	struct dl_completion completion;
 	struct dl_err err;
 	int rc;
@@ -68,8 +71,9 @@
 }
 
 /*
- * Whether the caller says that its request may be repeated; otherwise holds
- * where it says nothing.  A misspelt word is a fault, never taken for yes.
+ * Reads whether the caller allows its request to be repeated; default_value
+ * applies without the header.  Returns false for a value other than yes and no,
+ * so that a misspelling is not taken for either.
  */
 static bool read_idempotent(struct call *c, bool default_value)
 {
@@ -82,7 +86,10 @@
 	return c->idempotent || dl_str_eq(s, DL_STR("no"));
 }
 
-/* Read what both kinds of service share; NULL when fine, else why not. */
+/*
+ * Reads what requests to both kinds of service share.  Returns NULL, or the
+ * error message for the caller.
+ */
 static const char *read_common(struct call *c,
 			       const struct dl_service_conf *service,
 			       bool idempotent)
@@ -101,7 +108,7 @@
 		return "Daisyledge-Idempotent must be yes or no";
 	class = pick_class(c, service);
 	if (!class)
-		return "Daisyledge-Class names no class";
+		return "Daisyledge-Class is not a configured class";
 	c->class_name = class->name;
 	c->class = class->class;
 	if (!read_deadline(c, class->deadline_ms))
@@ -126,13 +133,13 @@
 		c->prefix_tokens = (uint32_t)(DL_PREFIX_BYTES * 1000 / milli);
 }
 
-/* Whether this VM can hold one more request's body. */
+/* Whether the buffers of this VM have room for another request. */
 static bool has_room(const struct entry *e)
 {
 	return e->buffered <= (uint64_t)e->node.settings.buffer_mb << 20;
 }
 
-/* Go on once nothing more is to be read: claim the key, or ask at once. */
+/* Admits a request that has been read: claims its key, or asks at once. */
 static void submit(struct call *c)
 {
 	struct dl_str key = dl_httpd_header(c->http, "idempotency-key");
@@ -165,7 +172,7 @@
 	return true;
 }
 
-/* The request is read, or cannot be: go on with it. */
+/* Continues with a completion whose body was parsed, or rejects it. */
 static void on_parsed(struct call *c, int rc, const struct dl_err *err)
 {
 	const struct dl_service_conf *service;
@@ -178,7 +185,7 @@
 	service = dl_conf_service_of_model(c->e->conf,
 					   dl_name_str(&c->completion.model));
 	if (!service) {
-		reject(c, 404, "no service has this model");
+		reject(c, 404, "no service serves this model");
 		return;
 	}
 	c->stream = c->completion.stream;
@@ -215,17 +222,17 @@
 	g_free(r);
 }
 
-/* Its request is over: the parse under way ends for nobody. */
+/* Detaches a parse from a call that has ended; its result is dropped. */
 void call_parse_forget(struct parse_job *job)
 {
 	job->call = NULL;
 }
 
 /*
- * A prompt of a million tokens takes a tenth of a second to parse; on the loop
- * every other request of this VM would wait for it.  Parsing is a pure
- * function of a copy of the body, so it runs in the loop's thread pool and its
- * result comes back to the loop.
+ * Parses a body in the thread pool.  A prompt of a million tokens takes 0.1 s,
+ * during which an event loop would stall every other request of this VM.
+ * Parsing is a pure function of a copy of the body, so it is safe in a thread;
+ * the result is delivered to the event loop.
  */
 static void start_parse(struct call *c, struct dl_str body)
 {
@@ -239,7 +246,7 @@
 	uv_queue_work(c->e->node.loop, &r->work, parse_work, on_parse_done);
 }
 
-/* POST /v1/completions */
+/* Handles POST /v1/completions. */
 void entry_call_completion(struct entry *e, struct dl_httpd_req *req)
 {
 	struct dl_str body = dl_httpd_body(req);
@@ -266,7 +273,7 @@
 	on_parsed(c, rc, &err);
 }
 
-/* The service named in "/s/SERVICE/...". */
+/* Returns the name of the service in "/s/SERVICE/...". */
 static struct dl_str service_in_path(struct dl_str path)
 {
 	size_t skip = strlen(PLAIN_PATH_PREFIX);
@@ -283,7 +290,7 @@
 	return path.n >= prefix->n && memcmp(path.s, prefix->s, prefix->n) == 0;
 }
 
-/* Whether the operators say that a call may be repeated. */
+/* Whether the service's configuration allows a request to be repeated. */
 static bool is_idempotent(struct call *c, const struct dl_service_conf *service)
 {
 	struct dl_str method = dl_httpd_method(c->http);
@@ -301,7 +308,7 @@
 	return default_value;
 }
 
-/* /s/SERVICE/... */
+/* Handles /s/SERVICE/... with any method. */
 void entry_call_plain(struct entry *e, struct dl_httpd_req *req)
 {
 	const struct dl_service_conf *service;
