--- a/src/main/entry_http.c
+++ b/src/main/entry_http.c
@@ -1,4 +1,4 @@
-/* The doors of an entry: which method and path goes where. */
+/* HTTP interface of an entry: which listener, method and path calls what. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,11 +7,12 @@
 #include "main/entry.h"
 #include "protocol/api.h"
 
-/* An endpoint that has not announced itself for this long is gone; it
- * announces five times as often, so that lost ones do no harm. */
+/* An endpoint that has not announced itself for this long counts as gone; it
+ * announces itself five times as often, so that lost announcements do no harm.
+ */
 #define ANNOUNCE_EVERY_MS 1000
 #define GONE_AFTER_MS	  5000
-/* Without a replica for so long, health says so. */
+/* The health check mentions a silence of all replicas after this long. */
 #define REPLICA_SILENT_MS 10000
 
 static void get_health(struct entry *e, struct dl_httpd_req *req);
@@ -24,7 +25,7 @@
 	unsigned use;
 	const char *method; /* NULL: any */
 	const char *path;
-	bool prefix; /* path begins with, rather than is */
+	bool prefix; /* match the beginning of the path */
 	void (*handle)(struct entry *e, struct dl_httpd_req *req);
 };
 
@@ -49,7 +50,7 @@
 
 #define ROUTES (sizeof(routes) / sizeof(routes[0]))
 
-/* Answer with a JSON text, which is freed. */
+/* Replies with a JSON text, and frees it. */
 void entry_http_json(struct dl_httpd_req *req, uint16_t status, char *json)
 {
 	struct dl_header type = { DL_STR("Content-Type"),
@@ -59,7 +60,7 @@
 	free(json);
 }
 
-/* Answer with an error of our own making. */
+/* Replies with an error of the entry itself. */
 void entry_http_error(struct dl_httpd_req *req, uint16_t status,
 		      const char *reason, const struct dl_err *err)
 {
@@ -119,9 +120,9 @@
 	}
 	rc = entry_announce_take(e, &a);
 	if (rc == -EHOSTUNREACH) {
-		/* Another VM may reach them: the endpoint asks it at once. */
+		/* Another VM may reach one: the endpoint tries it at once. */
 		dl_err_set(&err, rc, DL_STEP_PLACE, NULL,
-			   "no VM of this failure domain is reached from here");
+			   "this VM cannot reach any VM of its failure domain");
 		entry_http_error(req, 503, "no-dispatcher", &err);
 		return;
 	}
@@ -157,7 +158,10 @@
 	}
 }
 
-/* Whether what was sent is signed as the door asks; answers where not. */
+/*
+ * Checks the signature of a request where its group of paths requires one;
+ * returns false, with the request answered, where it is not valid.
+ */
 static bool check_signature(struct entry *e, unsigned use,
 			    struct dl_httpd_req *req)
 {
@@ -172,12 +176,15 @@
 			  dl_node_wall_ms()) == 0)
 		return true;
 	dl_err_set(&err, -EACCES, DL_STEP_CHECK, NULL,
-		   "the signature is missing, stale or of another key");
+		   "the signature is missing, expired or of an unknown key");
 	entry_http_error(req, 401, "not-allowed", &err);
 	return false;
 }
 
-/* Find the route; a path that is known with another method is a 405. */
+/*
+ * Passes a request to the handler of its path.  An unknown path is answered
+ * with 404, a known one with another method with 405.
+ */
 void entry_http_request(void *arg, struct dl_httpd_req *req)
 {
 	struct dl_str method = dl_httpd_method(req);
@@ -205,6 +212,6 @@
 	}
 	dl_count(DL_METRIC_bad_requests, 1);
 	dl_err_set(&err, -1, DL_STEP_READ, NULL,
-		   known ? "the path knows other methods" : "no such path");
+		   known ? "method not allowed" : "no such path");
 	entry_http_error(req, known ? 405 : 404, "bad-request", &err);
 }
