--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -117,15 +117,15 @@
 	struct dl_name attempt_id; /* the caller's id for it */
 	struct dl_name instance;   /* endpoint instance sent to last */
 	uint32_t target_ms, gap_ms;
-	uint32_t give_up_ms;	   /* silence after which callers give up */
-	uint32_t attempts_max;	   /* endpoints it may be sent to */
-	uint32_t tries;		   /* grants used up, sent or not */
-	uint32_t free_failures;	   /* failures that use up no try */
-	uint32_t sent;		   /* attempts that may have run it */
-	uint64_t last_event_id;	   /* the last one the caller has */
-	bool resumes;		   /* starts after last_event_id */
-	int64_t last_event_at;	   /* when it was forwarded */
-	uint32_t longest_pause_ms; /* between two events */
+	uint32_t caller_silence_ms; /* silence after which callers give up */
+	uint32_t attempts_max;	    /* endpoints it may be sent to */
+	uint32_t tries;		    /* grants used up, sent or not */
+	uint32_t free_failures;	    /* failures that use up no try */
+	uint32_t sent;		    /* attempts that may have run it */
+	uint64_t last_event_id;	    /* the last one the caller has */
+	bool resumes;		    /* starts after last_event_id */
+	int64_t last_event_at;	    /* when it was forwarded */
+	uint32_t longest_pause_ms;  /* between two events */
 	struct response_head head;
 };
 
--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -61,7 +61,7 @@
 	ask->target_ms = c->route.target_ms;
 	ask->gap_ms = c->stream ? c->route.gap_ms : 0;
 	if (c->routed && c->stream && !c->relayed)
-		ask->first_by = c->arrived_at + c->route.give_up_ms;
+		ask->first_by = c->arrived_at + c->route.caller_silence_ms;
 	ask->tried = c->tried_count;
 	memcpy(ask->tried_ids, c->tried_ids, sizeof(ask->tried_ids));
 }
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -137,9 +137,9 @@
 	/* Ending the last attempt early would gain nothing. */
 	if (c->stream && c->idempotent &&
 	    c->route.sent + 1 < c->route.attempts_max)
-		limit_ms =
-			MAX(c->route.give_up_ms * SILENCE_PERMILLE / PERMILLE,
-			    expected);
+		limit_ms = MAX(c->route.caller_silence_ms * SILENCE_PERMILLE /
+				       PERMILLE,
+			       expected);
 	if (c->reservations)
 		limit_ms = MIN(limit_ms, MAX(RESERVED_SILENCE_MS, expected));
 	return limit_ms;
--- a/src/main/entry_route.c
+++ b/src/main/entry_route.c
@@ -94,7 +94,7 @@
 	r->target_ms = route->target_ms;
 	r->gap_ms = route->gap_ms;
 	r->attempts_max = route->attempts;
-	r->give_up_ms = caller_silence_ms(route);
+	r->caller_silence_ms = caller_silence_ms(route);
 	c->stream = route->kind == DL_ROUTE_STREAM;
 	c->idempotent = c->stream ? route->resumable :
 				    route->kind == DL_ROUTE_IDEMPOTENT;
