--- a/src/main/entry_answer.c
+++ b/src/main/entry_answer.c
@@ -1,10 +1,11 @@
-/* What a caller is told: headers, errors, whole answers and ends of streams. */
+/* Responses to callers: headers, errors, complete bodies and ends of streams.
+ */
 #include <stdlib.h>
 
 #include "main/entry_call.h"
 
-static size_t answer_headers(const struct call *c, struct dl_header *out,
-			     const char *retry_after)
+static size_t fill_headers(const struct call *c, struct dl_header *out,
+			   const char *retry_after)
 {
 	size_t n = 0;
 
@@ -20,7 +21,7 @@
 	return n;
 }
 
-static void end_stream_event(struct call *c, const char *reason)
+static void send_end_event(struct call *c, const char *reason)
 {
 	char event[256];
 	int n;
@@ -32,7 +33,10 @@
 	dl_httpd_send(c->http, (struct dl_str){ event, (size_t)n });
 }
 
-/* An error told to the caller, in the way that its answer still allows. */
+/*
+ * Sends an error to the caller: as a response, or, where the head of a response
+ * has been sent, as the end of the stream or by closing the connection.
+ */
 void call_answer_error(struct call *c, const char *reason,
 		       const struct dl_err *err, uint32_t retry_ms)
 {
@@ -43,13 +47,13 @@
 
 	if (!c->http)
 		return;
-	if (c->answering && c->routed) {
+	if (c->response_started && c->routed) {
 		dl_httpd_finish(c->http, false);
 		return;
 	}
-	if (c->answering) {
+	if (c->response_started) {
 		if (c->kind == DL_POOL_MODEL)
-			end_stream_event(c, reason);
+			send_end_event(c, reason);
 		dl_httpd_finish(c->http, c->kind == DL_POOL_MODEL);
 		return;
 	}
@@ -58,7 +62,7 @@
 	else
 		snprintf(seconds, sizeof(seconds), "%u",
 			 (retry_ms + 999) / 1000);
-	count = answer_headers(c, headers, retry_ms ? seconds : NULL);
+	count = fill_headers(c, headers, retry_ms ? seconds : NULL);
 	headers[count++] = (struct dl_header){ DL_STR("Content-Type"),
 					       DL_STR("application/json") };
 	body = dl_error_body(reason, dl_step_name(err->step), err->peer,
@@ -68,7 +72,7 @@
 	free(body);
 }
 
-/* The JSON of a completion that is answered whole. */
+/* Returns the JSON of a completion that is not streamed. */
 GString *call_completion_json(struct call *c)
 {
 	json_t *root = json_object(), *choice = json_object();
@@ -78,7 +82,8 @@
 
 	json_object_set_new(choice, "index", json_integer(0));
 	json_object_set_new(choice, "text",
-			    json_stringn(c->text->str, c->text->len));
+			    json_stringn(c->response_buf->str,
+					 c->response_buf->len));
 	json_object_set_new(choice, "finish_reason", json_string("stop"));
 	json_array_append_new(choices, choice);
 	json_object_set_new(usage, "prompt_tokens",
@@ -96,23 +101,23 @@
 	return out;
 }
 
-/* Give the caller its whole answer, or the end of it. */
-void call_answer_whole(struct call *c)
+/* Sends the caller its complete response, or the end of a started one. */
+void call_answer_complete(struct call *c)
 {
 	struct dl_header headers[64];
 	size_t n;
 
 	if (!c->http)
 		return;
-	if (c->answering) {
+	if (c->response_started) {
 		if (c->kind == DL_POOL_MODEL) {
-			end_stream_event(c, "");
+			send_end_event(c, "");
 			dl_httpd_send(c->http, DL_STR("data: [DONE]\n\n"));
 		}
 		dl_httpd_finish(c->http, true);
 		return;
 	}
-	n = answer_headers(c, headers, NULL);
+	n = fill_headers(c, headers, NULL);
 	if (c->kind == DL_POOL_PLAIN)
 		n += call_headers_fill(c, headers + n, 63 - n);
 	else
--- a/src/main/entry_backoff.c
+++ b/src/main/entry_backoff.c
@@ -113,13 +113,13 @@
 	dl_msg(DL_MSG_GRANT_UNUSED,
 	       "request=%s endpoint=%s left_ms=%u dispatcher=%lx unused=%u",
 	       c->id_text, c->usage.backoff_endpoint.s, c->usage.backoff_ms,
-	       (unsigned long)c->dispatcher, c->unused);
-	if (++c->unused > UNUSED_MAX) {
+	       (unsigned long)c->dispatcher, c->grants_unused);
+	if (++c->grants_unused > UNUSED_MAX) {
 		entry_call_refuse(c, DL_REASON_BACKOFF, DL_STEP_PLACE,
 				  c->e->node.self, c->usage.backoff_ms);
 		return;
 	}
-	entry_ticket_release(c);
+	entry_reservation_release(c);
 	entry_grant_release(c);
 	c->first_byte_at = 0;
 	entry_grant_ask(c);
--- a/src/main/entry_claim.c
+++ b/src/main/entry_claim.c
@@ -1,6 +1,6 @@
 /*
- * Idempotency keys: a claim stands in the log before the first byte leaves,
- * and the outcome is recorded under it.
+ * Idempotency keys: a claim of the key is committed to the replicas' log before
+ * anything is sent to an endpoint, and the outcome is recorded under it.
  */
 #include <errno.h>
 
@@ -9,65 +9,65 @@
 #define CLAIM_MS	2000
 #define CLAIM_EXPIRES_S 86400
 #define RETRY_AFTER_MS	1000
-/* How long an answer waits for the record of its outcome, and how long the
- * record itself is tried: a new leader is found within that. */
+/* How long a response waits for its outcome to be recorded, and how long
+ * recording is retried, which is enough for a new leader to be elected. */
 #define RECORD_WAIT_MS	   1000
-#define RECORD_MS	   30000
-#define OUTCOME_KEPT_MAX   16384
+#define RECORD_TIMEOUT_MS  30000
+#define OUTCOME_BYTES_MAX  16384
 #define STATUS_KEY_REUSED  422
 #define STATUS_IN_PROGRESS 409
 
 static void send_unclaim(struct call *c)
 {
 	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_UNCLAIM };
-	struct entry_cmd_done nobody = { NULL, NULL };
+	struct entry_cmd_done no_callback = { NULL, NULL };
 
 	cmd.key = c->key;
-	cmd.owner = c->owner;
-	entry_cmd_send(c->e, &cmd, CLAIM_MS * 2, nobody);
+	cmd.owner = c->claim_owner;
+	entry_cmd_send(c->e, &cmd, CLAIM_MS * 2, no_callback);
 }
 
-/* Record the outcome of a claimed request; done is told once. */
+/* Records the outcome of a claimed request; done is called once. */
 void call_record_outcome(struct call *c, struct entry_cmd_done done)
 {
 	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_OUTCOME };
 
 	cmd.key = c->key;
-	cmd.owner = c->owner;
+	cmd.owner = c->claim_owner;
 	cmd.status = c->status;
-	if (c->final_body && c->final_body->len <= OUTCOME_KEPT_MAX)
+	if (c->final_body && c->final_body->len <= OUTCOME_BYTES_MAX)
 		cmd.outcome = (struct dl_str){ c->final_body->str,
 					       c->final_body->len };
-	c->recording = entry_cmd_send(c->e, &cmd, RECORD_MS, done);
-	c->record_by = entry_now(c->e) + RECORD_WAIT_MS;
+	c->outcome_cmd = entry_cmd_send(c->e, &cmd, RECORD_TIMEOUT_MS, done);
+	c->outcome_deadline = entry_now(c->e) + RECORD_WAIT_MS;
 }
 
 /*
- * A claim whose request did not run is taken back, so that the caller may
- * send it again at once; one whose outcome is unknown stays, so that nobody
- * runs it twice.
+ * Settles the claim of a request that has ended with an error.  The claim of a
+ * request that did not run is withdrawn, so that the caller can retry at once;
+ * one whose outcome is unknown stays, so that the request cannot run twice.
  */
 void call_settle_claim(struct call *c)
 {
-	struct entry_cmd_done nobody = { NULL, NULL };
+	struct entry_cmd_done no_callback = { NULL, NULL };
 
 	if (!c->claimed)
 		return;
 	if (c->outcome == DL_OUTCOME_NOT_RUN)
 		send_unclaim(c);
 	else if (c->outcome == DL_OUTCOME_FAILED)
-		call_record_outcome(c, nobody);
-	c->recording = 0;
+		call_record_outcome(c, no_callback);
+	c->outcome_cmd = 0;
 }
 
-static void repeat_outcome(struct call *c, const struct dl_cstore_reply *reply)
+static void replay_outcome(struct call *c, const struct dl_cstore_reply *reply)
 {
 	c->final_body =
 		g_string_new_len(reply->outcome.s, (gssize)reply->outcome.n);
 	call_settle(c,
 		    reply->status >= 500 ? DL_OUTCOME_FAILED : DL_OUTCOME_DONE,
 		    reply->status);
-	call_answer_whole(c);
+	call_answer_complete(c);
 	call_free(c);
 }
 
@@ -87,24 +87,25 @@
 {
 	struct call *c = arg;
 
-	c->claiming = 0;
-	entry_call_span(c, "claim", c->begun, NULL);
+	c->claim_cmd = 0;
+	entry_call_span(c, "claim", c->arrived_at, NULL);
 	if (reply->code == DL_EREUSED) {
 		refuse_key(c, STATUS_KEY_REUSED, DL_OUTCOME_NOT_RUN,
 			   DL_REASON_IN_PROGRESS);
 		return;
 	}
 	if (reply->code) {
-		c->claimed = true; /* it may stand: take it back */
+		c->claimed = true; /* it may be committed: withdraw it */
 		entry_call_refuse(c, DL_REASON_NO_QUORUM, DL_STEP_CLAIM,
 				  c->e->leader, RETRY_AFTER_MS);
 		return;
 	}
 	if (reply->claim == DL_CLAIM_DONE) {
-		repeat_outcome(c, reply);
+		replay_outcome(c, reply);
 		return;
 	}
-	if (reply->claim == DL_CLAIM_RUNNING && reply->owner != c->owner) {
+	if (reply->claim == DL_CLAIM_RUNNING &&
+	    reply->owner != c->claim_owner) {
 		refuse_key(c, STATUS_IN_PROGRESS, DL_OUTCOME_UNKNOWN,
 			   DL_REASON_IN_PROGRESS);
 		return;
@@ -114,11 +115,11 @@
 }
 
 /*
- * How long a claim is tried: half of what is left at most, so that a request
- * whose claim comes late can still run, and one without a quorum is told so
- * before its caller has given up.
+ * Returns how long to try a claim: at most half of the time left, so that the
+ * request can still run after a late claim, and a caller learns of a missing
+ * quorum before it gives up.
  */
-static uint32_t claim_ms(const struct call *c)
+static uint32_t claim_timeout_ms(const struct call *c)
 {
 	int64_t half = (c->deadline - entry_now(c->e)) / 2;
 
@@ -126,8 +127,8 @@
 }
 
 /*
- * The claim is in the log before the first byte leaves for an endpoint.
- * -EINVAL where the caller's key is longer than a claim may be.
+ * Claims the caller's idempotency key; the request continues once the claim is
+ * committed.  Returns -EINVAL where the key is too long.
  */
 int call_claim(struct call *c)
 {
@@ -144,9 +145,9 @@
 	c->key = call_copy_str((struct dl_str){ joined, (size_t)n });
 	c->state = CALL_CLAIMING;
 	cmd.key = c->key;
-	cmd.owner = c->owner;
+	cmd.owner = c->claim_owner;
 	cmd.body_hash = dl_hash(body, 0);
 	cmd.expires_s = CLAIM_EXPIRES_S;
-	c->claiming = entry_cmd_send(c->e, &cmd, claim_ms(c), done);
+	c->claim_cmd = entry_cmd_send(c->e, &cmd, claim_timeout_ms(c), done);
 	return 0;
 }
--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -1,8 +1,8 @@
 /*
- * The asking side of dispatch: a request asks the dispatcher of a pool, holds
- * what it is granted under a lease, and gives it back.  A dispatcher that
- * moves, dies or does not answer costs a second ask, never a second run:
- * nothing has gone to an endpoint before the grant.
+ * The client side of dispatch: an entry asks the dispatcher of a pool for an
+ * endpoint, holds the grant under a lease, and releases it.  Where a dispatcher
+ * moves, dies or does not reply, the ask is repeated; the request cannot run
+ * twice, since nothing is sent to an endpoint before the grant.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -13,17 +13,18 @@
 #include "main/entry_call.h"
 
 /*
- * A dispatcher answers within a loop's turn; later it is taken for lost.  For
- * one that lost its power: until membership knows, each request would wait this
- * long for it, so the first that waited in vain speaks for all.
+ * A dispatcher replies within one iteration of its event loop; after this time
+ * the ask counts as lost.  For a VM that lost power, each request would wait
+ * this long until membership notices, so the first timeout marks the VM as
+ * unreachable for all requests.
  */
-#define ASK_LOST_MS 180
-/* Two VMs may differ for a moment about who dispatches. */
+#define ASK_TIMEOUT_MS 180
+/* Two VMs may briefly disagree about which of them is the dispatcher. */
 #define ASK_AGAIN_MS 50
-/* A VM that says that it does not dispatch is alive, and will hear that it
- * does; only after a second of this is the ask counted as lost. */
-#define DISOWNED_MAX 20
-/* After so many lost asks an entry places by itself. */
+/* A VM that replies that it is not the dispatcher is alive and will learn that
+ * it is; such replies count as one lost ask only after a second of them. */
+#define NOT_DISPATCHER_MAX 20
+/* After this many lost asks an entry places the request itself. */
 #define ASKS_LOST_MAX	 2
 #define RETRY_DEFAULT_MS 1000
 
@@ -43,12 +44,12 @@
 
 	memset(&c->ask, 0, sizeof(c->ask));
 	c->ask.service = c->service;
-	c->ask.settled = c->sent_away || c->refused;
-	c->ask.standby = g_hash_table_size(c->e->lost) > 0;
+	c->ask.settled = c->redirected || c->refused;
+	c->ask.standby = g_hash_table_size(c->e->unreachable_vms) > 0;
 	ask->request = c->ask_id;
 	ask->entry = c->e->node.self;
 	ask->workspace = dl_name_str(&c->workspace);
-	/* Where a pool is of one failure domain it says nothing. */
+	/* Without regions a pool has one failure domain, so none is sent. */
 	if (c->e->node.settings.region.n)
 		ask->failure_domain = c->e->node.settings.failure_domain;
 	ask->class = c->class;
@@ -60,8 +61,9 @@
 	ask->target_ms = c->route.target_ms;
 	ask->gap_ms = c->stream ? c->route.gap_ms : 0;
 	if (c->routed && c->stream && !c->relayed)
-		ask->first_event_deadline = c->begun + c->route.give_up_ms;
-	ask->tried = c->tried;
+		ask->first_event_deadline =
+			c->arrived_at + c->route.caller_silence_ms;
+	ask->tried = c->tried_count;
 	memcpy(ask->tried_ids, c->tried_ids, sizeof(ask->tried_ids));
 }
 
@@ -88,16 +90,17 @@
 }
 
 /*
- * With no dispatcher in reach an entry places by itself from the reports that
- * reached it; for a moment two may then overcommit an endpoint, which its own
- * admission bounds.
+ * Asks the pool on this VM.  With local set no dispatcher can be reached: the
+ * entry then places the request from the reports that it has received.  Two
+ * entries may briefly overcommit an endpoint this way, which the endpoint's own
+ * admission control bounds.
  */
 static void ask_locally(struct call *c, bool local)
 {
 	struct entry_pool *p = entry_pool_find(c->e, service_of(c));
 
 	c->dispatcher = c->e->node.self;
-	c->by_itself = local;
+	c->placed_locally = local;
 	if (!p) {
 		entry_call_refuse(c, DL_REASON_NO_ENDPOINT, DL_STEP_PLACE,
 				  DL_VM_NONE, RETRY_DEFAULT_MS);
@@ -106,25 +109,25 @@
 	entry_pool_ask(c->e, p, &c->ask, local);
 }
 
-/* Add the wait that ends now to those of its kind; another one begins. */
+/* Adds the time in the current waiting state to its total, and restarts it. */
 static void note_wait(struct call *c)
 {
 	int64_t now = entry_now(c->e);
 
 	if (c->state == CALL_ASKING)
-		c->asking_ms += (uint32_t)(now - c->waits_since);
+		c->asking_ms += (uint32_t)(now - c->wait_started_at);
 	else if (c->state == CALL_QUEUED)
-		c->queued_ms += (uint32_t)(now - c->waits_since);
-	c->waits_since = now;
+		c->queued_ms += (uint32_t)(now - c->wait_started_at);
+	c->wait_started_at = now;
 }
 
-/* Ask for an endpoint; the call may be over when this returns. */
+/* Asks for an endpoint; the call may have been freed when this returns. */
 void entry_grant_ask(struct call *c)
 {
 	struct entry *e = c->e;
 
-	if (!c->content)
-		c->content = call_content(c);
+	if (!c->content_hash)
+		c->content_hash = call_content(c);
 	if (entry_quarantine_refuses(c))
 		return;
 	if (c->domain.n == 0)
@@ -134,7 +137,7 @@
 	c->state = CALL_ASKING;
 	c->asked_at = entry_now(e);
 	c->ask_again_at = 0;
-	c->by_itself = false;
+	c->placed_locally = false;
 	fill_ask(c);
 	c->dispatcher =
 		entry_pool_owner(e, service_of(c), dl_name_str(&c->domain));
@@ -165,10 +168,10 @@
 }
 
 /*
- * Tell the dispatcher that the first event has come: where engines work in
- * passes it shows when one ended.
+ * Tells the dispatcher that the first event has arrived: for engines that work
+ * in passes this shows when a pass ended.
  */
-void entry_grant_first(struct call *c)
+void entry_grant_first_event(struct call *c)
 {
 	struct entry_pool *p;
 
@@ -184,7 +187,7 @@
 		dl_pool_first_event(p->pool, c->grant.grant, entry_now(c->e));
 }
 
-/* Take back an ask that has not been granted. */
+/* Cancels an ask that has not been granted. */
 void entry_grant_cancel(struct call *c)
 {
 	struct entry *e = c->e;
@@ -209,7 +212,7 @@
 	c->ask_id = 0;
 }
 
-/* Give back what was granted, and say what came of it. */
+/* Releases the grant, and reports what the request used to the dispatcher. */
 void entry_grant_release(struct call *c)
 {
 	struct entry *e = c->e;
@@ -233,7 +236,7 @@
 	dl_packer_close(&pk);
 }
 
-static void take_grant(struct call *c, const struct dl_answer *answer)
+static void accept_grant(struct call *c, const struct dl_answer *answer)
 {
 	int64_t now = entry_now(c->e);
 
@@ -263,14 +266,14 @@
 
 static bool was_tried(const struct call *c, const struct dl_name *domain)
 {
-	for (uint32_t i = 0; i < c->spilled; i++) {
+	for (uint32_t i = 0; i < c->spill_tried_count; i++) {
 		if (dl_name_eq(&c->spill_tried[i], dl_name_str(domain)))
 			return true;
 	}
 	return false;
 }
 
-/* Keep the domains that a dispatcher names. */
+/* Keeps the failure domains that a dispatcher suggests. */
 static void note_hints(struct call *c, const struct dl_answer_frame *f)
 {
 	for (uint32_t i = 0; i < f->spill_count; i++) {
@@ -284,16 +287,16 @@
 	}
 }
 
-/* Ask the next domain that was named and not tried; false where none is. */
-static bool next_domain(struct call *c)
+/* Asks the next suggested domain not yet tried; false where there is none. */
+static bool ask_next_domain(struct call *c)
 {
 	for (uint32_t i = 0; i < c->hints_count; i++) {
 		if (was_tried(c, &c->hints[i]) ||
 		    dl_name_eq(&c->domain, dl_name_str(&c->hints[i])))
 			continue;
-		if (c->spilled > DL_SPILL_MAX)
+		if (c->spill_tried_count > DL_SPILL_MAX)
 			return false;
-		c->spill_tried[c->spilled++] = c->domain;
+		c->spill_tried[c->spill_tried_count++] = c->domain;
 		c->domain = c->hints[i];
 		c->asks_lost = 0;
 		entry_grant_ask(c);
@@ -303,44 +306,44 @@
 }
 
 /*
- * The dispatcher of another domain does not answer: the next one, or the own
- * domain again, which names those that it still hears.
+ * Called where the dispatcher of another domain does not reply: asks the next
+ * domain, or this VM's domain again, which suggests those it still hears from.
  */
-static void ask_elsewhere(struct call *c)
+static void ask_other_domain(struct call *c)
 {
-	if (next_domain(c))
+	if (ask_next_domain(c))
 		return;
-	c->spilled = 0;
+	c->spill_tried_count = 0;
 	c->hints_count = 0;
-	c->sent_away = false;
+	c->redirected = false;
 	c->refused = false;
 	c->asks_lost = 0;
 	c->domain = *dl_settings_pool_domain(&c->e->node.settings);
 	entry_grant_ask(c);
 }
 
-static bool may_spill(enum dl_reason reason)
+static bool can_spill(enum dl_reason reason)
 {
 	switch (reason) {
 	case DL_REASON_RATE:
 	case DL_REASON_CONCURRENCY:
-		return false; /* the workspace's own limit holds everywhere */
+		return false; /* a workspace's limit is the same everywhere */
 	default:
 		return true;
 	}
 }
 
 /*
- * For a failure domain whose pool is full or gone: try the others that its
- * dispatcher named, each once, so that a refusal is the fleet's and a storm
- * of asks is bounded by the number of domains.
+ * Where the pool of a failure domain is full or gone, tries the others that its
+ * dispatcher suggested, each once.  A refusal then holds for all of them, and
+ * the number of domains bounds the asks of one request.
  */
 static bool spill(struct call *c, const struct dl_answer_frame *f)
 {
-	return may_spill(f->answer.reason) && next_domain(c);
+	return can_spill(f->answer.reason) && ask_next_domain(c);
 }
 
-/* The soonest of the retry times that the pools named. */
+/* Keeps the refusal with the earliest retry time. */
 static void note_refusal(struct call *c, const struct dl_answer *answer)
 {
 	if (c->refused &&
@@ -350,23 +353,23 @@
 	c->last_refusal = *answer;
 }
 
-/* The dispatcher sends it to a pool that is much better off. */
-static void go_away(struct call *c, const struct dl_name *domain)
+/* The dispatcher redirects the request to a pool with much lower load. */
+static void follow_redirect(struct call *c, const struct dl_name *domain)
 {
-	c->sent_away = true;
+	c->redirected = true;
 	c->domain = *domain;
 	entry_grant_ask(c);
 }
 
-/* The others refused: the own domain, which was better off, decides. */
-static void come_back(struct call *c)
+/* The other domains have refused; this VM's domain, which has not, decides. */
+static void return_to_own_domain(struct call *c)
 {
-	c->sent_away = false;
+	c->redirected = false;
 	c->domain = *dl_settings_pool_domain(&c->e->node.settings);
 	entry_grant_ask(c);
 }
 
-static void take_refusal(struct call *c, const struct dl_answer_frame *f)
+static void handle_refusal(struct call *c, const struct dl_answer_frame *f)
 {
 	enum dl_step step = c->state == CALL_QUEUED ? DL_STEP_QUEUE :
 						      DL_STEP_ADMIT;
@@ -374,29 +377,29 @@
 	if (f->answer.reason == DL_REASON_NO_DISPATCHER) {
 		note_wait(c);
 		c->state = CALL_ASKING;
-		if (++c->disowned % DISOWNED_MAX == 0)
+		if (++c->not_dispatcher_replies % NOT_DISPATCHER_MAX == 0)
 			c->asks_lost++;
 		c->ask_again_at = entry_now(c->e) + ASK_AGAIN_MS;
 		return;
 	}
 	if (f->answer.reason == DL_REASON_NONE && f->spill_count) {
-		go_away(c, &f->spill[0]);
+		follow_redirect(c, &f->spill[0]);
 		return;
 	}
 	note_refusal(c, &f->answer);
 	if (spill(c, f))
 		return;
-	if (c->sent_away) {
-		come_back(c);
+	if (c->redirected) {
+		return_to_own_domain(c);
 		return;
 	}
 	entry_call_refuse(c, c->last_refusal.reason, step, c->dispatcher,
 			  c->last_refusal.retry_after_ms);
 }
 
-/* A grant that crossed with the cancellation of its ask. */
-static void give_back(struct entry *e, uint64_t from,
-		      const struct dl_answer_frame *f)
+/* Releases a grant that crossed with the cancellation of its ask. */
+static void release_late_grant(struct entry *e, uint64_t from,
+			       const struct dl_answer_frame *f)
 {
 	struct dl_usage unused = { 0 };
 	struct entry_pool *p;
@@ -416,7 +419,7 @@
 	dl_packer_close(&pk);
 }
 
-/* A dispatcher has answered; matched by id, never by order. */
+/* Handles a dispatcher's reply; matched to its ask by id, never by order. */
 void entry_grant_answer(struct entry *e, uint64_t from,
 			const struct dl_answer_frame *f)
 {
@@ -425,12 +428,12 @@
 	if (!c || c->dispatcher != from || c->granted) {
 		dl_count(DL_METRIC_late_frames_dropped, 1);
 		if (f->answer.verdict == DL_GRANTED)
-			give_back(e, from, f);
+			release_late_grant(e, from, f);
 		return;
 	}
 	switch (f->answer.verdict) {
 	case DL_GRANTED:
-		take_grant(c, &f->answer);
+		accept_grant(c, &f->answer);
 		return;
 	case DL_QUEUED:
 		note_wait(c);
@@ -438,12 +441,12 @@
 		return;
 	case DL_REFUSED:
 		note_hints(c, f);
-		take_refusal(c, f);
+		handle_refusal(c, f);
 		return;
 	}
 }
 
-/* The connection to a VM is lost, and with it what was asked on it. */
+/* The connection to a VM is lost, and with it the asks sent on it. */
 void entry_grant_down(struct entry *e, uint64_t vm)
 {
 	struct call *c;
@@ -458,14 +461,14 @@
 	}
 }
 
-static bool lost(const struct call *c, int64_t now)
+static bool ask_timed_out(const struct call *c, int64_t now)
 {
 	return c->state == CALL_ASKING && !c->ask_again_at &&
-	       now - c->asked_at > ASK_LOST_MS;
+	       now - c->asked_at > ASK_TIMEOUT_MS;
 }
 
-/* The dispatcher named now; our own where we place by ourselves. */
-static uint64_t owner_now(struct call *c)
+/* Returns the VM that is the dispatcher of the call's pool now. */
+static uint64_t current_dispatcher(struct call *c)
 {
 	return entry_pool_owner(c->e, service_of(c), dl_name_str(&c->domain));
 }
@@ -475,20 +478,20 @@
 	if (own_domain(c))
 		entry_grant_ask(c);
 	else
-		ask_elsewhere(c);
+		ask_other_domain(c);
 }
 
-static void watch(struct call *c, int64_t now)
+static void tick_call(struct call *c, int64_t now)
 {
 	uint64_t owner;
 
 	if (c->granted) {
-		call_renew(c, owner_now(c), now);
+		call_renew(c, current_dispatcher(c), now);
 		return;
 	}
 	if (c->state != CALL_ASKING && c->state != CALL_QUEUED)
 		return;
-	if (lost(c, now)) {
+	if (ask_timed_out(c, now)) {
 		entry_reach_lost(c->e, c->dispatcher);
 		c->asks_lost++;
 		entry_grant_cancel(c);
@@ -499,20 +502,23 @@
 		ask_again(c);
 		return;
 	}
-	owner = owner_now(c);
-	if (owner != c->dispatcher && !c->by_itself) {
+	owner = current_dispatcher(c);
+	if (owner != c->dispatcher && !c->placed_locally) {
 		entry_grant_cancel(c);
 		entry_grant_ask(c);
 	}
 }
 
-/* Renew what is held, ask again what was lost, follow moved dispatchers. */
+/*
+ * Renews grants, repeats lost asks, and asks the new dispatcher where it has
+ * moved.
+ */
 void entry_grant_tick(struct entry *e, int64_t now)
 {
 	struct call *c, *next;
 
 	for (c = e->calls; c; c = next) {
 		next = c->next;
-		watch(c, now);
+		tick_call(c, now);
 	}
 }
--- a/src/main/entry_http.c
+++ b/src/main/entry_http.c
@@ -1,4 +1,4 @@
-/* The doors of an entry: which method and path goes where. */
+/* HTTP interface of an entry: which listener, method and path calls what. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,12 +7,13 @@
 #include "main/entry.h"
 #include "protocol/api.h"
 
-/* An endpoint that has not announced itself for this long is gone; it
- * announces five times as often, so that lost ones do no harm. */
+/* An endpoint that has not announced itself for this long counts as gone; it
+ * announces itself five times as often, so that lost announcements do no harm.
+ */
 #define ANNOUNCE_EVERY_MS 1000
 #define GONE_AFTER_MS	  5000
-/* Without a replica for so long, health says so. */
-#define REPLICA_QUIET_MS 10000
+/* The health check mentions a silence of all replicas after this long. */
+#define REPLICA_SILENT_MS 10000
 
 static void get_health(struct entry *e, struct dl_httpd_req *req);
 static void get_ready(struct entry *e, struct dl_httpd_req *req);
@@ -24,30 +25,32 @@
 	unsigned use;
 	const char *method; /* NULL: any */
 	const char *path;
-	bool prefix; /* path begins with, rather than is */
+	bool prefix; /* match the beginning of the path */
 	void (*handle)(struct entry *e, struct dl_httpd_req *req);
 };
 
 static const struct route routes[] = {
-	{ DOOR_CALLERS, "POST", "/v1/completions", false,
+	{ LISTENER_CALLERS, "POST", "/v1/completions", false,
 	  entry_call_completion },
-	{ DOOR_CALLERS, NULL, "/s/", true, entry_call_plain },
-	{ DOOR_ENDPOINTS, "POST", "/v1/endpoints", false, post_endpoint },
-	{ DOOR_OPERATORS, "POST", "/v1/config", false, entry_ops_config_post },
-	{ DOOR_OPERATORS, "GET", "/v1/config", false, entry_ops_config_get },
-	{ DOOR_OPERATORS, "GET", "/v1/config/history", false,
+	{ LISTENER_CALLERS, NULL, "/s/", true, entry_call_plain },
+	{ LISTENER_ENDPOINTS, "POST", "/v1/endpoints", false, post_endpoint },
+	{ LISTENER_OPERATORS, "POST", "/v1/config", false,
+	  entry_ops_config_post },
+	{ LISTENER_OPERATORS, "GET", "/v1/config", false,
+	  entry_ops_config_get },
+	{ LISTENER_OPERATORS, "GET", "/v1/config/history", false,
 	  entry_ops_history },
-	{ DOOR_OPERATORS, "GET", "/v1/status", false, entry_ops_status },
-	{ DOOR_ANY, "GET", "/healthz", false, get_health },
-	{ DOOR_ANY, "GET", "/readyz", false, get_ready },
-	{ DOOR_READY, "GET", "/-/ready", false, get_ready },
-	{ DOOR_OPERATORS, "GET", "/metrics", false, get_metrics },
-	{ DOOR_OPERATORS, "GET", "/v1/traces", false, get_traces },
+	{ LISTENER_OPERATORS, "GET", "/v1/status", false, entry_ops_status },
+	{ LISTENER_ANY, "GET", "/healthz", false, get_health },
+	{ LISTENER_ANY, "GET", "/readyz", false, get_ready },
+	{ LISTENER_READY, "GET", "/-/ready", false, get_ready },
+	{ LISTENER_OPERATORS, "GET", "/metrics", false, get_metrics },
+	{ LISTENER_OPERATORS, "GET", "/v1/traces", false, get_traces },
 };
 
 #define ROUTES (sizeof(routes) / sizeof(routes[0]))
 
-/* Answer with a JSON text, which is freed. */
+/* Replies with a JSON text, and frees it. */
 void entry_http_json(struct dl_httpd_req *req, uint16_t status, char *json)
 {
 	struct dl_header type = { DL_STR("Content-Type"),
@@ -57,7 +60,7 @@
 	free(json);
 }
 
-/* Answer with an error of our own making. */
+/* Replies with an error of the entry itself. */
 void entry_http_error(struct dl_httpd_req *req, uint16_t status,
 		      const char *reason, const struct dl_err *err)
 {
@@ -70,11 +73,11 @@
 
 static void get_health(struct entry *e, struct dl_httpd_req *req)
 {
-	bool quiet = entry_now(e) - e->replica_heard > REPLICA_QUIET_MS;
+	bool silent = entry_now(e) - e->replica_heard_at > REPLICA_SILENT_MS;
 
 	dl_httpd_reply(req, 200, NULL, 0,
-		       quiet ? DL_STR("ok, but no replica has been heard\n") :
-			       DL_STR("ok\n"));
+		       silent ? DL_STR("ok, but no replica has been heard\n") :
+				DL_STR("ok\n"));
 }
 
 static void get_ready(struct entry *e, struct dl_httpd_req *req)
@@ -117,9 +120,9 @@
 	}
 	rc = entry_announce_take(e, &a);
 	if (rc == -EHOSTUNREACH) {
-		/* Another VM may reach them: the endpoint asks it at once. */
+		/* Another VM may reach one: the endpoint tries it at once. */
 		dl_err_set(&err, rc, DL_STEP_PLACE, NULL,
-			   "no VM of this failure domain is reached from here");
+			   "this VM cannot reach any VM of its failure domain");
 		entry_http_error(req, 503, "no-dispatcher", &err);
 		return;
 	}
@@ -134,7 +137,7 @@
 	entry_http_json(req, 200, strdup(answer));
 }
 
-static bool path_fits(const struct route *r, struct dl_str path)
+static bool path_matches(const struct route *r, struct dl_str path)
 {
 	size_t n = strlen(r->path);
 
@@ -146,17 +149,21 @@
 static const struct dl_keys *keys_of(const struct entry *e, unsigned use)
 {
 	switch (use) {
-	case DOOR_ENDPOINTS:
+	case LISTENER_ENDPOINTS:
 		return &e->node.settings.endpoint_keys;
-	case DOOR_OPERATORS:
+	case LISTENER_OPERATORS:
 		return &e->node.settings.operator_keys;
 	default:
 		return NULL;
 	}
 }
 
-/* Whether what was sent is signed as the door asks; answers where not. */
-static bool may(struct entry *e, unsigned use, struct dl_httpd_req *req)
+/*
+ * Checks the signature of a request where its group of paths requires one;
+ * returns false, with the request answered, where it is not valid.
+ */
+static bool check_signature(struct entry *e, unsigned use,
+			    struct dl_httpd_req *req)
 {
 	const struct dl_keys *keys = keys_of(e, use);
 	struct dl_signed what = { dl_httpd_method(req), dl_httpd_path(req),
@@ -169,38 +176,42 @@
 			  dl_node_wall_ms()) == 0)
 		return true;
 	dl_err_set(&err, -EACCES, DL_STEP_CHECK, NULL,
-		   "the signature is missing, stale or of another key");
+		   "the signature is missing, expired or of an unknown key");
 	entry_http_error(req, 401, "not-allowed", &err);
 	return false;
 }
 
-/* Find the route; a path that is known with another method is a 405. */
+/*
+ * Passes a request to the handler of its path.  An unknown path is answered
+ * with 404, a known one with another method with 405.
+ */
 void entry_http_request(void *arg, struct dl_httpd_req *req)
 {
 	struct dl_str method = dl_httpd_method(req);
 	struct dl_str path = dl_httpd_path(req);
-	struct door *door = arg;
+	struct listener *listener = arg;
 	bool known = false;
 	struct dl_err err;
 
-	if (door->e->node.settings.foreign && door->uses == DOOR_CALLERS) {
-		entry_route_request(door->e, req);
+	if (listener->e->node.settings.foreign &&
+	    listener->uses == LISTENER_CALLERS) {
+		entry_route_request(listener->e, req);
 		return;
 	}
 	for (size_t i = 0; i < ROUTES; i++) {
-		if (!(routes[i].use & door->uses) ||
-		    !path_fits(&routes[i], path))
+		if (!(routes[i].use & listener->uses) ||
+		    !path_matches(&routes[i], path))
 			continue;
 		known = true;
 		if (routes[i].method &&
 		    !dl_str_eq(method, dl_str_of(routes[i].method)))
 			continue;
-		if (may(door->e, routes[i].use, req))
-			routes[i].handle(door->e, req);
+		if (check_signature(listener->e, routes[i].use, req))
+			routes[i].handle(listener->e, req);
 		return;
 	}
 	dl_count(DL_METRIC_bad_requests, 1);
 	dl_err_set(&err, -1, DL_STEP_READ, NULL,
-		   known ? "the path knows other methods" : "no such path");
+		   known ? "method not allowed" : "no such path");
 	entry_http_error(req, known ? 405 : 404, "bad-request", &err);
 }
--- a/src/main/entry_read.c
+++ b/src/main/entry_read.c
@@ -1,4 +1,7 @@
-/* Reading a request: what it is, for whom, how urgent and how long. */
+/*
+ * Parsing and checking of API requests: service, workspace, class, deadline,
+ * idempotence and size.
+ */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,30 +9,30 @@
 #include "base/metric.h"
 #include "main/entry_call.h"
 
-/* What a token of a prompt takes until the endpoint has told otherwise. */
+/* Thousandths of bytes a token, until endpoints have reported token counts. */
 #define BYTES_PER_TOKEN_MILLI 4000
-/* Up to here, a millisecond or so, parsing on the loop is cheaper. */
-#define READ_INLINE_MAX 32768
-/* Where a caller names none, until its class is known: no parse takes longer.
- */
-#define READ_DEADLINE_MS  10000
+/* Up to this size, about 1 ms, parsing in the event loop is cheaper. */
+#define PARSE_INLINE_MAX 32768
+/* Deadline until the request's class is known; no parse takes longer. */
+#define PARSE_DEADLINE_MS 10000
 #define RETRY_AFTER_MS	  1000
 #define MIN_DEADLINE_MS	  1
 #define MAX_DEADLINE_MS	  86400000
 #define PLAIN_PATH_PREFIX "/s/"
-#define BAD_DEADLINE	  "Daisyledge-Deadline-Ms makes no sense"
+#define BAD_DEADLINE                                                           \
+	"Daisyledge-Deadline-Ms must be a number from 1 to 86400000"
 
-/* A body on its way through the thread pool. */
-struct reading {
+/* A request body that is parsed in the thread pool. */
+struct parse_job {
 	uv_work_t work;
-	struct call *call;  /* NULL once it is over */
-	struct dl_str body; /* a copy: the caller may leave */
+	struct call *call;  /* NULL once it has ended */
+	struct dl_str body; /* a copy; outlives the HTTP request */
 	struct dl_completion completion;
 	struct dl_err err;
 	int rc;
 };
 
-static void bad(struct call *c, uint16_t status, const char *why)
+static void reject(struct call *c, uint16_t status, const char *why)
 {
 	struct dl_err err;
 
@@ -48,7 +51,7 @@
 	if (s.n && (!dl_str_to_u64(s, &ms) || ms < MIN_DEADLINE_MS ||
 		    ms > MAX_DEADLINE_MS))
 		return false;
-	c->deadline = c->begun + (int64_t)ms;
+	c->deadline = c->arrived_at + (int64_t)ms;
 	return true;
 }
 
@@ -68,21 +71,25 @@
 }
 
 /*
- * Whether the caller says that its request may be repeated; otherwise holds
- * where it says nothing.  A misspelt word is a fault, never taken for yes.
+ * Reads whether the caller allows its request to be repeated; default_value
+ * applies without the header.  Returns false for a value other than yes and no,
+ * so that a misspelling is not taken for either.
  */
-static bool read_idempotent(struct call *c, bool otherwise)
+static bool read_idempotent(struct call *c, bool default_value)
 {
 	struct dl_str s = dl_httpd_header(c->http, "daisyledge-idempotent");
 
-	c->idempotent = otherwise;
+	c->idempotent = default_value;
 	if (s.n == 0)
 		return true;
 	c->idempotent = dl_str_eq(s, DL_STR("yes"));
 	return c->idempotent || dl_str_eq(s, DL_STR("no"));
 }
 
-/* Read what both kinds of service share; NULL when fine, else why not. */
+/*
+ * Reads what requests to both kinds of service share.  Returns NULL, or the
+ * error message for the caller.
+ */
 static const char *read_common(struct call *c,
 			       const struct dl_service_conf *service,
 			       bool idempotent)
@@ -101,7 +108,7 @@
 		return "Daisyledge-Idempotent must be yes or no";
 	class = pick_class(c, service);
 	if (!class)
-		return "Daisyledge-Class names no class";
+		return "Daisyledge-Class is not a configured class";
 	c->class_name = class->name;
 	c->class = class->class;
 	if (!read_deadline(c, class->deadline_ms))
@@ -109,11 +116,12 @@
 	return NULL;
 }
 
-static void estimate(struct call *c)
+static void estimate_tokens(struct call *c)
 {
 	const struct dl_completion *completion = &c->completion;
 	uint64_t milli = BYTES_PER_TOKEN_MILLI;
-	gpointer known = g_hash_table_lookup(c->e->ratios, c->workspace.s);
+	gpointer known =
+		g_hash_table_lookup(c->e->bytes_per_token, c->workspace.s);
 
 	if (known)
 		milli = GPOINTER_TO_SIZE(known);
@@ -125,18 +133,18 @@
 		c->prefix_tokens = (uint32_t)(DL_PREFIX_BYTES * 1000 / milli);
 }
 
-/* Whether this VM can hold one more request's body. */
+/* Whether the buffers of this VM have room for another request. */
 static bool has_room(const struct entry *e)
 {
 	return e->buffered <= (uint64_t)e->node.settings.buffer_mb << 20;
 }
 
-/* Go on once nothing more is to be read: claim the key, or ask at once. */
+/* Admits a request that has been read: claims its key, or asks at once. */
 static void submit(struct call *c)
 {
 	struct dl_str key = dl_httpd_header(c->http, "idempotency-key");
 
-	dl_retry_budget_first(entry_call_budget(c));
+	dl_retry_budget_first(entry_call_retry_budget(c));
 	if (c->e->draining) {
 		entry_call_refuse(c, DL_REASON_DRAINING, DL_STEP_ADMIT,
 				  c->e->node.self, RETRY_AFTER_MS);
@@ -149,13 +157,13 @@
 	}
 	if (key.n && !c->idempotent) {
 		if (call_claim(c))
-			bad(c, 400, "Idempotency-Key is too long");
+			reject(c, 400, "Idempotency-Key is too long");
 		return;
 	}
 	entry_grant_ask(c);
 }
 
-static bool no_conf(struct call *c)
+static bool refuse_without_conf(struct call *c)
 {
 	if (c->e->conf)
 		return false;
@@ -164,81 +172,81 @@
 	return true;
 }
 
-/* The request is read, or cannot be: go on with it. */
-static void on_read(struct call *c, int rc, const struct dl_err *err)
+/* Continues with a completion whose body was parsed, or rejects it. */
+static void on_parsed(struct call *c, int rc, const struct dl_err *err)
 {
 	const struct dl_service_conf *service;
 	const char *fault;
 
 	if (rc) {
-		bad(c, 400, err->text);
+		reject(c, 400, err->text);
 		return;
 	}
 	service = dl_conf_service_of_model(c->e->conf,
 					   dl_name_str(&c->completion.model));
 	if (!service) {
-		bad(c, 404, "no service has this model");
+		reject(c, 404, "no service serves this model");
 		return;
 	}
 	c->stream = c->completion.stream;
 	fault = read_common(c, service, true);
 	if (fault) {
-		bad(c, 400, fault);
+		reject(c, 400, fault);
 		return;
 	}
-	estimate(c);
+	estimate_tokens(c);
 	submit(c);
 }
 
-static void read_beside(uv_work_t *work)
+static void parse_work(uv_work_t *work)
 {
-	struct reading *r = work->data;
+	struct parse_job *r = work->data;
 
 	r->rc = dl_completion_parse(r->body, &r->completion, &r->err);
 }
 
-static void on_read_beside(uv_work_t *work, int status)
+static void on_parse_done(uv_work_t *work, int status)
 {
-	struct reading *r = work->data;
+	struct parse_job *r = work->data;
 	struct call *c = r->call;
 
 	if (c) {
-		c->reading = NULL;
+		c->parse_job = NULL;
 		c->completion = r->completion;
 		r->completion.rest = NULL;
-		entry_call_span(c, "read", c->begun, NULL);
-		on_read(c, r->rc, &r->err);
+		entry_call_span(c, "read", c->arrived_at, NULL);
+		on_parsed(c, r->rc, &r->err);
 	}
 	dl_completion_free(&r->completion);
 	g_free((char *)r->body.s);
 	g_free(r);
 }
 
-/* Its request is over: the parse under way ends for nobody. */
-void call_reading_forget(struct reading *reading)
+/* Detaches a parse from a call that has ended; its result is dropped. */
+void call_parse_forget(struct parse_job *job)
 {
-	reading->call = NULL;
+	job->call = NULL;
 }
 
 /*
- * A prompt of a million tokens takes a tenth of a second to parse; on the loop
- * every other request of this VM would wait for it.  Parsing is a pure
- * function of a copy of the body, so it runs in the loop's thread pool and its
- * result comes back to the loop.
+ * Parses a body in the thread pool.  A prompt of a million tokens takes 0.1 s,
+ * during which an event loop would stall every other request of this VM.
+ * Parsing is a pure function of a copy of the body, so it is safe in a thread;
+ * the result is delivered to the event loop.
  */
-static void start_reading(struct call *c, struct dl_str body)
+static void start_parse(struct call *c, struct dl_str body)
 {
-	struct reading *r = g_new0(struct reading, 1);
+	struct parse_job *r = g_new0(struct parse_job, 1);
 
 	r->call = c;
 	r->body = call_copy_str(body);
 	r->work.data = r;
-	c->reading = r;
-	c->state = CALL_READING;
-	uv_queue_work(c->e->node.loop, &r->work, read_beside, on_read_beside);
+	c->parse_job = r;
+	c->state = CALL_PARSING;
+	uv_queue_work(c->e->node.loop, &r->work, parse_work, on_parse_done);
 }
 
-/* POST /v1/completions */
+/* Handles POST /v1/completions. */
 void entry_call_completion(struct entry *e, struct dl_httpd_req *req)
 {
 	struct dl_str body = dl_httpd_body(req);
@@ -246,26 +254,26 @@
 	struct dl_err err = { 0 };
 	int rc;
 
-	if (no_conf(c))
+	if (refuse_without_conf(c))
 		return;
 	if (!has_room(e)) {
 		entry_call_refuse(c, DL_REASON_BUSY, DL_STEP_READ, e->node.self,
 				  RETRY_AFTER_MS);
 		return;
 	}
-	if (!read_deadline(c, READ_DEADLINE_MS)) {
-		bad(c, 400, BAD_DEADLINE);
+	if (!read_deadline(c, PARSE_DEADLINE_MS)) {
+		reject(c, 400, BAD_DEADLINE);
 		return;
 	}
-	if (body.n > READ_INLINE_MAX) {
-		start_reading(c, body);
+	if (body.n > PARSE_INLINE_MAX) {
+		start_parse(c, body);
 		return;
 	}
 	rc = dl_completion_parse(body, &c->completion, &err);
-	on_read(c, rc, &err);
+	on_parsed(c, rc, &err);
 }
 
-/* The service named in "/s/SERVICE/...". */
+/* Returns the name of the service in "/s/SERVICE/...". */
 static struct dl_str service_in_path(struct dl_str path)
 {
 	size_t skip = strlen(PLAIN_PATH_PREFIX);
@@ -282,40 +290,41 @@
 	return path.n >= prefix->n && memcmp(path.s, prefix->s, prefix->n) == 0;
 }
 
-/* Whether the operators say that a call may be repeated. */
-static bool may_repeat(struct call *c, const struct dl_service_conf *service)
+/* Whether the service's configuration allows a request to be repeated. */
+static bool is_idempotent(struct call *c, const struct dl_service_conf *service)
 {
 	struct dl_str method = dl_httpd_method(c->http);
 	struct dl_str path = dl_httpd_path(c->http);
 	size_t skip = strlen(PLAIN_PATH_PREFIX) + service->name.n;
-	bool otherwise = false;
+	bool default_value = false;
 
 	if (service->get_is_idempotent && (dl_str_eq(method, DL_STR("GET")) ||
 					   dl_str_eq(method, DL_STR("HEAD"))))
-		otherwise = true;
+		default_value = true;
 	path = (struct dl_str){ path.s + skip, path.n - skip };
 	for (uint32_t i = 0; i < service->idempotent_paths_count; i++)
-		otherwise |= path_begins(path, &service->idempotent_paths[i]);
-	return otherwise;
+		default_value |=
+			path_begins(path, &service->idempotent_paths[i]);
+	return default_value;
 }
 
-/* /s/SERVICE/... */
+/* Handles /s/SERVICE/... with any method. */
 void entry_call_plain(struct entry *e, struct dl_httpd_req *req)
 {
 	const struct dl_service_conf *service;
 	struct call *c = call_new(e, req);
 	const char *fault;
 
-	if (no_conf(c))
+	if (refuse_without_conf(c))
 		return;
 	service = dl_conf_service(e->conf, service_in_path(dl_httpd_path(req)));
 	if (!service || service->kind != DL_POOL_PLAIN) {
-		bad(c, 404, "no such service");
+		reject(c, 404, "no such service");
 		return;
 	}
-	fault = read_common(c, service, may_repeat(c, service));
+	fault = read_common(c, service, is_idempotent(c, service));
 	if (fault)
-		bad(c, 400, fault);
+		reject(c, 400, fault);
 	else
 		submit(c);
 }
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -1,8 +1,8 @@
 /*
- * One attempt of a routed request: the caller's request goes to the endpoint
- * as it came, the endpoint's answer comes back as it is.  Answers are held
- * until they are whole, streams are passed on event by event; a stream that
- * breaks goes on at another endpoint behind the last event that was passed on.
+ * One attempt of a routed request: forwards the caller's request to the
+ * endpoint, and the endpoint's response to the caller, unchanged.  Responses
+ * are held until they are complete; streams are forwarded event by event, and
+ * a broken one is resumed at another endpoint after the last event forwarded.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,32 +12,33 @@
 #include "main/entry_call.h"
 #include "platform/platform.h"
 
-#define HOLD_MAX  (8u << 20)
-#define EVENT_MAX (1u << 20)
-#define TRIES_MAX 4 /* grants asked for, counting those that led nowhere */
+#define HELD_BODY_MAX (8u << 20)
+#define EVENT_MAX     (1u << 20)
+#define TRIES_MAX     4 /* grants of a request, usable or not */
 /*
- * Endpoints that could not be reached, or that turned the request away for some
- * time, cost the others nothing, and their dispatcher is told: of a failure
- * domain that is cut off with a third of the endpoints, streams were broken off
- * after three of the others.
+ * Failures that cost the endpoint nothing and are reported to the dispatcher:
+ * it could not be reached, or asked to back off.  They have a limit of their
+ * own because, in a failure domain that was partitioned off with a third of the
+ * endpoints, streams were broken off after three of the unreachable ones.
  */
-#define CONNECTS_MAX 12
-/* Kept of the caller's time for the way back. */
+#define FREE_FAILURES_MAX 12
+/* Reserved of the deadline for the transfer of the response. */
 #define HOP_MARGIN_MS 5
 /*
- * A silent endpoint is given up while the caller still waits: at this share of
- * the time after which callers give up, so that another one can go on.
+ * An attempt at a silent endpoint ends at this share of the silence after which
+ * callers give up, so that another endpoint can continue in time.
  */
-#define SILENT_PERMILLE 600
-#define PERMILLE	1000
+#define SILENCE_PERMILLE 600
+#define PERMILLE	 1000
 /*
- * Memory reserved on other engines is not kept longer for one that is silent:
- * two thirds of the 9 s after which engines count it as kept from others.  One
- * that hung with its health good held fifteen parts for 9.6 s.
+ * The same limit where memory is reserved on other engines: two thirds of the
+ * 9 s after which engines count reserved memory as withheld from others.  An
+ * endpoint that hung while its health checks passed held 15 reservations for
+ * 9.6 s.
  */
-#define UNUSED_MS     6000
-#define RETRY_SOON_MS 100
-/* Streams of two seconds hold what is asked for. */
+#define RESERVED_SILENCE_MS 6000
+#define RETRY_SOON_MS	    100
+/* The memory is held by other streams, which take about two seconds. */
 #define NO_MEMORY_RETRY_MS 2000
 #define STATUS_ERROR	   500
 #define STATUS_MISDIRECTED 421
@@ -49,10 +50,10 @@
 static void on_end(void *arg, const struct dl_attempt *attempt,
 		   const struct dl_err *err);
 
-static bool on_ready(void *arg);
+static bool on_connected(void *arg);
 
 static const struct dl_httpc_ops relay_ops = { on_head, on_body, on_end,
-					       on_ready };
+					       on_connected };
 
 static const struct dl_directory_entry *endpoint_of(const struct call *c,
 						    uint8_t i)
@@ -61,8 +62,8 @@
 				 dl_name_str(&c->grant.endpoint[i]));
 }
 
-/* Whether an endpoint is still the one that was granted, and stays. */
-static bool is_there(const struct call *c, uint8_t i)
+/* Whether the granted endpoint still serves the service, and is not leaving. */
+static bool is_available(const struct call *c, uint8_t i)
 {
 	const struct dl_directory_entry *d = endpoint_of(c, i);
 
@@ -70,7 +71,7 @@
 	       dl_name_eq(&d->service, dl_name_str(&c->service));
 }
 
-/* Whether it was granted by a dispatcher that has not heard that it leaves. */
+/* Whether the granted endpoint is leaving; the dispatcher did not know. */
 static bool is_leaving(const struct call *c, uint8_t i)
 {
 	const struct dl_directory_entry *d = endpoint_of(c, i);
@@ -78,20 +79,20 @@
 	return d && d->leaving;
 }
 
-/* Give back what was granted, and ask for another place. */
-static void ask_anew(struct call *c)
+/* Releases the grant and the reservations, and asks for another endpoint. */
+static void release_and_ask(struct call *c)
 {
-	entry_ticket_release(c);
+	entry_reservation_release(c);
 	entry_grant_release(c);
 	c->first_byte_at = 0;
 	entry_grant_ask(c);
 }
 
 /*
- * A group fails with the one that cannot be reached: its lead, which says so,
- * is as good as before.
+ * Reports the helper that the lead of a group could not reach as at fault; the
+ * lead itself has not failed.
  */
-static void blame(struct call *c)
+static void note_at_fault(struct call *c)
 {
 	const struct dl_name *at_fault = &c->route.head.at_fault;
 
@@ -100,11 +101,11 @@
 		c->usage.at_fault = *at_fault;
 }
 
-/* Ask for another endpoint, beside those that were tried. */
-static void ask_again(struct call *c)
+/* Asks for an endpoint other than those already tried. */
+static void ask_without_tried(struct call *c)
 {
 	call_note_tried(c);
-	ask_anew(c);
+	release_and_ask(c);
 }
 
 static void fill_outbound(struct call *c, struct dl_outbound *out)
@@ -116,30 +117,32 @@
 	out->instance = dl_name_str(&endpoint_of(c, 0)->instance);
 	out->left_ms = (uint32_t)MAX(left, 1);
 	out->resumes = c->route.resumes;
-	out->after_event = c->route.after_event;
+	out->after_event = c->route.last_event_id;
 	out->priority = (uint8_t)MIN(c->grant.priority / 32, 9);
 	for (uint8_t i = 1; i < c->grant.endpoints; i++) {
 		struct dl_str name = dl_name_str(&c->grant.endpoint[i]);
 
-		if (!is_there(c, i) && !c->tickets)
+		if (!is_available(c, i) && !c->reservations)
 			continue;
-		out->ticket[out->helpers] = entry_ticket_name(c, name);
+		out->ticket[out->helpers] = entry_reservation_id(c, name);
 		out->helper[out->helpers++] = name;
 	}
 }
 
-static uint32_t silent_ms(const struct call *c)
+static uint32_t silence_limit_ms(const struct call *c)
 {
-	uint32_t patient = (uint32_t)MAX(c->deadline - entry_now(c->e), 1);
+	uint32_t limit_ms = (uint32_t)MAX(c->deadline - entry_now(c->e), 1);
 	uint32_t expected = c->grant.predicted_ttft_ms * 2;
 
-	/* Without another attempt there is nothing to gain by giving up. */
-	if (c->stream && c->idempotent && c->route.sent + 1 < c->route.attempts)
-		patient = MAX(c->route.give_up_ms * SILENT_PERMILLE / PERMILLE,
-			      expected);
-	if (c->tickets)
-		patient = MIN(patient, MAX(UNUSED_MS, expected));
-	return patient;
+	/* Ending the last attempt early would gain nothing. */
+	if (c->stream && c->idempotent &&
+	    c->route.sent + 1 < c->route.attempts_max)
+		limit_ms = MAX(c->route.caller_silence_ms * SILENCE_PERMILLE /
+				       PERMILLE,
+			       expected);
+	if (c->reservations)
+		limit_ms = MIN(limit_ms, MAX(RESERVED_SILENCE_MS, expected));
+	return limit_ms;
 }
 
 static void send_to(struct call *c, uint64_t to)
@@ -160,46 +163,46 @@
 	req.host = dl_httpd_authority(c->http);
 	req.body = dl_httpd_body(c->http);
 	req.connect_ms = c->connect_ms;
-	req.gap_ms = silent_ms(c);
+	req.gap_ms = silence_limit_ms(c);
 	req.close_ends = true;
 	req.keep = c->idempotent;
 	c->attempt = dl_httpc_start(c->e->httpc, &req, &relay_ops, c);
 }
 
-/* The endpoint that was granted is not there any more, or leaves. */
-static void not_there(struct call *c)
+/* The granted endpoint is gone or leaving: asks for another one. */
+static void retry_unavailable(struct call *c)
 {
 	c->usage.unreachable = is_leaving(c, 0);
 	if (++c->route.tries < TRIES_MAX)
-		ask_again(c);
+		ask_without_tried(c);
 	else
 		entry_call_refuse(c, DL_REASON_NO_ENDPOINT, DL_STEP_PLACE,
 				  c->e->node.self, RETRY_SOON_MS);
 }
 
-/* Begin an attempt at the endpoint that was granted. */
+/* Starts an attempt at the endpoint that was granted. */
 void entry_relay_start(struct call *c)
 {
 	const struct dl_route_conf *route;
 
-	if (!entry_route_allow(c, &route))
+	if (!entry_route_authorize(c, &route))
 		return;
-	if (!entry_route_leads(c, route)) {
+	if (!entry_route_has_service(c, route)) {
 		entry_call_refuse(c, DL_REASON_NO_ENDPOINT, DL_STEP_PLACE,
 				  c->e->node.self, RETRY_SOON_MS);
 		return;
 	}
-	if (!is_there(c, 0)) {
-		not_there(c);
+	if (!is_available(c, 0)) {
+		retry_unavailable(c);
 		return;
 	}
-	if (entry_ticket_needed(c))
-		entry_ticket_reserve(c);
+	if (entry_reservation_needed(c))
+		entry_reservation_start(c);
 	else
 		entry_relay_send(c);
 }
 
-/* All that the attempt needs is there: send it. */
+/* Sends the request; memory on other engines is reserved where needed. */
 void entry_relay_send(struct call *c)
 {
 	uint64_t to = DL_VM_NONE;
@@ -207,46 +210,47 @@
 	dl_vm_parse(dl_name_str(&c->grant.endpoint[0]), &to);
 	c->attempt_at = entry_now(c->e);
 	c->status = 0;
-	c->route.head = (struct relay_head){ .length = SIZE_MAX };
+	c->route.head = (struct response_head){ .content_length = SIZE_MAX };
 	c->route.instance = endpoint_of(c, 0)->instance;
-	c->start = entry_endpoint_start(c->e, dl_name_str(&c->service),
-					dl_name_str(&c->grant.endpoint[0]));
-	if (!c->text)
-		c->text = g_string_new(NULL);
-	g_string_truncate(c->text, 0);
+	c->endpoint_start =
+		entry_endpoint_start(c->e, dl_name_str(&c->service),
+				     dl_name_str(&c->grant.endpoint[0]));
+	if (!c->response_buf)
+		c->response_buf = g_string_new(NULL);
+	g_string_truncate(c->response_buf, 0);
 	send_to(c, to);
 }
 
 /*
- * The connection stands.  What was known of the endpoint when the attempt began
- * may have changed while it was made.
+ * The connection is established.  Returns false to abort the attempt where the
+ * endpoint has become unavailable, or asked to back off, in the meantime.
  */
-static bool on_ready(void *arg)
+static bool on_connected(void *arg)
 {
 	struct call *c = arg;
 
-	c->held_back = !is_there(c, 0) || entry_backoff_holds(c);
-	return !c->held_back;
+	c->aborted_unsent = !is_available(c, 0) || entry_backoff_holds(c);
+	return !c->aborted_unsent;
 }
 
-/* The attempt was given up before it was sent. */
-static void go_elsewhere(struct call *c)
+/* Continues after an attempt that was aborted before it was sent. */
+static void retry_unsent(struct call *c)
 {
-	c->held_back = false;
-	if (!is_there(c, 0))
-		not_there(c);
+	c->aborted_unsent = false;
+	if (!is_available(c, 0))
+		retry_unavailable(c);
 	else if (entry_backoff_holds(c))
 		entry_backoff_give_back(c);
 	else
 		entry_relay_send(c);
 }
 
-/* Some engine of the group has not the memory: ask for another group. */
+/* A reservation failed on an engine of the group: asks for another group. */
 void entry_relay_no_memory(struct call *c)
 {
-	entry_ticket_note_refused(c);
+	entry_reservation_note_refused(c);
 	if (++c->route.tries < TRIES_MAX) {
-		ask_anew(c);
+		release_and_ask(c);
 		return;
 	}
 	entry_call_refuse(c, DL_REASON_QUEUE_FULL, DL_STEP_PLACE,
@@ -263,21 +267,22 @@
 		if (platform_dialect.passes(h->name))
 			call_headers_keep(c, h);
 	}
-	c->length = events ? SIZE_MAX : c->route.head.length;
+	c->response_length = events ? SIZE_MAX : c->route.head.content_length;
 }
 
-/* Whether an answer carries the id that this caller sent, or none. */
-static bool is_ours(const struct call *c, struct dl_str id)
+/* Whether a response carries the caller's attempt id, or none. */
+static bool is_own_attempt(const struct call *c, struct dl_str id)
 {
 	return id.n == 0 || dl_name_eq(&c->route.attempt_id, id);
 }
 
 /*
- * Whether an answer is of the start that was named to it; another one at its
- * address answers 421, and names no other endpoint that is at fault.
+ * Whether a response comes from the endpoint instance that was addressed.
+ * Another instance at the same address answers 421, and names no other endpoint
+ * as at fault.
  */
-static bool is_of_start(const struct call *c, uint16_t status,
-			struct dl_str at_fault)
+static bool is_from_instance(const struct call *c, uint16_t status,
+			     struct dl_str at_fault)
 {
 	return status != STATUS_MISDIRECTED ||
 	       (at_fault.n && !dl_name_eq(&c->grant.endpoint[0], at_fault));
@@ -293,26 +298,26 @@
 	c->status = head->status;
 	c->route.head.not_run = said.not_run ||
 				head->status == STATUS_MISDIRECTED;
-	c->route.head.foreign = !is_ours(c, said.attempt_id);
-	if (!c->route.head.foreign)
+	c->route.head.wrong_request = !is_own_attempt(c, said.attempt_id);
+	if (!c->route.head.wrong_request)
 		entry_limit_named(c, said.limit);
-	c->route.head.length = said.length;
+	c->route.head.content_length = said.length;
 	c->route.head.leaving = said.leaving;
-	if (said.leaving && is_of_start(c, head->status, said.at_fault))
+	if (said.leaving && is_from_instance(c, head->status, said.at_fault))
 		entry_announce_leaves(c->e, dl_name_str(&c->grant.endpoint[0]),
 				      dl_name_str(&c->route.instance),
 				      c->dispatcher);
 	c->route.head.retry_after_ms = said.retry_after_ms;
-	c->route.head.turned_away =
-		entry_backoff_named(c, &c->grant.endpoint[0], c->start,
+	c->route.head.backoff_requested =
+		entry_backoff_named(c, &c->grant.endpoint[0], c->endpoint_start,
 				    head->status, said.retry_after_ms);
 	dl_name_set(&c->route.head.at_fault, said.at_fault);
-	c->route.head.events = c->stream && head->status == 200;
-	if (!c->answering)
-		keep_headers(c, head, c->route.head.events);
+	c->route.head.is_event_stream = c->stream && head->status == 200;
+	if (!c->response_started)
+		keep_headers(c, head, c->route.head.is_event_stream);
 }
 
-/* The id of an event, 0 where it has none. */
+/* Returns the id of an event; 0: none. */
 static uint64_t event_id(struct dl_str event)
 {
 	const char *at = event.s, *end = event.s + event.n;
@@ -339,66 +344,69 @@
 	return 0;
 }
 
-static void begin_answer(struct call *c)
+static void begin_response(struct call *c)
 {
 	struct dl_header headers[DL_DIALECT_HEADERS_MAX];
 	size_t n = call_headers_fill(c, headers, DL_DIALECT_HEADERS_MAX);
 
-	c->answering = true;
-	dl_httpd_begin(c->http, c->status, headers, n, c->length);
+	c->response_started = true;
+	dl_httpd_begin(c->http, c->status, headers, n, c->response_length);
 }
 
-/* The longest pause that the caller saw between two events. */
+/* Updates the longest pause between two events sent to the caller. */
 static void note_pause(struct call *c)
 {
 	int64_t now = entry_now(c->e);
 
-	if (c->route.event_at && now - c->route.event_at > c->route.pause_ms)
-		c->route.pause_ms = (uint32_t)(now - c->route.event_at);
-	c->route.event_at = now;
+	if (c->route.last_event_at &&
+	    now - c->route.last_event_at > c->route.longest_pause_ms)
+		c->route.longest_pause_ms =
+			(uint32_t)(now - c->route.last_event_at);
+	c->route.last_event_at = now;
 }
 
-/* Pass one whole event on; those that the caller has had are dropped. */
-static bool pass_event(struct call *c, struct dl_str event)
+/* Forwards a complete event; drops one that the caller already has. */
+static bool relay_event(struct call *c, struct dl_str event)
 {
 	uint64_t id = event_id(event);
 
 	if (id && (c->route.resumes || c->relayed) &&
-	    id <= c->route.after_event)
+	    id <= c->route.last_event_id)
 		return true;
 	if (!c->first_byte_at) {
 		c->first_byte_at = entry_now(c->e);
 		entry_call_span(c, "first_event", c->attempt_at,
 				c->grant.endpoint[0].s);
-		entry_grant_first(c);
+		entry_grant_first_event(c);
 	}
-	if (!c->answering)
-		begin_answer(c);
+	if (!c->response_started)
+		begin_response(c);
 	if (id)
-		c->route.after_event = id;
+		c->route.last_event_id = id;
 	note_pause(c);
 	c->relayed++;
 	return dl_httpd_send(c->http, event);
 }
 
-/* Pass on what is whole of the bytes that have come. */
-static bool pass_events(struct call *c)
+/* Forwards the complete events among the bytes received. */
+static bool relay_events(struct call *c)
 {
 	size_t used = 0;
 	bool go_on = true;
 
-	while (used < c->text->len) {
-		const char *from = c->text->str + used;
-		const char *end = memmem(from, c->text->len - used, "\n\n", 2);
+	while (used < c->response_buf->len) {
+		const char *from = c->response_buf->str + used;
+		const char *end =
+			memmem(from, c->response_buf->len - used, "\n\n", 2);
 		struct dl_str event;
 
 		if (!end)
 			break;
 		event = (struct dl_str){ from, (size_t)(end - from) + 2 };
 		used += event.n;
-		go_on = pass_event(c, event);
+		go_on = relay_event(c, event);
 	}
-	g_string_erase(c->text, 0, (gssize)used);
+	g_string_erase(c->response_buf, 0, (gssize)used);
 	return go_on;
 }
 
@@ -406,32 +414,32 @@
 {
 	struct call *c = arg;
 
-	if (c->route.head.foreign || c->route.head.too_long)
+	if (c->route.head.wrong_request || c->route.head.event_too_long)
 		return true;
-	if (c->answering && !c->route.head.events)
+	if (c->response_started && !c->route.head.is_event_stream)
 		return dl_httpd_send(c->http, piece);
-	g_string_append_len(c->text, piece.s, (gssize)piece.n);
-	if (c->route.head.events) {
-		c->route.head.too_long = c->text->len > EVENT_MAX;
-		return pass_events(c);
+	g_string_append_len(c->response_buf, piece.s, (gssize)piece.n);
+	if (c->route.head.is_event_stream) {
+		c->route.head.event_too_long = c->response_buf->len > EVENT_MAX;
+		return relay_events(c);
 	}
-	if (c->text->len > HOLD_MAX) {
-		begin_answer(c);
-		dl_httpd_send(c->http,
-			      (struct dl_str){ c->text->str, c->text->len });
-		g_string_truncate(c->text, 0);
+	if (c->response_buf->len > HELD_BODY_MAX) {
+		begin_response(c);
+		dl_httpd_send(c->http, (struct dl_str){ c->response_buf->str,
+							c->response_buf->len });
+		g_string_truncate(c->response_buf, 0);
 	}
 	return true;
 }
 
-/* What came of the attempt, with what the head of the answer said. */
-static struct dl_attempt judged(const struct call *c,
-				const struct dl_attempt *attempt)
+/* Returns the result of the attempt, adjusted by the head of the response. */
+static struct dl_attempt classify_attempt(const struct call *c,
+					  const struct dl_attempt *attempt)
 {
 	struct dl_attempt a = *attempt;
 
 	if (a.received != DL_RECV_NOTHING &&
-	    (c->route.head.foreign || c->route.head.too_long)) {
+	    (c->route.head.wrong_request || c->route.head.event_too_long)) {
 		a.broke = DL_BROKE_GARBLED;
 		a.received = DL_RECV_HEAD;
 	} else if (c->route.head.not_run && a.received != DL_RECV_NOTHING) {
@@ -440,20 +448,20 @@
 	return a;
 }
 
-/* The endpoint's answer is whole: the caller gets it, whatever it says. */
-static void finish(struct call *c)
+/* Sends the endpoint's complete response to the caller, whatever its status. */
+static void finish_response(struct call *c)
 {
 	struct dl_header headers[DL_DIALECT_HEADERS_MAX];
-	struct dl_str rest = { c->text->str, c->text->len };
+	struct dl_str rest = { c->response_buf->str, c->response_buf->len };
 	size_t n;
 
 	call_settle(c,
 		    c->status >= STATUS_ERROR ? DL_OUTCOME_FAILED :
 						DL_OUTCOME_DONE,
 		    c->status);
-	if (c->route.head.events && !c->answering)
-		begin_answer(c);
-	if (c->answering) {
+	if (c->route.head.is_event_stream && !c->response_started)
+		begin_response(c);
+	if (c->response_started) {
 		if (rest.n)
 			dl_httpd_send(c->http, rest);
 		dl_httpd_finish(c->http, true);
@@ -464,8 +472,8 @@
 	call_free(c);
 }
 
-/* Whether another endpoint may be tried after an attempt. */
-static bool may_go_on(struct call *c, const struct dl_attempt *a)
+/* Whether another endpoint may be tried after this attempt. */
+static bool may_retry(struct call *c, const struct dl_attempt *a)
 {
 	struct dl_call_state state = {
 		.idempotent = c->idempotent,
@@ -474,15 +482,15 @@
 		.deadline = c->deadline,
 	};
 
-	if (c->route.sent >= c->route.attempts || c->tried >= 3 ||
-	    c->route.connects >= CONNECTS_MAX)
+	if (c->route.sent >= c->route.attempts_max || c->tried_count >= 3 ||
+	    c->route.free_failures >= FREE_FAILURES_MAX)
 		return false;
-	return dl_call_next(&state, a, entry_call_budget(c), entry_now(c->e)) ==
-	       DL_NEXT_RETRY;
+	return dl_call_next(&state, a, entry_call_retry_budget(c),
+			    entry_now(c->e)) == DL_NEXT_RETRY;
 }
 
-static void give_up(struct call *c, enum dl_outcome outcome,
-		    const struct dl_err *err)
+static void end_failed(struct call *c, enum dl_outcome outcome,
+		       const struct dl_err *err)
 {
 	bool not_run = outcome == DL_OUTCOME_NOT_RUN && !c->may_have_run;
 
@@ -490,31 +498,31 @@
 		       not_run ? "not-run" : "broken", err);
 }
 
-/* Whether an endpoint of the group could not be reached, which is known now. */
-static bool was_unreached(const struct call *c, const struct dl_attempt *a)
+/* Whether the endpoint, or a helper of its group, could not be reached. */
+static bool was_unreachable(const struct call *c, const struct dl_attempt *a)
 {
 	return a->broke == DL_BROKE_CONNECT || c->usage.at_fault.n;
 }
 
 /*
- * Whether an attempt cost its endpoint nothing and taught the dispatcher not to
- * offer that one again: its caller is not the worse for it either, while there
- * are others.
+ * Whether an attempt cost its endpoint nothing and the dispatcher will not
+ * offer that endpoint again.  Such an attempt uses up no try of the request.
  */
-static bool is_free(const struct call *c, const struct dl_attempt *a)
+static bool costs_no_attempt(const struct call *c, const struct dl_attempt *a)
 {
-	return was_unreached(c, a) || c->route.head.turned_away;
+	return was_unreachable(c, a) || c->route.head.backoff_requested;
 }
 
 /*
- * One that ran nothing is none of the route's attempts: a stream that broke and
- * was refused by the next endpoint, which was full, was cut there.
+ * Counts an attempt.  One that ran nothing is not counted against the route's
+ * attempts: otherwise a broken stream was cut off because the next endpoint was
+ * full and refused it.
  */
 static void count_attempt(struct call *c, const struct dl_attempt *a,
 			  enum dl_outcome outcome)
 {
-	if (is_free(c, a))
-		c->route.connects++;
+	if (costs_no_attempt(c, a))
+		c->route.free_failures++;
 	else
 		c->route.tries++;
 	c->route.sent += outcome != DL_OUTCOME_NOT_RUN;
@@ -525,25 +533,25 @@
 		   const struct dl_err *err)
 {
 	struct call *c = arg;
-	struct dl_attempt a = judged(c, attempt);
+	struct dl_attempt a = classify_attempt(c, attempt);
 	enum dl_outcome outcome = dl_call_outcome(&a);
-	bool whole;
+	bool complete;
 
 	c->attempt = NULL;
-	if (c->held_back) {
-		go_elsewhere(c);
+	if (c->aborted_unsent) {
+		retry_unsent(c);
 		return;
 	}
 	entry_quarantine_attempt(c, &a, err);
-	/* A stream that goes on elsewhere got an error in place of events. */
-	whole = a.received == DL_RECV_WHOLE && a.broke == DL_BROKE_NOTHING &&
-		!(c->relayed && !c->route.head.events);
+	/* A resumed stream that gets an error is not complete. */
+	complete = a.received == DL_RECV_WHOLE && a.broke == DL_BROKE_NOTHING &&
+		   !(c->relayed && !c->route.head.is_event_stream);
 	call_fill_usage(c, &a, c->prompt_tokens, c->output_tokens,
-			c->status >= STATUS_ERROR || !whole);
-	blame(c);
+			c->status >= STATUS_ERROR || !complete);
+	note_at_fault(c);
 	count_attempt(c, &a, outcome);
-	if (whole && (c->status < STATUS_ERROR || !may_go_on(c, &a))) {
-		finish(c);
+	if (complete && (c->status < STATUS_ERROR || !may_retry(c, &a))) {
+		finish_response(c);
 		return;
 	}
 	dl_msg(DL_MSG_ATTEMPT_BROKE,
@@ -554,16 +562,17 @@
 	       a.received, a.broke, c->status, c->route.head.retry_after_ms,
 	       c->route.head.leaving, dl_outcome_name(outcome),
 	       (unsigned long)c->relayed, c->route.head.at_fault.s,
-	       dl_step_name(err->step), err->text, (unsigned long)c->content);
-	if (!whole && !may_go_on(c, &a)) {
-		give_up(c, outcome, err);
+	       dl_step_name(err->step), err->text,
+	       (unsigned long)c->content_hash);
+	if (!complete && !may_retry(c, &a)) {
+		end_failed(c, outcome, err);
 		return;
 	}
 	if (c->relayed)
 		c->route.resumes = true;
 	dl_count(DL_METRIC_retries_total, 1);
-	if (is_free(c, &a))
-		ask_anew(c);
+	if (costs_no_attempt(c, &a))
+		release_and_ask(c);
 	else
-		ask_again(c);
+		ask_without_tried(c);
 }
--- a/src/main/entry_route.c
+++ b/src/main/entry_route.c
@@ -1,6 +1,6 @@
 /*
- * Requests that are passed on as they are: which route, which workspace, which
- * service, and how long it may take.
+ * Admission of requests that are forwarded unchanged: finds the route,
+ * workspace, service and deadline of a request in the configuration in force.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -12,63 +12,66 @@
 #include "platform/platform.h"
 
 /*
- * Endpoints are half a millisecond away; one that is cut off is not waited for:
- * of a failure domain's request a few must find out that all others are.
+ * Bounds the configured connect timeout.  Endpoints are 0.5 ms away, and after
+ * a network partition a few requests of a failure domain have to time out on
+ * all the endpoints outside it.
  */
 #define CONNECT_MS 200
 /*
- * Callers give a stream up after a pause of this, or of so many times its
- * target or pause, whichever is longest (as the platform's callers do).
+ * The platform's callers give up on a stream after a silence of the longest of
+ * these: the constant, and multiples of the route's target and gap.
  */
-#define GIVE_UP_MS	2000
-#define GIVE_UP_TARGETS 4
-#define GIVE_UP_GAPS	8
-/* Refused for what another VM may have: it is tried at once. */
+#define CALLER_SILENCE_MS      2000
+#define CALLER_SILENCE_TARGETS 4
+#define CALLER_SILENCE_GAPS    8
+/* For refusals that may not apply on another VM, where a retry may be sent. */
 #define RETRY_SOON_MS 100
-/* Another VM takes it: no longer than the way there, of a target of 300 ms. */
-#define RETRY_ELSEWHERE_MS 20
+/* Another VM accepts it: about the time to reach it, of a 300 ms target. */
+#define RETRY_OTHER_VM_MS 20
 /*
- * Refused for want of the group's word, after waiting for it where it seemed
- * near.  A leader that does not answer has a successor in 1.0 to 1.5 s, and the
- * words come after that; a start of everything takes 0.4 s where all voters are
- * back, and as long as this where one is not.
+ * For refusals because the replicas have not confirmed the configuration, after
+ * any wait for it.  A leader that does not respond is replaced in 1.0 to 1.5 s,
+ * and confirmations follow after that.  A start of the whole deployment takes
+ * 0.4 s where all voters are back, and GROUP_RETRY_MS where one is not.
  */
-#define GROUP_BACK_MS 2500
-#define GROUP_SOON_MS 300
+#define GROUP_RETRY_MS	    2500
+#define GROUP_RETRY_SOON_MS 300
 /*
- * A VM that stops still takes what will have ended by then, and this much
- * sooner: callers keep coming for seconds, also where it is the only VM of
- * their failure domain, and a request that is cut off is worse than one that is
- * refused.
+ * A VM that is stopping accepts requests that it expects to end this much
+ * before it exits.  Callers keep arriving for seconds, also where it is the
+ * only VM of their failure domain; the margin is there because cutting a
+ * request off is worse than refusing it.
  */
 #define STOP_MARGIN_MS 900
 /*
- * For so long it takes what usually ends in time: the balancer has asked twice
- * by then, and callers that come later find another VM.  Taken after 3.7 s of
- * 8, a short stream that engines were slow at was cut.
+ * For this long after the stop began the usual length of output decides what is
+ * accepted, afterwards the longest that the caller allows.  The load balancer
+ * has checked twice by then, so later callers reach another VM.  Accepted 3.7 s
+ * into a stop of 8 s, a short stream was cut off because engines were slow.
  */
-#define STOP_TAKES_MS 2700
-/* A stream takes about twice as long as its engine alone would need. */
-#define STREAM_FACTOR	2.0
-#define STATUS_NO_KEY	401
-#define STATUS_NO_ROUTE 404
+#define STOP_USUAL_OUTPUT_MS 2700
+/* A stream takes about twice as long as on an otherwise idle engine. */
+#define STREAM_FACTOR	    2.0
+#define STATUS_UNAUTHORIZED 401
+#define STATUS_NOT_FOUND    404
 
-static uint32_t give_up_ms(const struct dl_route_conf *route)
+static uint32_t caller_silence_ms(const struct dl_route_conf *route)
 {
-	uint32_t ms = MAX(GIVE_UP_MS, route->target_ms * GIVE_UP_TARGETS);
+	uint32_t ms = MAX(CALLER_SILENCE_MS,
+			  route->target_ms * CALLER_SILENCE_TARGETS);
 
-	return MAX(ms, route->gap_ms * GIVE_UP_GAPS);
+	return MAX(ms, route->gap_ms * CALLER_SILENCE_GAPS);
 }
 
-/* One of the route's services, by their weights. */
-static const struct dl_service_conf *pick(const struct call *c,
-					  const struct dl_route_conf *route)
+/* Picks one of the route's services by their weights; NULL: none. */
+static const struct dl_service_conf *
+pick_service(const struct call *c, const struct dl_route_conf *route)
 {
 	uint64_t sum = 0, at;
 
 	for (uint32_t i = 0; i < route->targets_count; i++)
 		sum += route->targets[i].weight;
-	at = sum ? c->owner % sum : 0;
+	at = sum ? c->claim_owner % sum : 0;
 	for (uint32_t i = 0; i < route->targets_count; i++) {
 		if (at < route->targets[i].weight)
 			return &c->e->conf->services[route->targets[i].service];
@@ -90,8 +93,8 @@
 	r->kind = route->kind;
 	r->target_ms = route->target_ms;
 	r->gap_ms = route->gap_ms;
-	r->attempts = route->attempts;
-	r->give_up_ms = give_up_ms(route);
+	r->attempts_max = route->attempts;
+	r->caller_silence_ms = caller_silence_ms(route);
 	c->stream = route->kind == DL_ROUTE_STREAM;
 	c->idempotent = c->stream ? route->resumable :
 				    route->kind == DL_ROUTE_IDEMPOTENT;
@@ -116,12 +119,12 @@
 				   service->pool.engine.usual_output;
 	c->prefix = in->prefix;
 	c->prefix_tokens = in->prefix_tokens;
-	c->route.after_event = in->after_event;
+	c->route.last_event_id = in->after_event;
 	c->route.resumes = in->resumes;
 }
 
-/* A final word about a request that no route or key lets in. */
-static void not_allowed(struct call *c, uint16_t status, const char *why)
+/* Ends a request that has no route or no valid key. */
+static void reject(struct call *c, uint16_t status, const char *why)
 {
 	struct dl_err err;
 
@@ -130,47 +133,52 @@
 	entry_call_end(c, DL_OUTCOME_NOT_RUN, status, "not-allowed", &err);
 }
 
-/* When the group's word may be had again; another VM may have it sooner. */
-static uint32_t group_back_ms(const struct entry *e)
+/*
+ * Returns after how many ms the replicas may confirm the configuration again;
+ * another VM may have it confirmed sooner.
+ */
+static uint32_t group_retry_ms(const struct entry *e)
 {
 	int64_t up = entry_now(e) - e->started_at;
 
-	if (e->lease.held_from || up >= GROUP_BACK_MS - GROUP_SOON_MS)
-		return e->lease.held_from ? GROUP_BACK_MS : GROUP_SOON_MS;
-	return (uint32_t)(GROUP_BACK_MS - up);
+	if (e->lease.held_from || up >= GROUP_RETRY_MS - GROUP_RETRY_SOON_MS)
+		return e->lease.held_from ? GROUP_RETRY_MS :
+					    GROUP_RETRY_SOON_MS;
+	return (uint32_t)(GROUP_RETRY_MS - up);
 }
 
-/* Nothing can be said for sure about the request here and now. */
-void entry_route_give_up(struct call *c)
+/* Refuses a request since the version in force cannot be confirmed. */
+void entry_route_refuse_no_quorum(struct call *c)
 {
 	entry_call_refuse(c, DL_REASON_NO_QUORUM, DL_STEP_CHECK,
-			  c->e->node.self, group_back_ms(c->e));
+			  c->e->node.self, group_retry_ms(c->e));
 }
 
 /*
- * Find the request's route and workspace in the configuration in force; false,
- * and answered, where there is none.
+ * Finds the request's route and workspace in the configuration in force.
+ * Returns false, with the request ended, where it has none.
  */
-static bool allow(struct call *c, const struct dl_inbound *in,
-		  const struct dl_route_conf **route)
+static bool authorize(struct call *c, const struct dl_inbound *in,
+		      const struct dl_route_conf **route)
 {
 	const struct dl_conf_workspace *ws = NULL;
 	const struct dl_conf *conf = c->e->conf;
 
 	if (!entry_lease_holds(c->e)) {
-		entry_route_give_up(c);
+		entry_route_refuse_no_quorum(c);
 		return false;
 	}
 	*route = dl_conf_route(conf, dl_httpd_host(c->http),
 			       dl_httpd_path(c->http));
 	if (!*route) {
-		not_allowed(c, STATUS_NO_ROUTE, "no route has this path");
+		reject(c, STATUS_NOT_FOUND, "no route matches this path");
 		return false;
 	}
 	if (!(*route)->public && conf->workspaces_count) {
 		ws = dl_conf_key(conf, in->key);
 		if (!ws) {
-			not_allowed(c, STATUS_NO_KEY, "no workspace's key");
+			reject(c, STATUS_UNAUTHORIZED,
+			       "the key is missing or unknown");
 			return false;
 		}
 		c->workspace = ws->limits.name;
@@ -190,19 +198,20 @@
 }
 
 /*
- * The same again before each attempt, since a change may have come while the
- * request waited.
+ * Repeats authorize() before an attempt, since the configuration may have
+ * changed while the request waited.
  */
-bool entry_route_allow(struct call *c, const struct dl_route_conf **route)
+bool entry_route_authorize(struct call *c, const struct dl_route_conf **route)
 {
 	struct dl_inbound in;
 
 	read_inbound(c->http, &in);
-	return allow(c, &in, route);
+	return authorize(c, &in, route);
 }
 
-/* Whether a route still leads to the service that was picked. */
-bool entry_route_leads(const struct call *c, const struct dl_route_conf *route)
+/* Whether a route still includes the service that was picked. */
+bool entry_route_has_service(const struct call *c,
+			     const struct dl_route_conf *route)
 {
 	const struct dl_conf *conf = c->e->conf;
 
@@ -217,7 +226,7 @@
 	return false;
 }
 
-/* Whether a request will have ended when this process must. */
+/* Whether a request is expected to end before this process has to exit. */
 static bool ends_before_stop(const struct call *c,
 			     const struct dl_service_conf *service)
 {
@@ -228,15 +237,15 @@
 
 	if (!stop_ms)
 		return true;
-	/* Callers name a bound that most answers stay far below. */
+	/* Most responses stay far below the bound that callers give. */
 	if (m->usual_output && m->usual_output < output &&
-	    c->begun <= c->e->stop_at + STOP_TAKES_MS)
+	    c->arrived_at <= c->e->stop_at + STOP_USUAL_OUTPUT_MS)
 		output = m->usual_output;
 	if (c->stream && m->slots)
 		takes += STREAM_FACTOR * (double)output /
 			 (m->stride ? m->stride : 1) *
 			 dl_engine_decode_pass_ms(m, 1, 0);
-	return c->begun + (int64_t)takes <=
+	return c->arrived_at + (int64_t)takes <=
 	       c->e->stop_at + stop_ms - STOP_MARGIN_MS;
 }
 
@@ -245,21 +254,21 @@
 	return e->buffered <= (uint64_t)e->node.settings.buffer_mb << 20;
 }
 
-/* Find out what a request is and where it goes, and ask for a place. */
-static void begin(struct call *c, const struct dl_inbound *in)
+/* Routes and sizes a request, refuses it or asks for an endpoint. */
+static void admit(struct call *c, const struct dl_inbound *in)
 {
 	const struct dl_service_conf *service;
 	const struct dl_route_conf *route;
 	struct entry *e = c->e;
 	uint32_t left;
 
-	if (!allow(c, in, &route))
+	if (!authorize(c, in, &route))
 		return;
 	left = in->patience_ms ? MIN(in->patience_ms, route->timeout_ms) :
 				 route->timeout_ms;
-	c->deadline = c->begun + left;
+	c->deadline = c->arrived_at + left;
 	fill_route(c, route);
-	service = pick(c, route);
+	service = pick_service(c, route);
 	if (!service) {
 		entry_call_refuse(c, DL_REASON_NO_ENDPOINT, DL_STEP_CHECK,
 				  e->node.self, RETRY_SOON_MS);
@@ -267,10 +276,10 @@
 	}
 	fill_service(c, service);
 	fill_size(c, in, service);
-	dl_retry_budget_first(entry_call_budget(c));
+	dl_retry_budget_first(entry_call_retry_budget(c));
 	if (e->node.stopping && !ends_before_stop(c, service)) {
 		entry_call_refuse(c, DL_REASON_DRAINING, DL_STEP_ADMIT,
-				  e->node.self, RETRY_ELSEWHERE_MS);
+				  e->node.self, RETRY_OTHER_VM_MS);
 		return;
 	}
 	if (!has_room(e)) {
@@ -281,25 +290,28 @@
 	entry_grant_ask(c);
 }
 
-/* Let a request wait until the version in force is sure, for some time. */
-static bool wait_for_word(struct call *c, uint32_t left_ms)
+/*
+ * Lets a request wait until the version in force is confirmed; returns false
+ * where it cannot wait.
+ */
+static bool wait_for_config(struct call *c, uint32_t left_ms)
 {
 	int64_t now = entry_now(c->e);
-	uint32_t waited = (uint32_t)(now - c->begun);
+	uint32_t waited = (uint32_t)(now - c->arrived_at);
 	uint32_t ms = entry_lease_patience(
 		c->e, left_ms > waited ? left_ms - waited : 0);
 
 	if (!ms || !has_room(c->e))
 		return false;
-	c->state = CALL_UNSURE;
+	c->state = CALL_AWAITING_CONFIG;
 	c->deadline = now + ms;
 	dl_count(DL_METRIC_requests_unsure, 1);
 	dl_msg(DL_MSG_REQUEST_UNSURE, "request=%s for_ms=%u heard_ms=%ld",
-	       c->id_text, ms, (long)(now - c->e->replica_heard));
+	       c->id_text, ms, (long)(now - c->e->replica_heard_at));
 	return true;
 }
 
-/* A request has arrived on a door that passes requests on. */
+/* Handles a new request on a listener that forwards requests unchanged. */
 void entry_route_request(struct entry *e, struct dl_httpd_req *req)
 {
 	struct call *c = call_new(e, req);
@@ -309,28 +321,28 @@
 	read_inbound(req, &in);
 	if (!dl_name_set(&c->route.attempt_id, in.attempt_id))
 		c->route.attempt_id.n = 0;
-	c->deadline = c->begun + 1;
-	if (!entry_lease_holds(e) && wait_for_word(c, in.patience_ms))
+	c->deadline = c->arrived_at + 1;
+	if (!entry_lease_holds(e) && wait_for_config(c, in.patience_ms))
 		return;
-	begin(c, &in);
+	admit(c, &in);
 }
 
-/* Those that waited for the version in force go on; what ends is freed. */
+/* Admits the requests that waited for the version in force to be confirmed. */
 void entry_route_resume(struct entry *e)
 {
 	struct call *c = e->calls;
 
-	/* One that begins may end others on its way: look from the start. */
+	/* admit() may free other calls, so start over after each. */
 	while (c) {
 		struct dl_inbound in;
 
-		if (c->state != CALL_UNSURE) {
+		if (c->state != CALL_AWAITING_CONFIG) {
 			c = c->next;
 			continue;
 		}
-		c->unsure_ms = (uint32_t)(entry_now(e) - c->begun);
+		c->unsure_ms = (uint32_t)(entry_now(e) - c->arrived_at);
 		read_inbound(c->http, &in);
-		begin(c, &in);
+		admit(c, &in);
 		c = e->calls;
 	}
 }
--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -1,6 +1,6 @@
 /*
- * One attempt at an endpoint: what is sent, what comes back, and what is done
- * when it breaks.
+ * One attempt of an API request at an endpoint: builds and sends the request,
+ * reads the response, and retries or resumes after a failure.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,12 +10,12 @@
 #include "protocol/api.h"
 
 #define HEADERS_MAX 64
-/* An answer up to here is held until it is whole, so that it can be told
- * whole or retried; a larger one is passed on as it comes. */
-#define HOLD_MAX (1u << 20)
-/* The first token may come this much later than predicted. */
+/* A response up to this size is held until it is complete, so that the attempt
+ * can still be retried; a larger one is forwarded as it arrives. */
+#define HELD_BODY_MAX (1u << 20)
+/* The first token may take this multiple of its prediction beyond the gap. */
 #define FIRST_TOKEN_FACTOR 3
-/* What is kept for the way back of the endpoint's last bytes. */
+/* Reserved of the deadline for the transfer of the endpoint's last bytes. */
 #define HOP_MARGIN_MS 20
 #define MS_PER_S      1000
 
@@ -25,22 +25,22 @@
 static void on_end(void *arg, const struct dl_attempt *attempt,
 		   const struct dl_err *err);
 
-static bool on_ready(void *arg);
+static bool on_connected(void *arg);
 
 static const struct dl_httpc_ops ops_table[] = {
-	[DL_POOL_MODEL] = { on_head, on_model_body, on_end, on_ready },
-	[DL_POOL_PLAIN] = { on_head, on_plain_body, on_end, on_ready },
+	[DL_POOL_MODEL] = { on_head, on_model_body, on_end, on_connected },
+	[DL_POOL_PLAIN] = { on_head, on_plain_body, on_end, on_connected },
 };
 
-/* The endpoint's own host is named in place of the caller's. */
+/* Host counts as hop-by-hop: the endpoint's replaces the caller's. */
 static bool is_hop_header(struct dl_str name)
 {
 	return dl_header_is_hop(name) || dl_header_is(name, "host");
 }
 
-/* The headers of ours that every endpoint gets. */
-static size_t own_headers(struct call *c, struct dl_header *out, char *numbers,
-			  size_t n)
+/* Fills in the headers that every endpoint gets; returns how many. */
+static size_t fill_own_headers(struct call *c, struct dl_header *out,
+			       char *numbers, size_t n)
 {
 	int64_t left = c->deadline - entry_now(c->e) - HOP_MARGIN_MS;
 	size_t count = 0;
@@ -64,7 +64,8 @@
 	       g_ascii_strncasecmp(name.s, "daisyledge-", 11) == 0;
 }
 
-static size_t caller_headers(struct call *c, struct dl_header *out, size_t max)
+static size_t fill_caller_headers(struct call *c, struct dl_header *out,
+				  size_t max)
 {
 	struct dl_header all[HEADERS_MAX];
 	size_t n = dl_httpd_headers(c->http, all, HEADERS_MAX);
@@ -101,7 +102,7 @@
 	char left[24], offset[24];
 	size_t n;
 
-	n = own_headers(c, headers, left, sizeof(left));
+	n = fill_own_headers(c, headers, left, sizeof(left));
 	req.connect_ms = c->connect_ms;
 	req.gap_ms =
 		c->gap_ms + c->grant.predicted_ttft_ms * FIRST_TOKEN_FACTOR;
@@ -109,7 +110,7 @@
 		req.method = dl_httpd_method(c->http);
 		req.path = plain_path(c);
 		req.body = dl_httpd_body(c->http);
-		n += caller_headers(c, headers + n, HEADERS_MAX - n);
+		n += fill_caller_headers(c, headers + n, HEADERS_MAX - n);
 	} else {
 		req.method = DL_STR("POST");
 		req.path = DL_STR("/v1/completions");
@@ -118,8 +119,8 @@
 		headers[n++] = (struct dl_header){ DL_STR("Content-Type"),
 						   DL_STR("application/json") };
 	}
-	if (c->skip) {
-		snprintf(offset, sizeof(offset), "%" PRIu64, c->skip);
+	if (c->resume_offset) {
+		snprintf(offset, sizeof(offset), "%" PRIu64, c->resume_offset);
 		headers[n++] =
 			(struct dl_header){ DL_STR("Daisyledge-Resume-Offset"),
 					    dl_str_of(offset) };
@@ -128,7 +129,7 @@
 	c->attempt = dl_httpc_start(c->e->httpc, &req, &ops_table[c->kind], c);
 }
 
-/* Begin an attempt at the endpoint that was granted. */
+/* Starts an attempt at the endpoint that was granted. */
 void entry_try_start(struct call *c)
 {
 	struct dl_err err;
@@ -140,8 +141,8 @@
 	c->sse_done = false;
 	c->sse_bad = false;
 	dl_sse_close(&c->sse);
-	if (c->text && !c->skip)
-		g_string_truncate(c->text, 0);
+	if (c->response_buf && !c->resume_offset)
+		g_string_truncate(c->response_buf, 0);
 	if (!dl_vm_parse(dl_name_str(&c->grant.endpoint[0]), &to) ||
 	    (c->kind == DL_POOL_MODEL && !build_model_body(c))) {
 		dl_err_set(&err, -ENOMEM, DL_STEP_SEND, NULL,
@@ -149,21 +150,22 @@
 		entry_call_end(c, DL_OUTCOME_NOT_RUN, 503, "internal", &err);
 		return;
 	}
-	c->start = entry_endpoint_start(c->e, dl_name_str(&c->service),
-					dl_name_str(&c->grant.endpoint[0]));
+	c->endpoint_start =
+		entry_endpoint_start(c->e, dl_name_str(&c->service),
+				     dl_name_str(&c->grant.endpoint[0]));
 	if (c->attempts > 1)
 		dl_count(DL_METRIC_retries_total, 1);
 	send_attempt(c, to);
 }
 
 /*
- * Tell the engine that nobody waits for a request any more.  Closing the
- * connection says the same, but an engine keeps a broken stream for a while in
- * case it is resumed, and its memory with it.
+ * Cancels a request at the engine.  Closing the connection is not enough: an
+ * engine keeps a broken stream, and its memory, for a while in case it is
+ * resumed.
  */
 static void cancel_at_engine(struct call *c)
 {
-	static const struct dl_httpc_ops nobody = { 0 };
+	static const struct dl_httpc_ops no_callbacks = { 0 };
 	struct dl_httpc_req req = { .method = DL_STR("DELETE") };
 	char path[REQUEST_ID_TEXT + 16];
 
@@ -174,10 +176,10 @@
 	req.path = dl_str_of(path);
 	req.connect_ms = c->connect_ms;
 	req.gap_ms = c->gap_ms;
-	dl_httpc_start(c->e->httpc, &req, &nobody, NULL);
+	dl_httpc_start(c->e->httpc, &req, &no_callbacks, NULL);
 }
 
-/* Stop the attempt in flight; the engine is told, so that it stops too. */
+/* Cancels the attempt in flight, also at the engine where it was sent. */
 void entry_try_cancel(struct call *c)
 {
 	bool sent;
@@ -193,7 +195,7 @@
 
 static void keep_headers(struct call *c, const struct dl_httpc_head *head)
 {
-	c->length = SIZE_MAX;
+	c->response_length = SIZE_MAX;
 	call_headers_begin(c);
 	for (size_t i = 0; i < head->headers_count; i++) {
 		const struct dl_header *h = &head->headers[i];
@@ -201,23 +203,26 @@
 
 		if (dl_header_is(h->name, "content-length") &&
 		    dl_str_to_u64(h->value, &length))
-			c->length = (size_t)length;
+			c->response_length = (size_t)length;
 		if (is_hop_header(h->name) || is_own_header(h->name))
 			continue;
 		call_headers_keep(c, h);
 	}
 }
 
-/* The connection stands; the endpoint may have asked to wait meanwhile. */
-static bool on_ready(void *arg)
+/*
+ * The connection is established; returns false to abort the attempt before it
+ * is sent, where the endpoint has asked this VM to back off in the meantime.
+ */
+static bool on_connected(void *arg)
 {
 	struct call *c = arg;
 
-	c->held_back = entry_backoff_holds(c);
-	return !c->held_back;
+	c->aborted_unsent = entry_backoff_holds(c);
+	return !c->aborted_unsent;
 }
 
-/* The whole seconds of a Retry-After header, in ms; 0: none. */
+/* Returns the whole seconds of a Retry-After header in ms; 0: none. */
 static uint32_t retry_after_ms(const struct dl_httpc_head *head)
 {
 	uint64_t seconds;
@@ -239,15 +244,15 @@
 
 	entry_call_span(c, "connect", c->attempt_at, c->grant.endpoint[0].s);
 	c->status = head->status;
-	entry_backoff_named(c, &c->grant.endpoint[0], c->start, head->status,
-			    retry_after_ms(head));
+	entry_backoff_named(c, &c->grant.endpoint[0], c->endpoint_start,
+			    head->status, retry_after_ms(head));
 	if (c->kind == DL_POOL_PLAIN)
 		keep_headers(c, head);
-	if (!c->text)
-		c->text = g_string_new(NULL);
+	if (!c->response_buf)
+		c->response_buf = g_string_new(NULL);
 }
 
-/* The number behind a key in a chunk, found without reading it whole. */
+/* Finds the number that follows a key in a chunk, without parsing the JSON. */
 static bool find_number(struct dl_str data, const char *key, uint64_t *out)
 {
 	const char *at = memmem(data.s, data.n, key, strlen(key));
@@ -266,8 +271,8 @@
 	return dl_str_to_u64(digits, out);
 }
 
-/* Whether a chunk names another request than ours. */
-static bool is_foreign(const struct call *c, struct dl_str data)
+/* Whether a chunk carries the id of another request. */
+static bool is_other_request(const struct call *c, struct dl_str data)
 {
 	const char *id = memmem(data.s, data.n, "\"id\"", 4);
 	size_t n = strlen(c->id_text);
@@ -277,7 +282,7 @@
 	return !memmem(id, data.n - (size_t)(id - data.s), c->id_text, n);
 }
 
-/* Give the caller the head of a streamed answer. */
+/* Sends the head of a streamed response to the caller. */
 void entry_try_begin_stream(struct call *c)
 {
 	struct dl_header headers[] = {
@@ -286,13 +291,13 @@
 		{ DL_STR("Daisyledge-Request"), dl_str_of(c->id_text) },
 	};
 
-	c->answering = true;
+	c->response_started = true;
 	dl_httpd_begin(c->http, 200, headers, 3, SIZE_MAX);
 }
 
 static bool relay_chunk(struct call *c, struct dl_str data)
 {
-	if (!c->answering)
+	if (!c->response_started)
 		entry_try_begin_stream(c);
 	c->relayed++;
 	dl_httpd_send(c->http, DL_STR("data: "));
@@ -300,7 +305,7 @@
 	return dl_httpd_send(c->http, DL_STR("\n\n"));
 }
 
-static void note_first(struct call *c)
+static void note_first_byte(struct call *c)
 {
 	if (c->first_byte_at)
 		return;
@@ -310,23 +315,27 @@
 	dl_httpc_set_gap(c->attempt, c->gap_ms);
 }
 
-/* Late and repeated chunks are dropped, a gap or a foreign one breaks. */
+/*
+ * Checks a chunk's request id and index.  Sets drop for a late or repeated
+ * chunk; returns false for a gap or a chunk of another request, which break the
+ * stream.
+ */
 static bool chunk_in_order(struct call *c, struct dl_str data, bool *drop)
 {
 	uint64_t index;
 
 	*drop = false;
-	if (is_foreign(c, data))
+	if (is_other_request(c, data))
 		return false;
 	if (!find_number(data, "\"index\"", &index))
 		return true;
-	if (index > c->pieces)
+	if (index > c->chunks_received)
 		return false;
-	*drop = index < c->pieces;
+	*drop = index < c->chunks_received;
 	return true;
 }
 
-static bool take_chunk(struct call *c, struct dl_str data)
+static bool handle_chunk(struct call *c, struct dl_str data)
 {
 	struct dl_chunk chunk;
 	bool drop, go_on = true;
@@ -344,13 +353,14 @@
 		if (!chunk_in_order(c, data, &drop))
 			c->sse_bad = true;
 		else if (!drop) {
-			note_first(c);
-			c->pieces++;
+			note_first_byte(c);
+			c->chunks_received++;
 			if (c->stream)
 				go_on = relay_chunk(c, data);
 			else
 				g_string_append_len(
-					c->text, json_string_value(text),
+					c->response_buf,
+					json_string_value(text),
 					(gssize)json_string_length(text));
 		}
 	}
@@ -371,8 +381,9 @@
 	bool go_on = true;
 
 	if (c->status != 200) {
-		if (c->text->len + piece.n <= HOLD_MAX)
-			g_string_append_len(c->text, piece.s, (gssize)piece.n);
+		if (c->response_buf->len + piece.n <= HELD_BODY_MAX)
+			g_string_append_len(c->response_buf, piece.s,
+					    (gssize)piece.n);
 		return true;
 	}
 	if (dl_sse_feed(&c->sse, piece)) {
@@ -380,12 +391,15 @@
 		return true;
 	}
 	while (!c->sse_bad && dl_sse_next(&c->sse, &data))
-		go_on = take_chunk(c, data);
+		go_on = handle_chunk(c, data);
 	return go_on;
 }
 
-/* Pass on the head of a plain service's answer that is too large to hold. */
-static void begin_plain(struct call *c)
+/*
+ * Starts to forward a plain service's response that is too large to hold: its
+ * head, and the body received so far.
+ */
+static void begin_plain_response(struct call *c)
 {
 	struct dl_header headers[HEADERS_MAX];
 	size_t n = 0;
@@ -393,10 +407,11 @@
 	headers[n++] = (struct dl_header){ DL_STR("Daisyledge-Request"),
 					   dl_str_of(c->id_text) };
 	n += call_headers_fill(c, headers + n, HEADERS_MAX - n);
-	c->answering = true;
-	dl_httpd_begin(c->http, c->status, headers, n, c->length);
-	dl_httpd_send(c->http, (struct dl_str){ c->text->str, c->text->len });
-	g_string_truncate(c->text, 0);
+	c->response_started = true;
+	dl_httpd_begin(c->http, c->status, headers, n, c->response_length);
+	dl_httpd_send(c->http, (struct dl_str){ c->response_buf->str,
+						c->response_buf->len });
+	g_string_truncate(c->response_buf, 0);
 }
 
 static bool on_plain_body(void *arg, struct dl_str piece)
@@ -404,37 +419,38 @@
 	struct call *c = arg;
 
 	if (!c->first_byte_at)
-		note_first(c);
-	c->pieces += piece.n;
-	if (c->answering)
+		note_first_byte(c);
+	c->chunks_received += piece.n;
+	if (c->response_started)
 		return dl_httpd_send(c->http, piece);
-	g_string_append_len(c->text, piece.s, (gssize)piece.n);
-	if (c->text->len > HOLD_MAX)
-		begin_plain(c);
+	g_string_append_len(c->response_buf, piece.s, (gssize)piece.n);
+	if (c->response_buf->len > HELD_BODY_MAX)
+		begin_plain_response(c);
 	return true;
 }
 
-/* Begin again at another endpoint: nothing has reached the caller. */
+/* Starts over at another endpoint; nothing has been sent to the caller. */
 static void retry(struct call *c)
 {
 	call_note_tried(c);
 	if (c->usage.ran)
 		cancel_at_engine(c);
 	entry_grant_release(c);
-	c->pieces = 0;
-	c->skip = 0;
+	c->chunks_received = 0;
+	c->resume_offset = 0;
 	c->first_byte_at = 0;
 	entry_grant_ask(c);
 }
 
 static void resume(struct call *c)
 {
-	c->skip = c->pieces;
+	c->resume_offset = c->chunks_received;
 	entry_try_start(c);
 }
 
-static struct dl_attempt judged(const struct call *c,
-				const struct dl_attempt *attempt)
+/* Returns the result of an attempt; an incomplete or bad stream is garbled. */
+static struct dl_attempt classify_attempt(const struct call *c,
+					  const struct dl_attempt *attempt)
 {
 	struct dl_attempt a = *attempt;
 
@@ -446,7 +462,7 @@
 	return a;
 }
 
-static const char *broke_name(enum dl_broke broke)
+static const char *failure_name(enum dl_broke broke)
 {
 	static const char *const names[DL_BROKE_COUNT] = {
 		[DL_BROKE_NOTHING] = "endpoint-error",
@@ -461,7 +477,7 @@
 	return names[broke];
 }
 
-static uint16_t status_of(const struct call *c, enum dl_outcome outcome)
+static uint16_t error_status(const struct call *c, enum dl_outcome outcome)
 {
 	if (outcome == DL_OUTCOME_NOT_RUN)
 		return 503;
@@ -472,13 +488,13 @@
 		   const struct dl_err *err)
 {
 	struct call *c = arg;
-	struct dl_attempt a = judged(c, attempt);
+	struct dl_attempt a = classify_attempt(c, attempt);
 	enum dl_outcome outcome = dl_call_outcome(&a);
 	struct dl_call_state state = {
 		.idempotent = c->idempotent,
-		.resumable = c->kind == DL_POOL_MODEL && c->pieces > 0 &&
-			     a.broke != DL_BROKE_GARBLED &&
-			     !entry_backoff_holds(c),
+		.resumable =
+			c->kind == DL_POOL_MODEL && c->chunks_received > 0 &&
+			a.broke != DL_BROKE_GARBLED && !entry_backoff_holds(c),
 		.attempts = c->attempts,
 		.bytes_to_caller = c->relayed,
 		.deadline = c->deadline,
@@ -486,7 +502,7 @@
 	};
 
 	c->attempt = NULL;
-	if (c->held_back && !c->pieces) {
+	if (c->aborted_unsent && !c->chunks_received) {
 		entry_backoff_give_back(c);
 		return;
 	}
@@ -496,12 +512,12 @@
 			outcome != DL_OUTCOME_DONE);
 	if (outcome == DL_OUTCOME_DONE ||
 	    (c->kind == DL_POOL_PLAIN && a.received == DL_RECV_WHOLE)) {
-		entry_call_whole(c);
+		entry_call_complete(c);
 		return;
 	}
-	entry_call_span(c, broke_name(a.broke), c->attempt_at,
+	entry_call_span(c, failure_name(a.broke), c->attempt_at,
 			c->grant.endpoint[0].s);
-	switch (dl_call_next(&state, &a, entry_call_budget(c),
+	switch (dl_call_next(&state, &a, entry_call_retry_budget(c),
 			     entry_now(c->e))) {
 	case DL_NEXT_RETRY:
 		retry(c);
@@ -510,8 +526,8 @@
 		resume(c);
 		return;
 	case DL_NEXT_ANSWER:
-		entry_call_end(c, outcome, status_of(c, outcome),
-			       broke_name(a.broke), err);
+		entry_call_end(c, outcome, error_status(c, outcome),
+			       failure_name(a.broke), err);
 		return;
 	}
 }
