--- a/include/daisyledge/quarantine.h
+++ b/include/daisyledge/quarantine.h
@@ -36,35 +36,38 @@
  * An attempt of a request broke off at a start of an endpoint.  Whether the
  * endpoint crashed is not known yet.
  */
-void dl_quarantine_broke(struct dl_quarantine *q, uint64_t request,
-			 uint64_t start, int64_t now);
+void dl_quarantine_attempt_interrupted(struct dl_quarantine *q,
+				       uint64_t request, uint64_t start,
+				       int64_t now);
 /*
  * A start has crashed: the next request that broke off there goes to out, to be
  * noted.  False where there is none, or no other.
  */
-bool dl_quarantine_crashed(struct dl_quarantine *q, uint64_t start, int64_t now,
-			   struct dl_crash *out);
+bool dl_quarantine_next_crash(struct dl_quarantine *q, uint64_t start,
+			      int64_t now, struct dl_crash *out);
 
 /*
  * Take in what is known here or was told; false where it is nothing new.  VMs
  * that pass on to each other what is new end with the same, in any order: what
  * a request was blamed for before it was cleared never comes back.
  */
-bool dl_quarantine_note(struct dl_quarantine *q, const struct dl_crash *crash,
-			int64_t now);
+bool dl_quarantine_merge(struct dl_quarantine *q, const struct dl_crash *crash,
+			 int64_t now);
 /* Whether an endpoint crashed under a request and it was not cleared since. */
-bool dl_quarantine_suspects(const struct dl_quarantine *q, uint64_t request);
+bool dl_quarantine_is_suspect(const struct dl_quarantine *q, uint64_t request);
 /* How often a request has been cleared, as far as is known. */
-uint32_t dl_quarantine_cleared(const struct dl_quarantine *q, uint64_t request);
+uint32_t dl_quarantine_clear_count(const struct dl_quarantine *q,
+				   uint64_t request);
 /* How long a request is still held back, ms; 0: it may run. */
-uint32_t dl_quarantine_left_ms(const struct dl_quarantine *q, uint64_t request,
-			       int64_t now);
+uint32_t dl_quarantine_remaining_ms(const struct dl_quarantine *q,
+				    uint64_t request, int64_t now);
 /* All crashes that are known, for a VM that has heard of none. */
-void dl_quarantine_each(const struct dl_quarantine *q, int64_t now,
-			void (*each)(void *arg, const struct dl_crash *crash),
-			void *arg);
+void dl_quarantine_foreach(const struct dl_quarantine *q, int64_t now,
+			   void (*each)(void *arg,
+					const struct dl_crash *crash),
+			   void *arg);
 /* Drop what is too old to count. */
-void dl_quarantine_forget(struct dl_quarantine *q, int64_t now);
+void dl_quarantine_expire(struct dl_quarantine *q, int64_t now);
 /* Requests that are held back. */
 uint32_t dl_quarantine_count(const struct dl_quarantine *q, int64_t now);
 
--- a/src/coordination/quarantine.c
+++ b/src/coordination/quarantine.c
@@ -70,8 +70,9 @@
 }
 
 /* Note an attempt that broke off, in place of the one noted longest ago. */
-void dl_quarantine_broke(struct dl_quarantine *q, uint64_t request,
-			 uint64_t start, int64_t now)
+void dl_quarantine_attempt_interrupted(struct dl_quarantine *q,
+				       uint64_t request, uint64_t start,
+				       int64_t now)
 {
 	struct broken *b = &q->broken[q->broken_at++ % BROKE_MAX];
 
@@ -79,8 +80,8 @@
 }
 
 /* Take one attempt that broke off at a start out of the ring. */
-bool dl_quarantine_crashed(struct dl_quarantine *q, uint64_t start, int64_t now,
-			   struct dl_crash *out)
+bool dl_quarantine_next_crash(struct dl_quarantine *q, uint64_t start,
+			      int64_t now, struct dl_crash *out)
 {
 	for (uint32_t i = 0; i < BROKE_MAX; i++) {
 		struct broken *b = &q->broken[i];
@@ -90,7 +91,7 @@
 		*out = (struct dl_crash){
 			.request = b->request,
 			.start = start,
-			.cleared = dl_quarantine_cleared(q, b->request),
+			.cleared = dl_quarantine_clear_count(q, b->request),
 			.age_ms = (uint32_t)(now - b->at),
 		};
 		b->request = 0;
@@ -189,8 +190,8 @@
  * Words are ordered by how often the request had been cleared; those of one
  * such time add up in any order.
  */
-bool dl_quarantine_note(struct dl_quarantine *q, const struct dl_crash *crash,
-			int64_t now)
+bool dl_quarantine_merge(struct dl_quarantine *q, const struct dl_crash *crash,
+			 int64_t now)
 {
 	int64_t at = now - crash->age_ms;
 	struct record *r;
@@ -212,7 +213,7 @@
 }
 
 /* Whether crashes under a request are known. */
-bool dl_quarantine_suspects(const struct dl_quarantine *q, uint64_t request)
+bool dl_quarantine_is_suspect(const struct dl_quarantine *q, uint64_t request)
 {
 	const struct record *r = g_hash_table_lookup(q->records, &request);
 
@@ -220,7 +221,8 @@
 }
 
 /* How often a request has been cleared. */
-uint32_t dl_quarantine_cleared(const struct dl_quarantine *q, uint64_t request)
+uint32_t dl_quarantine_clear_count(const struct dl_quarantine *q,
+				   uint64_t request)
 {
 	const struct record *r = g_hash_table_lookup(q->records, &request);
 
@@ -228,8 +230,8 @@
 }
 
 /* How long a request is still held back; 0 where it is not. */
-uint32_t dl_quarantine_left_ms(const struct dl_quarantine *q, uint64_t request,
-			       int64_t now)
+uint32_t dl_quarantine_remaining_ms(const struct dl_quarantine *q,
+				    uint64_t request, int64_t now)
 {
 	const struct record *r = g_hash_table_lookup(q->records, &request);
 
@@ -239,9 +241,10 @@
 }
 
 /* Tell each crash that still counts. */
-void dl_quarantine_each(const struct dl_quarantine *q, int64_t now,
-			void (*each)(void *arg, const struct dl_crash *crash),
-			void *arg)
+void dl_quarantine_foreach(const struct dl_quarantine *q, int64_t now,
+			   void (*each)(void *arg,
+					const struct dl_crash *crash),
+			   void *arg)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -270,7 +273,7 @@
 }
 
 /* Drop requests whose crashes are too long ago. */
-void dl_quarantine_forget(struct dl_quarantine *q, int64_t now)
+void dl_quarantine_expire(struct dl_quarantine *q, int64_t now)
 {
 	g_hash_table_foreach_remove(q->records, over, &now);
 }
--- a/src/main/entry_quarantine.c
+++ b/src/main/entry_quarantine.c
@@ -41,8 +41,8 @@
 	int64_t now = entry_now(e);
 	struct dl_crash crash;
 
-	while (start &&
-	       dl_quarantine_crashed(e->quarantine.known, start, now, &crash))
+	while (start && dl_quarantine_next_crash(e->quarantine.known, start,
+						 now, &crash))
 		quarantine_note(&e->quarantine, &crash, now);
 }
 
@@ -106,8 +106,8 @@
 	    attempt->broke == DL_BROKE_NOTHING ||
 	    attempt->broke == DL_BROKE_GARBLED)
 		return;
-	dl_quarantine_broke(e->quarantine.known, c->content, c->start,
-			    entry_now(e));
+	dl_quarantine_attempt_interrupted(e->quarantine.known, c->content,
+					  c->start, entry_now(e));
 	if (attempt->broke == DL_BROKE_RESET &&
 	    dl_vm_parse(dl_name_str(&c->grant.endpoint[0]), &address))
 		probe_soon(e, c->start, address);
@@ -119,9 +119,9 @@
 	const struct dl_quarantine *known = c->e->quarantine.known;
 	struct dl_crash harmless = { .request = c->content };
 
-	if (!dl_quarantine_suspects(known, c->content))
+	if (!dl_quarantine_is_suspect(known, c->content))
 		return;
-	harmless.cleared = dl_quarantine_cleared(known, c->content) + 1;
+	harmless.cleared = dl_quarantine_clear_count(known, c->content) + 1;
 	quarantine_note(&c->e->quarantine, &harmless, entry_now(c->e));
 }
 
@@ -131,8 +131,8 @@
  */
 bool entry_quarantine_refuses(struct call *c)
 {
-	uint32_t left = dl_quarantine_left_ms(c->e->quarantine.known,
-					      c->content, entry_now(c->e));
+	uint32_t left = dl_quarantine_remaining_ms(c->e->quarantine.known,
+						   c->content, entry_now(c->e));
 
 	if (!left)
 		return false;
--- a/src/main/quarantine.c
+++ b/src/main/quarantine.c
@@ -24,12 +24,13 @@
 static bool take(struct quarantine *q, const struct dl_crash *crash,
 		 int64_t now)
 {
-	uint32_t held = dl_quarantine_left_ms(q->known, crash->request, now);
+	uint32_t held =
+		dl_quarantine_remaining_ms(q->known, crash->request, now);
 	uint32_t left;
 
-	if (!dl_quarantine_note(q->known, crash, now))
+	if (!dl_quarantine_merge(q->known, crash, now))
 		return false;
-	left = dl_quarantine_left_ms(q->known, crash->request, now);
+	left = dl_quarantine_remaining_ms(q->known, crash->request, now);
 	if (!held == !left)
 		return true;
 	q->changed = true;
@@ -102,7 +103,7 @@
 	if (now - q->forgotten_at < FORGET_EVERY_MS)
 		return;
 	q->forgotten_at = now;
-	dl_quarantine_forget(q->known, now);
+	dl_quarantine_expire(q->known, now);
 	count_held(q, now);
 }
 
@@ -132,7 +133,7 @@
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct dl_crash));
 	struct one to = { peers, vm };
 
-	dl_quarantine_each(q->known, now, gather, all);
+	dl_quarantine_foreach(q->known, now, gather, all);
 	send_crashes(all, to_one, &to);
 	g_array_free(all, TRUE);
 }
--- a/src/main/replica_quarantine.c
+++ b/src/main/replica_quarantine.c
@@ -46,7 +46,7 @@
 {
 	struct held *held = arg;
 
-	if (dl_quarantine_left_ms(held->known, crash->request, held->now))
+	if (dl_quarantine_remaining_ms(held->known, crash->request, held->now))
 		g_array_append_val(held->crashes, *crash);
 }
 
@@ -55,7 +55,7 @@
 	struct held held = { r->quarantine.known, now, NULL };
 
 	held.crashes = g_array_new(FALSE, FALSE, sizeof(struct dl_crash));
-	dl_quarantine_each(r->quarantine.known, now, gather_held, &held);
+	dl_quarantine_foreach(r->quarantine.known, now, gather_held, &held);
 	dl_crash_store_save(r->crashes,
 			    (const struct dl_crash *)held.crashes->data,
 			    held.crashes->len, dl_node_wall_ms());
--- a/test/test_quarantine.c
+++ b/test/test_quarantine.c
@@ -28,15 +28,16 @@
 {
 	struct dl_crash c = { .request = request,
 			      .start = start,
-			      .cleared = dl_quarantine_cleared(at, request) };
+			      .cleared =
+				      dl_quarantine_clear_count(at, request) };
 
 	c.cleared += start == 0;
-	return dl_quarantine_note(at, &c, now);
+	return dl_quarantine_merge(at, &c, now);
 }
 
 static bool is_held(const struct dl_quarantine *at, int64_t now)
 {
-	return dl_quarantine_left_ms(at, REQUEST, now) > 0;
+	return dl_quarantine_remaining_ms(at, REQUEST, now) > 0;
 }
 
 static void crash_thrice(struct dl_quarantine *at, int64_t now)
@@ -52,7 +53,7 @@
 	ck_assert(!is_held(q, 30));
 	crash(q, REQUEST, 3, 30);
 	ck_assert(is_held(q, 30));
-	ck_assert_uint_eq(dl_quarantine_left_ms(q, REQUEST + 1, 30), 0);
+	ck_assert_uint_eq(dl_quarantine_remaining_ms(q, REQUEST + 1, 30), 0);
 	ck_assert_uint_eq(dl_quarantine_count(q, 30), 1);
 }
 END_TEST
@@ -70,9 +71,9 @@
 {
 	crash(q, REQUEST, 1, 10);
 	crash(q, REQUEST, 2, 20);
-	ck_assert(dl_quarantine_suspects(q, REQUEST));
+	ck_assert(dl_quarantine_is_suspect(q, REQUEST));
 	ck_assert(crash(q, REQUEST, 0, 25));
-	ck_assert(!dl_quarantine_suspects(q, REQUEST));
+	ck_assert(!dl_quarantine_is_suspect(q, REQUEST));
 	crash(q, REQUEST, 3, 30);
 	ck_assert(!is_held(q, 30));
 	/* Also one that was held back, and was on its way then. */
@@ -86,7 +87,7 @@
 
 static void pass(void *arg, const struct dl_crash *c)
 {
-	dl_quarantine_note(arg, c, 1000);
+	dl_quarantine_merge(arg, c, 1000);
 }
 
 START_TEST(crashes_on_both_sides_of_a_cut_are_counted_together)
@@ -98,8 +99,8 @@
 	crash(there, REQUEST, 2, 20);
 	crash(there, REQUEST, 3, 30);
 	ck_assert(!is_held(q, 1000) && !is_held(there, 1000));
-	dl_quarantine_each(q, 1000, pass, there);
-	dl_quarantine_each(there, 1000, pass, q);
+	dl_quarantine_foreach(q, 1000, pass, there);
+	dl_quarantine_foreach(there, 1000, pass, q);
 	ck_assert(is_held(q, 1000) && is_held(there, 1000));
 	dl_quarantine_free(there);
 }
@@ -132,8 +133,8 @@
 
 static void happens(int vm, struct dl_crash c)
 {
-	c.cleared = dl_quarantine_cleared(net.at[vm], c.request) + !c.start;
-	if (dl_quarantine_note(net.at[vm], &c, 100))
+	c.cleared = dl_quarantine_clear_count(net.at[vm], c.request) + !c.start;
+	if (dl_quarantine_merge(net.at[vm], &c, 100))
 		tell_others(vm, &c);
 }
 
@@ -155,13 +156,13 @@
 
 		net.word[i] = net.word[--net.words];
 		ck_assert_uint_lt(net.passed++, WORDS_MAX);
-		if (dl_quarantine_note(net.at[w.to], &w.crash, 100))
+		if (dl_quarantine_merge(net.at[w.to], &w.crash, 100))
 			tell_others(w.to, &w.crash);
 	}
 	for (int vm = 1; vm < VMS; vm++)
 		ck_assert_uint_eq(
-			dl_quarantine_left_ms(net.at[vm], REQUEST, 100),
-			dl_quarantine_left_ms(net.at[0], REQUEST, 100));
+			dl_quarantine_remaining_ms(net.at[vm], REQUEST, 100),
+			dl_quarantine_remaining_ms(net.at[0], REQUEST, 100));
 	for (int vm = 0; vm < VMS; vm++)
 		dl_quarantine_free(net.at[vm]);
 }
@@ -172,9 +173,9 @@
 	struct dl_quarantine *started = dl_quarantine_new();
 
 	crash_thrice(q, 0);
-	dl_quarantine_each(q, 1000, pass, started);
-	ck_assert_uint_eq(dl_quarantine_left_ms(started, REQUEST, 1000),
-			  dl_quarantine_left_ms(q, REQUEST, 1000));
+	dl_quarantine_foreach(q, 1000, pass, started);
+	ck_assert_uint_eq(dl_quarantine_remaining_ms(started, REQUEST, 1000),
+			  dl_quarantine_remaining_ms(q, REQUEST, 1000));
 	dl_quarantine_free(started);
 }
 END_TEST
@@ -184,12 +185,12 @@
 	crash_thrice(q, 0);
 	ck_assert(is_held(q, HOUR_MS - 1));
 	ck_assert(!is_held(q, HOUR_MS));
-	dl_quarantine_forget(q, HOUR_MS);
+	dl_quarantine_expire(q, HOUR_MS);
 	ck_assert(crash(q, REQUEST, 9, HOUR_MS + 5));
 	ck_assert(is_held(q, HOUR_MS + 5));
 	/* Known long enough for that, not for ever. */
-	dl_quarantine_forget(q, 3 * DAY_MS);
-	ck_assert(!dl_quarantine_suspects(q, REQUEST));
+	dl_quarantine_expire(q, 3 * DAY_MS);
+	ck_assert(!dl_quarantine_is_suspect(q, REQUEST));
 }
 END_TEST
 
@@ -197,7 +198,7 @@
 {
 	crash(q, REQUEST, 1, 0);
 	crash(q, REQUEST, 2, 1000);
-	dl_quarantine_forget(q, HOUR_MS);
+	dl_quarantine_expire(q, HOUR_MS);
 	crash(q, REQUEST, 3, HOUR_MS);
 	ck_assert(!is_held(q, HOUR_MS));
 }
@@ -216,26 +217,26 @@
 {
 	struct dl_crash out;
 
-	dl_quarantine_broke(q, REQUEST, 1, 100);
-	dl_quarantine_broke(q, REQUEST + 1, 2, 110);
-	dl_quarantine_broke(q, REQUEST + 2, 1, 120);
-	ck_assert(dl_quarantine_crashed(q, 1, 150, &out));
+	dl_quarantine_attempt_interrupted(q, REQUEST, 1, 100);
+	dl_quarantine_attempt_interrupted(q, REQUEST + 1, 2, 110);
+	dl_quarantine_attempt_interrupted(q, REQUEST + 2, 1, 120);
+	ck_assert(dl_quarantine_next_crash(q, 1, 150, &out));
 	ck_assert_uint_eq(out.request, REQUEST);
 	ck_assert_uint_eq(out.start, 1);
 	ck_assert_uint_eq(out.age_ms, 50);
-	ck_assert(dl_quarantine_crashed(q, 1, 150, &out));
+	ck_assert(dl_quarantine_next_crash(q, 1, 150, &out));
 	ck_assert_uint_eq(out.request, REQUEST + 2);
-	ck_assert(!dl_quarantine_crashed(q, 1, 150, &out));
+	ck_assert(!dl_quarantine_next_crash(q, 1, 150, &out));
 	/* What broke off long before had another cause. */
-	ck_assert(!dl_quarantine_crashed(q, 2, 60000, &out));
+	ck_assert(!dl_quarantine_next_crash(q, 2, 60000, &out));
 }
 END_TEST
 
 START_TEST(a_break_without_a_crash_blames_nobody)
 {
 	for (uint64_t start = 1; start <= 10; start++)
-		dl_quarantine_broke(q, REQUEST, start, 10);
-	ck_assert(!dl_quarantine_suspects(q, REQUEST));
+		dl_quarantine_attempt_interrupted(q, REQUEST, start, 10);
+	ck_assert(!dl_quarantine_is_suspect(q, REQUEST));
 	ck_assert(!is_held(q, 10));
 }
 END_TEST
