--- a/include/daisyledge/call.h
+++ b/include/daisyledge/call.h
@@ -37,22 +37,22 @@
 };
 
 /* How the attempt ended. */
-enum dl_broke {
-	DL_BROKE_NOTHING,
-	DL_BROKE_CONNECT, /* refused, unreachable, timed out connecting */
-	DL_BROKE_RESET,	  /* reset or closed early */
-	DL_BROKE_SILENT,  /* longer silence than allowed */
-	DL_BROKE_DEADLINE,
-	DL_BROKE_CALLER,  /* the caller left */
-	DL_BROKE_GARBLED, /* not an answer, or another request's */
-	DL_BROKE_COUNT,
+enum dl_failure {
+	DL_FAILURE_NONE,
+	DL_FAILURE_CONNECT, /* refused, unreachable, timed out connecting */
+	DL_FAILURE_RESET,   /* reset or closed early */
+	DL_FAILURE_IDLE_TIMEOUT, /* longer silence than allowed */
+	DL_FAILURE_DEADLINE,
+	DL_FAILURE_CALLER_GONE,	 /* the caller left */
+	DL_FAILURE_BAD_RESPONSE, /* not an answer, or another request's */
+	DL_FAILURE_COUNT,
 };
 
 /* One attempt, for the table of outcomes. */
 struct dl_attempt {
 	enum dl_sent sent;
 	enum dl_received received;
-	enum dl_broke broke;
+	enum dl_failure failure;
 	uint16_t status; /* HTTP status where a head came */
 };
 
--- a/src/coordination/call.c
+++ b/src/coordination/call.c
@@ -55,7 +55,7 @@
  * "not run": it may be another request's.  An answer before any byte of the
  * request had left cannot be to it.
  */
-static const uint8_t outcomes[DL_SENT_COUNT][DL_RECV_COUNT][DL_BROKE_COUNT] = {
+static const uint8_t outcomes[DL_SENT_COUNT][DL_RECV_COUNT][DL_FAILURE_COUNT] = {
 	[DL_SENT_NOTHING] = {
 		[DL_RECV_NOTHING] = { N, N, N, N, N, N, N },
 		[DL_RECV_HEAD]    = { N, N, N, N, N, N, N },
@@ -109,10 +109,10 @@
 
 	if ((unsigned)attempt->sent >= DL_SENT_COUNT ||
 	    (unsigned)attempt->received >= DL_RECV_COUNT ||
-	    (unsigned)attempt->broke >= DL_BROKE_COUNT)
+	    (unsigned)attempt->failure >= DL_FAILURE_COUNT)
 		return DL_OUTCOME_UNKNOWN;
 	cell = (enum cell)
-		outcomes[attempt->sent][attempt->received][attempt->broke];
+		outcomes[attempt->sent][attempt->received][attempt->failure];
 	if (cell == CELL_NOT_RUN)
 		return DL_OUTCOME_NOT_RUN;
 	if (cell == CELL_UNKNOWN)
@@ -167,8 +167,8 @@
 	       attempt->sent == DL_SENT_ALL &&
 	       attempt->received == DL_RECV_HEAD &&
 	       attempt->status < STATUS_ERROR &&
-	       (attempt->broke == DL_BROKE_RESET ||
-		attempt->broke == DL_BROKE_SILENT);
+	       (attempt->failure == DL_FAILURE_RESET ||
+		attempt->failure == DL_FAILURE_IDLE_TIMEOUT);
 }
 
 /* Whether the request may begin again elsewhere. */
@@ -207,8 +207,9 @@
 	enum dl_outcome outcome = dl_call_outcome(attempt);
 	bool resume = may_resume(state, attempt);
 
-	if (outcome == DL_OUTCOME_DONE || attempt->broke == DL_BROKE_CALLER ||
-	    attempt->broke == DL_BROKE_DEADLINE)
+	if (outcome == DL_OUTCOME_DONE ||
+	    attempt->failure == DL_FAILURE_CALLER_GONE ||
+	    attempt->failure == DL_FAILURE_DEADLINE)
 		return DL_NEXT_ANSWER;
 	if (state->attempts >= ATTEMPTS_MAX ||
 	    state->deadline - now < (int64_t)state->expected_ms ||
--- a/src/main/cli_http.c
+++ b/src/main/cli_http.c
@@ -67,7 +67,7 @@
 	struct attempt *a = arg;
 
 	a->ended = true;
-	a->whole = attempt->broke == DL_BROKE_NOTHING;
+	a->whole = attempt->failure == DL_FAILURE_NONE;
 	a->err = *err;
 }
 
--- a/src/main/entry_attempt.c
+++ b/src/main/entry_attempt.c
@@ -28,7 +28,7 @@
 	c->usage.ran = attempt->sent != DL_SENT_NOTHING &&
 		       attempt->received != DL_RECV_NOT_RUN;
 	c->usage.failed = failed;
-	c->usage.unreachable = attempt->broke == DL_BROKE_CONNECT &&
+	c->usage.unreachable = attempt->failure == DL_FAILURE_CONNECT &&
 			       !c->held_back;
 	c->usage.prompt_tokens = prompt;
 	c->usage.output_tokens = output;
--- a/src/main/entry_call.c
+++ b/src/main/entry_call.c
@@ -315,7 +315,7 @@
 		return;
 	if (c->attempt)
 		a = dl_httpc_progress(c->attempt);
-	a.broke = DL_BROKE_CALLER;
+	a.failure = DL_FAILURE_CALLER_GONE;
 	entry_quarantine_attempt(c, &a, NULL);
 	outcome = dl_call_outcome(&a);
 	c->usage.ran = a.sent != DL_SENT_NOTHING;
@@ -368,7 +368,7 @@
 	}
 	if (c->attempt)
 		a = dl_httpc_progress(c->attempt);
-	a.broke = DL_BROKE_DEADLINE;
+	a.failure = DL_FAILURE_DEADLINE;
 	entry_quarantine_attempt(c, &a, NULL);
 	outcome = dl_call_outcome(&a);
 	c->usage.ran = a.sent != DL_SENT_NOTHING;
@@ -407,7 +407,7 @@
 	}
 	if (c->attempt)
 		a = dl_httpc_progress(c->attempt);
-	a.broke = DL_BROKE_RESET;
+	a.failure = DL_FAILURE_RESET;
 	dl_err_set(&err, -ECANCELED, DL_STEP_BODY, NULL, "this VM stops");
 	outcome = dl_call_outcome(&a);
 	if (c->routed && (c->may_have_run || outcome != DL_OUTCOME_NOT_RUN))
--- a/src/main/entry_quarantine.c
+++ b/src/main/entry_quarantine.c
@@ -103,12 +103,12 @@
 	if (err && err->code == -ECONNREFUSED)
 		entry_quarantine_crashed(e, c->start);
 	if (!c->start || !c->content || attempt->sent == DL_SENT_NOTHING ||
-	    attempt->broke == DL_BROKE_NOTHING ||
-	    attempt->broke == DL_BROKE_GARBLED)
+	    attempt->failure == DL_FAILURE_NONE ||
+	    attempt->failure == DL_FAILURE_BAD_RESPONSE)
 		return;
 	dl_quarantine_attempt_interrupted(e->quarantine.known, c->content,
 					  c->start, entry_now(e));
-	if (attempt->broke == DL_BROKE_RESET &&
+	if (attempt->failure == DL_FAILURE_RESET &&
 	    dl_vm_parse(dl_name_str(&c->grant.endpoint[0]), &address))
 		probe_soon(e, c->start, address);
 }
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -432,7 +432,7 @@
 
 	if (a.received != DL_RECV_NOTHING &&
 	    (c->route.head.foreign || c->route.head.too_long)) {
-		a.broke = DL_BROKE_GARBLED;
+		a.failure = DL_FAILURE_BAD_RESPONSE;
 		a.received = DL_RECV_HEAD;
 	} else if (c->route.head.not_run && a.received != DL_RECV_NOTHING) {
 		a.received = DL_RECV_NOT_RUN;
@@ -493,7 +493,7 @@
 /* Whether an endpoint of the group could not be reached, which is known now. */
 static bool was_unreached(const struct call *c, const struct dl_attempt *a)
 {
-	return a->broke == DL_BROKE_CONNECT || c->usage.at_fault.n;
+	return a->failure == DL_FAILURE_CONNECT || c->usage.at_fault.n;
 }
 
 /*
@@ -536,7 +536,7 @@
 	}
 	entry_quarantine_attempt(c, &a, err);
 	/* A stream that goes on elsewhere got an error in place of events. */
-	whole = a.received == DL_RECV_WHOLE && a.broke == DL_BROKE_NOTHING &&
+	whole = a.received == DL_RECV_WHOLE && a.failure == DL_FAILURE_NONE &&
 		!(c->relayed && !c->route.head.events);
 	call_fill_usage(c, &a, c->prompt_tokens, c->output_tokens,
 			c->status >= STATUS_ERROR || !whole);
@@ -551,7 +551,7 @@
 	       "status=%u retry_after_ms=%u leaving=%d outcome=%s events=%lu "
 	       "at_fault=%s step=%s why=\"%s\" content=%016lx",
 	       c->id_text, c->grant.endpoint[0].s, c->route.instance.s, a.sent,
-	       a.received, a.broke, c->status, c->route.head.retry_after_ms,
+	       a.received, a.failure, c->status, c->route.head.retry_after_ms,
 	       c->route.head.leaving, dl_outcome_name(outcome),
 	       (unsigned long)c->relayed, c->route.head.at_fault.s,
 	       dl_step_name(err->step), err->text, (unsigned long)c->content);
--- a/src/main/entry_ticket.c
+++ b/src/main/entry_ticket.c
@@ -119,15 +119,15 @@
 	struct ticket *t = arg;
 
 	t->order = NULL;
-	t->unreachable = attempt->broke == DL_BROKE_CONNECT;
-	if (attempt->broke != DL_BROKE_NOTHING && t->set->asked)
+	t->unreachable = attempt->failure == DL_FAILURE_CONNECT;
+	if (attempt->failure != DL_FAILURE_NONE && t->set->asked)
 		t->refused = true;
 	if (t->refused)
 		dl_msg(DL_MSG_TICKET_REFUSED,
 		       "request=%s endpoint=%s tokens=%lu status=%u broke=%d",
 		       t->set->c->id_text, t->address.s,
 		       (unsigned long)t->tokens, attempt->status,
-		       attempt->broke);
+		       attempt->failure);
 	if (t->set->asked)
 		settle(t->set);
 }
--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -438,24 +438,24 @@
 {
 	struct dl_attempt a = *attempt;
 
-	if (c->kind == DL_POOL_MODEL && a.broke == DL_BROKE_NOTHING &&
+	if (c->kind == DL_POOL_MODEL && a.failure == DL_FAILURE_NONE &&
 	    a.status == 200 && (c->sse_bad || !c->sse_done)) {
-		a.broke = DL_BROKE_GARBLED;
+		a.failure = DL_FAILURE_BAD_RESPONSE;
 		a.received = DL_RECV_HEAD;
 	}
 	return a;
 }
 
-static const char *broke_name(enum dl_broke broke)
+static const char *broke_name(enum dl_failure broke)
 {
-	static const char *const names[DL_BROKE_COUNT] = {
-		[DL_BROKE_NOTHING] = "endpoint-error",
-		[DL_BROKE_CONNECT] = "connect",
-		[DL_BROKE_RESET] = "reset",
-		[DL_BROKE_SILENT] = "silent",
-		[DL_BROKE_DEADLINE] = "deadline",
-		[DL_BROKE_CALLER] = "caller-left",
-		[DL_BROKE_GARBLED] = "garbled",
+	static const char *const names[DL_FAILURE_COUNT] = {
+		[DL_FAILURE_NONE] = "endpoint-error",
+		[DL_FAILURE_CONNECT] = "connect",
+		[DL_FAILURE_RESET] = "reset",
+		[DL_FAILURE_IDLE_TIMEOUT] = "silent",
+		[DL_FAILURE_DEADLINE] = "deadline",
+		[DL_FAILURE_CALLER_GONE] = "caller-left",
+		[DL_FAILURE_BAD_RESPONSE] = "garbled",
 	};
 
 	return names[broke];
@@ -477,7 +477,7 @@
 	struct dl_call_state state = {
 		.idempotent = c->idempotent,
 		.resumable = c->kind == DL_POOL_MODEL && c->pieces > 0 &&
-			     a.broke != DL_BROKE_GARBLED &&
+			     a.failure != DL_FAILURE_BAD_RESPONSE &&
 			     !entry_backoff_holds(c),
 		.attempts = c->attempts,
 		.bytes_to_caller = c->relayed,
@@ -499,7 +499,7 @@
 		entry_call_whole(c);
 		return;
 	}
-	entry_call_span(c, broke_name(a.broke), c->attempt_at,
+	entry_call_span(c, broke_name(a.failure), c->attempt_at,
 			c->grant.endpoint[0].s);
 	switch (dl_call_next(&state, &a, entry_call_budget(c),
 			     entry_now(c->e))) {
@@ -511,7 +511,7 @@
 		return;
 	case DL_NEXT_ANSWER:
 		entry_call_end(c, outcome, status_of(c, outcome),
-			       broke_name(a.broke), err);
+			       broke_name(a.failure), err);
 		return;
 	}
 }
--- a/src/protocol/explain.c
+++ b/src/protocol/explain.c
@@ -32,14 +32,14 @@
 };
 
 /* How an attempt broke, by the number in the log. */
-static const char *const broke_texts[DL_BROKE_COUNT] = {
-	[DL_BROKE_NOTHING] = "answered with an error",
-	[DL_BROKE_CONNECT] = "could not be reached",
-	[DL_BROKE_RESET] = "closed the connection",
-	[DL_BROKE_SILENT] = "was silent for too long",
-	[DL_BROKE_DEADLINE] = "had not answered at the deadline",
-	[DL_BROKE_CALLER] = "was given up, since the caller left",
-	[DL_BROKE_GARBLED] = "sent what is no answer to it",
+static const char *const broke_texts[DL_FAILURE_COUNT] = {
+	[DL_FAILURE_NONE] = "answered with an error",
+	[DL_FAILURE_CONNECT] = "could not be reached",
+	[DL_FAILURE_RESET] = "closed the connection",
+	[DL_FAILURE_IDLE_TIMEOUT] = "was silent for too long",
+	[DL_FAILURE_DEADLINE] = "had not answered at the deadline",
+	[DL_FAILURE_CALLER_GONE] = "was given up, since the caller left",
+	[DL_FAILURE_BAD_RESPONSE] = "sent what is no answer to it",
 };
 
 static const char *const part_names[EXPLAIN_PARTS] = {
@@ -232,8 +232,8 @@
 	int64_t wait = dl_logline_number(l, "retry_after_ms", 0);
 	int n;
 
-	if (broke < 0 || broke >= DL_BROKE_COUNT)
-		broke = DL_BROKE_NOTHING;
+	if (broke < 0 || broke >= DL_FAILURE_COUNT)
+		broke = DL_FAILURE_NONE;
 	n = snprintf(out, EXPLAIN_TEXT_MAX, "%.*s %s after %" PRId64 " events",
 		     (int)endpoint.n, endpoint.s, broke_texts[broke],
 		     dl_logline_number(l, "events", 0));
--- a/src/transport/httpc.c
+++ b/src/transport/httpc.c
@@ -220,7 +220,7 @@
 }
 
 /* Note how the call ended; the owner is told from the loop. */
-static void end_soon(struct dl_httpc_call *call, enum dl_broke broke,
+static void end_soon(struct dl_httpc_call *call, enum dl_failure broke,
 		     enum dl_step step, const char *why)
 {
 	char peer[HOST_TEXT_MAX];
@@ -230,8 +230,8 @@
 	if (call->conn)
 		conn_close(call->conn);
 	call->conn = NULL;
-	call->attempt.broke = broke;
-	if (broke != DL_BROKE_NOTHING)
+	call->attempt.failure = broke;
+	if (broke != DL_FAILURE_NONE)
 		dl_err_set(&call->err, -EIO, step, dl_vm_text(call->to, peer),
 			   "%s", why);
 	arm(call, 0);
@@ -261,7 +261,8 @@
 	if (call->paused)
 		return;
 	end_soon(call,
-		 step == DL_STEP_CONNECT ? DL_BROKE_CONNECT : DL_BROKE_SILENT,
+		 step == DL_STEP_CONNECT ? DL_FAILURE_CONNECT :
+					   DL_FAILURE_IDLE_TIMEOUT,
 		 step, "no byte in the time allowed");
 }
 
@@ -431,7 +432,7 @@
 	struct conn *conn = call->conn;
 
 	if (!call->framed && !call->close_ends) {
-		end_soon(call, DL_BROKE_GARBLED, DL_STEP_BODY,
+		end_soon(call, DL_FAILURE_BAD_RESPONSE, DL_STEP_BODY,
 			 "the answer does not tell its length");
 		return;
 	}
@@ -441,7 +442,7 @@
 	    conn->idle_ms && conn->client->kept_count < KEEP_MAX &&
 	    http_should_keep_alive(&conn->parser))
 		keep(conn);
-	end_soon(call, DL_BROKE_NOTHING, DL_STEP_NONE, "");
+	end_soon(call, DL_FAILURE_NONE, DL_STEP_NONE, "");
 }
 
 /*
@@ -476,7 +477,7 @@
 		end_whole(call, false);
 		return;
 	}
-	end_soon(call, DL_BROKE_RESET, step_now(call), uv_strerror(err));
+	end_soon(call, DL_FAILURE_RESET, step_now(call), uv_strerror(err));
 }
 
 static void on_alloc(uv_handle_t *handle, size_t n, uv_buf_t *buf)
@@ -512,7 +513,7 @@
 	if (conn->over)
 		end_whole(call, used < (size_t)n);
 	else if (HTTP_PARSER_ERRNO(&conn->parser) != HPE_OK)
-		end_soon(call, DL_BROKE_RESET, step_now(call),
+		end_soon(call, DL_FAILURE_RESET, step_now(call),
 			 http_errno_description(
 				 HTTP_PARSER_ERRNO(&conn->parser)));
 	else if (call->paused)
@@ -526,7 +527,7 @@
 	conn->writing = false;
 	if (status && !conn->closing && conn->call &&
 	    conn->call->attempt.received == DL_RECV_NOTHING)
-		end_soon(conn->call, DL_BROKE_RESET, DL_STEP_SEND,
+		end_soon(conn->call, DL_FAILURE_RESET, DL_STEP_SEND,
 			 uv_strerror(status));
 }
 
@@ -540,7 +541,7 @@
 	};
 
 	if (call->ops->ready && !call->ops->ready(call->arg)) {
-		end_soon(call, DL_BROKE_CONNECT, DL_STEP_SEND,
+		end_soon(call, DL_FAILURE_CONNECT, DL_STEP_SEND,
 			 "given up before it was sent");
 		return;
 	}
@@ -554,7 +555,7 @@
 	if (uv_write(&conn->write, (uv_stream_t *)&conn->tcp, bufs,
 		     call->body.n ? 2 : 1, on_written)) {
 		conn->writing = false;
-		end_soon(call, DL_BROKE_RESET, DL_STEP_SEND, "cannot write");
+		end_soon(call, DL_FAILURE_RESET, DL_STEP_SEND, "cannot write");
 		return;
 	}
 	arm(call, call->head_ms);
@@ -569,7 +570,7 @@
 	if (status) {
 		struct dl_httpc_call *call = conn->call;
 
-		end_soon(call, DL_BROKE_CONNECT, DL_STEP_CONNECT,
+		end_soon(call, DL_FAILURE_CONNECT, DL_STEP_CONNECT,
 			 uv_strerror(status));
 		call->err.code = status;
 		return;
@@ -617,7 +618,7 @@
 	rc = uv_tcp_connect(&conn->connect, &conn->tcp, (void *)&sin,
 			    on_connected);
 	if (rc)
-		end_soon(call, DL_BROKE_CONNECT, DL_STEP_CONNECT,
+		end_soon(call, DL_FAILURE_CONNECT, DL_STEP_CONNECT,
 			 uv_strerror(rc));
 	return 0;
 }
--- a/test/test_call.c
+++ b/test/test_call.c
@@ -14,7 +14,7 @@
 
 /* clang-format off */
 /* nothing, connect, reset, silent, deadline, caller, garbled */
-static const int expected[DL_SENT_COUNT][DL_RECV_COUNT][DL_BROKE_COUNT] = {
+static const int expected[DL_SENT_COUNT][DL_RECV_COUNT][DL_FAILURE_COUNT] = {
 	/* nothing sent */
 	{ { N, N, N, N, N, N, N }, { N, N, N, N, N, N, N },
 	  { N, N, N, N, N, N, N }, { N, N, N, N, N, N, N } },
@@ -48,7 +48,7 @@
 static enum dl_outcome expect(const struct dl_attempt *a,
 			      const struct status_case *c)
 {
-	switch (expected[a->sent][a->received][a->broke]) {
+	switch (expected[a->sent][a->received][a->failure]) {
 	case N:
 		return DL_OUTCOME_NOT_RUN;
 	case W:
@@ -68,12 +68,14 @@
 
 	for (a.sent = 0; a.sent < DL_SENT_COUNT; a.sent++) {
 		for (a.received = 0; a.received < DL_RECV_COUNT; a.received++) {
-			for (a.broke = 0; a.broke < DL_BROKE_COUNT; a.broke++)
-				ck_assert_msg(
-					dl_call_outcome(&a) == expect(&a, c),
-					"sent %d received %d broke %d "
-					"status %d",
-					a.sent, a.received, a.broke, a.status);
+			for (a.failure = 0; a.failure < DL_FAILURE_COUNT;
+			     a.failure++)
+				ck_assert_msg(dl_call_outcome(&a) ==
+						      expect(&a, c),
+					      "sent %d received %d broke %d "
+					      "status %d",
+					      a.sent, a.received, a.failure,
+					      a.status);
 		}
 	}
 }
@@ -90,7 +92,8 @@
 
 	for (a.sent = 0; a.sent < DL_SENT_COUNT; a.sent++) {
 		for (a.received = 0; a.received < DL_RECV_COUNT; a.received++) {
-			for (a.broke = 0; a.broke < DL_BROKE_COUNT; a.broke++) {
+			for (a.failure = 0; a.failure < DL_FAILURE_COUNT;
+			     a.failure++) {
 				struct dl_retry_budget b;
 
 				dl_retry_budget_init(&b, 100, 10);
@@ -117,7 +120,7 @@
 #define AGAIN .idempotent = true, .attempts = 1, .deadline = 1000
 #define LOST                                                                   \
 	{                                                                      \
-		DL_SENT_ALL, DL_RECV_NOTHING, DL_BROKE_RESET, 0                \
+		DL_SENT_ALL, DL_RECV_NOTHING, DL_FAILURE_RESET, 0              \
 	}
 #define STREAM(broke)                                                          \
 	{                                                                      \
@@ -137,45 +140,45 @@
 	  DL_NEXT_ANSWER },
 	{ "not run, bytes are out",
 	  { AGAIN, .bytes_to_caller = 1 },
-	  { DL_SENT_NOTHING, DL_RECV_NOTHING, DL_BROKE_CONNECT, 0 },
+	  { DL_SENT_NOTHING, DL_RECV_NOTHING, DL_FAILURE_CONNECT, 0 },
 	  DL_NEXT_ANSWER },
 	{ "resume",
 	  { AGAIN, .resumable = true, .bytes_to_caller = 9 },
-	  STREAM(DL_BROKE_SILENT),
+	  STREAM(DL_FAILURE_IDLE_TIMEOUT),
 	  DL_NEXT_RESUME },
-	{ "cannot resume", { AGAIN }, STREAM(DL_BROKE_RESET), DL_NEXT_RETRY },
+	{ "cannot resume", { AGAIN }, STREAM(DL_FAILURE_RESET), DL_NEXT_RETRY },
 	{ "caller left",
 	  { AGAIN, .resumable = true },
-	  STREAM(DL_BROKE_CALLER),
+	  STREAM(DL_FAILURE_CALLER_GONE),
 	  DL_NEXT_ANSWER },
-	{ "late", { AGAIN }, STREAM(DL_BROKE_DEADLINE), DL_NEXT_ANSWER },
+	{ "late", { AGAIN }, STREAM(DL_FAILURE_DEADLINE), DL_NEXT_ANSWER },
 	{ "unavailable",
 	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 503 },
+	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 503 },
 	  DL_NEXT_RETRY },
 	{ "its own error, another may not have it",
 	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 500 },
+	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_RETRY },
 	{ "its own error, twice",
 	  { .idempotent = true, .attempts = 3, .deadline = 1000 },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 500 },
+	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_ANSWER },
 	{ "its own error, may run once only",
 	  { .attempts = 1, .deadline = 1000 },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 500 },
+	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_ANSWER },
 	{ "a method that it does not know",
 	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 501 },
+	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 501 },
 	  DL_NEXT_ANSWER },
 	{ "a version that it does not know",
 	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 505 },
+	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 505 },
 	  DL_NEXT_ANSWER },
 	{ "done",
 	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 200 },
+	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 200 },
 	  DL_NEXT_ANSWER },
 };
 
@@ -198,7 +201,7 @@
 START_TEST(refused_connects_cost_no_budget)
 {
 	const struct dl_attempt refused = { DL_SENT_NOTHING, DL_RECV_NOTHING,
-					    DL_BROKE_CONNECT, 0 };
+					    DL_FAILURE_CONNECT, 0 };
 	struct dl_call_state state = { .attempts = 1, .deadline = 1000 };
 	struct dl_retry_budget b;
 
