--- a/include/daisyledge/call.h
+++ b/include/daisyledge/call.h
@@ -31,7 +31,7 @@
 enum dl_received {
 	DL_RECV_NOTHING,
 	DL_RECV_HEAD, /* a status, and perhaps a part of the body */
-	DL_RECV_WHOLE,
+	DL_RECV_COMPLETE,
 	DL_RECV_NOT_RUN, /* the endpoint itself says that it did not run */
 	DL_RECV_COUNT,
 };
@@ -74,8 +74,8 @@
 
 void dl_retry_budget_init(struct dl_retry_budget *budget, uint32_t permille,
 			  uint32_t burst);
-void dl_retry_budget_first(struct dl_retry_budget *budget);
-bool dl_retry_budget_take(struct dl_retry_budget *budget);
+void dl_retry_budget_deposit(struct dl_retry_budget *budget);
+bool dl_retry_budget_withdraw(struct dl_retry_budget *budget);
 
 /* What the decision about a next attempt looks at. */
 struct dl_call_state {
@@ -114,38 +114,38 @@
 int64_t dl_hop_deadline(uint32_t remaining_ms, int64_t now);
 
 /* How far an open connection is trusted with another request. */
-struct dl_conn_bounds {
+struct dl_conn_limits {
 	uint32_t age_ms;   /* since it was opened */
 	uint32_t idle_ms;  /* since its last byte came */
 	uint32_t requests; /* carried at most */
 };
 
 /* One connection kept open towards an endpoint. */
-struct dl_conn_age {
+struct dl_conn_usage {
 	int64_t opened;
-	int64_t heard;	   /* the last byte that came */
+	int64_t last_read; /* the last byte that came */
 	uint32_t requests; /* carried so far */
 };
 
-bool dl_conn_usable(const struct dl_conn_bounds *bounds,
-		    const struct dl_conn_age *conn, bool idempotent,
+bool dl_conn_usable(const struct dl_conn_limits *bounds,
+		    const struct dl_conn_usage *conn, bool idempotent,
 		    int64_t now);
 
 /* Bounds on the silence of one answer, or of one connection. */
-struct dl_silence {
+struct dl_idle_timer {
 	uint32_t first_ms; /* until the first byte */
 	uint32_t gap_ms;   /* between bytes after it */
 	bool started;
-	int64_t since;	 /* the last byte, or the begin */
-	int64_t checked; /* the last look, to notice a pause of our own */
-	bool forgiven;	 /* such a pause, once until the next byte */
+	int64_t last_data;  /* the last byte, or the begin */
+	int64_t last_check; /* the last look, to notice a pause of our own */
+	bool pause_excused; /* such a pause, once until the next byte */
 };
 
-void dl_silence_begin(struct dl_silence *silence, uint32_t first_ms,
-		      uint32_t gap_ms, int64_t now);
-void dl_silence_heard(struct dl_silence *silence, int64_t now);
-bool dl_silence_check(struct dl_silence *silence, int64_t now);
-int64_t dl_silence_wakeup(const struct dl_silence *silence);
+void dl_idle_timer_start(struct dl_idle_timer *silence, uint32_t first_ms,
+			 uint32_t gap_ms, int64_t now);
+void dl_idle_timer_data_received(struct dl_idle_timer *silence, int64_t now);
+bool dl_idle_timer_expired(struct dl_idle_timer *silence, int64_t now);
+int64_t dl_idle_timer_expiry(const struct dl_idle_timer *silence);
 
 /* The longest key that a caller may name, and the longest joined one. */
 #define DL_CLAIM_NAME_MAX 255
--- a/src/coordination/call.c
+++ b/src/coordination/call.c
@@ -59,19 +59,19 @@
 	[DL_SENT_NOTHING] = {
 		[DL_RECV_NOTHING] = { N, N, N, N, N, N, N },
 		[DL_RECV_HEAD]    = { N, N, N, N, N, N, N },
-		[DL_RECV_WHOLE]   = { N, N, N, N, N, N, N },
+		[DL_RECV_COMPLETE]   = { N, N, N, N, N, N, N },
 		[DL_RECV_NOT_RUN] = { N, N, N, N, N, N, N },
 	},
 	[DL_SENT_PART] = {
 		[DL_RECV_NOTHING] = { U, U, U, U, U, U, U },
 		[DL_RECV_HEAD]    = { U, U, H, H, H, H, U },
-		[DL_RECV_WHOLE]   = { W, U, W, W, W, W, U },
+		[DL_RECV_COMPLETE]   = { W, U, W, W, W, W, U },
 		[DL_RECV_NOT_RUN] = { N, U, N, N, N, N, U },
 	},
 	[DL_SENT_ALL] = {
 		[DL_RECV_NOTHING] = { U, U, U, U, U, U, U },
 		[DL_RECV_HEAD]    = { U, U, H, H, H, H, U },
-		[DL_RECV_WHOLE]   = { W, U, W, W, W, W, U },
+		[DL_RECV_COMPLETE]   = { W, U, W, W, W, W, U },
 		[DL_RECV_NOT_RUN] = { N, U, N, N, N, N, U },
 	},
 };
@@ -136,7 +136,7 @@
 }
 
 /* Count a first try. */
-void dl_retry_budget_first(struct dl_retry_budget *budget)
+void dl_retry_budget_deposit(struct dl_retry_budget *budget)
 {
 	uint64_t max = (uint64_t)budget->burst * CREDIT;
 
@@ -146,7 +146,7 @@
 }
 
 /* Take one retry out of the budget; false where none is left. */
-bool dl_retry_budget_take(struct dl_retry_budget *budget)
+bool dl_retry_budget_withdraw(struct dl_retry_budget *budget)
 {
 	if (budget->credit < CREDIT)
 		return false;
@@ -217,7 +217,8 @@
 		return DL_NEXT_ANSWER;
 	if (!resume && !may_retry(state, attempt, outcome))
 		return DL_NEXT_ANSWER;
-	if (attempt->sent != DL_SENT_NOTHING && !dl_retry_budget_take(budget))
+	if (attempt->sent != DL_SENT_NOTHING &&
+	    !dl_retry_budget_withdraw(budget))
 		return DL_NEXT_ANSWER;
 	return resume ? DL_NEXT_RESUME : DL_NEXT_RETRY;
 }
@@ -276,43 +277,44 @@
  * only goes over one that has carried none, since its outcome would be
  * unknown for no reason otherwise.
  */
-bool dl_conn_usable(const struct dl_conn_bounds *bounds,
-		    const struct dl_conn_age *conn, bool idempotent,
+bool dl_conn_usable(const struct dl_conn_limits *bounds,
+		    const struct dl_conn_usage *conn, bool idempotent,
 		    int64_t now)
 {
 	if (!idempotent && conn->requests)
 		return false;
 	return conn->requests < bounds->requests &&
 	       now - conn->opened < (int64_t)bounds->age_ms &&
-	       now - conn->heard < (int64_t)bounds->idle_ms;
+	       now - conn->last_read < (int64_t)bounds->idle_ms;
 }
 
 /* Begin to watch: first_ms until the first byte, gap_ms between later ones. */
-void dl_silence_begin(struct dl_silence *silence, uint32_t first_ms,
-		      uint32_t gap_ms, int64_t now)
+void dl_idle_timer_start(struct dl_idle_timer *silence, uint32_t first_ms,
+			 uint32_t gap_ms, int64_t now)
 {
 	silence->first_ms = first_ms;
 	silence->gap_ms = gap_ms;
 	silence->started = false;
-	silence->forgiven = false;
-	silence->since = now;
-	silence->checked = now;
+	silence->pause_excused = false;
+	silence->last_data = now;
+	silence->last_check = now;
 }
 
 /* A byte came. */
-void dl_silence_heard(struct dl_silence *silence, int64_t now)
+void dl_idle_timer_data_received(struct dl_idle_timer *silence, int64_t now)
 {
 	silence->started = true;
-	silence->forgiven = false;
-	silence->since = now;
-	silence->checked = now;
+	silence->pause_excused = false;
+	silence->last_data = now;
+	silence->last_check = now;
 }
 
-/* When dl_silence_check() would find the silence too long. */
-int64_t dl_silence_wakeup(const struct dl_silence *silence)
+/* When dl_idle_timer_expired() would find the silence too long. */
+int64_t dl_idle_timer_expiry(const struct dl_idle_timer *silence)
 {
-	return silence->since + (int64_t)(silence->started ? silence->gap_ms :
-							     silence->first_ms);
+	return silence->last_data + (int64_t)(silence->started ?
+						      silence->gap_ms :
+						      silence->first_ms);
 }
 
 /*
@@ -320,18 +322,18 @@
  * more than twice the bound, it was this process that paused: bytes may wait
  * unread, so the time begins again; once, or a slow caller would never see it.
  */
-bool dl_silence_check(struct dl_silence *silence, int64_t now)
+bool dl_idle_timer_expired(struct dl_idle_timer *silence, int64_t now)
 {
-	int64_t bound = dl_silence_wakeup(silence) - silence->since;
-	int64_t gap = now - silence->checked;
+	int64_t bound = dl_idle_timer_expiry(silence) - silence->last_data;
+	int64_t gap = now - silence->last_check;
 
-	silence->checked = now;
-	if (gap > bound * PAUSE_GAPS && !silence->forgiven) {
-		silence->forgiven = true;
-		silence->since = now;
+	silence->last_check = now;
+	if (gap > bound * PAUSE_GAPS && !silence->pause_excused) {
+		silence->pause_excused = true;
+		silence->last_data = now;
 		return false;
 	}
-	return now >= dl_silence_wakeup(silence);
+	return now >= dl_idle_timer_expiry(silence);
 }
 
 /*
--- a/src/main/entry_read.c
+++ b/src/main/entry_read.c
@@ -136,7 +136,7 @@
 {
 	struct dl_str key = dl_httpd_header(c->http, "idempotency-key");
 
-	dl_retry_budget_first(entry_call_budget(c));
+	dl_retry_budget_deposit(entry_call_budget(c));
 	if (c->e->draining) {
 		entry_call_refuse(c, DL_REASON_DRAINING, DL_STEP_ADMIT,
 				  c->e->node.self, RETRY_AFTER_MS);
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -536,7 +536,8 @@
 	}
 	entry_quarantine_attempt(c, &a, err);
 	/* A stream that goes on elsewhere got an error in place of events. */
-	whole = a.received == DL_RECV_WHOLE && a.failure == DL_FAILURE_NONE &&
+	whole = a.received == DL_RECV_COMPLETE &&
+		a.failure == DL_FAILURE_NONE &&
 		!(c->relayed && !c->route.head.events);
 	call_fill_usage(c, &a, c->prompt_tokens, c->output_tokens,
 			c->status >= STATUS_ERROR || !whole);
--- a/src/main/entry_route.c
+++ b/src/main/entry_route.c
@@ -267,7 +267,7 @@
 	}
 	fill_service(c, service);
 	fill_size(c, in, service);
-	dl_retry_budget_first(entry_call_budget(c));
+	dl_retry_budget_deposit(entry_call_budget(c));
 	if (e->node.stopping && !ends_before_stop(c, service)) {
 		entry_call_refuse(c, DL_REASON_DRAINING, DL_STEP_ADMIT,
 				  e->node.self, RETRY_ELSEWHERE_MS);
--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -495,7 +495,7 @@
 	call_fill_usage(c, &a, c->used_prompt, c->used_output,
 			outcome != DL_OUTCOME_DONE);
 	if (outcome == DL_OUTCOME_DONE ||
-	    (c->kind == DL_POOL_PLAIN && a.received == DL_RECV_WHOLE)) {
+	    (c->kind == DL_POOL_PLAIN && a.received == DL_RECV_COMPLETE)) {
 		entry_call_whole(c);
 		return;
 	}
--- a/src/main/replica_orders.c
+++ b/src/main/replica_orders.c
@@ -89,7 +89,7 @@
 		return DL_ORDER_FENCED;
 	if (dl_call_outcome(attempt) == DL_OUTCOME_NOT_RUN)
 		return DL_ORDER_FAILED;
-	if (attempt->received != DL_RECV_WHOLE)
+	if (attempt->received != DL_RECV_COMPLETE)
 		return DL_ORDER_UNKNOWN;
 	return attempt->status == STATUS_OK ? DL_ORDER_ACCEPTED :
 					      DL_ORDER_FAILED;
--- a/src/transport/httpc.c
+++ b/src/transport/httpc.c
@@ -44,7 +44,7 @@
 	struct dl_httpc_call *call; /* NULL while it is kept, or closing */
 	struct conn *next;	    /* of those kept */
 	uint64_t to;
-	struct dl_conn_age age;
+	struct dl_conn_usage age;
 	uint32_t idle_ms; /* how long it may be kept idle */
 	bool writing;
 	bool closing;
@@ -108,7 +108,7 @@
 	.on_message_complete = on_message,
 };
 
-static const struct dl_conn_bounds kept_bounds = {
+static const struct dl_conn_limits kept_bounds = {
 	.age_ms = KEEP_AGE_MS,
 	.idle_ms = KEEP_IDLE_MS,
 	.requests = KEEP_REQUESTS,
@@ -171,7 +171,8 @@
 
 	for (conn = client->kept; conn; conn = next) {
 		next = conn->next;
-		if (now_of(client) - conn->age.heard < (int64_t)conn->idle_ms)
+		if (now_of(client) - conn->age.last_read <
+		    (int64_t)conn->idle_ms)
 			continue;
 		unkeep(conn);
 		conn_close(conn);
@@ -420,7 +421,7 @@
 	conn->call->conn = NULL;
 	conn->call = NULL;
 	conn->age.requests++;
-	conn->age.heard = now_of(client);
+	conn->age.last_read = now_of(client);
 	conn->next = client->kept;
 	client->kept = conn;
 	client->kept_count++;
@@ -437,7 +438,7 @@
 		return;
 	}
 	if (call->attempt.received != DL_RECV_NOT_RUN)
-		call->attempt.received = DL_RECV_WHOLE;
+		call->attempt.received = DL_RECV_COMPLETE;
 	if (call->keep && call->framed && !more && !conn->writing &&
 	    conn->idle_ms && conn->client->kept_count < KEEP_MAX &&
 	    http_should_keep_alive(&conn->parser))
@@ -505,7 +506,7 @@
 		conn_close(conn);
 		return;
 	}
-	conn->age.heard = now_of(conn->client);
+	conn->age.last_read = now_of(conn->client);
 	used = http_parser_execute(&conn->parser, &parser_settings, buf->base,
 				   (size_t)n);
 	if (!conn->call)
@@ -576,7 +577,7 @@
 		return;
 	}
 	uv_tcp_nodelay(&conn->tcp, 1);
-	conn->age.opened = conn->age.heard = now_of(conn->client);
+	conn->age.opened = conn->age.last_read = now_of(conn->client);
 	uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read);
 	send_request(conn->call);
 }
@@ -587,7 +588,7 @@
 	struct conn *conn;
 
 	for (conn = client->kept; conn; conn = conn->next) {
-		struct dl_conn_bounds bounds = kept_bounds;
+		struct dl_conn_limits bounds = kept_bounds;
 
 		bounds.idle_ms = conn->idle_ms;
 		if (conn->to == to &&
--- a/test/test_call.c
+++ b/test/test_call.c
@@ -154,31 +154,31 @@
 	{ "late", { AGAIN }, STREAM(DL_FAILURE_DEADLINE), DL_NEXT_ANSWER },
 	{ "unavailable",
 	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 503 },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 503 },
 	  DL_NEXT_RETRY },
 	{ "its own error, another may not have it",
 	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 500 },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_RETRY },
 	{ "its own error, twice",
 	  { .idempotent = true, .attempts = 3, .deadline = 1000 },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 500 },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_ANSWER },
 	{ "its own error, may run once only",
 	  { .attempts = 1, .deadline = 1000 },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 500 },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_ANSWER },
 	{ "a method that it does not know",
 	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 501 },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 501 },
 	  DL_NEXT_ANSWER },
 	{ "a version that it does not know",
 	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 505 },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 505 },
 	  DL_NEXT_ANSWER },
 	{ "done",
 	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_FAILURE_NONE, 200 },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 200 },
 	  DL_NEXT_ANSWER },
 };
 
@@ -191,7 +191,8 @@
 	ck_assert_msg(dl_call_next(&c->state, &c->attempt, &b, 0) == c->next,
 		      "%s", c->what);
 	/* The one retry saved up is gone, or was not touched. */
-	ck_assert_int_eq(dl_retry_budget_take(&b), c->next == DL_NEXT_ANSWER);
+	ck_assert_int_eq(dl_retry_budget_withdraw(&b),
+			 c->next == DL_NEXT_ANSWER);
 	ck_assert_int_eq(dl_call_next(&c->state, &c->attempt, &b, 0),
 			 DL_NEXT_ANSWER);
 }
@@ -209,7 +210,7 @@
 	for (int i = 0; i < 100; i++)
 		ck_assert_int_eq(dl_call_next(&state, &refused, &b, 0),
 				 DL_NEXT_RETRY);
-	ck_assert(dl_retry_budget_take(&b));
+	ck_assert(dl_retry_budget_withdraw(&b));
 	ck_assert_int_eq(dl_call_next(&state, &refused, &b, 0), DL_NEXT_RETRY);
 	state.attempts = 3;
 	ck_assert_int_eq(dl_call_next(&state, &refused, &b, 0), DL_NEXT_ANSWER);
@@ -223,8 +224,8 @@
 
 	dl_retry_budget_init(&b, 100, 5);
 	for (int i = 0; i < 1000; i++) {
-		dl_retry_budget_first(&b);
-		taken += dl_retry_budget_take(&b);
+		dl_retry_budget_deposit(&b);
+		taken += dl_retry_budget_withdraw(&b);
 	}
 	ck_assert_int_eq(taken, 104);
 }
@@ -257,13 +258,13 @@
 
 START_TEST(connections_are_not_trusted_for_long)
 {
-	const struct dl_conn_bounds b = { 1000, 100, 3 };
-	struct dl_conn_age c = { .opened = 0, .heard = 0, .requests = 1 };
+	const struct dl_conn_limits b = { 1000, 100, 3 };
+	struct dl_conn_usage c = { .opened = 0, .last_read = 0, .requests = 1 };
 
 	ck_assert(dl_conn_usable(&b, &c, true, 99));
 	ck_assert(!dl_conn_usable(&b, &c, true, 100));
 	ck_assert(!dl_conn_usable(&b, &c, false, 1));
-	c.heard = 950;
+	c.last_read = 950;
 	ck_assert(dl_conn_usable(&b, &c, true, 999));
 	ck_assert(!dl_conn_usable(&b, &c, true, 1000));
 	c.requests = 3;
@@ -275,20 +276,20 @@
 
 START_TEST(silence_is_found_and_a_pause_is_not_silence)
 {
-	struct dl_silence s;
-
-	dl_silence_begin(&s, 1000, 100, 0);
-	ck_assert_int_eq(dl_silence_wakeup(&s), 1000);
-	ck_assert(!dl_silence_check(&s, 999));
-	ck_assert(dl_silence_check(&s, 1000));
-	dl_silence_heard(&s, 1000);
-	ck_assert(!dl_silence_check(&s, 1099));
-	ck_assert(dl_silence_check(&s, 1100));
+	struct dl_idle_timer s;
+
+	dl_idle_timer_start(&s, 1000, 100, 0);
+	ck_assert_int_eq(dl_idle_timer_expiry(&s), 1000);
+	ck_assert(!dl_idle_timer_expired(&s, 999));
+	ck_assert(dl_idle_timer_expired(&s, 1000));
+	dl_idle_timer_data_received(&s, 1000);
+	ck_assert(!dl_idle_timer_expired(&s, 1099));
+	ck_assert(dl_idle_timer_expired(&s, 1100));
 	/* Nobody looked for minutes: it was this process that paused. */
-	ck_assert(!dl_silence_check(&s, 200000));
-	ck_assert(dl_silence_check(&s, 200100));
+	ck_assert(!dl_idle_timer_expired(&s, 200000));
+	ck_assert(dl_idle_timer_expired(&s, 200100));
 	/* A caller that always looks late sees it all the same. */
-	ck_assert(dl_silence_check(&s, 300000));
+	ck_assert(dl_idle_timer_expired(&s, 300000));
 }
 END_TEST
 
