--- a/include/daisyledge/directory.h
+++ b/include/daisyledge/directory.h
@@ -16,7 +16,7 @@
 #define DL_DIRECTORY_PAST 4
 
 /* One announcement; address and service are empty where it only leaves. */
-struct dl_directory_word {
+struct dl_directory_update {
 	struct dl_str address;
 	struct dl_str instance;
 	struct dl_str service;
@@ -26,7 +26,7 @@
 };
 
 /* A start that another one has followed. */
-struct dl_directory_past {
+struct dl_directory_previous {
 	struct dl_name instance;
 	uint64_t born;
 };
@@ -39,17 +39,17 @@
 	uint64_t born;	      /* 0: not said */
 	uint64_t incarnation; /* of our own counting, higher for later starts */
 	bool leaving;	      /* final for a start */
-	int64_t heard;
-	struct dl_directory_past past[DL_DIRECTORY_PAST];
-	uint32_t past_at;
+	int64_t last_seen;
+	struct dl_directory_previous previous[DL_DIRECTORY_PAST];
+	uint32_t previous_next;
 };
 
 /* What an announcement came to. */
-enum dl_heard {
-	DL_HEARD_OLD, /* of an earlier start, or nothing that is known */
-	DL_HEARD_SAME,
-	DL_HEARD_NEW,	  /* another start than the one known */
-	DL_HEARD_LEAVING, /* for the first time */
+enum dl_directory_result {
+	DL_DIRECTORY_STALE, /* of an earlier start, or nothing that is known */
+	DL_DIRECTORY_KNOWN,
+	DL_DIRECTORY_NEW,     /* another start than the one known */
+	DL_DIRECTORY_LEAVING, /* for the first time */
 };
 
 struct dl_directory *dl_directory_new(void);
@@ -59,16 +59,16 @@
  * the start that is heard of had an earlier one of its name at another address,
  * that one, which is gone; else NULL.
  */
-enum dl_heard dl_directory_hear(struct dl_directory *dir,
-				const struct dl_directory_word *word,
-				int64_t now,
-				const struct dl_directory_entry **entry,
-				const struct dl_directory_entry **left);
+enum dl_directory_result
+dl_directory_apply(struct dl_directory *dir,
+		   const struct dl_directory_update *word, int64_t now,
+		   const struct dl_directory_entry **entry,
+		   const struct dl_directory_entry **left);
 /* The start that is known at an address, or NULL. */
 const struct dl_directory_entry *
 dl_directory_find(const struct dl_directory *dir, struct dl_str address);
 /* Forget what has been silent since before a time. */
-void dl_directory_forget(struct dl_directory *dir, int64_t before);
+void dl_directory_expire(struct dl_directory *dir, int64_t before);
 uint32_t dl_directory_count(const struct dl_directory *dir);
 
 #endif
--- a/src/coordination/directory.c
+++ b/src/coordination/directory.c
@@ -21,19 +21,19 @@
 #define FRESH_MS 3000
 
 static bool is_same_start(const struct dl_directory_entry *e,
-			  const struct dl_directory_word *word);
+			  const struct dl_directory_update *word);
 static bool is_followed(const struct dl_directory_entry *e,
-			const struct dl_directory_word *word, int64_t now);
+			const struct dl_directory_update *word, int64_t now);
 static void begin(struct dl_directory *dir, struct dl_directory_entry *e,
-		  const struct dl_directory_word *word);
-static enum dl_heard hear_leaving(struct dl_directory_entry *e);
-static enum dl_heard hear_name(struct dl_directory *dir,
-			       const struct dl_directory_word *word,
-			       const struct dl_directory_entry **entry);
+		  const struct dl_directory_update *word);
+static enum dl_directory_result hear_leaving(struct dl_directory_entry *e);
+static enum dl_directory_result
+hear_name(struct dl_directory *dir, const struct dl_directory_update *word,
+	  const struct dl_directory_entry **entry);
 static struct dl_directory_entry *entry_at(struct dl_directory *dir,
 					   struct dl_str address);
 static bool take_name(struct dl_directory *dir, struct dl_directory_entry *e,
-		      const struct dl_directory_word *word,
+		      const struct dl_directory_update *word,
 		      const struct dl_directory_entry **left);
 
 /* An empty directory. */
@@ -59,7 +59,7 @@
 
 /* Whether a word is of the start that an entry has. */
 static bool is_same_start(const struct dl_directory_entry *e,
-			  const struct dl_directory_word *word)
+			  const struct dl_directory_update *word)
 {
 	return dl_name_eq(&e->instance, word->instance) &&
 	       (!word->born || !e->born || word->born == e->born);
@@ -73,20 +73,20 @@
  * clock says: a clock that stepped back must not keep an endpoint out.
  */
 static bool is_followed(const struct dl_directory_entry *e,
-			const struct dl_directory_word *word, int64_t now)
+			const struct dl_directory_update *word, int64_t now)
 {
 	if (!e->instance.n)
 		return false;
 	if (dl_name_eq(&e->instance, word->instance))
 		return word->born < e->born;
 	for (uint32_t i = 0; i < DL_DIRECTORY_PAST; i++) {
-		const struct dl_directory_past *p = &e->past[i];
+		const struct dl_directory_previous *p = &e->previous[i];
 
 		if (dl_name_eq(&p->instance, word->instance))
 			return !word->born || !p->born || word->born <= p->born;
 	}
 	return word->born && word->born < e->born && !e->leaving &&
-	       now - e->heard < FRESH_MS;
+	       now - e->last_seen < FRESH_MS;
 }
 
 /* Its start has its name no more, unless another address has taken it over. */
@@ -98,11 +98,11 @@
 
 /* Another start takes an address over; it holds nothing of the one before. */
 static void begin(struct dl_directory *dir, struct dl_directory_entry *e,
-		  const struct dl_directory_word *word)
+		  const struct dl_directory_update *word)
 {
 	if (e->instance.n) {
-		struct dl_directory_past *past =
-			&e->past[e->past_at++ % DL_DIRECTORY_PAST];
+		struct dl_directory_previous *past =
+			&e->previous[e->previous_next++ % DL_DIRECTORY_PAST];
 
 		unname(dir, e);
 		past->instance = e->instance;
@@ -116,18 +116,18 @@
 	e->leaving = false;
 }
 
-static enum dl_heard hear_leaving(struct dl_directory_entry *e)
+static enum dl_directory_result hear_leaving(struct dl_directory_entry *e)
 {
 	if (e->leaving)
-		return DL_HEARD_SAME;
+		return DL_DIRECTORY_KNOWN;
 	e->leaving = true;
-	return DL_HEARD_LEAVING;
+	return DL_DIRECTORY_LEAVING;
 }
 
 /* A word that has no address can only say that a start leaves. */
-static enum dl_heard hear_name(struct dl_directory *dir,
-			       const struct dl_directory_word *word,
-			       const struct dl_directory_entry **entry)
+static enum dl_directory_result
+hear_name(struct dl_directory *dir, const struct dl_directory_update *word,
+	  const struct dl_directory_entry **entry)
 {
 	struct dl_directory_entry *e;
 	struct dl_name name;
@@ -136,7 +136,7 @@
 	e = g_hash_table_lookup(dir->by_instance, name.s);
 	*entry = e;
 	if (!e || !word->leaving || !is_same_start(e, word))
-		return DL_HEARD_OLD;
+		return DL_DIRECTORY_STALE;
 	return hear_leaving(e);
 }
 
@@ -163,7 +163,7 @@
  * false where that one is the later.
  */
 static bool take_name(struct dl_directory *dir, struct dl_directory_entry *e,
-		      const struct dl_directory_word *word,
+		      const struct dl_directory_update *word,
 		      const struct dl_directory_entry **left)
 {
 	struct dl_directory_entry *other;
@@ -188,11 +188,11 @@
  * way.  A start that another one has followed never returns: its announcement
  * was held up on the way.
  */
-enum dl_heard dl_directory_hear(struct dl_directory *dir,
-				const struct dl_directory_word *word,
-				int64_t now,
-				const struct dl_directory_entry **entry,
-				const struct dl_directory_entry **left)
+enum dl_directory_result
+dl_directory_apply(struct dl_directory *dir,
+		   const struct dl_directory_update *word, int64_t now,
+		   const struct dl_directory_entry **entry,
+		   const struct dl_directory_entry **left)
 {
 	struct dl_directory_entry *e;
 	struct dl_name name;
@@ -201,21 +201,21 @@
 	*entry = NULL;
 	*left = NULL;
 	if (!dl_name_set(&name, word->instance) || name.n == 0)
-		return DL_HEARD_OLD;
+		return DL_DIRECTORY_STALE;
 	if (word->address.n == 0)
 		return hear_name(dir, word, entry);
 	e = entry_at(dir, word->address);
 	if (!e)
-		return DL_HEARD_OLD;
+		return DL_DIRECTORY_STALE;
 	*entry = e;
 	fresh = !is_same_start(e, word);
 	if (fresh &&
 	    (is_followed(e, word, now) || !take_name(dir, e, word, left)))
-		return DL_HEARD_OLD;
+		return DL_DIRECTORY_STALE;
 	if (fresh)
 		begin(dir, e, word);
 	dl_name_set(&e->service, word->service);
-	e->heard = now;
+	e->last_seen = now;
 	if (word->born)
 		e->born = word->born;
 	if (word->sequence > e->sequence)
@@ -223,7 +223,7 @@
 	if (word->leaving && !fresh)
 		return hear_leaving(e);
 	e->leaving |= word->leaving;
-	return fresh ? DL_HEARD_NEW : DL_HEARD_SAME;
+	return fresh ? DL_DIRECTORY_NEW : DL_DIRECTORY_KNOWN;
 }
 
 /* The start that is known at an address, or NULL. */
@@ -238,14 +238,14 @@
 }
 
 /* Forget what has been silent since before a time. */
-void dl_directory_forget(struct dl_directory *dir, int64_t before)
+void dl_directory_expire(struct dl_directory *dir, int64_t before)
 {
 	struct dl_directory_entry *e;
 	GHashTableIter iter;
 
 	g_hash_table_iter_init(&iter, dir->by_address);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&e)) {
-		if (e->heard >= before)
+		if (e->last_seen >= before)
 			continue;
 		unname(dir, e);
 		g_hash_table_iter_remove(&iter);
--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -116,12 +116,12 @@
 	const struct dl_directory_entry *d, *left;
 	uint64_t before = entry_endpoint_start(e, dl_name_str(&a->service),
 					       dl_name_str(&a->report.id));
-	enum dl_heard heard =
+	enum dl_directory_result heard =
 		dl_node_hear(e->directory, a, entry_now(e), &d, &left);
 
-	if (heard == DL_HEARD_OLD)
+	if (heard == DL_DIRECTORY_STALE)
 		return false;
-	if (heard == DL_HEARD_NEW)
+	if (heard == DL_DIRECTORY_NEW)
 		entry_quarantine_crashed(e, before);
 	if (left)
 		forget_earlier(e, left);
--- a/src/main/node_hear.c
+++ b/src/main/node_hear.c
@@ -7,12 +7,13 @@
  * is the start that is known at its address then, or NULL, and left an earlier
  * start of its name at another address, which is gone, or NULL.
  */
-enum dl_heard dl_node_hear(struct dl_directory *directory,
-			   const struct dl_announcement *a, int64_t now,
-			   const struct dl_directory_entry **entry,
-			   const struct dl_directory_entry **left)
+enum dl_directory_result dl_node_hear(struct dl_directory *directory,
+				      const struct dl_announcement *a,
+				      int64_t now,
+				      const struct dl_directory_entry **entry,
+				      const struct dl_directory_entry **left)
 {
-	struct dl_directory_word word = {
+	struct dl_directory_update word = {
 		.address = dl_name_str(&a->report.id),
 		.instance = dl_name_str(&a->instance),
 		.service = dl_name_str(&a->service),
@@ -20,12 +21,12 @@
 		.born = a->born,
 		.leaving = a->report.leaving,
 	};
-	enum dl_heard heard =
-		dl_directory_hear(directory, &word, now, entry, left);
+	enum dl_directory_result heard =
+		dl_directory_apply(directory, &word, now, entry, left);
 
-	if (heard == DL_HEARD_NEW || heard == DL_HEARD_LEAVING)
-		dl_msg(heard == DL_HEARD_NEW ? DL_MSG_ENDPOINT_NEW :
-					       DL_MSG_ENDPOINT_LEAVING,
+	if (heard == DL_DIRECTORY_NEW || heard == DL_DIRECTORY_LEAVING)
+		dl_msg(heard == DL_DIRECTORY_NEW ? DL_MSG_ENDPOINT_NEW :
+						   DL_MSG_ENDPOINT_LEAVING,
 		       "endpoint=%s instance=%s born=%lu", (*entry)->address.s,
 		       (*entry)->instance.s, (unsigned long)(*entry)->born);
 	if (*left)
--- a/src/main/replica_door.c
+++ b/src/main/replica_door.c
@@ -133,7 +133,7 @@
 {
 	const struct dl_directory_entry *entry, *left;
 	struct dl_announcement a;
-	enum dl_heard heard;
+	enum dl_directory_result heard;
 	char text[DL_DIALECT_TEXT_MAX];
 	struct dl_err err;
 	size_t n;
@@ -154,7 +154,7 @@
 	}
 	heard = dl_node_hear(d->directory, &a, replica_now(d->r), &entry,
 			     &left);
-	if (heard != DL_HEARD_OLD)
+	if (heard != DL_DIRECTORY_STALE)
 		dl_node_complete(&a, entry);
 	replica_alive_pass(d->r, &a);
 	/*
@@ -353,7 +353,7 @@
 	if (!d || now - d->forgotten_at < FORGET_MS / 2)
 		return;
 	d->forgotten_at = now;
-	dl_directory_forget(d->directory, now - FORGET_MS);
+	dl_directory_expire(d->directory, now - FORGET_MS);
 }
 
 /* Open the door, where the settings have one. */
--- a/test/test_directory.c
+++ b/test/test_directory.c
@@ -22,12 +22,13 @@
 /* The endpoint whose name another start took over, at the last word. */
 static const struct dl_directory_entry *left;
 
-static enum dl_heard hear_born(const char *address, const char *instance,
-			       uint64_t born, uint64_t sequence, bool leaving,
-			       int64_t now)
+static enum dl_directory_result hear_born(const char *address,
+					  const char *instance, uint64_t born,
+					  uint64_t sequence, bool leaving,
+					  int64_t now)
 {
 	const struct dl_directory_entry *entry;
-	struct dl_directory_word word = {
+	struct dl_directory_update word = {
 		.address = dl_str_of(address),
 		.instance = dl_str_of(instance),
 		.service = DL_STR("writer"),
@@ -36,11 +37,11 @@
 		.leaving = leaving,
 	};
 
-	return dl_directory_hear(dir, &word, now, &entry, &left);
+	return dl_directory_apply(dir, &word, now, &entry, &left);
 }
 
-static enum dl_heard hear(const char *address, const char *instance,
-			  uint64_t sequence, bool leaving)
+static enum dl_directory_result hear(const char *address, const char *instance,
+				     uint64_t sequence, bool leaving)
 {
 	return hear_born(address, instance, 0, sequence, leaving, 1000);
 }
@@ -52,8 +53,8 @@
 
 START_TEST(a_start_is_new_once)
 {
-	ck_assert_int_eq(hear(AT, "i-1", 1, false), DL_HEARD_NEW);
-	ck_assert_int_eq(hear(AT, "i-1", 2, false), DL_HEARD_SAME);
+	ck_assert_int_eq(hear(AT, "i-1", 1, false), DL_DIRECTORY_NEW);
+	ck_assert_int_eq(hear(AT, "i-1", 2, false), DL_DIRECTORY_KNOWN);
 	ck_assert(dl_name_eq(&known()->instance, DL_STR("i-1")));
 }
 END_TEST
@@ -61,8 +62,8 @@
 START_TEST(leaving_is_final)
 {
 	hear(AT, "i-1", 1, false);
-	ck_assert_int_eq(hear(AT, "i-1", 3, true), DL_HEARD_LEAVING);
-	ck_assert_int_eq(hear(AT, "i-1", 2, false), DL_HEARD_SAME);
+	ck_assert_int_eq(hear(AT, "i-1", 3, true), DL_DIRECTORY_LEAVING);
+	ck_assert_int_eq(hear(AT, "i-1", 2, false), DL_DIRECTORY_KNOWN);
 	ck_assert(known()->leaving);
 }
 END_TEST
@@ -70,7 +71,7 @@
 START_TEST(leaving_may_come_before_what_it_follows)
 {
 	hear(AT, "i-1", 5, false);
-	ck_assert_int_eq(hear(AT, "i-1", 4, true), DL_HEARD_LEAVING);
+	ck_assert_int_eq(hear(AT, "i-1", 4, true), DL_DIRECTORY_LEAVING);
 	ck_assert(known()->leaving);
 }
 END_TEST
@@ -78,9 +79,9 @@
 START_TEST(leaving_by_name_alone)
 {
 	hear(AT, "i-1", 1, false);
-	ck_assert_int_eq(hear("", "i-1", 0, true), DL_HEARD_LEAVING);
+	ck_assert_int_eq(hear("", "i-1", 0, true), DL_DIRECTORY_LEAVING);
 	ck_assert(known()->leaving);
-	ck_assert_int_eq(hear("", "i-9", 0, true), DL_HEARD_OLD);
+	ck_assert_int_eq(hear("", "i-9", 0, true), DL_DIRECTORY_STALE);
 }
 END_TEST
 
@@ -91,11 +92,11 @@
 
 	hear(AT, "i-1", 7, false);
 	first = known()->incarnation;
-	ck_assert_int_eq(hear(AT, "i-2", 1, false), DL_HEARD_NEW);
+	ck_assert_int_eq(hear(AT, "i-2", 1, false), DL_DIRECTORY_NEW);
 	ck_assert_uint_gt(known()->incarnation, first);
-	ck_assert_int_eq(hear(AT, "i-1", 8, false), DL_HEARD_OLD);
+	ck_assert_int_eq(hear(AT, "i-1", 8, false), DL_DIRECTORY_STALE);
 	ck_assert(dl_name_eq(&known()->instance, DL_STR("i-2")));
-	ck_assert_int_eq(hear("", "i-1", 0, true), DL_HEARD_OLD);
+	ck_assert_int_eq(hear("", "i-1", 0, true), DL_DIRECTORY_STALE);
 	ck_assert(!known()->leaving);
 }
 END_TEST
@@ -118,21 +119,21 @@
 	ck_assert(known()->leaving);
 	first = known()->incarnation;
 	ck_assert_int_eq(hear_born(AT, "i-1", 200, 1, false, 2000),
-			 DL_HEARD_NEW);
+			 DL_DIRECTORY_NEW);
 	ck_assert_uint_gt(known()->incarnation, first);
 	ck_assert_uint_eq(known()->sequence, 1);
 	ck_assert(!known()->leaving);
 	/* Late words of the earlier start, in every form. */
 	ck_assert_int_eq(hear_born(AT, "i-1", 100, 10, false, 2100),
-			 DL_HEARD_OLD);
+			 DL_DIRECTORY_STALE);
 	ck_assert_int_eq(hear_born(AT, "i-1", 100, 11, true, 2100),
-			 DL_HEARD_OLD);
+			 DL_DIRECTORY_STALE);
 	ck_assert_int_eq(hear_born("", "i-1", 100, 0, true, 2100),
-			 DL_HEARD_OLD);
+			 DL_DIRECTORY_STALE);
 	ck_assert(!known()->leaving);
 	ck_assert_uint_eq(known()->sequence, 1);
 	ck_assert_int_eq(hear_born("", "i-1", 200, 0, true, 2100),
-			 DL_HEARD_LEAVING);
+			 DL_DIRECTORY_LEAVING);
 }
 END_TEST
 
@@ -143,19 +144,19 @@
 
 	hear_born(AT, "i-1", 100, 9, false, 1000);
 	ck_assert_int_eq(hear_born(to, "i-1", 200, 1, false, 2000),
-			 DL_HEARD_NEW);
+			 DL_DIRECTORY_NEW);
 	ck_assert_ptr_eq(left, known());
 	ck_assert(known()->leaving);
 	/* The earlier start's late word brings nothing back. */
 	ck_assert_int_ne(hear_born(AT, "i-1", 100, 10, false, 2100),
-			 DL_HEARD_NEW);
+			 DL_DIRECTORY_NEW);
 	ck_assert(known()->leaving);
 	ck_assert(!dl_directory_find(dir, dl_str_of(to))->leaving);
 	/* And the first address may be used again. */
 	ck_assert_int_eq(hear_born(AT, "i-2", 300, 1, false, 3000),
-			 DL_HEARD_NEW);
+			 DL_DIRECTORY_NEW);
 	ck_assert_int_eq(hear_born("", "i-1", 200, 0, true, 3000),
-			 DL_HEARD_LEAVING);
+			 DL_DIRECTORY_LEAVING);
 	ck_assert(dl_directory_find(dir, dl_str_of(to))->leaving);
 	ck_assert(!known()->leaving);
 }
@@ -166,9 +167,9 @@
 {
 	hear_born(AT, "i-1", 200, 1, false, 1000);
 	ck_assert_int_eq(hear_born("10.0.0.8:8080", "i-1", 100, 9, false, 1000),
-			 DL_HEARD_OLD);
+			 DL_DIRECTORY_STALE);
 	ck_assert_int_eq(hear_born("", "i-1", 0, 0, true, 1000),
-			 DL_HEARD_LEAVING);
+			 DL_DIRECTORY_LEAVING);
 	ck_assert(known()->leaving);
 }
 END_TEST
@@ -178,7 +179,7 @@
 {
 	hear_born(AT, "i-2", 200, 1, false, 1000);
 	ck_assert_int_eq(hear_born(AT, "i-1", 100, 1, false, 1500),
-			 DL_HEARD_OLD);
+			 DL_DIRECTORY_STALE);
 	ck_assert(dl_name_eq(&known()->instance, DL_STR("i-2")));
 }
 END_TEST
@@ -188,7 +189,7 @@
 {
 	hear_born(AT, "i-1", 200, 1, false, 1000);
 	ck_assert_int_eq(hear_born(AT, "i-2", 100, 1, false, 5000),
-			 DL_HEARD_NEW);
+			 DL_DIRECTORY_NEW);
 }
 END_TEST
 
@@ -197,16 +198,16 @@
 {
 	hear_born(AT, "i-1", 100, 1, false, 1000);
 	ck_assert_int_eq(hear_born(AT, "i-1", 0, 2, false, 1000),
-			 DL_HEARD_SAME);
+			 DL_DIRECTORY_KNOWN);
 	ck_assert_uint_eq(known()->born, 100);
 	ck_assert_int_eq(hear_born(AT, "i-1", 0, 3, true, 1000),
-			 DL_HEARD_LEAVING);
+			 DL_DIRECTORY_LEAVING);
 }
 END_TEST
 
 START_TEST(nameless_starts_are_nothing)
 {
-	ck_assert_int_eq(hear(AT, "", 1, false), DL_HEARD_OLD);
+	ck_assert_int_eq(hear(AT, "", 1, false), DL_DIRECTORY_STALE);
 	ck_assert_ptr_null(known());
 }
 END_TEST
@@ -214,11 +215,11 @@
 START_TEST(silent_ones_are_forgotten)
 {
 	hear(AT, "i-1", 1, false);
-	dl_directory_forget(dir, 1000);
+	dl_directory_expire(dir, 1000);
 	ck_assert_uint_eq(dl_directory_count(dir), 1);
-	dl_directory_forget(dir, 1001);
+	dl_directory_expire(dir, 1001);
 	ck_assert_uint_eq(dl_directory_count(dir), 0);
-	ck_assert_int_eq(hear("", "i-1", 0, true), DL_HEARD_OLD);
+	ck_assert_int_eq(hear("", "i-1", 0, true), DL_DIRECTORY_STALE);
 }
 END_TEST
 
