--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -37,7 +37,8 @@
 #define HEARD_MS 500
 
 /* Whether it is time to ask again. */
-bool dl_lease_due(const struct dl_lease *l, uint32_t lease_ms, int64_t now)
+bool dl_lease_renewal_due(const struct dl_lease *l, uint32_t lease_ms,
+			  int64_t now)
 {
 	int64_t every = dl_lease_ready(l, lease_ms, now) ? ASK_EVERY_MS :
 							   ASK_SOON_MS;
@@ -46,8 +47,8 @@
 }
 
 /* How long a request may wait for a word. */
-uint32_t dl_lease_patience(const struct dl_lease *l, int64_t started,
-			   int64_t heard, uint32_t left_ms, int64_t now)
+uint32_t dl_lease_max_wait_ms(const struct dl_lease *l, int64_t started,
+			      int64_t heard, uint32_t left_ms, int64_t now)
 {
 	bool starting = !l->held_from && now - started < WAIT_MS;
 	bool in_touch = heard && now - heard < HEARD_MS;
@@ -63,19 +64,19 @@
  * Any answer counts, also one that only names another: whoever is named is
  * asked next, and must not be taken for silent before.
  */
-bool dl_lease_unanswered(const struct dl_lease *l, int64_t now)
+bool dl_lease_timed_out(const struct dl_lease *l, int64_t now)
 {
 	return l->waits_from && now - l->waits_from > ANSWER_MS;
 }
 
 /* Another one is asked from now on: it has its own time to answer. */
-void dl_lease_other(struct dl_lease *l)
+void dl_lease_replica_changed(struct dl_lease *l)
 {
 	l->waits_from = 0;
 }
 
 /* A question is on its way. */
-void dl_lease_asked(struct dl_lease *l, int64_t now)
+void dl_lease_request_sent(struct dl_lease *l, int64_t now)
 {
 	l->asked_at = now;
 	if (!l->waits_from)
@@ -89,8 +90,9 @@
  * the one that comes to lead may give it late, after others have said that they
  * do not.
  */
-uint64_t dl_lease_take(struct dl_lease *l, const struct dl_lease_answer *a,
-		       uint64_t version, int64_t now)
+uint64_t dl_lease_handle_answer(struct dl_lease *l,
+				const struct dl_lease_answer *a,
+				uint64_t version, int64_t now)
 {
 	if (a->asked_at > now || (!a->sure && a->asked_at < l->answered_at))
 		return a->from;
@@ -101,13 +103,13 @@
 	if (a->asked_at > l->word_from) {
 		l->word_from = a->asked_at;
 		l->version = a->version;
-		dl_lease_version(l, version);
+		dl_lease_version_applied(l, version);
 	}
 	return a->from;
 }
 
 /* Another version is in force here: a word that waited for it holds now. */
-void dl_lease_version(struct dl_lease *l, uint64_t version)
+void dl_lease_version_applied(struct dl_lease *l, uint64_t version)
 {
 	if (l->word_from && version >= l->version)
 		l->held_from = l->word_from;
@@ -120,7 +122,7 @@
 }
 
 /* Whether requests may be let through. */
-bool dl_lease_holds(const struct dl_lease *l, uint32_t lease_ms, int64_t now)
+bool dl_lease_is_valid(const struct dl_lease *l, uint32_t lease_ms, int64_t now)
 {
 	if (!l->held_from)
 		return false;
@@ -131,7 +133,7 @@
 /* Whether new callers should come. */
 bool dl_lease_ready(const struct dl_lease *l, uint32_t lease_ms, int64_t now)
 {
-	return dl_lease_holds(l, lease_ms, now) &&
+	return dl_lease_is_valid(l, lease_ms, now) &&
 	       (lease_ms == 0 || dl_lease_age(l, now) < (int64_t)lease_ms *
 								READY_PERMILLE /
 								PERMILLE);
--- a/src/main/entry_lease.c
+++ b/src/main/entry_lease.c
@@ -29,8 +29,8 @@
 	if (!e->node.settings.foreign)
 		return true;
 	return e->conf &&
-	       dl_lease_holds(&e->lease, e->node.settings.key_lease_ms,
-			      dl_node_boot_ms());
+	       dl_lease_is_valid(&e->lease, e->node.settings.key_lease_ms,
+				 dl_node_boot_ms());
 }
 
 /* Whether new callers should come here. */
@@ -46,15 +46,15 @@
 /* A version was put in force. */
 void entry_lease_version(struct entry *e)
 {
-	dl_lease_version(&e->lease, e->version);
+	dl_lease_version_applied(&e->lease, e->version);
 	note(e);
 }
 
 /* How long a request without a word of the group may wait for one. */
 uint32_t entry_lease_patience(const struct entry *e, uint32_t left_ms)
 {
-	return dl_lease_patience(&e->lease, e->started_at, e->replica_heard,
-				 left_ms, entry_now(e));
+	return dl_lease_max_wait_ms(&e->lease, e->started_at, e->replica_heard,
+				    left_ms, entry_now(e));
 }
 
 /* A replica's word. */
@@ -75,7 +75,8 @@
 	if (bad)
 		return;
 	e->replica_heard = entry_now(e);
-	e->leader = dl_lease_take(&e->lease, &a, e->version, dl_node_boot_ms());
+	e->leader = dl_lease_handle_answer(&e->lease, &a, e->version,
+					   dl_node_boot_ms());
 	if (a.sure)
 		entry_conf_shown(e, a.version, from);
 	note(e);
@@ -102,18 +103,18 @@
 	uint32_t n;
 
 	if (!e->node.settings.foreign ||
-	    !dl_lease_due(&e->lease, e->node.settings.key_lease_ms,
-			  dl_node_boot_ms()))
+	    !dl_lease_renewal_due(&e->lease, e->node.settings.key_lease_ms,
+				  dl_node_boot_ms()))
 		return;
 	note(e);
-	if (dl_lease_unanswered(&e->lease, dl_node_boot_ms())) {
-		dl_lease_other(&e->lease);
+	if (dl_lease_timed_out(&e->lease, dl_node_boot_ms())) {
+		dl_lease_replica_changed(&e->lease);
 		e->leader = DL_VM_NONE;
 	}
 	entry_cmd_leader(e);
 	if (e->leader == DL_VM_NONE)
 		return;
-	dl_lease_asked(&e->lease, dl_node_boot_ms());
+	dl_lease_request_sent(&e->lease, dl_node_boot_ms());
 	if (entry_lease_ready(e)) {
 		ask(e, e->leader);
 		return;
--- a/test/test_lease.c
+++ b/test/test_lease.c
@@ -26,24 +26,24 @@
 				     .version = says,
 				     .leader = LEADER };
 
-	return dl_lease_take(&lease, &a, have, now);
+	return dl_lease_handle_answer(&lease, &a, have, now);
 }
 
 START_TEST(no_word_no_lease)
 {
-	ck_assert(!dl_lease_holds(&lease, LEASE, 1000));
-	ck_assert(!dl_lease_holds(&lease, 0, 1000));
-	ck_assert(dl_lease_due(&lease, LEASE, 1000));
+	ck_assert(!dl_lease_is_valid(&lease, LEASE, 1000));
+	ck_assert(!dl_lease_is_valid(&lease, 0, 1000));
+	ck_assert(dl_lease_renewal_due(&lease, LEASE, 1000));
 }
 END_TEST
 
 /* What came in between, on the way back or while suspended, counts. */
 START_TEST(a_word_counts_from_the_question)
 {
-	dl_lease_asked(&lease, 1000);
+	dl_lease_request_sent(&lease, 1000);
 	answer(1000, LEADER, true, 3, 3, 4000);
-	ck_assert(dl_lease_holds(&lease, LEASE, 5699));
-	ck_assert(!dl_lease_holds(&lease, LEASE, 5700));
+	ck_assert(dl_lease_is_valid(&lease, LEASE, 5699));
+	ck_assert(!dl_lease_is_valid(&lease, LEASE, 5700));
 	ck_assert(dl_lease_ready(&lease, LEASE, 3700));
 	ck_assert(!dl_lease_ready(&lease, LEASE, 3750));
 }
@@ -51,12 +51,12 @@
 
 START_TEST(a_newer_version_is_waited_for)
 {
-	dl_lease_asked(&lease, 1000);
+	dl_lease_request_sent(&lease, 1000);
 	answer(1000, LEADER, true, 3, 3, 1001);
-	dl_lease_asked(&lease, 1250);
+	dl_lease_request_sent(&lease, 1250);
 	answer(1250, LEADER, true, 4, 3, 1251);
 	ck_assert_int_eq(lease.held_from, 1000);
-	dl_lease_version(&lease, 4);
+	dl_lease_version_applied(&lease, 4);
 	ck_assert_int_eq(lease.held_from, 1250);
 }
 END_TEST
@@ -67,30 +67,30 @@
  */
 START_TEST(the_named_leader_is_asked)
 {
-	dl_lease_asked(&lease, 100000);
+	dl_lease_request_sent(&lease, 100000);
 	ck_assert_uint_eq(answer(100000, FOLLOWER, false, 0, 0, 100002),
 			  LEADER);
-	ck_assert(!dl_lease_unanswered(&lease, 100250));
-	dl_lease_asked(&lease, 100250);
+	ck_assert(!dl_lease_timed_out(&lease, 100250));
+	dl_lease_request_sent(&lease, 100250);
 	ck_assert_uint_eq(answer(100250, LEADER, true, 1, 1, 100252), LEADER);
-	ck_assert(dl_lease_holds(&lease, LEASE, 100253));
+	ck_assert(dl_lease_is_valid(&lease, LEASE, 100253));
 }
 END_TEST
 
 START_TEST(a_leader_that_is_not_sure_is_left)
 {
-	dl_lease_asked(&lease, 1000);
+	dl_lease_request_sent(&lease, 1000);
 	ck_assert_uint_eq(answer(1000, LEADER, false, 0, 0, 1001), DL_VM_NONE);
 }
 END_TEST
 
 START_TEST(silence_is_noticed)
 {
-	dl_lease_asked(&lease, 1000);
-	ck_assert(!dl_lease_unanswered(&lease, 1400));
-	ck_assert(dl_lease_unanswered(&lease, 1401));
+	dl_lease_request_sent(&lease, 1000);
+	ck_assert(!dl_lease_timed_out(&lease, 1400));
+	ck_assert(dl_lease_timed_out(&lease, 1401));
 	answer(1000, OTHER, false, 0, 0, 1402);
-	ck_assert(!dl_lease_unanswered(&lease, 1500));
+	ck_assert(!dl_lease_timed_out(&lease, 1500));
 }
 END_TEST
 
@@ -99,25 +99,25 @@
 {
 	int64_t now = 1000;
 
-	dl_lease_asked(&lease, now);
+	dl_lease_request_sent(&lease, now);
 	answer(now, LEADER, true, 3, 3, now + 1);
 	for (now = 1250; now <= 1750; now += 250) {
-		ck_assert(dl_lease_due(&lease, LEASE, now));
-		if (dl_lease_unanswered(&lease, now))
+		ck_assert(dl_lease_renewal_due(&lease, LEASE, now));
+		if (dl_lease_timed_out(&lease, now))
 			break;
-		dl_lease_asked(&lease, now);
+		dl_lease_request_sent(&lease, now);
 	}
 	ck_assert_int_eq(now, 1750);
-	dl_lease_other(&lease);
-	dl_lease_asked(&lease, now);
-	ck_assert(!dl_lease_unanswered(&lease, now + 250));
+	dl_lease_replica_changed(&lease);
+	dl_lease_request_sent(&lease, now);
+	ck_assert(!dl_lease_timed_out(&lease, now + 250));
 }
 END_TEST
 
 START_TEST(late_answers_change_nothing)
 {
-	dl_lease_asked(&lease, 1000);
-	dl_lease_asked(&lease, 1250);
+	dl_lease_request_sent(&lease, 1000);
+	dl_lease_request_sent(&lease, 1250);
 	answer(1250, LEADER, true, 5, 5, 1300);
 	answer(1000, OTHER, true, 4, 5, 1301);
 	ck_assert_uint_eq(lease.version, 5);
@@ -129,7 +129,7 @@
 
 START_TEST(without_a_bound_one_word_is_enough)
 {
-	dl_lease_asked(&lease, 1000);
+	dl_lease_request_sent(&lease, 1000);
 	answer(1000, LEADER, true, 3, 3, 1001);
 	ck_assert(dl_lease_ready(&lease, 0, 1000000));
 }
@@ -138,9 +138,9 @@
 /* The one that comes to lead answers a question that others have answered. */
 START_TEST(a_word_may_come_after_other_answers)
 {
-	dl_lease_asked(&lease, 1000);
+	dl_lease_request_sent(&lease, 1000);
 	answer(1000, FOLLOWER, false, 0, 3, 1001);
-	dl_lease_asked(&lease, 1100);
+	dl_lease_request_sent(&lease, 1100);
 	answer(1100, FOLLOWER, false, 0, 3, 1101);
 	ck_assert_uint_eq(answer(1000, LEADER, true, 3, 3, 1150), LEADER);
 	ck_assert_int_eq(lease.held_from, 1000);
@@ -152,12 +152,12 @@
 
 START_TEST(it_is_asked_more_often_without_a_word)
 {
-	dl_lease_asked(&lease, 1000);
-	ck_assert(!dl_lease_due(&lease, LEASE, 1099));
-	ck_assert(dl_lease_due(&lease, LEASE, 1100));
+	dl_lease_request_sent(&lease, 1000);
+	ck_assert(!dl_lease_renewal_due(&lease, LEASE, 1099));
+	ck_assert(dl_lease_renewal_due(&lease, LEASE, 1100));
 	answer(1000, LEADER, true, 3, 3, 1001);
-	ck_assert(!dl_lease_due(&lease, LEASE, 1249));
-	ck_assert(dl_lease_due(&lease, LEASE, 1250));
+	ck_assert(!dl_lease_renewal_due(&lease, LEASE, 1249));
+	ck_assert(dl_lease_renewal_due(&lease, LEASE, 1250));
 }
 END_TEST
 
@@ -183,10 +183,10 @@
 START_TEST(callers_wait_where_a_word_is_near)
 {
 	lease.held_from = waits[_i].held_from;
-	ck_assert_uint_eq(dl_lease_patience(&lease, waits[_i].started,
-					    waits[_i].heard, waits[_i].left_ms,
-					    waits[_i].now),
-			  waits[_i].patience);
+	ck_assert_uint_eq(
+		dl_lease_max_wait_ms(&lease, waits[_i].started, waits[_i].heard,
+				     waits[_i].left_ms, waits[_i].now),
+		waits[_i].patience);
 }
 END_TEST
 
