--- a/include/daisyledge/lease.h
+++ b/include/daisyledge/lease.h
@@ -10,20 +10,20 @@
 #include "daisyledge/base.h"
 
 struct dl_lease {
-	int64_t asked_at;    /* the last question; 0 for none */
-	int64_t waits_from;  /* the first one since an answer; 0 for none */
-	int64_t answered_at; /* the question that was answered last */
-	int64_t word_from;   /* the question behind the latest word */
-	uint64_t version;    /* in force by that word */
+	int64_t requested_at;  /* the last question; 0 for none */
+	int64_t pending_since; /* the first one since an answer; 0 for none */
+	int64_t answered_at;   /* the question that was answered last */
+	int64_t confirmed_at;  /* the question behind the latest word */
+	uint64_t version;      /* in force by that word */
 	/* The question behind the latest word that we are up to; 0 for none. */
-	int64_t held_from;
+	int64_t valid_from;
 };
 
 /* A replica's answer. */
 struct dl_lease_answer {
-	int64_t asked_at; /* the question's own time, sent back */
+	int64_t requested_at; /* the question's own time, sent back */
 	uint64_t from;
-	bool sure;	  /* it leads, and this is in force */
+	bool confirmed;	  /* it leads, and this is in force */
 	uint64_t version; /* where sure */
 	uint64_t leader;  /* whom it takes for the leader */
 };
--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -43,14 +43,14 @@
 	int64_t every = dl_lease_ready(l, lease_ms, now) ? ASK_EVERY_MS :
 							   ASK_SOON_MS;
 
-	return !l->asked_at || now - l->asked_at >= every;
+	return !l->requested_at || now - l->requested_at >= every;
 }
 
 /* How long a request may wait for a word. */
 uint32_t dl_lease_max_wait_ms(const struct dl_lease *l, int64_t started,
 			      int64_t heard, uint32_t left_ms, int64_t now)
 {
-	bool starting = !l->held_from && now - started < WAIT_MS;
+	bool starting = !l->valid_from && now - started < WAIT_MS;
 	bool in_touch = heard && now - heard < HEARD_MS;
 
 	if (!starting && !in_touch)
@@ -66,21 +66,21 @@
  */
 bool dl_lease_timed_out(const struct dl_lease *l, int64_t now)
 {
-	return l->waits_from && now - l->waits_from > ANSWER_MS;
+	return l->pending_since && now - l->pending_since > ANSWER_MS;
 }
 
 /* Another one is asked from now on: it has its own time to answer. */
 void dl_lease_replica_changed(struct dl_lease *l)
 {
-	l->waits_from = 0;
+	l->pending_since = 0;
 }
 
 /* A question is on its way. */
 void dl_lease_request_sent(struct dl_lease *l, int64_t now)
 {
-	l->asked_at = now;
-	if (!l->waits_from)
-		l->waits_from = now;
+	l->requested_at = now;
+	if (!l->pending_since)
+		l->pending_since = now;
 }
 
 /*
@@ -94,14 +94,15 @@
 				const struct dl_lease_answer *a,
 				uint64_t version, int64_t now)
 {
-	if (a->asked_at > now || (!a->sure && a->asked_at < l->answered_at))
+	if (a->requested_at > now ||
+	    (!a->confirmed && a->requested_at < l->answered_at))
 		return a->from;
-	l->answered_at = MAX(l->answered_at, a->asked_at);
-	l->waits_from = 0;
-	if (!a->sure)
+	l->answered_at = MAX(l->answered_at, a->requested_at);
+	l->pending_since = 0;
+	if (!a->confirmed)
 		return a->leader == a->from ? DL_VM_NONE : a->leader;
-	if (a->asked_at > l->word_from) {
-		l->word_from = a->asked_at;
+	if (a->requested_at > l->confirmed_at) {
+		l->confirmed_at = a->requested_at;
 		l->version = a->version;
 		dl_lease_version_applied(l, version);
 	}
@@ -111,20 +112,20 @@
 /* Another version is in force here: a word that waited for it holds now. */
 void dl_lease_version_applied(struct dl_lease *l, uint64_t version)
 {
-	if (l->word_from && version >= l->version)
-		l->held_from = l->word_from;
+	if (l->confirmed_at && version >= l->version)
+		l->valid_from = l->confirmed_at;
 }
 
 /* How long ago the word that holds was asked for; INT64_MAX for none. */
 int64_t dl_lease_age(const struct dl_lease *l, int64_t now)
 {
-	return l->held_from ? now - l->held_from : INT64_MAX;
+	return l->valid_from ? now - l->valid_from : INT64_MAX;
 }
 
 /* Whether requests may be let through. */
 bool dl_lease_is_valid(const struct dl_lease *l, uint32_t lease_ms, int64_t now)
 {
-	if (!l->held_from)
+	if (!l->valid_from)
 		return false;
 	return lease_ms == 0 ||
 	       dl_lease_age(l, now) < (int64_t)lease_ms - MARGIN_MS;
--- a/src/main/entry_lease.c
+++ b/src/main/entry_lease.c
@@ -66,10 +66,10 @@
 	bool bad;
 
 	dl_reader_open(&r, frame->body);
-	a.sure = dl_read_bool(&r);
+	a.confirmed = dl_read_bool(&r);
 	a.version = dl_read_u64(&r);
 	a.leader = dl_read_u64(&r);
-	a.asked_at = (int64_t)frame->request;
+	a.requested_at = (int64_t)frame->request;
 	bad = r.bad;
 	dl_reader_close(&r);
 	if (bad)
@@ -77,7 +77,7 @@
 	e->replica_heard = entry_now(e);
 	e->leader = dl_lease_handle_answer(&e->lease, &a, e->version,
 					   dl_node_boot_ms());
-	if (a.sure)
+	if (a.confirmed)
 		entry_conf_shown(e, a.version, from);
 	note(e);
 }
@@ -89,7 +89,7 @@
 	dl_packer_open(&pk, 1);
 	dl_pack_u64(&pk, e->version);
 	dl_peers_send(e->node.peers, replica, DL_FRAME_LEASE_ASK,
-		      (uint64_t)e->lease.asked_at, dl_packer_bytes(&pk));
+		      (uint64_t)e->lease.requested_at, dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
 }
 
--- a/src/main/entry_route.c
+++ b/src/main/entry_route.c
@@ -135,8 +135,8 @@
 {
 	int64_t up = entry_now(e) - e->started_at;
 
-	if (e->lease.held_from || up >= GROUP_BACK_MS - GROUP_SOON_MS)
-		return e->lease.held_from ? GROUP_BACK_MS : GROUP_SOON_MS;
+	if (e->lease.valid_from || up >= GROUP_BACK_MS - GROUP_SOON_MS)
+		return e->lease.valid_from ? GROUP_BACK_MS : GROUP_SOON_MS;
 	return (uint32_t)(GROUP_BACK_MS - up);
 }
 
--- a/test/test_lease.c
+++ b/test/test_lease.c
@@ -20,9 +20,9 @@
 static uint64_t answer(int64_t asked_at, uint64_t from, bool sure,
 		       uint64_t says, uint64_t have, int64_t now)
 {
-	struct dl_lease_answer a = { .asked_at = asked_at,
+	struct dl_lease_answer a = { .requested_at = asked_at,
 				     .from = from,
-				     .sure = sure,
+				     .confirmed = sure,
 				     .version = says,
 				     .leader = LEADER };
 
@@ -55,9 +55,9 @@
 	answer(1000, LEADER, true, 3, 3, 1001);
 	dl_lease_request_sent(&lease, 1250);
 	answer(1250, LEADER, true, 4, 3, 1251);
-	ck_assert_int_eq(lease.held_from, 1000);
+	ck_assert_int_eq(lease.valid_from, 1000);
 	dl_lease_version_applied(&lease, 4);
-	ck_assert_int_eq(lease.held_from, 1250);
+	ck_assert_int_eq(lease.valid_from, 1250);
 }
 END_TEST
 
@@ -121,7 +121,7 @@
 	answer(1250, LEADER, true, 5, 5, 1300);
 	answer(1000, OTHER, true, 4, 5, 1301);
 	ck_assert_uint_eq(lease.version, 5);
-	ck_assert_int_eq(lease.held_from, 1250);
+	ck_assert_int_eq(lease.valid_from, 1250);
 	answer(9000, OTHER, true, 6, 5, 1302); /* of nobody's question */
 	ck_assert_uint_eq(lease.version, 5);
 }
@@ -143,7 +143,7 @@
 	dl_lease_request_sent(&lease, 1100);
 	answer(1100, FOLLOWER, false, 0, 3, 1101);
 	ck_assert_uint_eq(answer(1000, LEADER, true, 3, 3, 1150), LEADER);
-	ck_assert_int_eq(lease.held_from, 1000);
+	ck_assert_int_eq(lease.valid_from, 1000);
 	/* And nothing but a word comes late. */
 	answer(1000, OTHER, false, 0, 3, 1160);
 	ck_assert_int_eq(lease.answered_at, 1100);
@@ -182,7 +182,7 @@
 
 START_TEST(callers_wait_where_a_word_is_near)
 {
-	lease.held_from = waits[_i].held_from;
+	lease.valid_from = waits[_i].held_from;
 	ck_assert_uint_eq(
 		dl_lease_max_wait_ms(&lease, waits[_i].started, waits[_i].heard,
 				     waits[_i].left_ms, waits[_i].now),
