--- a/src/coordination/memb.c
+++ b/src/coordination/memb.c
@@ -597,7 +597,7 @@
 }
 
 /* An address from the settings: asked until it answers. */
-void dl_memb_seed(struct dl_memb *memb, uint64_t vm, int64_t now)
+void dl_memb_add_seed(struct dl_memb *memb, uint64_t vm, int64_t now)
 {
 	if (vm == memb->conf.self || vm == DL_VM_NONE)
 		return;
@@ -633,8 +633,8 @@
  * What this VM says of itself from now on.  A version lower than the last
  * one is not taken.
  */
-void dl_memb_self(struct dl_memb *memb, bool draining, uint64_t config_version,
-		  int64_t now)
+void dl_memb_update_self(struct dl_memb *memb, bool draining,
+			 uint64_t config_version, int64_t now)
 {
 	struct memb_peer *self = &memb->peers[0];
 
@@ -698,8 +698,8 @@
  * Take a datagram.  0, -EBADMSG where it makes no sense, or -EINVAL where it
  * comes from this VM itself.
  */
-int dl_memb_in(struct dl_memb *memb, uint64_t from, struct dl_str datagram,
-	       int64_t now)
+int dl_memb_receive(struct dl_memb *memb, uint64_t from, struct dl_str datagram,
+		    int64_t now)
 {
 	enum memb_trust trust;
 	struct memb_msg msg;
@@ -749,8 +749,8 @@
  * The next datagram to send, into buf (DL_MEMB_DATAGRAM_MAX); false at none.
  * Runs what is due first, so it is to be called until it returns false.
  */
-bool dl_memb_out(struct dl_memb *memb, int64_t now, uint64_t *to, char *buf,
-		 size_t *n)
+bool dl_memb_next_datagram(struct dl_memb *memb, int64_t now, uint64_t *to,
+			   char *buf, size_t *n)
 {
 	memb_noticed(memb, now);
 	memb_tick(memb, now);
@@ -770,8 +770,8 @@
 	return false;
 }
 
-/* When dl_memb_out() must be called at the latest. */
-int64_t dl_memb_wakeup(const struct dl_memb *memb)
+/* When dl_memb_next_datagram() must be called at the latest. */
+int64_t dl_memb_next_wakeup(const struct dl_memb *memb)
 {
 	return memb->queue_len ? memb->last_now : memb_next_tick(memb);
 }
@@ -780,7 +780,7 @@
  * The next change of a member's state, incarnation or draining since the last
  * call; false at none.  Several changes of one member are told as one.
  */
-bool dl_memb_event(struct dl_memb *memb, struct dl_member *out)
+bool dl_memb_next_event(struct dl_memb *memb, struct dl_member *out)
 {
 	while (memb->dirty) {
 		struct memb_peer *peer;
--- a/src/coordination/memb_view.c
+++ b/src/coordination/memb_view.c
@@ -19,7 +19,7 @@
 }
 
 /* The highest configuration version that any live VM shows, and one such VM. */
-uint64_t dl_memb_newest(const struct dl_memb *memb, uint64_t *vm)
+uint64_t dl_memb_newest_config(const struct dl_memb *memb, uint64_t *vm)
 {
 	uint64_t newest = memb->peers[0].m.config_version;
 	uint64_t who = memb->conf.self;
@@ -69,7 +69,8 @@
  * streams of six seconds were late; VMs that see the same cut name the same
  * successor within 0.2 s.
  */
-void dl_memb_unreachable(struct dl_memb *memb, uint64_t vm, bool unreachable)
+void dl_memb_set_unreachable(struct dl_memb *memb, uint64_t vm,
+			     bool unreachable)
 {
 	struct memb_peer *peer = memb_peer(memb, vm);
 
--- a/src/coordination/memb_wire.c
+++ b/src/coordination/memb_wire.c
@@ -215,7 +215,7 @@
 		      const struct memb_intent *intent, int64_t now)
 {
 	uint64_t newest_vm;
-	uint64_t newest = dl_memb_newest(memb, &newest_vm);
+	uint64_t newest = dl_memb_newest_config(memb, &newest_vm);
 	uint32_t nsync = memb->ndomains;
 
 	if (intent->kind == MEMB_PULL || intent->kind == MEMB_PAGE)
--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -194,7 +194,7 @@
 		e->stop_at = entry_now(e);
 	for (uint32_t i = 0; i < e->doors_count; i++)
 		dl_httpd_last_answers(e->doors[i].httpd);
-	dl_memb_self(e->node.memb, true, e->version, entry_now(e));
+	dl_memb_update_self(e->node.memb, true, e->version, entry_now(e));
 	if (again)
 		entry_calls_abort(e);
 }
--- a/src/main/entry_conf.c
+++ b/src/main/entry_conf.c
@@ -82,7 +82,8 @@
 	entry_pool_configure(e);
 	apply_drain(e);
 	dl_main_log_level(conf->log_level);
-	dl_memb_self(e->node.memb, e->draining, r->version, entry_now(e));
+	dl_memb_update_self(e->node.memb, e->draining, r->version,
+			    entry_now(e));
 	dl_gauge(DL_METRIC_config_version, (int64_t)r->version);
 	entry_lease_version(e);
 	dl_msg(DL_MSG_ENTRY_CONF,
@@ -339,7 +340,7 @@
 	read_next(e, now);
 	if (now - e->pulled_at < PULL_EVERY_MS)
 		return;
-	newest = dl_memb_newest(e->node.memb, &vm);
+	newest = dl_memb_newest_config(e->node.memb, &vm);
 	if (newest > coming(e)) {
 		entry_conf_shown(e, newest, vm);
 		return;
--- a/src/main/entry_reach.c
+++ b/src/main/entry_reach.c
@@ -31,14 +31,14 @@
 		       (unsigned long)vm, LOST_MS);
 	g_hash_table_replace(e->lost, g_memdup2(&vm, sizeof(vm)),
 			     g_memdup2(&now, sizeof(now)));
-	dl_memb_unreachable(e->node.memb, vm, true);
+	dl_memb_set_unreachable(e->node.memb, vm, true);
 }
 
 static bool ends(struct entry *e, uint64_t vm, int64_t at, int64_t after_ms)
 {
 	if (entry_now(e) - at < after_ms)
 		return false;
-	dl_memb_unreachable(e->node.memb, vm, false);
+	dl_memb_set_unreachable(e->node.memb, vm, false);
 	dl_msg(DL_MSG_VM_ASKED_AGAIN, "vm=%lx after_ms=%ld", (unsigned long)vm,
 	       (long)(entry_now(e) - at));
 	return true;
--- a/src/main/node.c
+++ b/src/main/node.c
@@ -62,7 +62,7 @@
 		node->ops->frame(node->arg, from, frame);
 		return;
 	}
-	dl_memb_in(node->memb, from, frame->body, dl_node_now(node));
+	dl_memb_receive(node->memb, from, frame->body, dl_node_now(node));
 	dl_node_pump(node);
 }
 
@@ -90,10 +90,11 @@
 	uint64_t to;
 	size_t n;
 
-	while (dl_memb_out(node->memb, dl_node_now(node), &to, buf, &n))
+	while (dl_memb_next_datagram(node->memb, dl_node_now(node), &to, buf,
+				     &n))
 		dl_peers_post(node->peers, to, DL_FRAME_MEMB, 0,
 			      (struct dl_str){ buf, n });
-	while (dl_memb_event(node->memb, &member)) {
+	while (dl_memb_next_event(node->memb, &member)) {
 		if (node->ops->member)
 			node->ops->member(node->arg, &member);
 	}
@@ -133,8 +134,8 @@
 
 	for (uint32_t i = 0; i < s->replicas_count; i++) {
 		if (s->replicas[i] != node->self)
-			dl_memb_seed(node->memb, s->replicas[i],
-				     dl_node_now(node));
+			dl_memb_add_seed(node->memb, s->replicas[i],
+					 dl_node_now(node));
 	}
 }
 
@@ -244,7 +245,7 @@
 				  "out of memory");
 	for (uint32_t i = 0; i < s->peers_count; i++) {
 		if (s->peers[i] != node->self)
-			dl_memb_seed(node->memb, s->peers[i], now);
+			dl_memb_add_seed(node->memb, s->peers[i], now);
 	}
 	seed_replicas(node);
 	return 0;
--- a/src/main/replica_conf.c
+++ b/src/main/replica_conf.c
@@ -172,8 +172,8 @@
 		return;
 	r->push_due = false;
 	r->pushed_at = now;
-	dl_memb_self(r->node.memb, false, dl_cstore_version(r->cstore),
-		     dl_node_now(&r->node));
+	dl_memb_update_self(r->node.memb, false, dl_cstore_version(r->cstore),
+			    dl_node_now(&r->node));
 	push(r, vms, audience(r, vms));
 	/*
 	 * Parsing a text of megabytes leaves the heap in pieces of which the
@@ -216,7 +216,7 @@
 	if (bad || have >= version)
 		return;
 	if (!r->current && (replica_now(r) - r->started_at < ALONE_MS ||
-			    dl_memb_newest(r->node.memb, &vm) > version))
+			    dl_memb_newest_config(r->node.memb, &vm) > version))
 		return;
 	push(r, &from, 1);
 }
--- a/test/fake/memb_net.c
+++ b/test/fake/memb_net.c
@@ -90,7 +90,7 @@
 	for (uint32_t i = 0; i < net->conf.seeds; i++) {
 		uint32_t seed = i * net->conf.vms / net->conf.seeds;
 
-		dl_memb_seed(v->memb, net->vms[seed].vm, net->now);
+		dl_memb_add_seed(v->memb, net->vms[seed].vm, net->now);
 	}
 }
 
@@ -124,7 +124,7 @@
 	size_t n;
 
 	net->steps++;
-	while (dl_memb_out(v->memb, now, &to, buf, &n)) {
+	while (dl_memb_next_datagram(v->memb, now, &to, buf, &n)) {
 		v->msgs_out++;
 		v->bytes_out += n;
 		if (net->vms[index_of(net, to)].side != v->side)
@@ -148,7 +148,7 @@
 		net->steps++;
 		v->msgs_in++;
 		v->bytes_in += d.data.n;
-		dl_memb_in(v->memb, d.from, d.data, now);
+		dl_memb_receive(v->memb, d.from, d.data, now);
 		if (net->check)
 			net->check(net, i);
 	}
@@ -165,7 +165,7 @@
 
 		if (!v->memb)
 			continue;
-		t = dl_memb_wakeup(v->memb);
+		t = dl_memb_next_wakeup(v->memb);
 		if (t < v->paused_until)
 			t = v->paused_until;
 		next = t < next ? t : next;
@@ -189,7 +189,7 @@
 			struct memb_net_vm *v = &net->vms[i];
 
 			if (v->memb && v->paused_until <= t &&
-			    dl_memb_wakeup(v->memb) <= t)
+			    dl_memb_next_wakeup(v->memb) <= t)
 				send_all(net, i, t);
 		}
 	}
--- a/test/test_memb.c
+++ b/test/test_memb.c
@@ -145,7 +145,7 @@
 	ck_assert(dl_memb_owner(net->vms[3].memb, dl_name_str(&domain), key) !=
 		  net->vms[0].vm);
 	/* Its first look at the clock: it still owns by what it knew. */
-	dl_memb_out(memb, net->now + 1, &to, buf, &n);
+	dl_memb_next_datagram(memb, net->now + 1, &to, buf, &n);
 	ck_assert(dl_memb_owner(memb, dl_name_str(&domain), key) == DL_VM_NONE);
 	memb_net_run(net, 10);
 	ck_assert_int_ge(memb_net_settle(net, HEAL_MS), 0);
@@ -265,22 +265,24 @@
 	struct dl_name domain = memb_net_domain(0);
 	uint64_t vm;
 
-	dl_memb_self(net->vms[4].memb, false, 17, net->now);
+	dl_memb_update_self(net->vms[4].memb, false, 17, net->now);
 	for (uint32_t i = 0; i < SMALL; i += DOMAINS)
-		dl_memb_self(net->vms[i].memb, true, 3, net->now);
+		dl_memb_update_self(net->vms[i].memb, true, 3, net->now);
 	memb_net_run(net, START_MS);
 	for (uint32_t i = 0; i < SMALL; i++) {
-		ck_assert_uint_eq(dl_memb_newest(net->vms[i].memb, &vm), 17);
+		ck_assert_uint_eq(dl_memb_newest_config(net->vms[i].memb, &vm),
+				  17);
 		ck_assert_uint_eq(vm, net->vms[4].vm);
 		ck_assert_uint_eq(dl_memb_owner(net->vms[i].memb,
 						dl_name_str(&domain), 1),
 				  DL_VM_NONE);
 	}
-	dl_memb_self(net->vms[4].memb, false, 16, net->now);
-	dl_memb_self(net->vms[3].memb, false, 3, net->now);
+	dl_memb_update_self(net->vms[4].memb, false, 16, net->now);
+	dl_memb_update_self(net->vms[3].memb, false, 3, net->now);
 	memb_net_run(net, START_MS);
 	for (uint32_t i = 0; i < SMALL; i++) {
-		ck_assert_uint_eq(dl_memb_newest(net->vms[i].memb, NULL), 17);
+		ck_assert_uint_eq(dl_memb_newest_config(net->vms[i].memb, NULL),
+				  17);
 		ck_assert_uint_eq(dl_memb_owner(net->vms[i].memb,
 						dl_name_str(&domain), 1),
 				  net->vms[3].vm);
@@ -301,7 +303,7 @@
 
 	while (net->vms[at].vm != owner)
 		at++;
-	dl_memb_self(net->vms[at].memb, true, 3, net->now);
+	dl_memb_update_self(net->vms[at].memb, true, 3, net->now);
 	memb_net_run(net, AT_ONCE_MS);
 	for (uint32_t i = 0; i < SMALL; i++)
 		ck_assert_uint_ne(dl_memb_owner(net->vms[i].memb,
@@ -327,17 +329,17 @@
 	do {
 		owner = dl_memb_owner(one, domain, ++key);
 	} while (owner == net->vms[0].vm || owner == net->vms[DOMAINS].vm);
-	dl_memb_unreachable(one, owner, true);
-	dl_memb_unreachable(other, owner, true);
+	dl_memb_set_unreachable(one, owner, true);
+	dl_memb_set_unreachable(other, owner, true);
 	next = dl_memb_owner(one, domain, key);
 	ck_assert_uint_ne(next, owner);
 	ck_assert_uint_eq(dl_memb_owner(other, domain, key), next);
 	ck_assert_uint_eq(dl_memb_owner(third, domain, key), owner);
-	dl_memb_unreachable(one, owner, false);
+	dl_memb_set_unreachable(one, owner, false);
 	ck_assert_uint_eq(dl_memb_owner(one, domain, key), owner);
 	/* With all others out of reach a VM owns everything itself. */
 	for (uint32_t i = 0; i < SMALL; i++)
-		dl_memb_unreachable(one, net->vms[i].vm, true);
+		dl_memb_set_unreachable(one, net->vms[i].vm, true);
 	ck_assert_uint_eq(dl_memb_owner(one, domain, key), net->vms[0].vm);
 	memb_net_free(net);
 }
@@ -351,27 +353,27 @@
 	uint64_t to;
 	size_t n = 0;
 
-	while (!dl_memb_out(net->vms[1].memb, net->now, &to, buf, &n))
+	while (!dl_memb_next_datagram(net->vms[1].memb, net->now, &to, buf, &n))
 		net->now += 100;
 	for (size_t i = 0; i < n; i++) {
-		ck_assert_int_eq(dl_memb_in(memb, net->vms[1].vm,
-					    (struct dl_str){ buf, i },
-					    net->now),
+		ck_assert_int_eq(dl_memb_receive(memb, net->vms[1].vm,
+						 (struct dl_str){ buf, i },
+						 net->now),
 				 -EBADMSG);
 		for (int bit = 0; bit < 8; bit++) {
 			memcpy(bad, buf, n);
 			bad[i] = (char)(bad[i] ^ 1 << bit);
-			dl_memb_in(memb, net->vms[1].vm,
-				   (struct dl_str){ bad, n }, net->now);
+			dl_memb_receive(memb, net->vms[1].vm,
+					(struct dl_str){ bad, n }, net->now);
 		}
 	}
-	ck_assert_int_eq(dl_memb_in(memb, net->vms[0].vm,
-				    (struct dl_str){ buf, n }, net->now),
+	ck_assert_int_eq(dl_memb_receive(memb, net->vms[0].vm,
+					 (struct dl_str){ buf, n }, net->now),
 			 -EBADMSG);
 	memset(bad, 0, sizeof(bad));
-	ck_assert_int_eq(dl_memb_in(memb, net->vms[1].vm,
-				    (struct dl_str){ bad, sizeof(bad) },
-				    net->now),
+	ck_assert_int_eq(dl_memb_receive(memb, net->vms[1].vm,
+					 (struct dl_str){ bad, sizeof(bad) },
+					 net->now),
 			 -EBADMSG);
 	memb_net_free(net);
 }
@@ -440,10 +442,10 @@
 		conf.self = (UINT64_C(0x0b000000) + i) << 16 | 1;
 		conf.domain = memb_net_domain(i % 30);
 		other = dl_memb_new(&conf, 1, net->now);
-		dl_memb_seed(other, net->vms[0].vm, net->now);
-		while (dl_memb_out(other, net->now, &to, buf, &n))
-			dl_memb_in(memb, conf.self, (struct dl_str){ buf, n },
-				   net->now);
+		dl_memb_add_seed(other, net->vms[0].vm, net->now);
+		while (dl_memb_next_datagram(other, net->now, &to, buf, &n))
+			dl_memb_receive(memb, conf.self,
+					(struct dl_str){ buf, n }, net->now);
 		dl_memb_free(other);
 	}
 	while (dl_memb_at(memb, count))
--- a/test/test_memb_random.c
+++ b/test/test_memb_random.c
@@ -95,7 +95,8 @@
 		return;
 	run->draining[vm] = false;
 	memb_net_start(net, vm);
-	dl_memb_self(net->vms[vm].memb, false, run->versions[vm], net->now);
+	dl_memb_update_self(net->vms[vm].memb, false, run->versions[vm],
+			    net->now);
 }
 
 static void heal(struct memb_net *net)
@@ -120,8 +121,8 @@
 		return;
 	run->draining[vm] = pick(run, 3) == 0;
 	run->versions[vm] = ++run->version;
-	dl_memb_self(net->vms[vm].memb, run->draining[vm], run->version,
-		     net->now);
+	dl_memb_update_self(net->vms[vm].memb, run->draining[vm], run->version,
+			    net->now);
 }
 
 static void fault(struct memb_net *net, struct run *run)
