--- a/src/coordination/reports.c
+++ b/src/coordination/reports.c
@@ -69,8 +69,8 @@
 }
 
 /* Of each start the last words are kept, others make place. */
-bool dl_reports_hear(struct dl_reports *reports, struct dl_str instance,
-		     struct dl_str words, int64_t now, uint64_t *key)
+bool dl_reports_add(struct dl_reports *reports, struct dl_str instance,
+		    struct dl_str words, int64_t now, uint64_t *key)
 {
 	struct report *report;
 
@@ -80,7 +80,7 @@
 		report->heard = now;
 		return false;
 	}
-	dl_reports_leave(reports, instance);
+	dl_reports_remove(reports, instance);
 	if (dl_reports_count(reports) >= REPORTS_MAX)
 		return true;
 	report = g_new0(struct report, 1);
@@ -107,8 +107,8 @@
 }
 
 /* Whether they were heard since a time. */
-bool dl_reports_fresh(const struct dl_reports *reports, uint64_t key,
-		      int64_t since)
+bool dl_reports_received_since(const struct dl_reports *reports, uint64_t key,
+			       int64_t since)
 {
 	const struct report *report =
 		g_hash_table_lookup(reports->by_key, &key);
@@ -117,7 +117,7 @@
 }
 
 /* They are due after a time that grows with the number of endpoints. */
-bool dl_reports_due(struct dl_reports *reports, uint64_t key, int64_t now)
+bool dl_reports_relay_due(struct dl_reports *reports, uint64_t key, int64_t now)
 {
 	struct report *report = g_hash_table_lookup(reports->by_key, &key);
 	int64_t every = (int64_t)dl_reports_count(reports) * KEY_BYTES *
@@ -130,7 +130,7 @@
 }
 
 /* They were said again. */
-void dl_reports_again(struct dl_reports *reports, uint64_t key, int64_t now)
+void dl_reports_refresh(struct dl_reports *reports, uint64_t key, int64_t now)
 {
 	struct report *report = g_hash_table_lookup(reports->by_key, &key);
 
@@ -139,7 +139,7 @@
 }
 
 /* A start leaves. */
-void dl_reports_leave(struct dl_reports *reports, struct dl_str instance)
+void dl_reports_remove(struct dl_reports *reports, struct dl_str instance)
 {
 	char *name = g_strndup(instance.s, instance.n);
 	struct report *report = g_hash_table_lookup(reports->by_instance, name);
@@ -152,7 +152,7 @@
 }
 
 /* Forget what has not been said since before a time. */
-void dl_reports_forget(struct dl_reports *reports, int64_t before)
+void dl_reports_expire(struct dl_reports *reports, int64_t before)
 {
 	struct report *report;
 	GHashTableIter iter;
--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -174,10 +174,10 @@
 	if (dl_report_read(words, &a))
 		return;
 	if (a.instance.n && a.report.leaving)
-		dl_reports_leave(e->reports, dl_name_str(&a.instance));
+		dl_reports_remove(e->reports, dl_name_str(&a.instance));
 	else if (a.instance.n)
-		dl_reports_hear(e->reports, dl_name_str(&a.instance), words,
-				entry_now(e), &key);
+		dl_reports_add(e->reports, dl_name_str(&a.instance), words,
+			       entry_now(e), &key);
 	take_passed(e, &a);
 }
 
@@ -247,7 +247,7 @@
 		struct dl_str words = dl_reports_find(e->reports, keys[i]);
 		struct dl_announcement a;
 
-		dl_reports_again(e->reports, keys[i], entry_now(e));
+		dl_reports_refresh(e->reports, keys[i], entry_now(e));
 		if (words.n && dl_report_read(words, &a) == 0)
 			take_passed(e, &a);
 		else
--- a/src/main/entry_pool.c
+++ b/src/main/entry_pool.c
@@ -550,7 +550,7 @@
 	if (!summaries)
 		return;
 	e->summaries_at = now;
-	dl_reports_forget(e->reports, now - FORGET_REPORTS_MS);
+	dl_reports_expire(e->reports, now - FORGET_REPORTS_MS);
 	entry_reach_tick(e);
 	dl_gauge(DL_METRIC_queue_entries, queued);
 	dl_gauge(DL_METRIC_endpoints_known, endpoints);
--- a/src/main/replica_alive.c
+++ b/src/main/replica_alive.c
@@ -138,10 +138,10 @@
 	said.sequence = 0; /* else each word would be a new one */
 	dl_report_pack(&pk, &said);
 	if (a->report.leaving)
-		dl_reports_leave(alive->reports, instance);
+		dl_reports_remove(alive->reports, instance);
 	fresh = a->report.leaving ||
-		dl_reports_hear(alive->reports, instance, dl_packer_bytes(&pk),
-				now, &key);
+		dl_reports_add(alive->reports, instance, dl_packer_bytes(&pk),
+			       now, &key);
 	/* One that there is no room to keep cannot be gathered. */
 	kept = fresh && dl_reports_find(alive->reports, key).n > 0;
 	if (fresh && !kept)
@@ -150,7 +150,7 @@
 	dl_packer_close(&pk);
 	if (kept)
 		gather(r, &alive->new_words, key, now);
-	else if (!fresh && dl_reports_due(alive->reports, key, now))
+	else if (!fresh && dl_reports_relay_due(alive->reports, key, now))
 		gather(r, &alive->again, key, now);
 }
 
@@ -161,7 +161,7 @@
 
 	if (dl_report_read(f->body, &a) || !a.report.leaving)
 		return;
-	dl_reports_leave(r->alive->reports, dl_name_str(&a.instance));
+	dl_reports_remove(r->alive->reports, dl_name_str(&a.instance));
 	replica_door_left(r, &a);
 }
 
@@ -180,7 +180,7 @@
 	if (dl_numbers_read(f->body, &none, keys, &count))
 		return;
 	for (uint32_t i = 0; i < count; i++) {
-		if (dl_reports_fresh(reports, keys[i], since))
+		if (dl_reports_received_since(reports, keys[i], since))
 			keys[known++] = keys[i];
 	}
 	if (known == 0 || words_of(r->alive, keys, known, &body, &n))
@@ -202,5 +202,5 @@
 	if (now - alive->forgotten_at < FORGET_MS / 2)
 		return;
 	alive->forgotten_at = now;
-	dl_reports_forget(alive->reports, now - FORGET_MS);
+	dl_reports_expire(alive->reports, now - FORGET_MS);
 }
--- a/test/test_reports.c
+++ b/test/test_reports.c
@@ -22,8 +22,8 @@
 static bool hear(const char *instance, const char *words, int64_t now,
 		 uint64_t *key)
 {
-	return dl_reports_hear(reports, dl_str_of(instance), dl_str_of(words),
-			       now, key);
+	return dl_reports_add(reports, dl_str_of(instance), dl_str_of(words),
+			      now, key);
 }
 
 START_TEST(the_same_words_have_one_key)
@@ -47,8 +47,8 @@
 
 	hear("a", "a is ready", 1, &a);
 	hear("b", "b is ready", 1, &b);
-	dl_reports_leave(reports, DL_STR("a"));
-	dl_reports_leave(reports, DL_STR("nobody"));
+	dl_reports_remove(reports, DL_STR("a"));
+	dl_reports_remove(reports, DL_STR("nobody"));
 	ck_assert_uint_eq(dl_reports_find(reports, a).n, 0);
 	ck_assert(dl_reports_find(reports, b).n > 0);
 }
@@ -66,7 +66,7 @@
 
 	hear("one", "one", 0, &key[0]);
 	for (int64_t at = 1200; at <= 12000; at += 1200)
-		told += dl_reports_due(reports, key[0], at);
+		told += dl_reports_relay_due(reports, key[0], at);
 	ck_assert_uint_eq(told, 10);
 	told = 0;
 	for (int i = 0; i < 2000; i++) {
@@ -75,9 +75,9 @@
 	}
 	for (int64_t at = 1200; at <= 12000; at += 1200)
 		for (int i = 0; i < 2000; i++)
-			told += dl_reports_due(reports, key[i], at);
+			told += dl_reports_relay_due(reports, key[i], at);
 	ck_assert_uint_eq(told, 2000ul * 5);
-	ck_assert(!dl_reports_due(reports, 12345, 99999));
+	ck_assert(!dl_reports_relay_due(reports, 12345, 99999));
 }
 END_TEST
 
@@ -87,10 +87,10 @@
 
 	hear("a", "a is ready", 1000, &a);
 	hear("b", "b is ready", 1000, &b);
-	dl_reports_again(reports, b, 5000);
-	ck_assert(!dl_reports_fresh(reports, a, 3000));
-	ck_assert(dl_reports_fresh(reports, b, 3000));
-	dl_reports_forget(reports, 3000);
+	dl_reports_refresh(reports, b, 5000);
+	ck_assert(!dl_reports_received_since(reports, a, 3000));
+	ck_assert(dl_reports_received_since(reports, b, 3000));
+	dl_reports_expire(reports, 3000);
 	ck_assert_uint_eq(dl_reports_count(reports), 1);
 	/* Heard again it is new. */
 	ck_assert(hear("a", "a is ready", 6000, &a));
