--- a/include/daisyledge/backoff.h
+++ b/include/daisyledge/backoff.h
@@ -18,13 +18,13 @@
  * Wait until a time.  False where a time that is no earlier is known, and where
  * there is no room: past DL_BACKOFF_MAX that have not ended.
  */
-bool dl_backoff_note(struct dl_backoff *b, uint64_t key, int64_t until,
-		     int64_t now);
+bool dl_backoff_set(struct dl_backoff *b, uint64_t key, int64_t until,
+		    int64_t now);
 /* How much longer to wait, ms; 0: not at all. */
-uint32_t dl_backoff_left_ms(const struct dl_backoff *b, uint64_t key,
-			    int64_t now);
+uint32_t dl_backoff_remaining_ms(const struct dl_backoff *b, uint64_t key,
+				 int64_t now);
 /* Whether any time has not ended: a quick look for the ordinary case. */
-bool dl_backoff_any(const struct dl_backoff *b, int64_t now);
+bool dl_backoff_any_active(const struct dl_backoff *b, int64_t now);
 
 #define DL_BACKOFF_MAX 65536
 
--- a/src/coordination/backoff.c
+++ b/src/coordination/backoff.c
@@ -56,8 +56,8 @@
 }
 
 /* Wait until a time, or until the later one that is known. */
-bool dl_backoff_note(struct dl_backoff *b, uint64_t key, int64_t until,
-		     int64_t now)
+bool dl_backoff_set(struct dl_backoff *b, uint64_t key, int64_t until,
+		    int64_t now)
 {
 	struct wait *w = g_hash_table_lookup(b->waits, &key);
 
@@ -76,8 +76,8 @@
 }
 
 /* How much longer to wait. */
-uint32_t dl_backoff_left_ms(const struct dl_backoff *b, uint64_t key,
-			    int64_t now)
+uint32_t dl_backoff_remaining_ms(const struct dl_backoff *b, uint64_t key,
+				 int64_t now)
 {
 	const struct wait *w = g_hash_table_lookup(b->waits, &key);
 
@@ -87,7 +87,7 @@
 }
 
 /* Whether any time has not ended. */
-bool dl_backoff_any(const struct dl_backoff *b, int64_t now)
+bool dl_backoff_any_active(const struct dl_backoff *b, int64_t now)
 {
 	return now < b->latest;
 }
--- a/src/coordination/pool_backoff.c
+++ b/src/coordination/pool_backoff.c
@@ -22,7 +22,8 @@
 			const struct pool_want *want,
 			const struct pool_endpoint *e, int64_t now)
 {
-	return dl_backoff_left_ms(pool->backoff, key_of(e, want->entry), now);
+	return dl_backoff_remaining_ms(pool->backoff, key_of(e, want->entry),
+				       now);
 }
 
 /* Whether an endpoint has asked a request's VM to wait. */
@@ -30,7 +31,7 @@
 			const struct pool_want *want,
 			const struct pool_endpoint *e, int64_t now)
 {
-	return dl_backoff_any(pool->backoff, now) &&
+	return dl_backoff_any_active(pool->backoff, now) &&
 	       left_ms(pool, want, e, now) > 0;
 }
 
@@ -43,8 +44,8 @@
 
 		if (!e || !dl_name_eq(&e->last.id, dl_name_str(id)))
 			continue;
-		dl_backoff_note(pool->backoff, key_of(e, g->entry), now + ms,
-				now);
+		dl_backoff_set(pool->backoff, key_of(e, g->entry), now + ms,
+			       now);
 		pool->recheck_all = true;
 	}
 }
@@ -58,7 +59,7 @@
 {
 	uint32_t first = 0;
 
-	if (!dl_backoff_any(pool->backoff, now))
+	if (!dl_backoff_any_active(pool->backoff, now))
 		return 0;
 	for (uint32_t i = 0; i < pool->endpoints_n; i++) {
 		const struct pool_endpoint *e = pool->endpoints[i];
--- a/src/coordination/pool_serve.c
+++ b/src/coordination/pool_serve.c
@@ -107,7 +107,7 @@
 {
 	struct pool_request *req = head;
 
-	if (!dl_backoff_any(pool->backoff, now))
+	if (!dl_backoff_any_active(pool->backoff, now))
 		return false;
 	for (int i = 0; i < LOOK_BEHIND; i++) {
 		req = pool_queue_next(req);
--- a/src/main/entry_backoff.c
+++ b/src/main/entry_backoff.c
@@ -32,9 +32,10 @@
 			       uint64_t start)
 {
 	int64_t now = entry_now(e);
-	uint32_t any = dl_backoff_left_ms(e->backoff, dl_hash(address, 0), now);
-	uint32_t its =
-		dl_backoff_left_ms(e->backoff, dl_hash(address, start), now);
+	uint32_t any =
+		dl_backoff_remaining_ms(e->backoff, dl_hash(address, 0), now);
+	uint32_t its = dl_backoff_remaining_ms(e->backoff,
+					       dl_hash(address, start), now);
 
 	return MAX(any, its);
 }
@@ -55,7 +56,7 @@
 	if (status != STATUS_TURNED_AWAY || !retry_after_ms)
 		return false;
 	until = now + MAX(retry_after_ms, LEAST_MS) + TURN_MS;
-	if (dl_backoff_note(e->backoff, key, until, now)) {
+	if (dl_backoff_set(e->backoff, key, until, now)) {
 		dl_count(DL_METRIC_backoffs_total, 1);
 		dl_msg(DL_MSG_BACKOFF,
 		       "request=%s endpoint=%s service=%s for_ms=%u",
@@ -70,7 +71,7 @@
 {
 	struct dl_str service = dl_name_str(&c->service);
 
-	if (!dl_backoff_any(c->e->backoff, entry_now(c->e)))
+	if (!dl_backoff_any_active(c->e->backoff, entry_now(c->e)))
 		return NULL;
 	for (uint8_t i = 0; i < c->grant.endpoints; i++) {
 		const struct dl_name *name = &c->grant.endpoint[i];
--- a/test/test_backoff.c
+++ b/test/test_backoff.c
@@ -282,15 +282,15 @@
 {
 	struct dl_backoff *b = dl_backoff_new();
 
-	ck_assert(!dl_backoff_any(b, 0));
-	ck_assert(!dl_backoff_note(b, 1, 1000, 1000));
-	ck_assert(dl_backoff_note(b, 1, 4000, 1000));
-	ck_assert(!dl_backoff_note(b, 1, 3000, 1000));
-	ck_assert_uint_eq(dl_backoff_left_ms(b, 1, 1500), 2500);
-	ck_assert_uint_eq(dl_backoff_left_ms(b, 1, 4000), 0);
-	ck_assert_uint_eq(dl_backoff_left_ms(b, 2, 1500), 0);
-	ck_assert(dl_backoff_any(b, 3999));
-	ck_assert(!dl_backoff_any(b, 4000));
+	ck_assert(!dl_backoff_any_active(b, 0));
+	ck_assert(!dl_backoff_set(b, 1, 1000, 1000));
+	ck_assert(dl_backoff_set(b, 1, 4000, 1000));
+	ck_assert(!dl_backoff_set(b, 1, 3000, 1000));
+	ck_assert_uint_eq(dl_backoff_remaining_ms(b, 1, 1500), 2500);
+	ck_assert_uint_eq(dl_backoff_remaining_ms(b, 1, 4000), 0);
+	ck_assert_uint_eq(dl_backoff_remaining_ms(b, 2, 1500), 0);
+	ck_assert(dl_backoff_any_active(b, 3999));
+	ck_assert(!dl_backoff_any_active(b, 4000));
 	dl_backoff_free(b);
 }
 END_TEST
@@ -300,11 +300,12 @@
 	struct dl_backoff *b = dl_backoff_new();
 
 	for (uint64_t key = 0; key < DL_BACKOFF_MAX; key++)
-		ck_assert(dl_backoff_note(b, key, 2000, 1000));
-	ck_assert(!dl_backoff_note(b, DL_BACKOFF_MAX, 2000, 1000));
-	ck_assert_uint_eq(dl_backoff_left_ms(b, 0, 1500), 500);
-	ck_assert(dl_backoff_note(b, DL_BACKOFF_MAX, 3000, 2000));
-	ck_assert_uint_eq(dl_backoff_left_ms(b, DL_BACKOFF_MAX, 2000), 1000);
+		ck_assert(dl_backoff_set(b, key, 2000, 1000));
+	ck_assert(!dl_backoff_set(b, DL_BACKOFF_MAX, 2000, 1000));
+	ck_assert_uint_eq(dl_backoff_remaining_ms(b, 0, 1500), 500);
+	ck_assert(dl_backoff_set(b, DL_BACKOFF_MAX, 3000, 2000));
+	ck_assert_uint_eq(dl_backoff_remaining_ms(b, DL_BACKOFF_MAX, 2000),
+			  1000);
 	dl_backoff_free(b);
 }
 END_TEST
