--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -601,7 +601,7 @@
 	int64_t began = net->now, took;
 
 	memb_net_clear_counts(net);
-	took = memb_net_settle(net, 300000);
+	took = memb_net_converge(net, 300000);
 	printf("%s_ms\t%lld\tms\n", name, (long long)took);
 	if (net->now - began < 30000)
 		memb_net_run(net, 30000 - (net->now - began));
@@ -634,7 +634,7 @@
 {
 	for (uint32_t i = 0; i < VMS; i++) {
 		if (i % DOMAINS < domains)
-			net->vms[i].side = side;
+			net->vms[i].partition = side;
 	}
 }
 
--- a/test/fake/memb_net.c
+++ b/test/fake/memb_net.c
@@ -127,7 +127,7 @@
 	while (dl_memb_next_datagram(v->memb, now, &to, buf, &n)) {
 		v->msgs_out++;
 		v->bytes_out += n;
-		if (net->vms[index_of(net, to)].side != v->side)
+		if (net->vms[index_of(net, to)].partition != v->partition)
 			continue;
 		fake_link_send(net->link, v->vm, to, (struct dl_str){ buf, n },
 			       now);
@@ -219,7 +219,7 @@
 }
 
 /* Whether every running VM shows exactly the running ones of its side. */
-bool memb_net_agree(const struct memb_net *net)
+bool memb_net_converged(const struct memb_net *net)
 {
 	for (uint32_t i = 0; i < net->conf.vms; i++) {
 		const struct memb_net_vm *v = &net->vms[i];
@@ -229,7 +229,7 @@
 		for (uint32_t j = 0; j < net->conf.vms; j++) {
 			const struct memb_net_vm *o = &net->vms[j];
 			bool up = o->memb && o->paused_until <= net->now &&
-				  o->side == v->side;
+				  o->partition == v->partition;
 
 			if (memb_net_sees(net, i, j) != up)
 				return false;
@@ -239,11 +239,11 @@
 }
 
 /* Run until all agree. */
-int64_t memb_net_settle(struct memb_net *net, int64_t limit_ms)
+int64_t memb_net_converge(struct memb_net *net, int64_t limit_ms)
 {
 	int64_t began = net->now;
 
-	while (!memb_net_agree(net)) {
+	while (!memb_net_converged(net)) {
 		if (net->now - began > limit_ms)
 			return -1;
 		memb_net_run(net, STEP_MS);
--- a/test/fake/memb_net.h
+++ b/test/fake/memb_net.h
@@ -24,7 +24,7 @@
 	uint64_t incarnation;
 	struct dl_memb *memb; /* NULL while it is down */
 	int64_t paused_until;
-	uint32_t side; /* VMs of unequal sides do not reach each other */
+	uint32_t partition; /* VMs of unequal sides do not reach each other */
 	uint64_t msgs_out;
 	uint64_t bytes_out;
 	uint64_t msgs_in;
@@ -59,8 +59,8 @@
 /* Whether a VM shows another as live. */
 bool memb_net_sees(const struct memb_net *net, uint32_t vm, uint32_t other);
 /* Whether every running VM shows exactly the running ones of its side. */
-bool memb_net_agree(const struct memb_net *net);
+bool memb_net_converged(const struct memb_net *net);
 /* Run until they agree; returns how long it took, -1 past the limit. */
-int64_t memb_net_settle(struct memb_net *net, int64_t limit_ms);
+int64_t memb_net_converge(struct memb_net *net, int64_t limit_ms);
 
 #endif
--- a/test/test_memb.c
+++ b/test/test_memb.c
@@ -34,7 +34,7 @@
 	memb_net_defaults(&conf, vms, domains, seed);
 	net = memb_net_new(&conf);
 	memb_net_start_all(net);
-	ck_assert_int_ge(memb_net_settle(net, START_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, START_MS), 0);
 	memb_net_run(net, START_MS);
 	return net;
 }
@@ -44,9 +44,9 @@
 	struct memb_net *net = started(SMALL, DOMAINS, (uint32_t)_i + 1);
 
 	memb_net_kill(net, 1);
-	ck_assert_int_ge(memb_net_settle(net, DEAD_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, DEAD_MS), 0);
 	memb_net_start(net, 1);
-	ck_assert_int_ge(memb_net_settle(net, START_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, START_MS), 0);
 	memb_net_free(net);
 }
 END_TEST
@@ -92,13 +92,13 @@
 	struct memb_net *net = started(SMALL, DOMAINS, (uint32_t)_i + 1);
 
 	for (uint32_t i = 0; i < SMALL; i += DOMAINS)
-		net->vms[i].side = 1;
-	ck_assert_int_ge(memb_net_settle(net, CUT_MS), 0);
+		net->vms[i].partition = 1;
+	ck_assert_int_ge(memb_net_converge(net, CUT_MS), 0);
 	memb_net_run(net, LONG_PAUSE_MS);
-	ck_assert(memb_net_agree(net));
+	ck_assert(memb_net_converged(net));
 	for (uint32_t i = 0; i < SMALL; i++)
-		net->vms[i].side = 0;
-	ck_assert_int_ge(memb_net_settle(net, HEAL_MS), 0);
+		net->vms[i].partition = 0;
+	ck_assert_int_ge(memb_net_converge(net, HEAL_MS), 0);
 	memb_net_free(net);
 }
 END_TEST
@@ -117,14 +117,14 @@
 	uint32_t vms = 24;
 	struct memb_net *net = started(vms, 2, (uint32_t)_i + 1);
 
-	net->vms[0].side = 1;
-	ck_assert_int_ge(memb_net_settle(net, ALONE_MS), 0);
+	net->vms[0].partition = 1;
+	ck_assert_int_ge(memb_net_converge(net, ALONE_MS), 0);
 	memb_net_run(net, LONG_MS);
-	net->vms[0].side = 0;
+	net->vms[0].partition = 0;
 	net->check = nobody_buries;
-	ck_assert_int_ge(memb_net_settle(net, HEAL_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, HEAL_MS), 0);
 	memb_net_run(net, HEAL_MS);
-	ck_assert(memb_net_agree(net));
+	ck_assert(memb_net_converged(net));
 	memb_net_free(net);
 }
 END_TEST
@@ -148,7 +148,7 @@
 	dl_memb_next_datagram(memb, net->now + 1, &to, buf, &n);
 	ck_assert(dl_memb_owner(memb, dl_name_str(&domain), key) == DL_VM_NONE);
 	memb_net_run(net, 10);
-	ck_assert_int_ge(memb_net_settle(net, HEAL_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, HEAL_MS), 0);
 	ck_assert(dl_memb_owner(memb, dl_name_str(&domain), key) ==
 		  net->vms[0].vm);
 	memb_net_free(net);
@@ -166,7 +166,7 @@
 			ck_assert(!memb_net_sees(net, i, 1));
 	}
 	fake_link_heal(net->link);
-	ck_assert_int_ge(memb_net_settle(net, HEAL_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, HEAL_MS), 0);
 	memb_net_free(net);
 }
 END_TEST
@@ -190,7 +190,7 @@
 	fake_link_cut(net->link, net->vms[0].vm, net->vms[1].vm);
 	fake_link_cut(net->link, net->vms[1].vm, net->vms[0].vm);
 	memb_net_run(net, LONG_MS);
-	ck_assert(memb_net_agree(net));
+	ck_assert(memb_net_converged(net));
 	memb_net_free(net);
 }
 END_TEST
@@ -207,12 +207,12 @@
 	memb_net_start_all(net);
 	memb_net_run(net, START_MS);
 	memb_net_kill(net, 0);
-	net->vms[1].side = 1;
-	net->vms[2].side = 1;
-	ck_assert_int_ge(memb_net_settle(net, ALONE_MS), 0);
-	net->vms[1].side = 0;
-	net->vms[2].side = 0;
-	ck_assert_int_ge(memb_net_settle(net, HEAL_MS), 0);
+	net->vms[1].partition = 1;
+	net->vms[2].partition = 1;
+	ck_assert_int_ge(memb_net_converge(net, ALONE_MS), 0);
+	net->vms[1].partition = 0;
+	net->vms[2].partition = 0;
+	ck_assert_int_ge(memb_net_converge(net, HEAL_MS), 0);
 	memb_net_free(net);
 }
 END_TEST
@@ -252,9 +252,9 @@
 	kill_speakers(net, 0);
 	kill_speakers(net, 1);
 	memb_net_kill(net, 0);
-	ck_assert_int_ge(memb_net_settle(net, LONG_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, LONG_MS), 0);
 	memb_net_run(net, LONG_MS);
-	ck_assert(memb_net_agree(net));
+	ck_assert(memb_net_converged(net));
 	memb_net_free(net);
 }
 END_TEST
@@ -408,7 +408,7 @@
 	memb_net_defaults(&conf, slow ? TARGET_SLOW : TARGET, 5, 1);
 	net = memb_net_new(&conf);
 	memb_net_start_all(net);
-	ck_assert_int_ge(memb_net_settle(net, LONG_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, LONG_MS), 0);
 	memb_net_run(net, LONG_MS);
 	memb_net_clear_counts(net);
 	memb_net_run(net, BUDGET_MS);
@@ -420,7 +420,7 @@
 		ck_assert_uint_lt(bytes * 1000 / BUDGET_MS, BUDGET);
 	}
 	memb_net_kill(net, 1);
-	ck_assert_int_ge(memb_net_settle(net, ALONE_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, ALONE_MS), 0);
 	memb_net_free(net);
 }
 END_TEST
--- a/test/test_memb_random.c
+++ b/test/test_memb_random.c
@@ -103,7 +103,7 @@
 {
 	fake_link_heal(net->link);
 	for (uint32_t i = 0; i < net->conf.vms; i++)
-		net->vms[i].side = 0;
+		net->vms[i].partition = 0;
 }
 
 /* End every pause now. */
@@ -151,11 +151,11 @@
 	case 5:
 		for (uint32_t i = b % net->conf.domains; i < n;
 		     i += net->conf.domains)
-			net->vms[i].side = 1;
+			net->vms[i].partition = 1;
 		break;
 	case 6:
 		for (uint32_t i = 0; i < n; i++)
-			net->vms[i].side = (uint32_t)pick(run, 2);
+			net->vms[i].partition = (uint32_t)pick(run, 2);
 		break;
 	case 7:
 		heal(net);
@@ -236,7 +236,7 @@
 	for (uint32_t i = 0; i < conf.vms; i++)
 		start(net, run, i);
 	resume(net);
-	ck_assert_msg(memb_net_settle(net, CONVERGE_MS) >= 0,
+	ck_assert_msg(memb_net_converge(net, CONVERGE_MS) >= 0,
 		      "seed %u does not converge", seed);
 	memb_net_run(net, AFTER_MS);
 	check_same(net);
