--- a/include/daisyledge/directory.h
+++ b/include/daisyledge/directory.h
@@ -13,7 +13,7 @@
 struct dl_directory;
 
 /* Names of earlier starts at an address that are remembered. */
-#define DL_DIRECTORY_PAST 4
+#define DL_DIRECTORY_PREVIOUS_MAX 4
 
 /* One announcement; address and service are empty where it only leaves. */
 struct dl_directory_update {
@@ -40,7 +40,7 @@
 	uint64_t incarnation; /* of our own counting, higher for later starts */
 	bool leaving;	      /* final for a start */
 	int64_t last_seen;
-	struct dl_directory_previous previous[DL_DIRECTORY_PAST];
+	struct dl_directory_previous previous[DL_DIRECTORY_PREVIOUS_MAX];
 	uint32_t previous_next;
 };
 
@@ -55,15 +55,15 @@
 struct dl_directory *dl_directory_new(void);
 void dl_directory_free(struct dl_directory *dir);
 /*
- * The entry is set where one is known; good until the next call.  left: where
- * the start that is heard of had an earlier one of its name at another address,
- * that one, which is gone; else NULL.
+ * The entry is set where one is known; good until the next call.  superseded:
+ * where the start that is heard of had an earlier one of its name at another
+ * address, that one, which is gone; else NULL.
  */
 enum dl_directory_result
 dl_directory_apply(struct dl_directory *dir,
-		   const struct dl_directory_update *word, int64_t now,
+		   const struct dl_directory_update *update, int64_t now,
 		   const struct dl_directory_entry **entry,
-		   const struct dl_directory_entry **left);
+		   const struct dl_directory_entry **superseded);
 /* The start that is known at an address, or NULL. */
 const struct dl_directory_entry *
 dl_directory_find(const struct dl_directory *dir, struct dl_str address);
--- a/src/coordination/call.c
+++ b/src/coordination/call.c
@@ -13,23 +13,23 @@
 #include <string.h>
 
 #define ATTEMPTS_MAX	      3
-#define CREDIT		      1000 /* thousandths of a retry */
+#define CREDITS_PER_RETRY     1000 /* thousandths of a retry */
 #define STATUS_MIN	      200
 #define STATUS_ERROR	      500
 #define STATUS_UNKNOWN_METHOD 501
 #define STATUS_TIMEOUT	      504
 #define STATUS_END	      600
-#define PAUSE_GAPS	      2 /* a gap in our own looks this long is a pause */
+#define PAUSE_FACTOR	      2 /* a gap in our own looks this long is a pause */
 
 /* What a cell of the table says. */
 enum cell {
 	CELL_UNKNOWN,
 	CELL_NOT_RUN,
-	CELL_WHOLE, /* a whole answer: its status decides */
-	CELL_HEAD,  /* a part of one: only an error status decides */
+	CELL_COMPLETE, /* a whole answer: its status decides */
+	CELL_PARTIAL,  /* a part of one: only an error status decides */
 };
 
-static enum dl_outcome by_status(enum cell cell, uint16_t status);
+static enum dl_outcome outcome_from_status(enum cell cell, uint16_t status);
 static bool may_resume(const struct dl_call_state *state,
 		       const struct dl_attempt *attempt);
 static bool may_retry(const struct dl_call_state *state,
@@ -46,8 +46,8 @@
 /* clang-format off */
 #define U CELL_UNKNOWN
 #define N CELL_NOT_RUN
-#define W CELL_WHOLE
-#define H CELL_HEAD
+#define C CELL_COMPLETE
+#define P CELL_PARTIAL
 
 /*
  * By sent, received and broke (nothing, connect, reset, silent, deadline,
@@ -64,22 +64,22 @@
 	},
 	[DL_SENT_PART] = {
 		[DL_RECV_NOTHING] = { U, U, U, U, U, U, U },
-		[DL_RECV_HEAD]    = { U, U, H, H, H, H, U },
-		[DL_RECV_COMPLETE]   = { W, U, W, W, W, W, U },
+		[DL_RECV_HEAD]    = { U, U, P, P, P, P, U },
+		[DL_RECV_COMPLETE]   = { C, U, C, C, C, C, U },
 		[DL_RECV_NOT_RUN] = { N, U, N, N, N, N, U },
 	},
 	[DL_SENT_ALL] = {
 		[DL_RECV_NOTHING] = { U, U, U, U, U, U, U },
-		[DL_RECV_HEAD]    = { U, U, H, H, H, H, U },
-		[DL_RECV_COMPLETE]   = { W, U, W, W, W, W, U },
+		[DL_RECV_HEAD]    = { U, U, P, P, P, P, U },
+		[DL_RECV_COMPLETE]   = { C, U, C, C, C, C, U },
 		[DL_RECV_NOT_RUN] = { N, U, N, N, N, N, U },
 	},
 };
 
 #undef U
 #undef N
-#undef W
-#undef H
+#undef C
+#undef P
 /* clang-format on */
 
 /* "done", "failed", "not-run", "unknown". */
@@ -91,13 +91,13 @@
 }
 
 /* What the status of an answer, whole or in part, says. */
-static enum dl_outcome by_status(enum cell cell, uint16_t status)
+static enum dl_outcome outcome_from_status(enum cell cell, uint16_t status)
 {
 	if (status < STATUS_MIN || status >= STATUS_END)
 		return DL_OUTCOME_UNKNOWN;
 	if (status >= STATUS_ERROR)
 		return DL_OUTCOME_FAILED;
-	return cell == CELL_WHOLE ? DL_OUTCOME_DONE : DL_OUTCOME_UNKNOWN;
+	return cell == CELL_COMPLETE ? DL_OUTCOME_DONE : DL_OUTCOME_UNKNOWN;
 }
 
 /*
@@ -117,7 +117,7 @@
 		return DL_OUTCOME_NOT_RUN;
 	if (cell == CELL_UNKNOWN)
 		return DL_OUTCOME_UNKNOWN;
-	return by_status(cell, attempt->status);
+	return outcome_from_status(cell, attempt->status);
 }
 
 /*
@@ -132,13 +132,13 @@
 {
 	budget->permille = permille;
 	budget->burst = burst;
-	budget->credit = (uint64_t)burst * CREDIT;
+	budget->credit = (uint64_t)burst * CREDITS_PER_RETRY;
 }
 
 /* Count a first try. */
 void dl_retry_budget_deposit(struct dl_retry_budget *budget)
 {
-	uint64_t max = (uint64_t)budget->burst * CREDIT;
+	uint64_t max = (uint64_t)budget->burst * CREDITS_PER_RETRY;
 
 	budget->credit += budget->permille;
 	if (budget->credit > max)
@@ -148,9 +148,9 @@
 /* Take one retry out of the budget; false where none is left. */
 bool dl_retry_budget_withdraw(struct dl_retry_budget *budget)
 {
-	if (budget->credit < CREDIT)
+	if (budget->credit < CREDITS_PER_RETRY)
 		return false;
-	budget->credit -= CREDIT;
+	budget->credit -= CREDITS_PER_RETRY;
 	return true;
 }
 
@@ -328,7 +328,7 @@
 	int64_t gap = now - silence->last_check;
 
 	silence->last_check = now;
-	if (gap > bound * PAUSE_GAPS && !silence->pause_excused) {
+	if (gap > bound * PAUSE_FACTOR && !silence->pause_excused) {
 		silence->pause_excused = true;
 		silence->last_data = now;
 		return false;
--- a/src/coordination/directory.c
+++ b/src/coordination/directory.c
@@ -15,26 +15,30 @@
 };
 
 /*
- * How long after its last word an endpoint is taken to be at its address
+ * How long after its last update an endpoint is taken to be at its address
  * still: two announcements of 1.2 s, and one that came late.
  */
-#define FRESH_MS 3000
+#define ACTIVE_TIMEOUT_MS 3000
 
-static bool is_same_start(const struct dl_directory_entry *e,
-			  const struct dl_directory_update *word);
-static bool is_followed(const struct dl_directory_entry *e,
-			const struct dl_directory_update *word, int64_t now);
-static void begin(struct dl_directory *dir, struct dl_directory_entry *e,
-		  const struct dl_directory_update *word);
-static enum dl_directory_result hear_leaving(struct dl_directory_entry *e);
+static bool is_same_instance(const struct dl_directory_entry *e,
+			     const struct dl_directory_update *update);
+static bool is_superseded(const struct dl_directory_entry *e,
+			  const struct dl_directory_update *update,
+			  int64_t now);
+static void begin_instance(struct dl_directory *dir,
+			   struct dl_directory_entry *e,
+			   const struct dl_directory_update *update);
+static enum dl_directory_result mark_leaving(struct dl_directory_entry *e);
 static enum dl_directory_result
-hear_name(struct dl_directory *dir, const struct dl_directory_update *word,
-	  const struct dl_directory_entry **entry);
+apply_by_instance(struct dl_directory *dir,
+		  const struct dl_directory_update *update,
+		  const struct dl_directory_entry **entry);
 static struct dl_directory_entry *entry_at(struct dl_directory *dir,
 					   struct dl_str address);
-static bool take_name(struct dl_directory *dir, struct dl_directory_entry *e,
-		      const struct dl_directory_update *word,
-		      const struct dl_directory_entry **left);
+static bool claim_instance_name(struct dl_directory *dir,
+				struct dl_directory_entry *e,
+				const struct dl_directory_update *update,
+				const struct dl_directory_entry **superseded);
 
 /* An empty directory. */
 struct dl_directory *dl_directory_new(void)
@@ -57,58 +61,63 @@
 	g_free(dir);
 }
 
-/* Whether a word is of the start that an entry has. */
-static bool is_same_start(const struct dl_directory_entry *e,
-			  const struct dl_directory_update *word)
+/* Whether a update is of the start that an entry has. */
+static bool is_same_instance(const struct dl_directory_entry *e,
+			     const struct dl_directory_update *update)
 {
-	return dl_name_eq(&e->instance, word->instance) &&
-	       (!word->born || !e->born || word->born == e->born);
+	return dl_name_eq(&e->instance, update->instance) &&
+	       (!update->born || !e->born || update->born == e->born);
 }
 
 /*
- * Whether a word is of a start that the one known at its address has followed.
- * Of one name the later start counts.  Of another name, one that was here does
- * not return; one that was never heard of is late if it began before the one
- * that is there and still speaks.  Without that one it is taken in whatever its
- * clock says: a clock that stepped back must not keep an endpoint out.
+ * Whether a update is of a start that the one known at its address has
+ * followed. Of one name the later start counts.  Of another name, one that was
+ * here does not return; one that was never heard of is late if it began before
+ * the one that is there and still speaks.  Without that one it is taken in
+ * whatever its clock says: a clock that stepped back must not keep an endpoint
+ * out.
  */
-static bool is_followed(const struct dl_directory_entry *e,
-			const struct dl_directory_update *word, int64_t now)
+static bool is_superseded(const struct dl_directory_entry *e,
+			  const struct dl_directory_update *update, int64_t now)
 {
 	if (!e->instance.n)
 		return false;
-	if (dl_name_eq(&e->instance, word->instance))
-		return word->born < e->born;
-	for (uint32_t i = 0; i < DL_DIRECTORY_PAST; i++) {
+	if (dl_name_eq(&e->instance, update->instance))
+		return update->born < e->born;
+	for (uint32_t i = 0; i < DL_DIRECTORY_PREVIOUS_MAX; i++) {
 		const struct dl_directory_previous *p = &e->previous[i];
 
-		if (dl_name_eq(&p->instance, word->instance))
-			return !word->born || !p->born || word->born <= p->born;
+		if (dl_name_eq(&p->instance, update->instance))
+			return !update->born || !p->born ||
+			       update->born <= p->born;
 	}
-	return word->born && word->born < e->born && !e->leaving &&
-	       now - e->last_seen < FRESH_MS;
+	return update->born && update->born < e->born && !e->leaving &&
+	       now - e->last_seen < ACTIVE_TIMEOUT_MS;
 }
 
 /* Its start has its name no more, unless another address has taken it over. */
-static void unname(struct dl_directory *dir, const struct dl_directory_entry *e)
+static void unindex_instance(struct dl_directory *dir,
+			     const struct dl_directory_entry *e)
 {
 	if (g_hash_table_lookup(dir->by_instance, e->instance.s) == e)
 		g_hash_table_remove(dir->by_instance, e->instance.s);
 }
 
 /* Another start takes an address over; it holds nothing of the one before. */
-static void begin(struct dl_directory *dir, struct dl_directory_entry *e,
-		  const struct dl_directory_update *word)
+static void begin_instance(struct dl_directory *dir,
+			   struct dl_directory_entry *e,
+			   const struct dl_directory_update *update)
 {
 	if (e->instance.n) {
-		struct dl_directory_previous *past =
-			&e->previous[e->previous_next++ % DL_DIRECTORY_PAST];
+		struct dl_directory_previous *prev =
+			&e->previous[e->previous_next++ %
+				     DL_DIRECTORY_PREVIOUS_MAX];
 
-		unname(dir, e);
-		past->instance = e->instance;
-		past->born = e->born;
+		unindex_instance(dir, e);
+		prev->instance = e->instance;
+		prev->born = e->born;
 	}
-	dl_name_set(&e->instance, word->instance);
+	dl_name_set(&e->instance, update->instance);
 	g_hash_table_replace(dir->by_instance, e->instance.s, e);
 	e->incarnation = ++dir->incarnations;
 	e->sequence = 0;
@@ -116,7 +125,7 @@
 	e->leaving = false;
 }
 
-static enum dl_directory_result hear_leaving(struct dl_directory_entry *e)
+static enum dl_directory_result mark_leaving(struct dl_directory_entry *e)
 {
 	if (e->leaving)
 		return DL_DIRECTORY_KNOWN;
@@ -124,20 +133,21 @@
 	return DL_DIRECTORY_LEAVING;
 }
 
-/* A word that has no address can only say that a start leaves. */
+/* A update that has no address can only say that a start leaves. */
 static enum dl_directory_result
-hear_name(struct dl_directory *dir, const struct dl_directory_update *word,
-	  const struct dl_directory_entry **entry)
+apply_by_instance(struct dl_directory *dir,
+		  const struct dl_directory_update *update,
+		  const struct dl_directory_entry **entry)
 {
 	struct dl_directory_entry *e;
 	struct dl_name name;
 
-	dl_name_set(&name, word->instance);
+	dl_name_set(&name, update->instance);
 	e = g_hash_table_lookup(dir->by_instance, name.s);
 	*entry = e;
-	if (!e || !word->leaving || !is_same_start(e, word))
+	if (!e || !update->leaving || !is_same_instance(e, update))
 		return DL_DIRECTORY_STALE;
-	return hear_leaving(e);
+	return mark_leaving(e);
 }
 
 /* The entry of an address, made where there is none; NULL: there is no room. */
@@ -162,68 +172,69 @@
  * Take a name over from another address, where an earlier start of it was;
  * false where that one is the later.
  */
-static bool take_name(struct dl_directory *dir, struct dl_directory_entry *e,
-		      const struct dl_directory_update *word,
-		      const struct dl_directory_entry **left)
+static bool claim_instance_name(struct dl_directory *dir,
+				struct dl_directory_entry *e,
+				const struct dl_directory_update *update,
+				const struct dl_directory_entry **superseded)
 {
 	struct dl_directory_entry *other;
 	struct dl_name name;
 
-	dl_name_set(&name, word->instance);
+	dl_name_set(&name, update->instance);
 	other = g_hash_table_lookup(dir->by_instance, name.s);
 	if (!other || other == e)
 		return true;
-	if (word->born < other->born)
+	if (update->born < other->born)
 		return false;
 	other->leaving = true;
-	*left = other;
+	*superseded = other;
 	return true;
 }
 
 /*
  * Take in an announcement.
  *
- * That a start leaves is final, however late the word comes and whatever its
+ * That a start leaves is final, however late the update comes and whatever its
  * sequence says: earlier announcements of the same start may still be under
  * way.  A start that another one has followed never returns: its announcement
  * was held up on the way.
  */
 enum dl_directory_result
 dl_directory_apply(struct dl_directory *dir,
-		   const struct dl_directory_update *word, int64_t now,
+		   const struct dl_directory_update *update, int64_t now,
 		   const struct dl_directory_entry **entry,
-		   const struct dl_directory_entry **left)
+		   const struct dl_directory_entry **superseded)
 {
 	struct dl_directory_entry *e;
 	struct dl_name name;
-	bool fresh;
+	bool is_new;
 
 	*entry = NULL;
-	*left = NULL;
-	if (!dl_name_set(&name, word->instance) || name.n == 0)
+	*superseded = NULL;
+	if (!dl_name_set(&name, update->instance) || name.n == 0)
 		return DL_DIRECTORY_STALE;
-	if (word->address.n == 0)
-		return hear_name(dir, word, entry);
-	e = entry_at(dir, word->address);
+	if (update->address.n == 0)
+		return apply_by_instance(dir, update, entry);
+	e = entry_at(dir, update->address);
 	if (!e)
 		return DL_DIRECTORY_STALE;
 	*entry = e;
-	fresh = !is_same_start(e, word);
-	if (fresh &&
-	    (is_followed(e, word, now) || !take_name(dir, e, word, left)))
+	is_new = !is_same_instance(e, update);
+	if (is_new && (is_superseded(e, update, now) ||
+		       !claim_instance_name(dir, e, update, superseded)))
 		return DL_DIRECTORY_STALE;
-	if (fresh)
-		begin(dir, e, word);
-	dl_name_set(&e->service, word->service);
+	if (is_new)
+		begin_instance(dir, e, update);
+	dl_name_set(&e->service, update->service);
 	e->last_seen = now;
-	if (word->born)
-		e->born = word->born;
-	if (word->sequence > e->sequence)
-		e->sequence = word->sequence;
-	if (word->leaving && !fresh)
-		return hear_leaving(e);
-	e->leaving |= word->leaving;
-	return fresh ? DL_DIRECTORY_NEW : DL_DIRECTORY_KNOWN;
+	if (update->born)
+		e->born = update->born;
+	if (update->sequence > e->sequence)
+		e->sequence = update->sequence;
+	if (update->leaving && !is_new)
+		return mark_leaving(e);
+	e->leaving |= update->leaving;
+	return is_new ? DL_DIRECTORY_NEW : DL_DIRECTORY_KNOWN;
 }
 
 /* The start that is known at an address, or NULL. */
@@ -247,7 +258,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&e)) {
 		if (e->last_seen >= before)
 			continue;
-		unname(dir, e);
+		unindex_instance(dir, e);
 		g_hash_table_iter_remove(&iter);
 	}
 }
--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -7,16 +7,16 @@
  * An eighth of the time in which a change must be in force everywhere (2 s), so
  * that lost questions cost nothing.
  */
-#define ASK_EVERY_MS 250
+#define RENEW_INTERVAL_MS 250
 /* Without a word, while callers wait for it: some round trips. */
-#define ASK_SOON_MS 100
+#define RETRY_INTERVAL_MS 100
 /* The leader answers at once; later another one leads. */
-#define ANSWER_MS 400
+#define ANSWER_TIMEOUT_MS 400
 /*
  * A request that is let through at the lease's last moment is on its way to an
  * endpoint for some milliseconds, and clocks drift.
  */
-#define MARGIN_MS 300
+#define EXPIRY_MARGIN_MS 300
 /*
  * Not ready for new callers from this share of the lease on: they would find it
  * over before they are served.
@@ -31,17 +31,17 @@
  * more than this part of its time, and nobody where the group is not heard: a
  * VM that is cut off cannot know for how long.
  */
-#define WAIT_MS	  1000
-#define WAIT_PART 4
+#define WAIT_MAX_MS	      1000
+#define WAIT_DEADLINE_DIVISOR 4
 /* Replicas answer in milliseconds, if only that nobody leads. */
-#define HEARD_MS 500
+#define REPLICA_CONTACT_MS 500
 
 /* Whether it is time to ask again. */
 bool dl_lease_renewal_due(const struct dl_lease *l, uint32_t lease_ms,
 			  int64_t now)
 {
-	int64_t every = dl_lease_ready(l, lease_ms, now) ? ASK_EVERY_MS :
-							   ASK_SOON_MS;
+	int64_t every = dl_lease_ready(l, lease_ms, now) ? RENEW_INTERVAL_MS :
+							   RETRY_INTERVAL_MS;
 
 	return !l->requested_at || now - l->requested_at >= every;
 }
@@ -50,12 +50,12 @@
 uint32_t dl_lease_max_wait_ms(const struct dl_lease *l, int64_t started,
 			      int64_t heard, uint32_t left_ms, int64_t now)
 {
-	bool starting = !l->valid_from && now - started < WAIT_MS;
-	bool in_touch = heard && now - heard < HEARD_MS;
+	bool starting = !l->valid_from && now - started < WAIT_MAX_MS;
+	bool replica_reachable = heard && now - heard < REPLICA_CONTACT_MS;
 
-	if (!starting && !in_touch)
+	if (!starting && !replica_reachable)
 		return 0;
-	return MIN(left_ms / WAIT_PART, WAIT_MS);
+	return MIN(left_ms / WAIT_DEADLINE_DIVISOR, WAIT_MAX_MS);
 }
 
 /*
@@ -66,7 +66,7 @@
  */
 bool dl_lease_timed_out(const struct dl_lease *l, int64_t now)
 {
-	return l->pending_since && now - l->pending_since > ANSWER_MS;
+	return l->pending_since && now - l->pending_since > ANSWER_TIMEOUT_MS;
 }
 
 /* Another one is asked from now on: it has its own time to answer. */
@@ -128,7 +128,7 @@
 	if (!l->valid_from)
 		return false;
 	return lease_ms == 0 ||
-	       dl_lease_age(l, now) < (int64_t)lease_ms - MARGIN_MS;
+	       dl_lease_age(l, now) < (int64_t)lease_ms - EXPIRY_MARGIN_MS;
 }
 
 /* Whether new callers should come. */
--- a/src/coordination/memb.c
+++ b/src/coordination/memb.c
@@ -18,37 +18,40 @@
 
 #include "coordination/memb_int.h"
 
-#define PROBE_MS       1000
-#define ACK_MS	       200
-#define SUSPECT_MS     2500
-#define DIGEST_MS      1000
-#define SLOTS_MIN      64
-#define PEERS_MIN      16
-#define TELLS_MORE     2 /* repetitions beyond log2 of the domain */
-#define TELLS_MAX      60
-#define SUSPECT_LOG    3 /* log2 of members that suspect_ms itself is for */
-#define FORGET_MS      ((int64_t)24 * 60 * 60 * 1000)
-#define TOMBSTONES_MAX 512
+#define PROBE_MS	  1000
+#define ACK_MS		  200
+#define SUSPECT_MS	  2500
+#define DIGEST_MS	  1000
+#define SLOTS_MIN	  64
+#define PEERS_MIN	  16
+#define RETRANSMITS_EXTRA 2 /* repetitions beyond log2 of the domain */
+#define RETRANSMITS_MAX	  60
+#define SUSPECT_LOG2_MIN  3 /* log2 of members that suspect_ms itself is for */
+#define DEAD_EXPIRY_MS	  ((int64_t)24 * 60 * 60 * 1000)
+#define TOMBSTONES_MAX	  512
 
 static bool add_peer(struct dl_memb *memb, const struct memb_update *u,
 		     int64_t now);
-static bool bury_known(struct dl_memb *memb, struct memb_peer *peer,
-		       const struct memb_update *u, enum memb_trust trust,
-		       int64_t now);
+static bool suspect_instead(struct dl_memb *memb, struct memb_peer *peer,
+			    const struct memb_update *u, enum memb_trust trust,
+			    int64_t now);
 static void drop_peer(struct dl_memb *memb, uint32_t index);
 static uint32_t find_slot(const struct dl_memb *memb, uint64_t vm);
 static bool grow(struct dl_memb *memb);
 static int intern_domain(struct dl_memb *memb, struct dl_str name, int64_t now);
-static void mark(struct dl_memb *memb, struct memb_peer *peer);
+static void mark_dirty(struct dl_memb *memb, struct memb_peer *peer);
 static uint32_t peer_hash(const struct memb_peer *peer);
 static void rehash(struct dl_memb *memb);
 static void refute(struct dl_memb *memb, const struct memb_update *u,
 		   int64_t now);
-static void set_said(struct dl_memb *memb, struct memb_peer *peer,
-		     enum dl_memb_state said, int64_t now);
-static void show(struct dl_memb *memb, struct memb_peer *peer, int64_t now);
-static void tell(struct dl_memb *memb, struct memb_peer *peer, uint32_t tells);
-static void unhash(struct dl_memb *memb, struct memb_peer *peer, int64_t now);
+static void set_gossip_state(struct dl_memb *memb, struct memb_peer *peer,
+			     enum dl_memb_state said, int64_t now);
+static void publish_state(struct dl_memb *memb, struct memb_peer *peer,
+			  int64_t now);
+static void queue_gossip(struct dl_memb *memb, struct memb_peer *peer,
+			 uint32_t tells);
+static void toggle_hash(struct dl_memb *memb, struct memb_peer *peer,
+			int64_t now);
 
 /* Fill a configuration with the suggested periods. */
 void dl_memb_defaults(struct dl_memb_conf *conf)
@@ -88,13 +91,13 @@
 	memb->epoch = 1;
 	memb->rng = seed ^ conf->self;
 	memb->seq = (uint32_t)memb_random(memb);
-	memb->unknown_pulled = INT64_MIN / 2;
+	memb->last_unknown_pull = INT64_MIN / 2;
 	memb->last_now = now;
 	memb->next_probe = now + (int64_t)(memb_random(memb) % conf->probe_ms);
 	memb->next_digest =
 		now + (int64_t)(memb_random(memb) % (conf->digest_ms + 1));
 	memb->next_seed = now;
-	memb->next_revive = now + conf->probe_ms;
+	memb->next_dead_probe = now + conf->probe_ms;
 	memb->next_sweep = now + conf->probe_ms;
 	self.vm = conf->self;
 	self.incarnation = conf->incarnation;
@@ -115,7 +118,7 @@
 	free(memb->owners);
 	free(memb->peers);
 	free(memb->slots);
-	free(memb->order);
+	free(memb->probe_order);
 	free(memb);
 }
 
@@ -221,9 +224,9 @@
 	if (!dl_name_set(&d->name, name))
 		return -1;
 	d->tag = (uint32_t)dl_hash(name, 0);
-	d->reached = now;
-	d->changed = now;
-	d->pulled = INT64_MIN / 2;
+	d->last_contact = now;
+	d->hash_changed = now;
+	d->last_pull = INT64_MIN / 2;
 	return (int)(d - memb->domains);
 }
 
@@ -246,27 +249,29 @@
 				    (uint64_t)peer->m.replica };
 	struct dl_str s = { (const char *)key, sizeof(key) };
 
-	if (!memb_said_live(peer))
+	if (!memb_gossip_live(peer))
 		return 0;
 	return (uint32_t)dl_hash(s, 0);
 }
 
 /* Take a member out of its domain's hash, or put it back in. */
-static void unhash(struct dl_memb *memb, struct memb_peer *peer, int64_t now)
+static void toggle_hash(struct dl_memb *memb, struct memb_peer *peer,
+			int64_t now)
 {
 	memb->epoch++;
 	memb->domains[peer->domain].hash ^= peer_hash(peer);
-	memb->domains[peer->domain].changed = now;
+	memb->domains[peer->domain].hash_changed = now;
 }
 
 /* Whether gossip holds a member to be live, cut off or not. */
-bool memb_said_live(const struct memb_peer *peer)
+bool memb_gossip_live(const struct memb_peer *peer)
 {
-	return peer->said == DL_ALIVE || peer->said == DL_SUSPECT;
+	return peer->gossip_state == DL_ALIVE ||
+	       peer->gossip_state == DL_SUSPECT;
 }
 
 /* Have a change of this member reported. */
-static void mark(struct dl_memb *memb, struct memb_peer *peer)
+static void mark_dirty(struct dl_memb *memb, struct memb_peer *peer)
 {
 	if (peer->dirty)
 		return;
@@ -275,35 +280,37 @@
 }
 
 /* Have this member told to others so many times more. */
-static void tell(struct dl_memb *memb, struct memb_peer *peer, uint32_t tells)
+static void queue_gossip(struct dl_memb *memb, struct memb_peer *peer,
+			 uint32_t tells)
 {
 	/* Other domains hear of it without waiting for the next round. */
-	if (peer->domain == 0 && tells > MEMB_VERSION_TELLS &&
+	if (peer->domain == 0 && tells > MEMB_VERSION_RETRANSMITS &&
 	    memb->next_digest > memb->last_now + memb->conf.ack_ms)
 		memb->next_digest = memb->last_now + memb->conf.ack_ms;
-	if (tells > TELLS_MAX)
-		tells = TELLS_MAX;
-	if (peer->tells == 0 && tells)
-		memb->telling++;
-	if (peer->tells < tells)
-		peer->tells = (uint8_t)tells;
+	if (tells > RETRANSMITS_MAX)
+		tells = RETRANSMITS_MAX;
+	if (peer->retransmits == 0 && tells)
+		memb->gossip_pending++;
+	if (peer->retransmits < tells)
+		peer->retransmits = (uint8_t)tells;
 }
 
 /*
  * How often a change of state is repeated by each VM: enough that gossip
  * misses about one VM in a thousand, which the comparison of hashes mends.
  */
-static uint32_t state_tells(const struct dl_memb *memb)
+static uint32_t state_retransmits(const struct dl_memb *memb)
 {
-	return TELLS_MORE + memb_log2(memb->domains[0].live + 1);
+	return RETRANSMITS_EXTRA + memb_log2(memb->domains[0].live + 1);
 }
 
 /* Show what gossip says of a member, unless its whole domain is cut off. */
-static void show(struct dl_memb *memb, struct memb_peer *peer, int64_t now)
+static void publish_state(struct dl_memb *memb, struct memb_peer *peer,
+			  int64_t now)
 {
-	enum dl_memb_state state = peer->said;
+	enum dl_memb_state state = peer->gossip_state;
 
-	if (memb->domains[peer->domain].cut && memb_said_live(peer) &&
+	if (memb->domains[peer->domain].unreachable && memb_gossip_live(peer) &&
 	    peer != &memb->peers[0])
 		state = DL_DEAD;
 	if (state == peer->m.state)
@@ -311,32 +318,32 @@
 	memb->epoch++;
 	peer->m.state = state;
 	peer->m.since = now;
-	mark(memb, peer);
+	mark_dirty(memb, peer);
 }
 
 /* Set what gossip says of a member. */
-static void set_said(struct dl_memb *memb, struct memb_peer *peer,
-		     enum dl_memb_state said, int64_t now)
+static void set_gossip_state(struct dl_memb *memb, struct memb_peer *peer,
+			     enum dl_memb_state said, int64_t now)
 {
 	uint32_t scale = memb_log2(memb->domains[0].live + 1);
 
-	if (scale < SUSPECT_LOG)
-		scale = SUSPECT_LOG;
-	if (peer->said == DL_SUSPECT)
+	if (scale < SUSPECT_LOG2_MIN)
+		scale = SUSPECT_LOG2_MIN;
+	if (peer->gossip_state == DL_SUSPECT)
 		memb->suspects--;
-	memb->domains[peer->domain].live -= memb_said_live(peer);
-	unhash(memb, peer, now);
-	peer->said = said;
-	memb->domains[peer->domain].live += memb_said_live(peer);
-	unhash(memb, peer, now);
+	memb->domains[peer->domain].live -= memb_gossip_live(peer);
+	toggle_hash(memb, peer, now);
+	peer->gossip_state = said;
+	memb->domains[peer->domain].live += memb_gossip_live(peer);
+	toggle_hash(memb, peer, now);
 	if (said != DL_SUSPECT)
 		peer->verify = false;
 	if (said == DL_SUSPECT) {
 		memb->suspects++;
 		peer->suspect_deadline = now + (int64_t)memb->conf.suspect_ms *
-						       scale / SUSPECT_LOG;
+						       scale / SUSPECT_LOG2_MIN;
 	}
-	show(memb, peer, now);
+	publish_state(memb, peer, now);
 }
 
 /* Add a member that was not known; false where there is no room. */
@@ -358,17 +365,17 @@
 	peer->m.draining = u->draining;
 	peer->m.config_version = u->config_version;
 	peer->m.since = now;
-	peer->asked = INT64_MIN / 2;
+	peer->last_direct_probe = INT64_MIN / 2;
 	memb->npeers++;
 	memb->domains[domain].members++;
 	memb->domains[domain].live++;
 	memb->slots[find_slot(memb, u->vm)] = memb->npeers;
-	unhash(memb, peer, now);
+	toggle_hash(memb, peer, now);
 	if (u->state == DL_SUSPECT)
-		set_said(memb, peer, DL_SUSPECT, now);
-	show(memb, peer, now);
-	mark(memb, peer);
-	tell(memb, peer, state_tells(memb));
+		set_gossip_state(memb, peer, DL_SUSPECT, now);
+	publish_state(memb, peer, now);
+	mark_dirty(memb, peer);
+	queue_gossip(memb, peer, state_retransmits(memb));
 	return true;
 }
 
@@ -379,13 +386,13 @@
 
 	if (peer->dirty)
 		memb->dirty--;
-	if (peer->tells)
-		memb->telling--;
-	if (peer->said == DL_SUSPECT)
+	if (peer->retransmits)
+		memb->gossip_pending--;
+	if (peer->gossip_state == DL_SUSPECT)
 		memb->suspects--;
 	memb->domains[peer->domain].hash ^= peer_hash(peer);
 	memb->domains[peer->domain].members--;
-	memb->domains[peer->domain].live -= memb_said_live(peer);
+	memb->domains[peer->domain].live -= memb_gossip_live(peer);
 	memb->npeers--;
 	memb->epoch++;
 	*peer = memb->peers[memb->npeers];
@@ -396,7 +403,7 @@
  * Forget members that were gone for a day, and the longest gone of more than
  * TOMBSTONES_MAX: until then their record keeps stale news from raising them.
  */
-void memb_forget_old(struct dl_memb *memb, int64_t now)
+void memb_expire_dead(struct dl_memb *memb, int64_t now)
 {
 	uint32_t gone = 0, oldest = 0;
 
@@ -405,7 +412,7 @@
 
 		if (memb_peer_live(peer))
 			continue;
-		if (now - peer->m.since > FORGET_MS) {
+		if (now - peer->m.since > DEAD_EXPIRY_MS) {
 			drop_peer(memb, i);
 			continue;
 		}
@@ -426,33 +433,34 @@
 /* This VM's own judgement: the member did not answer. */
 void memb_suspect(struct dl_memb *memb, struct memb_peer *peer, int64_t now)
 {
-	if (peer->said != DL_ALIVE)
+	if (peer->gossip_state != DL_ALIVE)
 		return;
-	set_said(memb, peer, DL_SUSPECT, now);
-	tell(memb, peer, state_tells(memb));
-	memb_spread(memb);
+	set_gossip_state(memb, peer, DL_SUSPECT, now);
+	queue_gossip(memb, peer, state_retransmits(memb));
+	memb_gossip_now(memb);
 }
 
 /* This VM's own judgement: the suspicion was not refuted in time. */
-void memb_dead(struct dl_memb *memb, struct memb_peer *peer, int64_t now)
+void memb_declare_dead(struct dl_memb *memb, struct memb_peer *peer,
+		       int64_t now)
 {
-	if (peer->said != DL_SUSPECT)
+	if (peer->gossip_state != DL_SUSPECT)
 		return;
-	set_said(memb, peer, DL_DEAD, now);
-	tell(memb, peer, state_tells(memb));
-	memb_spread(memb);
+	set_gossip_state(memb, peer, DL_DEAD, now);
+	queue_gossip(memb, peer, state_retransmits(memb));
+	memb_gossip_now(memb);
 }
 
 /* Take a whole domain's members out of sight, or show them again. */
-void memb_domain_cut(struct dl_memb *memb, uint32_t domain, bool cut,
-		     int64_t now)
+void memb_domain_set_unreachable(struct dl_memb *memb, uint32_t domain,
+				 bool cut, int64_t now)
 {
-	if (memb->domains[domain].cut == cut)
+	if (memb->domains[domain].unreachable == cut)
 		return;
-	memb->domains[domain].cut = cut;
+	memb->domains[domain].unreachable = cut;
 	for (uint32_t i = 1; i < memb->npeers; i++) {
 		if (memb->peers[i].domain == domain)
-			show(memb, &memb->peers[i], now);
+			publish_state(memb, &memb->peers[i], now);
 	}
 }
 
@@ -467,10 +475,10 @@
 		return;
 	if (u->incarnation == self->m.incarnation && !wrong)
 		return;
-	unhash(memb, self, now);
+	toggle_hash(memb, self, now);
 	self->m.incarnation = u->incarnation + 1;
-	unhash(memb, self, now);
-	tell(memb, self, state_tells(memb));
+	toggle_hash(memb, self, now);
+	queue_gossip(memb, self, state_retransmits(memb));
 }
 
 /*
@@ -478,18 +486,18 @@
  * doubted VM, it only raises a suspicion, since the member can be asked;
  * returns whether it did.
  */
-static bool bury_known(struct dl_memb *memb, struct memb_peer *peer,
-		       const struct memb_update *u, enum memb_trust trust,
-		       int64_t now)
+static bool suspect_instead(struct dl_memb *memb, struct memb_peer *peer,
+			    const struct memb_update *u, enum memb_trust trust,
+			    int64_t now)
 {
-	if (u->state != DL_DEAD || peer->said != DL_ALIVE)
+	if (u->state != DL_DEAD || peer->gossip_state != DL_ALIVE)
 		return false;
-	if (peer->domain != 0 && trust != MEMB_DOUBTED)
+	if (peer->domain != 0 && trust != MEMB_UNTRUSTED)
 		return false;
 	peer->verify = true;
-	set_said(memb, peer, DL_SUSPECT, now);
-	tell(memb, peer, state_tells(memb));
-	memb_ask(memb, peer, now);
+	set_gossip_state(memb, peer, DL_SUSPECT, now);
+	queue_gossip(memb, peer, state_retransmits(memb));
+	memb_probe_now(memb, peer, now);
 	return true;
 }
 
@@ -505,55 +513,56 @@
 	if (domain < 0)
 		return;
 	memb->domains[peer->domain].members--;
-	memb->domains[peer->domain].live -= memb_said_live(peer);
+	memb->domains[peer->domain].live -= memb_gossip_live(peer);
 	memb->domains[domain].members++;
-	memb->domains[domain].live += memb_said_live(peer);
+	memb->domains[domain].live += memb_gossip_live(peer);
 	peer->domain = (uint8_t)domain;
 	peer->m.domain = memb->domains[domain].name;
 }
 
 /* Take news of a higher incarnation whole. */
-static void replace(struct dl_memb *memb, struct memb_peer *peer,
-		    const struct memb_update *u, enum memb_trust trust,
-		    int64_t now)
+static void merge_newer_incarnation(struct dl_memb *memb,
+				    struct memb_peer *peer,
+				    const struct memb_update *u,
+				    enum memb_trust trust, int64_t now)
 {
-	unhash(memb, peer, now);
+	toggle_hash(memb, peer, now);
 	move_domain(memb, peer, u->domain, now);
 	peer->m.incarnation = u->incarnation;
 	peer->m.replica = u->replica;
 	peer->m.draining = u->draining;
 	if (peer->m.config_version < u->config_version)
 		peer->m.config_version = u->config_version;
-	unhash(memb, peer, now);
-	mark(memb, peer);
-	if (!bury_known(memb, peer, u, trust, now))
-		set_said(memb, peer, u->state, now);
-	tell(memb, peer, state_tells(memb));
+	toggle_hash(memb, peer, now);
+	mark_dirty(memb, peer);
+	if (!suspect_instead(memb, peer, u, trust, now))
+		set_gossip_state(memb, peer, u->state, now);
+	queue_gossip(memb, peer, state_retransmits(memb));
 }
 
 /* Take news of the incarnation that is known. */
-static void update(struct dl_memb *memb, struct memb_peer *peer,
-		   const struct memb_update *u, enum memb_trust trust,
-		   int64_t now)
+static void merge_same_incarnation(struct dl_memb *memb, struct memb_peer *peer,
+				   const struct memb_update *u,
+				   enum memb_trust trust, int64_t now)
 {
 	if (peer->m.config_version < u->config_version) {
-		unhash(memb, peer, now);
+		toggle_hash(memb, peer, now);
 		peer->m.config_version = u->config_version;
-		unhash(memb, peer, now);
-		tell(memb, peer, MEMB_VERSION_TELLS);
+		toggle_hash(memb, peer, now);
+		queue_gossip(memb, peer, MEMB_VERSION_RETRANSMITS);
 	}
-	if (u->state > peer->said) {
-		if (bury_known(memb, peer, u, trust, now))
+	if (u->state > peer->gossip_state) {
+		if (suspect_instead(memb, peer, u, trust, now))
 			return;
-		set_said(memb, peer, u->state, now);
-		tell(memb, peer, state_tells(memb));
+		set_gossip_state(memb, peer, u->state, now);
+		queue_gossip(memb, peer, state_retransmits(memb));
 		if (u->state == DL_SUSPECT && peer->domain == 0)
-			memb_ask(memb, peer, now);
+			memb_probe_now(memb, peer, now);
 		return;
 	}
-	if (u->state == DL_ALIVE && peer->said == DL_DEAD &&
+	if (u->state == DL_ALIVE && peer->gossip_state == DL_DEAD &&
 	    (trust == MEMB_SELF || peer->domain == 0))
-		memb_ask(memb, peer, now);
+		memb_probe_now(memb, peer, now);
 }
 
 /* Take news of a member. */
@@ -573,9 +582,9 @@
 		return;
 	}
 	if (u->incarnation > peer->m.incarnation)
-		replace(memb, peer, u, trust, now);
+		merge_newer_incarnation(memb, peer, u, trust, now);
 	else if (u->incarnation == peer->m.incarnation)
-		update(memb, peer, u, trust, now);
+		merge_same_incarnation(memb, peer, u, trust, now);
 }
 
 /* Have a datagram sent; past the bound it is dropped like a lost one. */
@@ -612,7 +621,7 @@
 }
 
 /* Send some live peers a datagram now: each says how its sender is. */
-static void tell_directly(struct dl_memb *memb, enum memb_kind kind)
+static void notify_live_peers(struct dl_memb *memb, enum memb_kind kind)
 {
 	uint32_t start = (uint32_t)(memb_random(memb) % memb->npeers);
 
@@ -622,7 +631,7 @@
 
 		if (peer->m.vm == memb->conf.self || !memb_peer_live(peer))
 			continue;
-		if (told++ == MEMB_LEAVE_TELL)
+		if (told++ == MEMB_NOTIFY_MAX)
 			break;
 		memb_queue(memb, kind, peer->m.vm,
 			   kind == MEMB_PING ? ++memb->seq : 0, 0);
@@ -638,23 +647,23 @@
 {
 	struct memb_peer *self = &memb->peers[0];
 
-	unhash(memb, self, now);
+	toggle_hash(memb, self, now);
 	if (self->m.draining != draining) {
 		self->m.draining = draining;
 		self->m.incarnation++;
-		mark(memb, self);
-		tell(memb, self, state_tells(memb));
+		mark_dirty(memb, self);
+		queue_gossip(memb, self, state_retransmits(memb));
 		/*
 		 * A VM that stops dispatches no longer; by probes alone the
 		 * others knew 0.3 to 2 s later, and asked it all the while.
 		 */
-		tell_directly(memb, MEMB_PING);
+		notify_live_peers(memb, MEMB_PING);
 	}
 	if (self->m.config_version < config_version) {
 		self->m.config_version = config_version;
-		tell(memb, self, MEMB_VERSION_TELLS);
+		queue_gossip(memb, self, MEMB_VERSION_RETRANSMITS);
 	}
-	unhash(memb, self, now);
+	toggle_hash(memb, self, now);
 }
 
 /* Tell peers that this VM leaves, so that nobody need suspect it. */
@@ -663,34 +672,34 @@
 	if (memb->left)
 		return;
 	memb->left = true;
-	set_said(memb, &memb->peers[0], DL_LEFT, now);
-	tell_directly(memb, MEMB_LEAVE);
+	set_gossip_state(memb, &memb->peers[0], DL_LEFT, now);
+	notify_live_peers(memb, MEMB_LEAVE);
 }
 
 /* The newest version that the sender knows of, and who has it. */
-static void take_newest(struct dl_memb *memb, const struct memb_msg *msg,
-			int64_t now)
+static void merge_newest_config(struct dl_memb *memb,
+				const struct memb_msg *msg, int64_t now)
 {
 	struct memb_peer *peer = memb_peer(memb, msg->newest_vm);
 
 	if (!peer || peer == &memb->peers[0] ||
 	    peer->m.config_version >= msg->newest_version)
 		return;
-	unhash(memb, peer, now);
+	toggle_hash(memb, peer, now);
 	peer->m.config_version = msg->newest_version;
-	unhash(memb, peer, now);
-	tell(memb, peer, MEMB_VERSION_TELLS);
+	toggle_hash(memb, peer, now);
+	queue_gossip(memb, peer, MEMB_VERSION_RETRANSMITS);
 }
 
 /* How far a datagram's news of others is believed. */
-static enum memb_trust trust_in(struct dl_memb *memb,
-				const struct memb_msg *msg)
+static enum memb_trust sender_trust(struct dl_memb *memb,
+				    const struct memb_msg *msg)
 {
 	uint32_t tag = (uint32_t)dl_hash(msg->self.domain, 0);
 	const struct memb_domain *d = memb_domain_of_tag(memb, tag);
 
 	if (d && d != memb->domains && (uint64_t)msg->live * 2 < d->live)
-		return MEMB_DOUBTED;
+		return MEMB_UNTRUSTED;
 	return MEMB_TRUSTED;
 }
 
@@ -709,16 +718,16 @@
 		return r;
 	if (from == memb->conf.self)
 		return -EINVAL;
-	memb_noticed(memb, now);
+	memb_check_pause(memb, now);
 	memb->joined = true;
 	if (dl_name_eq(&memb->conf.domain, msg.self.domain))
-		memb->domains[0].reached = now;
+		memb->domains[0].last_contact = now;
 	memb_merge(memb, &msg.self, MEMB_SELF, now);
-	trust = trust_in(memb, &msg);
+	trust = sender_trust(memb, &msg);
 	for (uint32_t i = 0; i < msg.nupdates; i++)
 		memb_merge(memb, &msg.updates[i], trust, now);
-	take_newest(memb, &msg, now);
-	memb_compare(memb, from, &msg, now);
+	merge_newest_config(memb, &msg, now);
+	memb_sync_domains(memb, from, &msg, now);
 	switch (msg.kind) {
 	case MEMB_PING:
 		memb_on_ping(memb, from, &msg);
@@ -733,7 +742,7 @@
 		memb_queue(memb, MEMB_PAGE, from, msg.seq, msg.target);
 		break;
 	case MEMB_PAGE:
-		if (msg.seq - memb->refresh_seq < MEMB_REFRESH_ASKS)
+		if (msg.seq - memb->refresh_seq < MEMB_REFRESH_PULLS)
 			memb->refreshing = false;
 		break;
 	case MEMB_DIGEST:
@@ -752,7 +761,7 @@
 bool dl_memb_next_datagram(struct dl_memb *memb, int64_t now, uint64_t *to,
 			   char *buf, size_t *n)
 {
-	memb_noticed(memb, now);
+	memb_check_pause(memb, now);
 	memb_tick(memb, now);
 	while (memb->queue_len) {
 		struct memb_intent *intent = &memb->queue[memb->queue_head];
@@ -785,8 +794,8 @@
 	while (memb->dirty) {
 		struct memb_peer *peer;
 
-		memb->dirty_at %= memb->npeers;
-		peer = &memb->peers[memb->dirty_at++];
+		memb->dirty_next %= memb->npeers;
+		peer = &memb->peers[memb->dirty_next++];
 		if (!peer->dirty)
 			continue;
 		peer->dirty = false;
--- a/src/coordination/memb_digest.c
+++ b/src/coordination/memb_digest.c
@@ -6,12 +6,12 @@
  */
 #include "coordination/memb_int.h"
 
-#define STRAY_EVERY    4    /* one digest in so many goes to any member */
-#define QUIET_MS       2000 /* gossip is given this long before a pull */
-#define PULL_EVERY_MS  5000
-#define PULL_MAX_MS    30000
-#define DIGEST_PULL_MS 1000
-#define ALONE_MEMBERS  8 /* so many cannot all be lost by chance */
+#define RANDOM_TARGET_EVERY   4 /* one digest in so many goes to any member */
+#define PULL_QUIET_MS	      2000 /* gossip is given this long before a pull */
+#define PULL_EVERY_MS	      5000
+#define PULL_MAX_MS	      30000
+#define DIGEST_PULL_MS	      1000
+#define ISOLATION_MIN_MEMBERS 8 /* so many cannot all be lost by chance */
 
 static uint64_t pick_in_domain(struct dl_memb *memb, uint32_t domain);
 static uint64_t vm_score(uint64_t vm);
@@ -25,11 +25,11 @@
 }
 
 /*
- * The VMs of a domain that speak for it: the few live ones of the lowest
+ * The VMs of a domain that gateways for it: the few live ones of the lowest
  * hash, so that all agree without asking.  Returns how many there are.
  */
-uint32_t memb_digesters(const struct dl_memb *memb, uint32_t domain,
-			uint64_t out[MEMB_DIGESTERS])
+uint32_t memb_gateways(const struct dl_memb *memb, uint32_t domain,
+		       uint64_t out[MEMB_GATEWAYS])
 {
 	uint32_t n = 0;
 
@@ -38,9 +38,9 @@
 		uint64_t vm = peer->m.vm;
 		uint32_t at;
 
-		if (peer->domain != domain || !memb_said_live(peer))
+		if (peer->domain != domain || !memb_gossip_live(peer))
 			continue;
-		if (n < MEMB_DIGESTERS)
+		if (n < MEMB_GATEWAYS)
 			at = n++;
 		else if (vm_score(vm) < vm_score(out[n - 1]))
 			at = n - 1;
@@ -55,7 +55,7 @@
 	return n;
 }
 
-/* Any member of a domain, dead or not: all who speak for it may be gone. */
+/* Any member of a domain, dead or not: all who gateways for it may be gone. */
 static uint64_t pick_in_domain(struct dl_memb *memb, uint32_t domain)
 {
 	uint32_t start = (uint32_t)(memb_random(memb) % memb->npeers);
@@ -64,7 +64,7 @@
 		const struct memb_peer *peer =
 			&memb->peers[(start + i) % memb->npeers];
 
-		if (peer->domain == domain && peer->said != DL_LEFT)
+		if (peer->domain == domain && peer->gossip_state != DL_LEFT)
 			return peer->m.vm;
 	}
 	return DL_VM_NONE;
@@ -73,23 +73,23 @@
 /* Send a digest to one VM of each other domain, where we are to. */
 void memb_digest_round(struct dl_memb *memb, int64_t now)
 {
-	uint64_t speak[MEMB_DIGESTERS];
-	uint32_t n = memb_digesters(memb, 0, speak);
-	bool ours = false;
+	uint64_t gateways[MEMB_GATEWAYS];
+	uint32_t n = memb_gateways(memb, 0, gateways);
+	bool is_gateway = false;
 
 	for (uint32_t i = 0; i < n; i++)
-		ours = ours || speak[i] == memb->conf.self;
-	if (!ours)
+		is_gateway = is_gateway || gateways[i] == memb->conf.self;
+	if (!is_gateway)
 		return;
-	memb->digests++;
+	memb->digest_rounds++;
 	for (uint32_t d = 1; d < memb->ndomains; d++) {
 		uint64_t to = DL_VM_NONE;
 
 		if (memb->domains[d].members == 0)
 			continue;
-		n = memb_digesters(memb, d, speak);
-		if (n && memb->digests % STRAY_EVERY)
-			to = speak[memb_random(memb) % n];
+		n = memb_gateways(memb, d, gateways);
+		if (n && memb->digest_rounds % RANDOM_TARGET_EVERY)
+			to = gateways[memb_random(memb) % n];
 		else
 			to = pick_in_domain(memb, d);
 		if (to != DL_VM_NONE)
@@ -102,7 +102,7 @@
  * How long a domain may be silent before it counts as cut off: a suspicion,
  * two digests, and the rounds that the news of an answer takes to spread.
  */
-int64_t memb_domain_silent_ms(const struct dl_memb *memb)
+int64_t memb_domain_timeout_ms(const struct dl_memb *memb)
 {
 	const struct dl_memb_conf *conf = &memb->conf;
 	uint32_t rounds = memb_log2(memb->domains[0].live + 1);
@@ -116,21 +116,23 @@
  * our own, where many VMs would otherwise be found dead one a period, nothing
  * from any of them for some periods means that this VM is the one cut off.
  */
-void memb_watch_domains(struct dl_memb *memb, int64_t now)
+void memb_check_domains(struct dl_memb *memb, int64_t now)
 {
 	int64_t silent = (int64_t)memb->conf.suspect_ms +
 			 2 * (int64_t)memb->conf.probe_ms;
 
-	memb_domain_cut(memb, 0,
-			memb->domains[0].live >= ALONE_MEMBERS &&
-				now - memb->domains[0].reached > silent,
-			now);
-	silent = memb_domain_silent_ms(memb);
+	memb_domain_set_unreachable(
+		memb, 0,
+		memb->domains[0].live >= ISOLATION_MIN_MEMBERS &&
+			now - memb->domains[0].last_contact > silent,
+		now);
+	silent = memb_domain_timeout_ms(memb);
 	for (uint32_t d = 1; d < memb->ndomains; d++) {
 		if (memb->domains[d].members)
-			memb_domain_cut(memb, d,
-					now - memb->domains[d].reached > silent,
-					now);
+			memb_domain_set_unreachable(
+				memb, d,
+				now - memb->domains[d].last_contact > silent,
+				now);
 	}
 }
 
@@ -138,19 +140,20 @@
 static bool pull_due(const struct memb_domain *d, bool digest, int64_t now)
 {
 	if (digest)
-		return now - d->pulled >= DIGEST_PULL_MS;
-	if (now - d->pulled < PULL_EVERY_MS)
+		return now - d->last_pull >= DIGEST_PULL_MS;
+	if (now - d->last_pull < PULL_EVERY_MS)
 		return false;
-	return now - d->changed >= QUIET_MS || now - d->pulled > PULL_MAX_MS;
+	return now - d->hash_changed >= PULL_QUIET_MS ||
+	       now - d->last_pull > PULL_MAX_MS;
 }
 
 /* Fetch a domain that was not known. */
 static void pull_unknown(struct dl_memb *memb, uint64_t from, uint32_t tag,
 			 int64_t now)
 {
-	if (now - memb->unknown_pulled < DIGEST_PULL_MS)
+	if (now - memb->last_unknown_pull < DIGEST_PULL_MS)
 		return;
-	memb->unknown_pulled = now;
+	memb->last_unknown_pull = now;
 	memb_queue(memb, MEMB_PULL, from, ++memb->seq, tag);
 }
 
@@ -159,12 +162,12 @@
  * differs once gossip had its time.  In our domain the age of each domain's
  * last answer is taken too; an answered digest is such an answer.
  */
-void memb_compare(struct dl_memb *memb, uint64_t from,
-		  const struct memb_msg *msg, int64_t now)
+void memb_sync_domains(struct dl_memb *memb, uint64_t from,
+		       const struct memb_msg *msg, int64_t now)
 {
 	bool digest = msg->kind == MEMB_DIGEST || msg->kind == MEMB_DIGEST_ACK;
-	uint32_t theirs = (uint32_t)dl_hash(msg->self.domain, 0);
-	bool ours = theirs == memb->domains[0].tag;
+	uint32_t sender_tag = (uint32_t)dl_hash(msg->self.domain, 0);
+	bool same_domain = sender_tag == memb->domains[0].tag;
 	struct memb_domain *d;
 
 	for (uint32_t i = 0; i < msg->nsync; i++) {
@@ -175,18 +178,18 @@
 			pull_unknown(memb, from, s->tag, now);
 			continue;
 		}
-		if (ours && d != memb->domains &&
-		    now - (int64_t)s->age_ms > d->reached)
-			d->reached = now - (int64_t)s->age_ms;
+		if (same_domain && d != memb->domains &&
+		    now - (int64_t)s->age_ms > d->last_contact)
+			d->last_contact = now - (int64_t)s->age_ms;
 		if (s->hash == d->hash ||
-		    !pull_due(d, digest && s->tag == theirs, now))
+		    !pull_due(d, digest && s->tag == sender_tag, now))
 			continue;
-		d->pulled = now;
+		d->last_pull = now;
 		memb_queue(memb, MEMB_PULL, from, ++memb->seq, s->tag);
 	}
-	if (msg->kind != MEMB_DIGEST_ACK || ours)
+	if (msg->kind != MEMB_DIGEST_ACK || same_domain)
 		return;
-	d = memb_domain_of_tag(memb, theirs);
-	if (d && d != memb->domains && now > d->reached)
-		d->reached = now;
+	d = memb_domain_of_tag(memb, sender_tag);
+	if (d && d != memb->domains && now > d->last_contact)
+		d->last_contact = now;
 }
--- a/src/coordination/memb_int.h
+++ b/src/coordination/memb_int.h
@@ -18,11 +18,13 @@
 #define MEMB_PIGGYBACK_MAX 24  /* of them on probes and their answers */
 
 #define MEMB_INDIRECT	   3 /* VMs asked to probe for us */
-#define MEMB_DIGESTERS	   3 /* VMs of a domain that speak to other domains */
-#define MEMB_LEAVE_TELL	   16
-#define MEMB_SPREAD	   3 /* VMs told of a verdict at once */
-#define MEMB_REFRESH_ASKS  3
-#define MEMB_VERSION_TELLS 3 /* repetitions of a mere change of version */
+#define MEMB_GATEWAYS	   3 /* VMs of a domain that speak to other domains */
+#define MEMB_NOTIFY_MAX	   16
+#define MEMB_GOSSIP_FANOUT 3 /* VMs told of a verdict at once */
+#define MEMB_REFRESH_PULLS 3
+#define MEMB_VERSION_RETRANSMITS                                               \
+	3 /* repetitions of a mere change of version                           \
+	   */
 
 /* What a datagram is for; numbers never change their meaning. */
 enum memb_kind {
@@ -39,9 +41,9 @@
 
 /* How far news is believed. */
 enum memb_trust {
-	MEMB_SELF,    /* from the member itself */
-	MEMB_TRUSTED, /* from one who sees what we see */
-	MEMB_DOUBTED, /* from one who sees less than half of its domain */
+	MEMB_SELF,	/* from the member itself */
+	MEMB_TRUSTED,	/* from one who sees what we see */
+	MEMB_UNTRUSTED, /* from one who sees less than half of its domain */
 };
 
 /* What is said of a member in a datagram. */
@@ -81,26 +83,27 @@
 struct memb_domain {
 	struct dl_name name;
 	uint32_t tag;
-	uint32_t hash;	  /* over live members, order does not matter */
-	uint32_t members; /* in the table, dead ones included */
-	uint32_t live;	  /* of them, as gossip has it */
-	bool cut;	  /* no answer from it: its members count as dead */
-	int64_t reached;  /* by any VM of ours, as far as known */
-	int64_t changed;  /* its hash, last */
-	int64_t pulled;
+	uint32_t hash;	      /* over live members, order does not matter */
+	uint32_t members;     /* in the table, dead ones included */
+	uint32_t live;	      /* of them, as gossip has it */
+	bool unreachable;     /* no answer from it: its members count as dead */
+	int64_t last_contact; /* by any VM of ours, as far as known */
+	int64_t hash_changed; /* its hash, last */
+	int64_t last_pull;
 };
 
 /* A member and what is under way about it. */
 struct memb_peer {
-	struct dl_member m;	  /* as shown */
-	enum dl_memb_state said;  /* as gossip has it; m.state minds cuts */
-	uint8_t domain;		  /* index */
-	uint8_t tells;		  /* repetitions left */
-	bool dirty;		  /* an event waits */
-	bool verify;		  /* this VM is to see whether it is dead */
-	bool unreachable;	  /* it does not answer this VM */
-	int64_t suspect_deadline; /* while said is DL_SUSPECT */
-	int64_t asked;		  /* last probed out of turn */
+	struct dl_member m; /* as shown */
+	enum dl_memb_state
+		gossip_state;	   /* as gossip has it; m.state minds cuts */
+	uint8_t domain;		   /* index */
+	uint8_t retransmits;	   /* repetitions left */
+	bool dirty;		   /* an event waits */
+	bool verify;		   /* this VM is to see whether it is dead */
+	bool unreachable;	   /* it does not answer this VM */
+	int64_t suspect_deadline;  /* while said is DL_SUSPECT */
+	int64_t last_direct_probe; /* last probed out of turn */
 };
 
 /* A datagram to be encoded when it is sent. */
@@ -143,9 +146,9 @@
 	uint32_t peers_cap;
 	uint32_t *slots; /* by hash of the VM: index + 1, 0 is empty */
 	uint32_t nslots;
-	uint32_t dirty;	   /* events that wait */
-	uint32_t dirty_at; /* where to look for the next */
-	uint32_t telling;  /* members with repetitions left */
+	uint32_t dirty;		 /* events that wait */
+	uint32_t dirty_next;	 /* where to look for the next */
+	uint32_t gossip_pending; /* members with repetitions left */
 	uint32_t suspects;
 	uint64_t epoch;		   /* counts changes of members */
 	struct memb_owner *owners; /* MEMB_OWNERS of them, by key */
@@ -157,19 +160,20 @@
 	uint32_t queue_head;
 	uint32_t queue_len;
 	struct memb_relay relays[MEMB_RELAYS_MAX];
-	uint32_t relay_at;
+	uint32_t relay_next;
 	struct memb_probe probe;
-	uint64_t *order; /* shuffled VMs of our domain still to be probed */
-	uint32_t order_len;
-	uint32_t order_cap;
+	uint64_t *
+		probe_order; /* shuffled VMs of our domain still to be probed */
+	uint32_t probe_order_len;
+	uint32_t probe_order_cap;
 	uint64_t seeds[MEMB_SEEDS_MAX];
 	uint32_t nseeds;
-	uint32_t seed_at;
+	uint32_t seed_next;
 
 	uint64_t rng;
 	uint32_t seq;
-	uint32_t digests;	/* rounds sent */
-	int64_t unknown_pulled; /* a domain that was not known */
+	uint32_t digest_rounds;	   /* rounds sent */
+	int64_t last_unknown_pull; /* a domain that was not known */
 	bool left;
 	bool joined;	      /* some other VM has answered */
 	bool refreshing;      /* after a pause: nothing is judged yet */
@@ -179,23 +183,24 @@
 	int64_t next_probe;
 	int64_t next_digest;
 	int64_t next_seed;
-	int64_t next_revive; /* re-probe of a dead member */
+	int64_t next_dead_probe; /* re-probe of a dead member */
 	int64_t next_sweep;
 };
 
 /* memb.c */
 struct memb_peer *memb_peer(const struct dl_memb *memb, uint64_t vm);
 bool memb_peer_live(const struct memb_peer *peer);
-bool memb_said_live(const struct memb_peer *peer);
+bool memb_gossip_live(const struct memb_peer *peer);
 uint64_t memb_random(struct dl_memb *memb);
 uint32_t memb_log2(uint32_t n);
 void memb_merge(struct dl_memb *memb, const struct memb_update *u,
 		enum memb_trust trust, int64_t now);
 void memb_suspect(struct dl_memb *memb, struct memb_peer *peer, int64_t now);
-void memb_dead(struct dl_memb *memb, struct memb_peer *peer, int64_t now);
-void memb_forget_old(struct dl_memb *memb, int64_t now);
-void memb_domain_cut(struct dl_memb *memb, uint32_t domain, bool cut,
-		     int64_t now);
+void memb_declare_dead(struct dl_memb *memb, struct memb_peer *peer,
+		       int64_t now);
+void memb_expire_dead(struct dl_memb *memb, int64_t now);
+void memb_domain_set_unreachable(struct dl_memb *memb, uint32_t domain,
+				 bool cut, int64_t now);
 struct memb_domain *memb_domain_of_tag(struct dl_memb *memb, uint32_t tag);
 void memb_queue(struct dl_memb *memb, enum memb_kind kind, uint64_t to,
 		uint32_t seq, uint64_t target);
@@ -208,9 +213,9 @@
 /* memb_probe.c */
 void memb_tick(struct dl_memb *memb, int64_t now);
 int64_t memb_next_tick(const struct dl_memb *memb);
-void memb_noticed(struct dl_memb *memb, int64_t now);
-void memb_ask(struct dl_memb *memb, struct memb_peer *peer, int64_t now);
-void memb_spread(struct dl_memb *memb);
+void memb_check_pause(struct dl_memb *memb, int64_t now);
+void memb_probe_now(struct dl_memb *memb, struct memb_peer *peer, int64_t now);
+void memb_gossip_now(struct dl_memb *memb);
 void memb_on_ack(struct dl_memb *memb, uint64_t from,
 		 const struct memb_msg *msg);
 void memb_on_ping(struct dl_memb *memb, uint64_t from,
@@ -220,11 +225,11 @@
 
 /* memb_digest.c */
 void memb_digest_round(struct dl_memb *memb, int64_t now);
-void memb_compare(struct dl_memb *memb, uint64_t from,
-		  const struct memb_msg *msg, int64_t now);
-void memb_watch_domains(struct dl_memb *memb, int64_t now);
-int64_t memb_domain_silent_ms(const struct dl_memb *memb);
-uint32_t memb_digesters(const struct dl_memb *memb, uint32_t domain,
-			uint64_t out[MEMB_DIGESTERS]);
+void memb_sync_domains(struct dl_memb *memb, uint64_t from,
+		       const struct memb_msg *msg, int64_t now);
+void memb_check_domains(struct dl_memb *memb, int64_t now);
+int64_t memb_domain_timeout_ms(const struct dl_memb *memb);
+uint32_t memb_gateways(const struct dl_memb *memb, uint32_t domain,
+		       uint64_t out[MEMB_GATEWAYS]);
 
 #endif
--- a/src/coordination/memb_probe.c
+++ b/src/coordination/memb_probe.c
@@ -7,11 +7,11 @@
 
 #include "coordination/memb_int.h"
 
-#define PROBE_FAIL_ACKS 3 /* a probe has failed after this many ack_ms */
-#define ASK_AGAIN_MS	1000
-#define SEED_FAST_MS	500
-#define SEED_SLOW_MS	5000
-#define REVIVE_PERIODS	5 /* one dead member is probed every so many */
+#define PROBE_FAIL_ACKS		 3 /* a probe has failed after this many ack_ms */
+#define DIRECT_PROBE_INTERVAL_MS 1000
+#define SEED_JOIN_INTERVAL_MS	 500
+#define SEED_RETRY_INTERVAL_MS	 5000
+#define DEAD_PROBE_PERIODS	 5 /* one dead member is probed every so many */
 
 static void begin_probe(struct dl_memb *memb, int64_t now);
 static void check_probe(struct dl_memb *memb, int64_t now);
@@ -19,8 +19,8 @@
 static struct memb_peer *next_target(struct dl_memb *memb);
 static struct memb_peer *random_peer(struct dl_memb *memb, bool live,
 				     uint64_t except);
-static void ask_seeds(struct dl_memb *memb, int64_t now);
-static void revive(struct dl_memb *memb);
+static void contact_seeds(struct dl_memb *memb, int64_t now);
+static void probe_dead_member(struct dl_memb *memb);
 static void sweep(struct dl_memb *memb, int64_t now);
 
 /* Put the live members of our domain in a new random order. */
@@ -28,28 +28,28 @@
 {
 	uint32_t n = 0;
 
-	if (memb->order_cap < memb->peers_cap) {
-		uint64_t *order =
-			realloc(memb->order, memb->peers_cap * sizeof(*order));
+	if (memb->probe_order_cap < memb->peers_cap) {
+		uint64_t *order = realloc(memb->probe_order,
+					  memb->peers_cap * sizeof(*order));
 		if (!order)
 			return false;
-		memb->order = order;
-		memb->order_cap = memb->peers_cap;
+		memb->probe_order = order;
+		memb->probe_order_cap = memb->peers_cap;
 	}
 	for (uint32_t i = 1; i < memb->npeers; i++) {
 		const struct memb_peer *peer = &memb->peers[i];
 
-		if (peer->domain == 0 && memb_said_live(peer))
-			memb->order[n++] = peer->m.vm;
+		if (peer->domain == 0 && memb_gossip_live(peer))
+			memb->probe_order[n++] = peer->m.vm;
 	}
 	for (uint32_t i = n; i > 1; i--) {
 		uint32_t j = (uint32_t)(memb_random(memb) % i);
-		uint64_t vm = memb->order[i - 1];
+		uint64_t vm = memb->probe_order[i - 1];
 
-		memb->order[i - 1] = memb->order[j];
-		memb->order[j] = vm;
+		memb->probe_order[i - 1] = memb->probe_order[j];
+		memb->probe_order[j] = vm;
 	}
-	memb->order_len = n;
+	memb->probe_order_len = n;
 	return n > 0;
 }
 
@@ -59,10 +59,11 @@
 	for (;;) {
 		struct memb_peer *peer;
 
-		if (memb->order_len == 0 && !fill_order(memb))
+		if (memb->probe_order_len == 0 && !fill_order(memb))
 			return NULL;
-		peer = memb_peer(memb, memb->order[--memb->order_len]);
-		if (peer && peer->domain == 0 && memb_said_live(peer))
+		peer = memb_peer(memb,
+				 memb->probe_order[--memb->probe_order_len]);
+		if (peer && peer->domain == 0 && memb_gossip_live(peer))
 			return peer;
 	}
 }
@@ -79,7 +80,8 @@
 
 		if (at == 0 || peer->domain != 0 || peer->m.vm == except)
 			continue;
-		if (live ? memb_said_live(peer) : peer->said == DL_DEAD)
+		if (live ? memb_gossip_live(peer) :
+			   peer->gossip_state == DL_DEAD)
 			return peer;
 	}
 	return NULL;
@@ -115,7 +117,7 @@
 		if (!peer)
 			return;
 		memb_suspect(memb, peer, now);
-		memb_ask(memb, peer, now);
+		memb_probe_now(memb, peer, now);
 		return;
 	}
 	if (probe->indirect || waited < memb->conf.ack_ms)
@@ -133,11 +135,11 @@
  * Probe a member out of turn: the datagram tells it what is held of it, so
  * that it can refute.  At most one a second for each member.
  */
-void memb_ask(struct dl_memb *memb, struct memb_peer *peer, int64_t now)
+void memb_probe_now(struct dl_memb *memb, struct memb_peer *peer, int64_t now)
 {
-	if (now - peer->asked < ASK_AGAIN_MS)
+	if (now - peer->last_direct_probe < DIRECT_PROBE_INTERVAL_MS)
 		return;
-	peer->asked = now;
+	peer->last_direct_probe = now;
 	memb_queue(memb, MEMB_PING, peer->m.vm, ++memb->seq, 0);
 }
 
@@ -145,12 +147,12 @@
  * Tell a few random members of what this VM has just found, rather than with
  * its next probe: the suspicions of all then end at nearly one time.
  */
-void memb_spread(struct dl_memb *memb)
+void memb_gossip_now(struct dl_memb *memb)
 {
-	for (int i = 0; i < MEMB_SPREAD; i++) {
+	for (int i = 0; i < MEMB_GOSSIP_FANOUT; i++) {
 		struct memb_peer *peer = random_peer(memb, true, DL_VM_NONE);
 
-		if (peer && peer->said == DL_ALIVE)
+		if (peer && peer->gossip_state == DL_ALIVE)
 			memb_queue(memb, MEMB_PING, peer->m.vm, ++memb->seq, 0);
 	}
 }
@@ -186,11 +188,11 @@
 void memb_on_relay(struct dl_memb *memb, uint64_t from,
 		   const struct memb_msg *msg)
 {
-	struct memb_relay *relay = &memb->relays[memb->relay_at];
+	struct memb_relay *relay = &memb->relays[memb->relay_next];
 
 	if (msg->target == memb->conf.self || msg->target == DL_VM_NONE)
 		return;
-	memb->relay_at = (memb->relay_at + 1) % MEMB_RELAYS_MAX;
+	memb->relay_next = (memb->relay_next + 1) % MEMB_RELAYS_MAX;
 	relay->origin = from;
 	relay->origin_seq = msg->seq;
 	relay->target = msg->target;
@@ -199,11 +201,12 @@
 }
 
 /* Ask one address of the settings that is not known to be live. */
-static void ask_seeds(struct dl_memb *memb, int64_t now)
+static void contact_seeds(struct dl_memb *memb, int64_t now)
 {
-	memb->next_seed = now + (memb->joined ? SEED_SLOW_MS : SEED_FAST_MS);
+	memb->next_seed = now + (memb->joined ? SEED_RETRY_INTERVAL_MS :
+						SEED_JOIN_INTERVAL_MS);
 	for (uint32_t i = 0; i < memb->nseeds; i++) {
-		uint64_t vm = memb->seeds[memb->seed_at++ % memb->nseeds];
+		uint64_t vm = memb->seeds[memb->seed_next++ % memb->nseeds];
 		const struct memb_peer *peer = memb_peer(memb, vm);
 
 		if (peer && memb_peer_live(peer))
@@ -219,7 +222,7 @@
 }
 
 /* Probe one dead member, so that a partition heals without an operator. */
-static void revive(struct dl_memb *memb)
+static void probe_dead_member(struct dl_memb *memb)
 {
 	struct memb_peer *peer = random_peer(memb, false, DL_VM_NONE);
 
@@ -234,13 +237,13 @@
 		struct memb_peer *peer = &memb->peers[i];
 
 		/* Members elsewhere are judged by their own domain. */
-		if (peer->said == DL_SUSPECT &&
+		if (peer->gossip_state == DL_SUSPECT &&
 		    (peer->domain == 0 || peer->verify) &&
 		    now >= peer->suspect_deadline)
-			memb_dead(memb, peer, now);
+			memb_declare_dead(memb, peer, now);
 	}
-	memb_watch_domains(memb, now);
-	memb_forget_old(memb, now);
+	memb_check_domains(memb, now);
+	memb_expire_dead(memb, now);
 }
 
 /* Do what is due. */
@@ -262,11 +265,11 @@
 		memb_digest_round(memb, now);
 	}
 	if (memb->nseeds && now >= memb->next_seed)
-		ask_seeds(memb, now);
-	if (now >= memb->next_revive) {
-		memb->next_revive =
-			now + (int64_t)conf->probe_ms * REVIVE_PERIODS;
-		revive(memb);
+		contact_seeds(memb, now);
+	if (now >= memb->next_dead_probe) {
+		memb->next_dead_probe =
+			now + (int64_t)conf->probe_ms * DEAD_PROBE_PERIODS;
+		probe_dead_member(memb);
 	}
 	if (now >= memb->next_sweep) {
 		memb->next_sweep = now + conf->ack_ms;
@@ -295,8 +298,8 @@
 		next = memb->next_digest;
 	if (memb->nseeds && memb->next_seed < next)
 		next = memb->next_seed;
-	if (memb->next_revive < next)
-		next = memb->next_revive;
+	if (memb->next_dead_probe < next)
+		next = memb->next_dead_probe;
 	if (memb->suspects && memb->next_sweep < next)
 		next = memb->next_sweep;
 	return next;
@@ -307,7 +310,7 @@
  * true before is stale: the deadlines that ran on meanwhile are put off by
  * the gap, nothing is judged, and others are asked first.
  */
-void memb_noticed(struct dl_memb *memb, int64_t now)
+void memb_check_pause(struct dl_memb *memb, int64_t now)
 {
 	int64_t gap = now - memb->last_now;
 
@@ -317,12 +320,12 @@
 	memb->probe.vm = DL_VM_NONE;
 	memb->refresh_seq = memb->seq + 1;
 	for (uint32_t i = 1; i < memb->npeers; i++) {
-		if (memb->peers[i].said == DL_SUSPECT)
+		if (memb->peers[i].gossip_state == DL_SUSPECT)
 			memb->peers[i].suspect_deadline += gap;
 	}
 	for (uint32_t i = 0; i < memb->ndomains; i++)
-		memb->domains[i].reached += gap;
-	for (int i = 0; i < MEMB_REFRESH_ASKS; i++) {
+		memb->domains[i].last_contact += gap;
+	for (int i = 0; i < MEMB_REFRESH_PULLS; i++) {
 		struct memb_peer *peer = random_peer(memb, true, DL_VM_NONE);
 
 		if (!peer)
--- a/src/coordination/memb_wire.c
+++ b/src/coordination/memb_wire.c
@@ -14,19 +14,19 @@
 
 #include "coordination/memb_int.h"
 
-#define FIELDS	       8
-#define UPDATE_FIELDS  4
-#define SYNC_FIELDS    3
-#define FLAG_STATE     3 /* mask */
-#define FLAG_REPLICA   4
-#define FLAG_DRAINING  8
-#define FLAGS_ALL      15
-#define UPDATE_ROOM    128 /* no update is longer */
-#define ARRAY_ROOM     3   /* header of an array */
-#define AGE_UNKNOWN_MS 3600000
+#define FIELDS		   8
+#define UPDATE_FIELDS	   4
+#define SYNC_FIELDS	   3
+#define FLAG_STATE	   3 /* mask */
+#define FLAG_REPLICA	   4
+#define FLAG_DRAINING	   8
+#define FLAGS_ALL	   15
+#define UPDATE_BYTES_MAX   128 /* no update is longer */
+#define ARRAY_HEADER_BYTES 3   /* header of an array */
+#define AGE_UNKNOWN_MS	   3600000
 
 /* A bounded buffer to pack into. */
-struct room {
+struct wire_buf {
 	char *buf;
 	size_t n;
 	size_t max;
@@ -42,19 +42,19 @@
 		      const struct memb_intent *intent, int64_t now);
 static void pack_update(msgpack_packer *pk, const struct memb_peer *peer,
 			const struct dl_name *domain);
-static int write_room(void *arg, const char *buf, size_t n);
+static int wire_write(void *arg, const char *buf, size_t n);
 
 /* Append what fits, whole or not at all. */
-static int write_room(void *arg, const char *buf, size_t n)
+static int wire_write(void *arg, const char *buf, size_t n)
 {
-	struct room *room = arg;
+	struct wire_buf *out = arg;
 
-	if (room->full || room->n + n > room->max) {
-		room->full = true;
+	if (out->full || out->n + n > out->max) {
+		out->full = true;
 		return -1;
 	}
-	memcpy(room->buf + room->n, buf, n);
-	room->n += n;
+	memcpy(out->buf + out->n, buf, n);
+	out->n += n;
 	return 0;
 }
 
@@ -182,7 +182,7 @@
 {
 	const struct dl_member *m = &peer->m;
 	bool named = !domain || !dl_name_eq(domain, dl_name_str(&m->domain));
-	uint8_t flags = (uint8_t)peer->said;
+	uint8_t flags = (uint8_t)peer->gossip_state;
 
 	if (m->replica)
 		flags |= FLAG_REPLICA;
@@ -203,7 +203,7 @@
 static uint32_t domain_age(const struct dl_memb *memb, uint32_t domain,
 			   int64_t now)
 {
-	int64_t age = now - memb->domains[domain].reached;
+	int64_t age = now - memb->domains[domain].last_contact;
 
 	if (domain == 0 || age < 0)
 		return 0;
@@ -237,26 +237,26 @@
 	}
 }
 
-/* Pack one member into the room for updates; false where it does not fit. */
-static bool put_update(struct dl_memb *memb, struct room *room, uint32_t *count,
-		       const struct memb_peer *peer)
+/* Pack one member into the out for updates; false where it does not fit. */
+static bool put_update(struct dl_memb *memb, struct wire_buf *out,
+		       uint32_t *count, const struct memb_peer *peer)
 {
-	char one[UPDATE_ROOM];
-	struct room small = { one, 0, sizeof(one), false };
+	char one[UPDATE_BYTES_MAX];
+	struct wire_buf one_buf = { one, 0, sizeof(one), false };
 	msgpack_packer pk;
 
-	msgpack_packer_init(&pk, &small, write_room);
+	msgpack_packer_init(&pk, &one_buf, wire_write);
 	pack_update(&pk, peer, &memb->conf.domain);
-	if (small.full || room->n + small.n > room->max)
+	if (one_buf.full || out->n + one_buf.n > out->max)
 		return false;
-	write_room(room, one, small.n);
+	wire_write(out, one, one_buf.n);
 	(*count)++;
 	return true;
 }
 
 /* The next part of what a VM asked for; ends with intent->page at 0. */
-static void put_page(struct dl_memb *memb, struct room *room, uint32_t *count,
-		     struct memb_intent *intent)
+static void put_page(struct dl_memb *memb, struct wire_buf *out,
+		     uint32_t *count, struct memb_intent *intent)
 {
 	uint32_t i = intent->page;
 
@@ -267,7 +267,7 @@
 		    memb->domains[peer->domain].tag != intent->target)
 			continue;
 		if (*count == MEMB_UPDATES_MAX ||
-		    !put_update(memb, room, count, peer))
+		    !put_update(memb, out, count, peer))
 			break;
 	}
 	intent->page = i < memb->npeers ? i : 0;
@@ -277,14 +277,15 @@
  * Pick the member whose news has the most repetitions left out of those
  * gathered, and close its gap.
  */
-static struct memb_peer *take_news(struct dl_memb *memb, uint16_t *news,
-				   uint32_t *n)
+static struct memb_peer *next_gossip(struct dl_memb *memb, uint16_t *news,
+				     uint32_t *n)
 {
 	uint32_t best = 0;
 	uint16_t index;
 
 	for (uint32_t i = 1; i < *n; i++) {
-		if (memb->peers[news[i]].tells > memb->peers[news[best]].tells)
+		if (memb->peers[news[i]].retransmits >
+		    memb->peers[news[best]].retransmits)
 			best = i;
 	}
 	index = news[best];
@@ -298,33 +299,33 @@
  * to be dead nothing else is told, since it may have been cut off and will
  * hear the rest once it has answered.
  */
-static void put_news(struct dl_memb *memb, struct room *room, uint32_t *count,
-		     const struct memb_intent *intent)
+static void put_gossip(struct dl_memb *memb, struct wire_buf *out,
+		       uint32_t *count, const struct memb_intent *intent)
 {
 	uint16_t news[MEMB_MEMBERS_MAX];
 	struct memb_peer *to = memb_peer(memb, intent->to);
 	struct memb_peer *target = memb_peer(memb, intent->target);
 	uint32_t n = 0;
 
-	if (to && to->said != DL_ALIVE)
-		put_update(memb, room, count, to);
-	if (to && to->said == DL_DEAD)
+	if (to && to->gossip_state != DL_ALIVE)
+		put_update(memb, out, count, to);
+	if (to && to->gossip_state == DL_DEAD)
 		return;
 	if (intent->kind == MEMB_ACK && target)
-		put_update(memb, room, count, target);
-	if (memb->telling == 0)
+		put_update(memb, out, count, target);
+	if (memb->gossip_pending == 0)
 		return;
 	for (uint32_t i = 0; i < memb->npeers; i++) {
-		if (memb->peers[i].tells && &memb->peers[i] != to)
+		if (memb->peers[i].retransmits && &memb->peers[i] != to)
 			news[n++] = (uint16_t)i;
 	}
 	while (n && *count < MEMB_PIGGYBACK_MAX) {
-		struct memb_peer *peer = take_news(memb, news, &n);
+		struct memb_peer *peer = next_gossip(memb, news, &n);
 
-		if (!put_update(memb, room, count, peer))
+		if (!put_update(memb, out, count, peer))
 			return;
-		if (--peer->tells == 0)
-			memb->telling--;
+		if (--peer->retransmits == 0)
+			memb->gossip_pending--;
 	}
 }
 
@@ -333,21 +334,21 @@
 		   int64_t now, char *buf)
 {
 	char updates[DL_MEMB_DATAGRAM_MAX];
-	struct room head = { buf, 0, memb->conf.datagram_max, false };
-	struct room tail = { updates, 0, 0, false };
+	struct wire_buf head = { buf, 0, memb->conf.datagram_max, false };
+	struct wire_buf tail = { updates, 0, 0, false };
 	uint32_t count = 0;
 	msgpack_packer pk;
 
-	msgpack_packer_init(&pk, &head, write_room);
+	msgpack_packer_init(&pk, &head, wire_write);
 	pack_head(memb, &pk, intent, now);
-	if (head.full || head.n + ARRAY_ROOM > head.max)
+	if (head.full || head.n + ARRAY_HEADER_BYTES > head.max)
 		return 0;
-	tail.max = head.max - head.n - ARRAY_ROOM;
+	tail.max = head.max - head.n - ARRAY_HEADER_BYTES;
 	if (intent->kind == MEMB_PAGE)
 		put_page(memb, &tail, &count, intent);
 	else
-		put_news(memb, &tail, &count, intent);
+		put_gossip(memb, &tail, &count, intent);
 	msgpack_pack_array(&pk, count);
-	write_room(&head, updates, tail.n);
+	wire_write(&head, updates, tail.n);
 	return head.full ? 0 : head.n;
 }
--- a/src/coordination/quarantine.c
+++ b/src/coordination/quarantine.c
@@ -7,11 +7,11 @@
  * A request is held back for so long after the last crash.  Then it may run
  * once more: what it ran into may have been mended.
  */
-#define HELD_MS ((int64_t)60 * 60 * 1000)
+#define HOLD_MS ((int64_t)60 * 60 * 1000)
 /* A crash counts for so long; requests that come more seldom do little harm. */
-#define SUSPECT_MS ((int64_t)10 * 60 * 1000)
+#define CRASH_WINDOW_MS ((int64_t)10 * 60 * 1000)
 /* A request that was held back is known for so long, to be held back again. */
-#define KNOWN_MS ((int64_t)24 * 60 * 60 * 1000)
+#define RECORD_TTL_MS ((int64_t)24 * 60 * 60 * 1000)
 /*
  * Requests that are known.  A crash breaks about as many as an endpoint runs at
  * once; past this the one whose last crash is longest ago makes place, of those
@@ -22,23 +22,23 @@
  * A restart shows within some seconds; until then it is open whether an
  * endpoint crashed under what broke off there.
  */
-#define BROKE_MS  10000
-#define BROKE_MAX 512
+#define INTERRUPTED_MS	10000
+#define INTERRUPTED_MAX 512
 /* A crash that is told later than this is of the hour before. */
-#define FRESH_MS 60000
+#define RECENT_CRASH_MS 60000
 
 /* One request under which endpoints crashed. */
 struct record {
 	uint64_t request;
-	uint64_t start[DL_QUARANTINE_CRASHES];
-	uint32_t crashes; /* since it was cleared */
-	uint32_t cleared; /* so often */
-	uint32_t oldest;  /* of start, once there are so many */
-	int64_t last;	  /* crash, or when it was cleared */
+	uint64_t starts[DL_QUARANTINE_CRASHES];
+	uint32_t crashes;   /* since it was cleared */
+	uint32_t cleared;   /* so often */
+	uint32_t next_slot; /* of start, once there are so many */
+	int64_t last;	    /* crash, or when it was cleared */
 };
 
 /* One attempt that broke off. */
-struct broken {
+struct interrupted {
 	uint64_t request;
 	uint64_t start;
 	int64_t at;
@@ -46,8 +46,8 @@
 
 struct dl_quarantine {
 	GHashTable *records;
-	struct broken broken[BROKE_MAX]; /* a ring */
-	uint32_t broken_at;
+	struct interrupted broken[INTERRUPTED_MAX]; /* a ring */
+	uint32_t interrupted_next;
 };
 
 /* Nothing is known yet. */
@@ -74,19 +74,21 @@
 				       uint64_t request, uint64_t start,
 				       int64_t now)
 {
-	struct broken *b = &q->broken[q->broken_at++ % BROKE_MAX];
+	struct interrupted *b =
+		&q->broken[q->interrupted_next++ % INTERRUPTED_MAX];
 
-	*b = (struct broken){ request, start, now };
+	*b = (struct interrupted){ request, start, now };
 }
 
 /* Take one attempt that broke off at a start out of the ring. */
 bool dl_quarantine_next_crash(struct dl_quarantine *q, uint64_t start,
 			      int64_t now, struct dl_crash *out)
 {
-	for (uint32_t i = 0; i < BROKE_MAX; i++) {
-		struct broken *b = &q->broken[i];
+	for (uint32_t i = 0; i < INTERRUPTED_MAX; i++) {
+		struct interrupted *b = &q->broken[i];
 
-		if (!b->request || b->start != start || now - b->at >= BROKE_MS)
+		if (!b->request || b->start != start ||
+		    now - b->at >= INTERRUPTED_MS)
 			continue;
 		*out = (struct dl_crash){
 			.request = b->request,
@@ -102,25 +104,26 @@
 
 static bool is_held(const struct record *r, int64_t now)
 {
-	return r->crashes == DL_QUARANTINE_CRASHES && now - r->last < HELD_MS;
+	return r->crashes == DL_QUARANTINE_CRASHES && now - r->last < HOLD_MS;
 }
 
-static bool is_over(const struct record *r, int64_t now)
+static bool is_expired(const struct record *r, int64_t now)
 {
-	return now - r->last >=
-	       (r->crashes == DL_QUARANTINE_CRASHES ? KNOWN_MS : SUSPECT_MS);
+	return now - r->last >= (r->crashes == DL_QUARANTINE_CRASHES ?
+					 RECORD_TTL_MS :
+					 CRASH_WINDOW_MS);
 }
 
 static bool has_start(const struct record *r, uint64_t start)
 {
 	for (uint32_t i = 0; i < r->crashes; i++) {
-		if (r->start[i] == start)
+		if (r->starts[i] == start)
 			return true;
 	}
 	return false;
 }
 
-static bool goes_first(const struct record *a, const struct record *b)
+static bool evict_before(const struct record *a, const struct record *b)
 {
 	bool a_full = a->crashes == DL_QUARANTINE_CRASHES;
 	bool b_full = b->crashes == DL_QUARANTINE_CRASHES;
@@ -128,7 +131,7 @@
 	return a_full == b_full ? a->last < b->last : b_full;
 }
 
-static void make_place(struct dl_quarantine *q)
+static void evict_one(struct dl_quarantine *q)
 {
 	const struct record *first = NULL;
 	GHashTableIter it;
@@ -136,21 +139,22 @@
 
 	g_hash_table_iter_init(&it, q->records);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
-		if (!first || goes_first(value, first))
+		if (!first || evict_before(value, first))
 			first = value;
 	}
 	if (first)
 		g_hash_table_remove(q->records, &first->request);
 }
 
-static struct record *record_of(struct dl_quarantine *q, uint64_t request)
+static struct record *get_or_add_record(struct dl_quarantine *q,
+					uint64_t request)
 {
 	struct record *r = g_hash_table_lookup(q->records, &request);
 
 	if (r)
 		return r;
 	if (g_hash_table_size(q->records) >= REQUESTS_MAX)
-		make_place(q);
+		evict_one(q);
 	r = g_new0(struct record, 1);
 	r->request = request;
 	r->last = INT64_MIN / 2;
@@ -159,11 +163,11 @@
 }
 
 /* Begin anew: what the request was blamed for before counts no more. */
-static void clear(struct record *r, uint32_t cleared)
+static void reset_crashes(struct record *r, uint32_t cleared)
 {
 	r->cleared = cleared;
 	r->crashes = 0;
-	r->oldest = 0;
+	r->next_slot = 0;
 }
 
 /*
@@ -177,12 +181,12 @@
 	if (has_start(r, crash->start))
 		return false;
 	if (r->crashes < DL_QUARANTINE_CRASHES) {
-		r->start[r->crashes++] = crash->start;
+		r->starts[r->crashes++] = crash->start;
 		return true;
 	}
-	if (is_held(r, now) || crash->age_ms >= FRESH_MS)
+	if (is_held(r, now) || crash->age_ms >= RECENT_CRASH_MS)
 		return false;
-	r->start[r->oldest++ % DL_QUARANTINE_CRASHES] = crash->start;
+	r->starts[r->next_slot++ % DL_QUARANTINE_CRASHES] = crash->start;
 	return true;
 }
 
@@ -195,21 +199,21 @@
 {
 	int64_t at = now - crash->age_ms;
 	struct record *r;
-	bool news;
+	bool changed;
 
-	if (!crash->request || crash->age_ms >= KNOWN_MS)
+	if (!crash->request || crash->age_ms >= RECORD_TTL_MS)
 		return false;
-	r = record_of(q, crash->request);
+	r = get_or_add_record(q, crash->request);
 	if (crash->cleared < r->cleared)
 		return false;
-	news = crash->cleared > r->cleared;
-	if (news)
-		clear(r, crash->cleared);
+	changed = crash->cleared > r->cleared;
+	if (changed)
+		reset_crashes(r, crash->cleared);
 	if (crash->start && add_start(r, crash, now))
-		news = true;
-	if (news && at > r->last)
+		changed = true;
+	if (changed && at > r->last)
 		r->last = at;
-	return news;
+	return changed;
 }
 
 /* Whether crashes under a request are known. */
@@ -237,7 +241,7 @@
 
 	if (!r || !is_held(r, now))
 		return 0;
-	return (uint32_t)(r->last + HELD_MS - now);
+	return (uint32_t)(r->last + HOLD_MS - now);
 }
 
 /* Tell each crash that still counts. */
@@ -256,26 +260,26 @@
 					  .cleared = r->cleared,
 					  .age_ms = (uint32_t)(now - r->last) };
 
-		if (is_over(r, now))
+		if (is_expired(r, now))
 			continue;
 		if (!r->crashes)
 			each(arg, &crash);
 		for (uint32_t i = 0; i < r->crashes; i++) {
-			crash.start = r->start[i];
+			crash.start = r->starts[i];
 			each(arg, &crash);
 		}
 	}
 }
 
-static gboolean over(gpointer key, gpointer value, gpointer now)
+static gboolean is_expired_entry(gpointer key, gpointer value, gpointer now)
 {
-	return is_over(value, *(const int64_t *)now);
+	return is_expired(value, *(const int64_t *)now);
 }
 
 /* Drop requests whose crashes are too long ago. */
 void dl_quarantine_expire(struct dl_quarantine *q, int64_t now)
 {
-	g_hash_table_foreach_remove(q->records, over, &now);
+	g_hash_table_foreach_remove(q->records, is_expired_entry, &now);
 }
 
 /* Count the requests that are held back. */
--- a/src/coordination/reports.c
+++ b/src/coordination/reports.c
@@ -12,16 +12,16 @@
  * not heard of for 6 s is taken for gone, and its own words may be late by
  * seconds.
  */
-#define KEYS_RATE     1500
-#define KEY_BYTES     9
-#define UNTOLD_MAX_MS 2000
-#define MS_PER_S      1000
+#define KEY_BYTES_PER_S	   1500
+#define KEY_BYTES	   9
+#define RELAY_DELAY_MAX_MS 2000
+#define MS_PER_S	   1000
 
 struct report {
 	uint64_t key;
-	int64_t heard;
-	int64_t told; /* to others, that they are said */
-	GBytes *words;
+	int64_t last_received;
+	int64_t last_relayed; /* to others, that they are said */
+	GBytes *body;
 	char *instance;
 };
 
@@ -34,7 +34,7 @@
 {
 	struct report *report = p;
 
-	g_bytes_unref(report->words);
+	g_bytes_unref(report->body);
 	g_free(report->instance);
 	g_free(report);
 }
@@ -61,7 +61,8 @@
 }
 
 /* Its start has no words any more, unless it has said others since. */
-static void unname(struct dl_reports *reports, const struct report *report)
+static void unindex_instance(struct dl_reports *reports,
+			     const struct report *report)
 {
 	if (g_hash_table_lookup(reports->by_instance, report->instance) ==
 	    report)
@@ -77,7 +78,7 @@
 	*key = dl_hash(words, 0);
 	report = g_hash_table_lookup(reports->by_key, key);
 	if (report) {
-		report->heard = now;
+		report->last_received = now;
 		return false;
 	}
 	dl_reports_remove(reports, instance);
@@ -85,9 +86,9 @@
 		return true;
 	report = g_new0(struct report, 1);
 	report->key = *key;
-	report->heard = now;
-	report->told = now;
-	report->words = g_bytes_new(words.s, words.n);
+	report->last_received = now;
+	report->last_relayed = now;
+	report->body = g_bytes_new(words.s, words.n);
 	report->instance = g_strndup(instance.s, instance.n);
 	g_hash_table_insert(reports->by_key, &report->key, report);
 	g_hash_table_insert(reports->by_instance, report->instance, report);
@@ -102,7 +103,7 @@
 	struct dl_str words = { "", 0 };
 
 	if (report)
-		words.s = g_bytes_get_data(report->words, &words.n);
+		words.s = g_bytes_get_data(report->body, &words.n);
 	return words;
 }
 
@@ -113,7 +114,7 @@
 	const struct report *report =
 		g_hash_table_lookup(reports->by_key, &key);
 
-	return report && report->heard >= since;
+	return report && report->last_received >= since;
 }
 
 /* They are due after a time that grows with the number of endpoints. */
@@ -121,11 +122,12 @@
 {
 	struct report *report = g_hash_table_lookup(reports->by_key, &key);
 	int64_t every = (int64_t)dl_reports_count(reports) * KEY_BYTES *
-			MS_PER_S / KEYS_RATE;
+			MS_PER_S / KEY_BYTES_PER_S;
 
-	if (!report || now - report->told < MIN(every, UNTOLD_MAX_MS))
+	if (!report ||
+	    now - report->last_relayed < MIN(every, RELAY_DELAY_MAX_MS))
 		return false;
-	report->told = now;
+	report->last_relayed = now;
 	return true;
 }
 
@@ -135,7 +137,7 @@
 	struct report *report = g_hash_table_lookup(reports->by_key, &key);
 
 	if (report)
-		report->heard = now;
+		report->last_received = now;
 }
 
 /* A start leaves. */
@@ -145,7 +147,7 @@
 	struct report *report = g_hash_table_lookup(reports->by_instance, name);
 
 	if (report) {
-		unname(reports, report);
+		unindex_instance(reports, report);
 		g_hash_table_remove(reports->by_key, &report->key);
 	}
 	g_free(name);
@@ -159,9 +161,9 @@
 
 	g_hash_table_iter_init(&iter, reports->by_key);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&report)) {
-		if (report->heard >= before)
+		if (report->last_received >= before)
 			continue;
-		unname(reports, report);
+		unindex_instance(reports, report);
 		g_hash_table_iter_remove(&iter);
 	}
 }
--- a/test/fake/memb_net.c
+++ b/test/fake/memb_net.c
@@ -5,10 +5,10 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define VM_BASE	  (UINT64_C(0x0a000001) << 16)
-#define VM_PORT	  7000
-#define STEP_MS	  50 /* between two looks whether all agree */
-#define BOOT_STEP 1000000
+#define VM_BASE		 (UINT64_C(0x0a000001) << 16)
+#define VM_PORT		 7000
+#define POLL_MS		 50 /* between two looks whether all agree */
+#define INCARNATION_STEP 1000000
 
 static void deliver(struct memb_net *net, int64_t now);
 static uint32_t index_of(const struct memb_net *net, uint64_t vm);
@@ -80,7 +80,7 @@
 	struct dl_memb_conf conf = net->conf.memb;
 
 	assert(!v->memb);
-	v->incarnation += BOOT_STEP;
+	v->incarnation += INCARNATION_STEP;
 	memb_net_pause(net, vm, 0);
 	conf.self = v->vm;
 	conf.incarnation = v->incarnation;
@@ -246,7 +246,7 @@
 	while (!memb_net_converged(net)) {
 		if (net->now - began > limit_ms)
 			return -1;
-		memb_net_run(net, STEP_MS);
+		memb_net_run(net, POLL_MS);
 	}
 	return net->now - began;
 }
--- a/test/test_call.c
+++ b/test/test_call.c
@@ -9,8 +9,8 @@
 
 #define N 0 /* not run */
 #define U 1 /* unknown */
-#define W 2 /* a whole answer: by its status */
-#define H 3 /* a part: failed at an error status, else unknown */
+#define C 2 /* a whole answer: by its status */
+#define P 3 /* a part: failed at an error status, else unknown */
 
 /* clang-format off */
 /* nothing, connect, reset, silent, deadline, caller, garbled */
@@ -19,11 +19,11 @@
 	{ { N, N, N, N, N, N, N }, { N, N, N, N, N, N, N },
 	  { N, N, N, N, N, N, N }, { N, N, N, N, N, N, N } },
 	/* a part sent: nothing, head, whole, not run received */
-	{ { U, U, U, U, U, U, U }, { U, U, H, H, H, H, U },
-	  { W, U, W, W, W, W, U }, { N, U, N, N, N, N, U } },
+	{ { U, U, U, U, U, U, U }, { U, U, P, P, P, P, U },
+	  { C, U, C, C, C, C, U }, { N, U, N, N, N, N, U } },
 	/* all sent */
-	{ { U, U, U, U, U, U, U }, { U, U, H, H, H, H, U },
-	  { W, U, W, W, W, W, U }, { N, U, N, N, N, N, U } },
+	{ { U, U, U, U, U, U, U }, { U, U, P, P, P, P, U },
+	  { C, U, C, C, C, C, U }, { N, U, N, N, N, N, U } },
 };
 /* clang-format on */
 
@@ -51,9 +51,9 @@
 	switch (expected[a->sent][a->received][a->failure]) {
 	case N:
 		return DL_OUTCOME_NOT_RUN;
-	case W:
+	case C:
 		return c->whole;
-	case H:
+	case P:
 		return c->head;
 	default:
 		return DL_OUTCOME_UNKNOWN;
@@ -61,7 +61,7 @@
 }
 
 /* Every cell, with every status. */
-START_TEST(outcome_of_each_cell)
+START_TEST(outcome_table)
 {
 	const struct status_case *c = &statuses[_i];
 	struct dl_attempt a = { .status = c->status };
@@ -82,7 +82,7 @@
 END_TEST
 
 /* Whatever broke: a request that may run once is sent again only if not run. */
-START_TEST(once_only_never_twice)
+START_TEST(non_idempotent_retried_only_if_not_run)
 {
 	struct dl_call_state s = { .resumable = true,
 				   .attempts = 1,
@@ -117,8 +117,8 @@
 	enum dl_next next;
 };
 
-#define AGAIN .idempotent = true, .attempts = 1, .deadline = 1000
-#define LOST                                                                   \
+#define RETRYABLE .idempotent = true, .attempts = 1, .deadline = 1000
+#define NO_RESPONSE                                                            \
 	{                                                                      \
 		DL_SENT_ALL, DL_RECV_NOTHING, DL_FAILURE_RESET, 0              \
 	}
@@ -128,36 +128,42 @@
 	}
 
 static const struct next_case nexts[] = {
-	{ "begin again", { AGAIN }, LOST, DL_NEXT_RETRY },
+	{ "begin again", { RETRYABLE }, NO_RESPONSE, DL_NEXT_RETRY },
 	{ "too many",
 	  { .idempotent = true, .attempts = 3, .deadline = 1000 },
-	  LOST,
+	  NO_RESPONSE,
+	  DL_NEXT_ANSWER },
+	{ "no time",
+	  { RETRYABLE, .expected_ms = 1001 },
+	  NO_RESPONSE,
 	  DL_NEXT_ANSWER },
-	{ "no time", { AGAIN, .expected_ms = 1001 }, LOST, DL_NEXT_ANSWER },
 	{ "bytes are out",
-	  { AGAIN, .bytes_to_caller = 1 },
-	  LOST,
+	  { RETRYABLE, .bytes_to_caller = 1 },
+	  NO_RESPONSE,
 	  DL_NEXT_ANSWER },
 	{ "not run, bytes are out",
-	  { AGAIN, .bytes_to_caller = 1 },
+	  { RETRYABLE, .bytes_to_caller = 1 },
 	  { DL_SENT_NOTHING, DL_RECV_NOTHING, DL_FAILURE_CONNECT, 0 },
 	  DL_NEXT_ANSWER },
 	{ "resume",
-	  { AGAIN, .resumable = true, .bytes_to_caller = 9 },
+	  { RETRYABLE, .resumable = true, .bytes_to_caller = 9 },
 	  STREAM(DL_FAILURE_IDLE_TIMEOUT),
 	  DL_NEXT_RESUME },
-	{ "cannot resume", { AGAIN }, STREAM(DL_FAILURE_RESET), DL_NEXT_RETRY },
+	{ "cannot resume",
+	  { RETRYABLE },
+	  STREAM(DL_FAILURE_RESET),
+	  DL_NEXT_RETRY },
 	{ "caller left",
-	  { AGAIN, .resumable = true },
+	  { RETRYABLE, .resumable = true },
 	  STREAM(DL_FAILURE_CALLER_GONE),
 	  DL_NEXT_ANSWER },
-	{ "late", { AGAIN }, STREAM(DL_FAILURE_DEADLINE), DL_NEXT_ANSWER },
+	{ "late", { RETRYABLE }, STREAM(DL_FAILURE_DEADLINE), DL_NEXT_ANSWER },
 	{ "unavailable",
-	  { AGAIN },
+	  { RETRYABLE },
 	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 503 },
 	  DL_NEXT_RETRY },
 	{ "its own error, another may not have it",
-	  { AGAIN },
+	  { RETRYABLE },
 	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_RETRY },
 	{ "its own error, twice",
@@ -169,15 +175,15 @@
 	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_ANSWER },
 	{ "a method that it does not know",
-	  { AGAIN },
+	  { RETRYABLE },
 	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 501 },
 	  DL_NEXT_ANSWER },
 	{ "a version that it does not know",
-	  { AGAIN },
+	  { RETRYABLE },
 	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 505 },
 	  DL_NEXT_ANSWER },
 	{ "done",
-	  { AGAIN },
+	  { RETRYABLE },
 	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 200 },
 	  DL_NEXT_ANSWER },
 };
@@ -199,7 +205,7 @@
 END_TEST
 
 /* One endpoint that refuses connections must not use up the budget. */
-START_TEST(refused_connects_cost_no_budget)
+START_TEST(refused_connects_leave_budget_unchanged)
 {
 	const struct dl_attempt refused = { DL_SENT_NOTHING, DL_RECV_NOTHING,
 					    DL_FAILURE_CONNECT, 0 };
@@ -217,7 +223,7 @@
 }
 END_TEST
 
-START_TEST(budget_is_a_share)
+START_TEST(retry_budget_is_proportional)
 {
 	struct dl_retry_budget b;
 	int taken = 0;
@@ -246,7 +252,7 @@
 }
 END_TEST
 
-START_TEST(hops_lose_the_margin)
+START_TEST(hop_time_excludes_margin)
 {
 	ck_assert_uint_eq(dl_hop_remaining_ms(1000, 50, 200), 750);
 	ck_assert_uint_eq(dl_hop_remaining_ms(1000, 50, 950), 0);
@@ -256,7 +262,7 @@
 }
 END_TEST
 
-START_TEST(connections_are_not_trusted_for_long)
+START_TEST(connection_reuse_is_limited)
 {
 	const struct dl_conn_limits b = { 1000, 100, 3 };
 	struct dl_conn_usage c = { .opened = 0, .last_read = 0, .requests = 1 };
@@ -274,7 +280,7 @@
 }
 END_TEST
 
-START_TEST(silence_is_found_and_a_pause_is_not_silence)
+START_TEST(idle_timer_ignores_one_process_pause)
 {
 	struct dl_idle_timer s;
 
@@ -321,16 +327,17 @@
 	TCase *t = tcase_create("call");
 
 	suite_add_tcase(s, t);
-	tcase_add_loop_test(t, outcome_of_each_cell, 0, STATUSES);
-	tcase_add_loop_test(t, once_only_never_twice, 0, STATUSES);
+	tcase_add_loop_test(t, outcome_table, 0, STATUSES);
+	tcase_add_loop_test(t, non_idempotent_retried_only_if_not_run, 0,
+			    STATUSES);
 	tcase_add_loop_test(t, next_of_each_case, 0,
 			    sizeof(nexts) / sizeof(nexts[0]));
-	tcase_add_test(t, refused_connects_cost_no_budget);
-	tcase_add_test(t, budget_is_a_share);
+	tcase_add_test(t, refused_connects_leave_budget_unchanged);
+	tcase_add_test(t, retry_budget_is_proportional);
 	tcase_add_test(t, stream_by_offset);
-	tcase_add_test(t, hops_lose_the_margin);
-	tcase_add_test(t, connections_are_not_trusted_for_long);
-	tcase_add_test(t, silence_is_found_and_a_pause_is_not_silence);
+	tcase_add_test(t, hop_time_excludes_margin);
+	tcase_add_test(t, connection_reuse_is_limited);
+	tcase_add_test(t, idle_timer_ignores_one_process_pause);
 	tcase_add_test(t, claim_keys_are_unambiguous);
 	return suite_run(s);
 }
--- a/test/test_directory.c
+++ b/test/test_directory.c
@@ -20,12 +20,12 @@
 }
 
 /* The endpoint whose name another start took over, at the last word. */
-static const struct dl_directory_entry *left;
+static const struct dl_directory_entry *superseded;
 
-static enum dl_directory_result hear_born(const char *address,
-					  const char *instance, uint64_t born,
-					  uint64_t sequence, bool leaving,
-					  int64_t now)
+static enum dl_directory_result announce_born(const char *address,
+					      const char *instance,
+					      uint64_t born, uint64_t sequence,
+					      bool leaving, int64_t now)
 {
 	const struct dl_directory_entry *entry;
 	struct dl_directory_update word = {
@@ -37,13 +37,14 @@
 		.leaving = leaving,
 	};
 
-	return dl_directory_apply(dir, &word, now, &entry, &left);
+	return dl_directory_apply(dir, &word, now, &entry, &superseded);
 }
 
-static enum dl_directory_result hear(const char *address, const char *instance,
-				     uint64_t sequence, bool leaving)
+static enum dl_directory_result announce(const char *address,
+					 const char *instance,
+					 uint64_t sequence, bool leaving)
 {
-	return hear_born(address, instance, 0, sequence, leaving, 1000);
+	return announce_born(address, instance, 0, sequence, leaving, 1000);
 }
 
 static const struct dl_directory_entry *known(void)
@@ -51,111 +52,111 @@
 	return dl_directory_find(dir, DL_STR(AT));
 }
 
-START_TEST(a_start_is_new_once)
+START_TEST(instance_is_new_once)
 {
-	ck_assert_int_eq(hear(AT, "i-1", 1, false), DL_DIRECTORY_NEW);
-	ck_assert_int_eq(hear(AT, "i-1", 2, false), DL_DIRECTORY_KNOWN);
+	ck_assert_int_eq(announce(AT, "i-1", 1, false), DL_DIRECTORY_NEW);
+	ck_assert_int_eq(announce(AT, "i-1", 2, false), DL_DIRECTORY_KNOWN);
 	ck_assert(dl_name_eq(&known()->instance, DL_STR("i-1")));
 }
 END_TEST
 
 START_TEST(leaving_is_final)
 {
-	hear(AT, "i-1", 1, false);
-	ck_assert_int_eq(hear(AT, "i-1", 3, true), DL_DIRECTORY_LEAVING);
-	ck_assert_int_eq(hear(AT, "i-1", 2, false), DL_DIRECTORY_KNOWN);
+	announce(AT, "i-1", 1, false);
+	ck_assert_int_eq(announce(AT, "i-1", 3, true), DL_DIRECTORY_LEAVING);
+	ck_assert_int_eq(announce(AT, "i-1", 2, false), DL_DIRECTORY_KNOWN);
 	ck_assert(known()->leaving);
 }
 END_TEST
 
-START_TEST(leaving_may_come_before_what_it_follows)
+START_TEST(leaving_with_older_sequence)
 {
-	hear(AT, "i-1", 5, false);
-	ck_assert_int_eq(hear(AT, "i-1", 4, true), DL_DIRECTORY_LEAVING);
+	announce(AT, "i-1", 5, false);
+	ck_assert_int_eq(announce(AT, "i-1", 4, true), DL_DIRECTORY_LEAVING);
 	ck_assert(known()->leaving);
 }
 END_TEST
 
-START_TEST(leaving_by_name_alone)
+START_TEST(leaving_without_address)
 {
-	hear(AT, "i-1", 1, false);
-	ck_assert_int_eq(hear("", "i-1", 0, true), DL_DIRECTORY_LEAVING);
+	announce(AT, "i-1", 1, false);
+	ck_assert_int_eq(announce("", "i-1", 0, true), DL_DIRECTORY_LEAVING);
 	ck_assert(known()->leaving);
-	ck_assert_int_eq(hear("", "i-9", 0, true), DL_DIRECTORY_STALE);
+	ck_assert_int_eq(announce("", "i-9", 0, true), DL_DIRECTORY_STALE);
 }
 END_TEST
 
 /* An announcement that a cut held up until another start had the address. */
-START_TEST(an_earlier_start_never_returns)
+START_TEST(superseded_instance_stays_stale)
 {
 	uint64_t first;
 
-	hear(AT, "i-1", 7, false);
+	announce(AT, "i-1", 7, false);
 	first = known()->incarnation;
-	ck_assert_int_eq(hear(AT, "i-2", 1, false), DL_DIRECTORY_NEW);
+	ck_assert_int_eq(announce(AT, "i-2", 1, false), DL_DIRECTORY_NEW);
 	ck_assert_uint_gt(known()->incarnation, first);
-	ck_assert_int_eq(hear(AT, "i-1", 8, false), DL_DIRECTORY_STALE);
+	ck_assert_int_eq(announce(AT, "i-1", 8, false), DL_DIRECTORY_STALE);
 	ck_assert(dl_name_eq(&known()->instance, DL_STR("i-2")));
-	ck_assert_int_eq(hear("", "i-1", 0, true), DL_DIRECTORY_STALE);
+	ck_assert_int_eq(announce("", "i-1", 0, true), DL_DIRECTORY_STALE);
 	ck_assert(!known()->leaving);
 }
 END_TEST
 
-START_TEST(a_new_start_does_not_leave)
+START_TEST(new_instance_is_not_leaving)
 {
-	hear(AT, "i-1", 1, true);
+	announce(AT, "i-1", 1, true);
 	ck_assert(known()->leaving);
-	hear(AT, "i-2", 1, false);
+	announce(AT, "i-2", 1, false);
 	ck_assert(!known()->leaving);
 }
 END_TEST
 
 /* The same name at the same address: it holds nothing of before. */
-START_TEST(a_start_may_have_the_name_of_an_earlier_one)
+START_TEST(restart_with_same_name_and_address)
 {
 	uint64_t first;
 
-	hear_born(AT, "i-1", 100, 9, true, 1000);
+	announce_born(AT, "i-1", 100, 9, true, 1000);
 	ck_assert(known()->leaving);
 	first = known()->incarnation;
-	ck_assert_int_eq(hear_born(AT, "i-1", 200, 1, false, 2000),
+	ck_assert_int_eq(announce_born(AT, "i-1", 200, 1, false, 2000),
 			 DL_DIRECTORY_NEW);
 	ck_assert_uint_gt(known()->incarnation, first);
 	ck_assert_uint_eq(known()->sequence, 1);
 	ck_assert(!known()->leaving);
 	/* Late words of the earlier start, in every form. */
-	ck_assert_int_eq(hear_born(AT, "i-1", 100, 10, false, 2100),
+	ck_assert_int_eq(announce_born(AT, "i-1", 100, 10, false, 2100),
 			 DL_DIRECTORY_STALE);
-	ck_assert_int_eq(hear_born(AT, "i-1", 100, 11, true, 2100),
+	ck_assert_int_eq(announce_born(AT, "i-1", 100, 11, true, 2100),
 			 DL_DIRECTORY_STALE);
-	ck_assert_int_eq(hear_born("", "i-1", 100, 0, true, 2100),
+	ck_assert_int_eq(announce_born("", "i-1", 100, 0, true, 2100),
 			 DL_DIRECTORY_STALE);
 	ck_assert(!known()->leaving);
 	ck_assert_uint_eq(known()->sequence, 1);
-	ck_assert_int_eq(hear_born("", "i-1", 200, 0, true, 2100),
+	ck_assert_int_eq(announce_born("", "i-1", 200, 0, true, 2100),
 			 DL_DIRECTORY_LEAVING);
 }
 END_TEST
 
 /* The same name at another address: nobody is at the first one. */
-START_TEST(a_start_may_take_its_name_to_another_address)
+START_TEST(restart_with_same_name_at_new_address)
 {
 	const char *to = "10.0.0.8:8080";
 
-	hear_born(AT, "i-1", 100, 9, false, 1000);
-	ck_assert_int_eq(hear_born(to, "i-1", 200, 1, false, 2000),
+	announce_born(AT, "i-1", 100, 9, false, 1000);
+	ck_assert_int_eq(announce_born(to, "i-1", 200, 1, false, 2000),
 			 DL_DIRECTORY_NEW);
-	ck_assert_ptr_eq(left, known());
+	ck_assert_ptr_eq(superseded, known());
 	ck_assert(known()->leaving);
 	/* The earlier start's late word brings nothing back. */
-	ck_assert_int_ne(hear_born(AT, "i-1", 100, 10, false, 2100),
+	ck_assert_int_ne(announce_born(AT, "i-1", 100, 10, false, 2100),
 			 DL_DIRECTORY_NEW);
 	ck_assert(known()->leaving);
 	ck_assert(!dl_directory_find(dir, dl_str_of(to))->leaving);
 	/* And the first address may be used again. */
-	ck_assert_int_eq(hear_born(AT, "i-2", 300, 1, false, 3000),
+	ck_assert_int_eq(announce_born(AT, "i-2", 300, 1, false, 3000),
 			 DL_DIRECTORY_NEW);
-	ck_assert_int_eq(hear_born("", "i-1", 200, 0, true, 3000),
+	ck_assert_int_eq(announce_born("", "i-1", 200, 0, true, 3000),
 			 DL_DIRECTORY_LEAVING);
 	ck_assert(dl_directory_find(dir, dl_str_of(to))->leaving);
 	ck_assert(!known()->leaving);
@@ -163,63 +164,64 @@
 END_TEST
 
 /* The later start may be heard of first. */
-START_TEST(an_earlier_start_of_a_name_is_late_at_another_address)
+START_TEST(older_start_at_other_address_is_stale)
 {
-	hear_born(AT, "i-1", 200, 1, false, 1000);
-	ck_assert_int_eq(hear_born("10.0.0.8:8080", "i-1", 100, 9, false, 1000),
+	announce_born(AT, "i-1", 200, 1, false, 1000);
+	ck_assert_int_eq(announce_born("10.0.0.8:8080", "i-1", 100, 9, false,
+				       1000),
 			 DL_DIRECTORY_STALE);
-	ck_assert_int_eq(hear_born("", "i-1", 0, 0, true, 1000),
+	ck_assert_int_eq(announce_born("", "i-1", 0, 0, true, 1000),
 			 DL_DIRECTORY_LEAVING);
 	ck_assert(known()->leaving);
 }
 END_TEST
 
 /* A start that was never heard of while it was there. */
-START_TEST(a_start_before_the_one_there_is_late)
+START_TEST(unseen_older_instance_is_stale)
 {
-	hear_born(AT, "i-2", 200, 1, false, 1000);
-	ck_assert_int_eq(hear_born(AT, "i-1", 100, 1, false, 1500),
+	announce_born(AT, "i-2", 200, 1, false, 1000);
+	ck_assert_int_eq(announce_born(AT, "i-1", 100, 1, false, 1500),
 			 DL_DIRECTORY_STALE);
 	ck_assert(dl_name_eq(&known()->instance, DL_STR("i-2")));
 }
 END_TEST
 
 /* The clock of its machine stepped back; the one before has fallen silent. */
-START_TEST(a_clock_that_stepped_keeps_nobody_out)
+START_TEST(clock_step_does_not_block_instance)
 {
-	hear_born(AT, "i-1", 200, 1, false, 1000);
-	ck_assert_int_eq(hear_born(AT, "i-2", 100, 1, false, 5000),
+	announce_born(AT, "i-1", 200, 1, false, 1000);
+	ck_assert_int_eq(announce_born(AT, "i-2", 100, 1, false, 5000),
 			 DL_DIRECTORY_NEW);
 }
 END_TEST
 
 /* A start that does not say when it began, between others that do. */
-START_TEST(the_time_of_a_start_may_be_missing)
+START_TEST(start_time_is_optional)
 {
-	hear_born(AT, "i-1", 100, 1, false, 1000);
-	ck_assert_int_eq(hear_born(AT, "i-1", 0, 2, false, 1000),
+	announce_born(AT, "i-1", 100, 1, false, 1000);
+	ck_assert_int_eq(announce_born(AT, "i-1", 0, 2, false, 1000),
 			 DL_DIRECTORY_KNOWN);
 	ck_assert_uint_eq(known()->born, 100);
-	ck_assert_int_eq(hear_born(AT, "i-1", 0, 3, true, 1000),
+	ck_assert_int_eq(announce_born(AT, "i-1", 0, 3, true, 1000),
 			 DL_DIRECTORY_LEAVING);
 }
 END_TEST
 
-START_TEST(nameless_starts_are_nothing)
+START_TEST(unnamed_instance_is_ignored)
 {
-	ck_assert_int_eq(hear(AT, "", 1, false), DL_DIRECTORY_STALE);
+	ck_assert_int_eq(announce(AT, "", 1, false), DL_DIRECTORY_STALE);
 	ck_assert_ptr_null(known());
 }
 END_TEST
 
-START_TEST(silent_ones_are_forgotten)
+START_TEST(silent_endpoints_expire)
 {
-	hear(AT, "i-1", 1, false);
+	announce(AT, "i-1", 1, false);
 	dl_directory_expire(dir, 1000);
 	ck_assert_uint_eq(dl_directory_count(dir), 1);
 	dl_directory_expire(dir, 1001);
 	ck_assert_uint_eq(dl_directory_count(dir), 0);
-	ck_assert_int_eq(hear("", "i-1", 0, true), DL_DIRECTORY_STALE);
+	ck_assert_int_eq(announce("", "i-1", 0, true), DL_DIRECTORY_STALE);
 }
 END_TEST
 
@@ -230,20 +232,19 @@
 
 	suite_add_tcase(s, t);
 	tcase_add_checked_fixture(t, begin, end);
-	tcase_add_test(t, a_start_is_new_once);
+	tcase_add_test(t, instance_is_new_once);
 	tcase_add_test(t, leaving_is_final);
-	tcase_add_test(t, leaving_may_come_before_what_it_follows);
-	tcase_add_test(t, leaving_by_name_alone);
-	tcase_add_test(t, an_earlier_start_never_returns);
-	tcase_add_test(t, a_new_start_does_not_leave);
-	tcase_add_test(t, a_start_may_have_the_name_of_an_earlier_one);
-	tcase_add_test(t, a_start_may_take_its_name_to_another_address);
-	tcase_add_test(t,
-		       an_earlier_start_of_a_name_is_late_at_another_address);
-	tcase_add_test(t, a_start_before_the_one_there_is_late);
-	tcase_add_test(t, a_clock_that_stepped_keeps_nobody_out);
-	tcase_add_test(t, the_time_of_a_start_may_be_missing);
-	tcase_add_test(t, nameless_starts_are_nothing);
-	tcase_add_test(t, silent_ones_are_forgotten);
+	tcase_add_test(t, leaving_with_older_sequence);
+	tcase_add_test(t, leaving_without_address);
+	tcase_add_test(t, superseded_instance_stays_stale);
+	tcase_add_test(t, new_instance_is_not_leaving);
+	tcase_add_test(t, restart_with_same_name_and_address);
+	tcase_add_test(t, restart_with_same_name_at_new_address);
+	tcase_add_test(t, older_start_at_other_address_is_stale);
+	tcase_add_test(t, unseen_older_instance_is_stale);
+	tcase_add_test(t, clock_step_does_not_block_instance);
+	tcase_add_test(t, start_time_is_optional);
+	tcase_add_test(t, unnamed_instance_is_ignored);
+	tcase_add_test(t, silent_endpoints_expire);
 	return suite_run(s);
 }
--- a/test/test_lease.c
+++ b/test/test_lease.c
@@ -29,7 +29,7 @@
 	return dl_lease_handle_answer(&lease, &a, have, now);
 }
 
-START_TEST(no_word_no_lease)
+START_TEST(no_lease_without_confirmation)
 {
 	ck_assert(!dl_lease_is_valid(&lease, LEASE, 1000));
 	ck_assert(!dl_lease_is_valid(&lease, 0, 1000));
@@ -38,7 +38,7 @@
 END_TEST
 
 /* What came in between, on the way back or while suspended, counts. */
-START_TEST(a_word_counts_from_the_question)
+START_TEST(lease_starts_at_request)
 {
 	dl_lease_request_sent(&lease, 1000);
 	answer(1000, LEADER, true, 3, 3, 4000);
@@ -49,7 +49,7 @@
 }
 END_TEST
 
-START_TEST(a_newer_version_is_waited_for)
+START_TEST(lease_waits_for_newer_version)
 {
 	dl_lease_request_sent(&lease, 1000);
 	answer(1000, LEADER, true, 3, 3, 1001);
@@ -65,7 +65,7 @@
  * Of eight replicas three do not vote and know no leader; whom a follower names
  * must be asked before the next one in turn is.
  */
-START_TEST(the_named_leader_is_asked)
+START_TEST(named_leader_is_asked_next)
 {
 	dl_lease_request_sent(&lease, 100000);
 	ck_assert_uint_eq(answer(100000, FOLLOWER, false, 0, 0, 100002),
@@ -77,14 +77,14 @@
 }
 END_TEST
 
-START_TEST(a_leader_that_is_not_sure_is_left)
+START_TEST(unconfirmed_leader_is_dropped)
 {
 	dl_lease_request_sent(&lease, 1000);
 	ck_assert_uint_eq(answer(1000, LEADER, false, 0, 0, 1001), DL_VM_NONE);
 }
 END_TEST
 
-START_TEST(silence_is_noticed)
+START_TEST(missing_answer_times_out)
 {
 	dl_lease_request_sent(&lease, 1000);
 	ck_assert(!dl_lease_timed_out(&lease, 1400));
@@ -95,7 +95,7 @@
 END_TEST
 
 /* A replica that is gone is asked again and again, and left all the same. */
-START_TEST(silence_is_noticed_however_often_asked)
+START_TEST(timeout_despite_repeated_requests)
 {
 	int64_t now = 1000;
 
@@ -114,7 +114,7 @@
 }
 END_TEST
 
-START_TEST(late_answers_change_nothing)
+START_TEST(late_answers_are_ignored)
 {
 	dl_lease_request_sent(&lease, 1000);
 	dl_lease_request_sent(&lease, 1250);
@@ -127,7 +127,7 @@
 }
 END_TEST
 
-START_TEST(without_a_bound_one_word_is_enough)
+START_TEST(unbounded_lease_needs_one_confirmation)
 {
 	dl_lease_request_sent(&lease, 1000);
 	answer(1000, LEADER, true, 3, 3, 1001);
@@ -136,7 +136,7 @@
 END_TEST
 
 /* The one that comes to lead answers a question that others have answered. */
-START_TEST(a_word_may_come_after_other_answers)
+START_TEST(confirmation_after_other_answers)
 {
 	dl_lease_request_sent(&lease, 1000);
 	answer(1000, FOLLOWER, false, 0, 3, 1001);
@@ -150,7 +150,7 @@
 }
 END_TEST
 
-START_TEST(it_is_asked_more_often_without_a_word)
+START_TEST(requests_are_faster_without_confirmation)
 {
 	dl_lease_request_sent(&lease, 1000);
 	ck_assert(!dl_lease_renewal_due(&lease, LEASE, 1099));
@@ -180,7 +180,7 @@
 	{ 9000, 12900, 0, 10000, 13000, 0 },
 };
 
-START_TEST(callers_wait_where_a_word_is_near)
+START_TEST(max_wait_of_each_case)
 {
 	lease.valid_from = waits[_i].held_from;
 	ck_assert_uint_eq(
@@ -197,18 +197,18 @@
 
 	suite_add_tcase(s, t);
 	tcase_add_checked_fixture(t, begin, NULL);
-	tcase_add_test(t, no_word_no_lease);
-	tcase_add_test(t, a_word_may_come_after_other_answers);
-	tcase_add_test(t, it_is_asked_more_often_without_a_word);
-	tcase_add_loop_test(t, callers_wait_where_a_word_is_near, 0,
+	tcase_add_test(t, no_lease_without_confirmation);
+	tcase_add_test(t, confirmation_after_other_answers);
+	tcase_add_test(t, requests_are_faster_without_confirmation);
+	tcase_add_loop_test(t, max_wait_of_each_case, 0,
 			    sizeof(waits) / sizeof(waits[0]));
-	tcase_add_test(t, a_word_counts_from_the_question);
-	tcase_add_test(t, a_newer_version_is_waited_for);
-	tcase_add_test(t, the_named_leader_is_asked);
-	tcase_add_test(t, a_leader_that_is_not_sure_is_left);
-	tcase_add_test(t, silence_is_noticed);
-	tcase_add_test(t, silence_is_noticed_however_often_asked);
-	tcase_add_test(t, late_answers_change_nothing);
-	tcase_add_test(t, without_a_bound_one_word_is_enough);
+	tcase_add_test(t, lease_starts_at_request);
+	tcase_add_test(t, lease_waits_for_newer_version);
+	tcase_add_test(t, named_leader_is_asked_next);
+	tcase_add_test(t, unconfirmed_leader_is_dropped);
+	tcase_add_test(t, missing_answer_times_out);
+	tcase_add_test(t, timeout_despite_repeated_requests);
+	tcase_add_test(t, late_answers_are_ignored);
+	tcase_add_test(t, unbounded_lease_needs_one_confirmation);
 	return suite_run(s);
 }
--- a/test/test_memb.c
+++ b/test/test_memb.c
@@ -11,20 +11,20 @@
 #define DOMAINS	 3
 #define START_MS 3000
 /* Two datagrams of a few milliseconds, and what a loaded loop adds. */
-#define AT_ONCE_MS    60
-#define DEAD_MS	      6000 /* probe, its failure, suspicion, a digest */
-#define CUT_MS	      9000 /* a whole domain at this size */
-#define HEAL_MS	      15000
-#define ALONE_MS      24000
-#define LONG_MS	      60000
-#define TARGET	      370
-#define TARGET_SLOW   60 /* under a sanitizer */
-#define BUDGET	      12000
-#define BUDGET_MS     20000
-#define ENVELOPE      46 /* of our frames, UDP and IP */
-#define FLOOD	      12000
-#define MEMBERS_MAX   4096
-#define LONG_PAUSE_MS 300000
+#define DRAIN_MS	   60
+#define DEAD_MS		   6000 /* probe, its failure, suspicion, a digest */
+#define DOMAIN_LOSS_MS	   9000 /* a whole domain at this size */
+#define HEAL_MS		   15000
+#define ISOLATION_MS	   24000
+#define LONG_MS		   60000
+#define TARGET_VMS	   370
+#define TARGET_VMS_SLOW	   60 /* under a sanitizer */
+#define BUDGET_BYTES_PER_S 12000
+#define BUDGET_MS	   20000
+#define HEADER_BYTES	   46 /* of our frames, UDP and IP */
+#define FLOOD_VMS	   12000
+#define MEMBERS_MAX	   4096
+#define LONG_PAUSE_MS	   300000
 
 static struct memb_net *started(uint32_t vms, uint32_t domains, uint32_t seed)
 {
@@ -39,7 +39,7 @@
 	return net;
 }
 
-START_TEST(a_dead_vm_is_out_and_back_at_once)
+START_TEST(dead_vm_is_removed_and_readmitted)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, (uint32_t)_i + 1);
 
@@ -51,7 +51,7 @@
 }
 END_TEST
 
-START_TEST(a_restart_replaces_its_old_self)
+START_TEST(restart_raises_incarnation)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, (uint32_t)_i + 1);
 	const struct dl_member *m;
@@ -68,7 +68,7 @@
 }
 END_TEST
 
-START_TEST(a_planned_stop_raises_no_suspicion)
+START_TEST(planned_stop_is_not_suspected)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, 5);
 
@@ -87,13 +87,13 @@
 }
 END_TEST
 
-START_TEST(a_cut_off_domain_is_out_and_back)
+START_TEST(unreachable_domain_is_removed_and_readmitted)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, (uint32_t)_i + 1);
 
 	for (uint32_t i = 0; i < SMALL; i += DOMAINS)
 		net->vms[i].partition = 1;
-	ck_assert_int_ge(memb_net_converge(net, CUT_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, DOMAIN_LOSS_MS), 0);
 	memb_net_run(net, LONG_PAUSE_MS);
 	ck_assert(memb_net_converged(net));
 	for (uint32_t i = 0; i < SMALL; i++)
@@ -104,7 +104,7 @@
 END_TEST
 
 /* Deaths that a VM, cut off alone, believes must not reach the others. */
-static void nobody_buries(struct memb_net *net, uint32_t vm)
+static void check_others_stay_live(struct memb_net *net, uint32_t vm)
 {
 	for (uint32_t i = 1; i < net->conf.vms; i++) {
 		if (vm != 0)
@@ -112,16 +112,16 @@
 	}
 }
 
-START_TEST(back_from_alone_without_harm)
+START_TEST(isolated_vm_rejoins_without_false_deaths)
 {
 	uint32_t vms = 24;
 	struct memb_net *net = started(vms, 2, (uint32_t)_i + 1);
 
 	net->vms[0].partition = 1;
-	ck_assert_int_ge(memb_net_converge(net, ALONE_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, ISOLATION_MS), 0);
 	memb_net_run(net, LONG_MS);
 	net->vms[0].partition = 0;
-	net->check = nobody_buries;
+	net->check = check_others_stay_live;
 	ck_assert_int_ge(memb_net_converge(net, HEAL_MS), 0);
 	memb_net_run(net, HEAL_MS);
 	ck_assert(memb_net_converged(net));
@@ -129,7 +129,7 @@
 }
 END_TEST
 
-START_TEST(a_pause_is_noticed_first)
+START_TEST(paused_vm_does_not_own_until_refreshed)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, (uint32_t)_i + 1);
 	struct dl_name domain = memb_net_domain(0);
@@ -155,12 +155,12 @@
 }
 END_TEST
 
-START_TEST(a_one_way_cut_is_a_cut)
+START_TEST(one_way_partition_is_detected)
 {
 	struct memb_net *net = started(SMALL, 1, (uint32_t)_i + 1);
 
 	fake_link_cut(net->link, net->vms[1].vm, DL_VM_NONE);
-	memb_net_run(net, ALONE_MS);
+	memb_net_run(net, ISOLATION_MS);
 	for (uint32_t i = 0; i < SMALL; i++) {
 		if (i != 1)
 			ck_assert(!memb_net_sees(net, i, 1));
@@ -171,7 +171,7 @@
 }
 END_TEST
 
-static void suspects_nobody(struct memb_net *net, uint32_t vm)
+static void check_no_suspicion(struct memb_net *net, uint32_t vm)
 {
 	const struct dl_member *m;
 
@@ -182,11 +182,11 @@
 }
 
 /* One link broken both ways, all others whole: the indirect probes save it. */
-START_TEST(one_broken_link_is_no_suspicion)
+START_TEST(single_link_failure_is_not_suspected)
 {
 	struct memb_net *net = started(SMALL, 1, (uint32_t)_i + 1);
 
-	net->check = suspects_nobody;
+	net->check = check_no_suspicion;
 	fake_link_cut(net->link, net->vms[0].vm, net->vms[1].vm);
 	fake_link_cut(net->link, net->vms[1].vm, net->vms[0].vm);
 	memb_net_run(net, LONG_MS);
@@ -196,7 +196,7 @@
 END_TEST
 
 /* The one address that all have is gone; the dead must be asked again. */
-START_TEST(a_split_heals_without_seeds)
+START_TEST(partition_heals_without_seeds)
 {
 	struct memb_net_conf conf;
 	struct memb_net *net;
@@ -209,7 +209,7 @@
 	memb_net_kill(net, 0);
 	net->vms[1].partition = 1;
 	net->vms[2].partition = 1;
-	ck_assert_int_ge(memb_net_converge(net, ALONE_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, ISOLATION_MS), 0);
 	net->vms[1].partition = 0;
 	net->vms[2].partition = 0;
 	ck_assert_int_ge(memb_net_converge(net, HEAL_MS), 0);
@@ -218,7 +218,7 @@
 END_TEST
 
 /* Kill those of a domain that speak for it: the ones of the lowest hash. */
-static void kill_speakers(struct memb_net *net, uint32_t domain)
+static void kill_gateways(struct memb_net *net, uint32_t domain)
 {
 	for (int round = 0; round < 3; round++) {
 		uint64_t best = UINT64_MAX;
@@ -239,7 +239,7 @@
 }
 
 /* All that speak between two domains die at once, and the seed with them. */
-START_TEST(domains_find_each_other_again)
+START_TEST(domains_reconnect_after_gateway_loss)
 {
 	struct memb_net_conf conf;
 	struct memb_net *net;
@@ -249,8 +249,8 @@
 	net = memb_net_new(&conf);
 	memb_net_start_all(net);
 	memb_net_run(net, LONG_MS);
-	kill_speakers(net, 0);
-	kill_speakers(net, 1);
+	kill_gateways(net, 0);
+	kill_gateways(net, 1);
 	memb_net_kill(net, 0);
 	ck_assert_int_ge(memb_net_converge(net, LONG_MS), 0);
 	memb_net_run(net, LONG_MS);
@@ -259,7 +259,7 @@
 }
 END_TEST
 
-START_TEST(versions_and_draining_spread)
+START_TEST(versions_and_draining_propagate)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, 9);
 	struct dl_name domain = memb_net_domain(0);
@@ -293,7 +293,7 @@
 
 /* Whoever asks a VM that stops waits in vain: it is told at once, not probed.
  */
-START_TEST(draining_is_known_at_once)
+START_TEST(draining_is_sent_immediately)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, 9);
 	struct dl_name domain = memb_net_domain(0);
@@ -304,7 +304,7 @@
 	while (net->vms[at].vm != owner)
 		at++;
 	dl_memb_update_self(net->vms[at].memb, true, 3, net->now);
-	memb_net_run(net, AT_ONCE_MS);
+	memb_net_run(net, DRAIN_MS);
 	for (uint32_t i = 0; i < SMALL; i++)
 		ck_assert_uint_ne(dl_memb_owner(net->vms[i].memb,
 						dl_name_str(&domain), 1),
@@ -317,7 +317,7 @@
  * A VM that does not answer some others owns nothing in their eyes; they name
  * the same successor, and the others still name it.
  */
-START_TEST(unreachable_ones_own_nothing)
+START_TEST(unreachable_vm_owns_nothing)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, 5);
 	struct dl_name name = memb_net_domain(0);
@@ -345,7 +345,7 @@
 }
 END_TEST
 
-START_TEST(nonsense_is_refused)
+START_TEST(malformed_datagrams_are_rejected)
 {
 	struct memb_net *net = started(2, 1, 3);
 	struct dl_memb *memb = net->vms[0].memb;
@@ -379,7 +379,7 @@
 }
 END_TEST
 
-START_TEST(the_gone_are_forgotten)
+START_TEST(dead_members_expire)
 {
 	struct memb_net *net = started(3, 1, 4);
 	int64_t day = INT64_C(24) * 60 * 60 * 1000;
@@ -399,13 +399,13 @@
  * The users' budget for control, 12,000 bytes a second and 64 MB a node, for
  * membership alone at the size they aim for; the busiest VM counts.
  */
-START_TEST(within_the_budget_at_the_target)
+START_TEST(traffic_within_budget)
 {
 	bool slow = getenv("DL_SANITIZED") != NULL;
 	struct memb_net_conf conf;
 	struct memb_net *net;
 
-	memb_net_defaults(&conf, slow ? TARGET_SLOW : TARGET, 5, 1);
+	memb_net_defaults(&conf, slow ? TARGET_VMS_SLOW : TARGET_VMS, 5, 1);
 	net = memb_net_new(&conf);
 	memb_net_start_all(net);
 	ck_assert_int_ge(memb_net_converge(net, LONG_MS), 0);
@@ -415,18 +415,18 @@
 	for (uint32_t i = 0; i < conf.vms; i++) {
 		const struct memb_net_vm *v = &net->vms[i];
 		uint64_t bytes = v->bytes_in + v->bytes_out +
-				 (v->msgs_in + v->msgs_out) * ENVELOPE;
+				 (v->msgs_in + v->msgs_out) * HEADER_BYTES;
 
-		ck_assert_uint_lt(bytes * 1000 / BUDGET_MS, BUDGET);
+		ck_assert_uint_lt(bytes * 1000 / BUDGET_MS, BUDGET_BYTES_PER_S);
 	}
 	memb_net_kill(net, 1);
-	ck_assert_int_ge(memb_net_converge(net, ALONE_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, ISOLATION_MS), 0);
 	memb_net_free(net);
 }
 END_TEST
 
 /* All that the addresses and news of VMs may take is bounded. */
-START_TEST(members_are_bounded)
+START_TEST(member_table_is_bounded)
 {
 	struct memb_net *net = started(2, 1, 3);
 	struct dl_memb_conf conf = net->conf.memb;
@@ -436,7 +436,7 @@
 	uint64_t to;
 	size_t n;
 
-	for (uint32_t i = 0; i < FLOOD; i++) {
+	for (uint32_t i = 0; i < FLOOD_VMS; i++) {
 		struct dl_memb *other;
 
 		conf.self = (UINT64_C(0x0b000000) + i) << 16 | 1;
@@ -463,22 +463,23 @@
 
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 60);
-	tcase_add_loop_test(t, a_dead_vm_is_out_and_back_at_once, 0, 20);
-	tcase_add_loop_test(t, a_restart_replaces_its_old_self, 0, 5);
-	tcase_add_test(t, a_planned_stop_raises_no_suspicion);
-	tcase_add_loop_test(t, a_cut_off_domain_is_out_and_back, 0, 10);
-	tcase_add_loop_test(t, back_from_alone_without_harm, 0, 10);
-	tcase_add_loop_test(t, a_pause_is_noticed_first, 0, 10);
-	tcase_add_loop_test(t, a_one_way_cut_is_a_cut, 0, 5);
-	tcase_add_loop_test(t, one_broken_link_is_no_suspicion, 0, 5);
-	tcase_add_loop_test(t, a_split_heals_without_seeds, 0, 5);
-	tcase_add_loop_test(t, domains_find_each_other_again, 0, 5);
-	tcase_add_test(t, draining_is_known_at_once);
-	tcase_add_test(t, versions_and_draining_spread);
-	tcase_add_test(t, unreachable_ones_own_nothing);
-	tcase_add_test(t, nonsense_is_refused);
-	tcase_add_test(t, the_gone_are_forgotten);
-	tcase_add_test(t, within_the_budget_at_the_target);
-	tcase_add_test(t, members_are_bounded);
+	tcase_add_loop_test(t, dead_vm_is_removed_and_readmitted, 0, 20);
+	tcase_add_loop_test(t, restart_raises_incarnation, 0, 5);
+	tcase_add_test(t, planned_stop_is_not_suspected);
+	tcase_add_loop_test(t, unreachable_domain_is_removed_and_readmitted, 0,
+			    10);
+	tcase_add_loop_test(t, isolated_vm_rejoins_without_false_deaths, 0, 10);
+	tcase_add_loop_test(t, paused_vm_does_not_own_until_refreshed, 0, 10);
+	tcase_add_loop_test(t, one_way_partition_is_detected, 0, 5);
+	tcase_add_loop_test(t, single_link_failure_is_not_suspected, 0, 5);
+	tcase_add_loop_test(t, partition_heals_without_seeds, 0, 5);
+	tcase_add_loop_test(t, domains_reconnect_after_gateway_loss, 0, 5);
+	tcase_add_test(t, draining_is_sent_immediately);
+	tcase_add_test(t, versions_and_draining_propagate);
+	tcase_add_test(t, unreachable_vm_owns_nothing);
+	tcase_add_test(t, malformed_datagrams_are_rejected);
+	tcase_add_test(t, dead_members_expire);
+	tcase_add_test(t, traffic_within_budget);
+	tcase_add_test(t, member_table_is_bounded);
 	return suite_run(s);
 }
--- a/test/test_memb_random.c
+++ b/test/test_memb_random.c
@@ -23,7 +23,7 @@
 #define DUP_PERMILLE  100
 #define DELAY_MS      40
 #define CONVERGE_MS   15000
-#define AFTER_MS      8000
+#define SETTLE_MS     8000
 #define OWNER_KEYS    20
 
 /* What each VM showed of each other, which may never go back. */
@@ -63,7 +63,7 @@
 }
 
 /* Never back: incarnations, versions; and nobody buries itself. */
-static void always(struct memb_net *net, uint32_t vm)
+static void check_invariants(struct memb_net *net, uint32_t vm)
 {
 	const struct memb_net_vm *v = &net->vms[vm];
 	struct run *run = net->arg;
@@ -174,7 +174,7 @@
 }
 
 /* All is whole again: each VM knows of each what that says of itself. */
-static void check_same(struct memb_net *net)
+static void check_members_agree(struct memb_net *net)
 {
 	for (uint32_t i = 0; i < net->conf.vms; i++) {
 		const struct dl_member *own = dl_memb_at(net->vms[i].memb, 0);
@@ -192,7 +192,7 @@
 	}
 }
 
-static void check_owners(struct memb_net *net)
+static void check_owners_agree(struct memb_net *net)
 {
 	for (uint32_t d = 0; d < net->conf.domains; d++) {
 		struct dl_name name = memb_net_domain(d);
@@ -223,7 +223,7 @@
 			  VMS_MIN + (uint32_t)pick(run, VMS_MAX - VMS_MIN + 1),
 			  1 + (uint32_t)pick(run, 3), seed);
 	net = memb_net_new(&conf);
-	net->check = always;
+	net->check = check_invariants;
 	net->arg = run;
 	memb_net_start_all(net);
 	memb_net_run(net, (int64_t)pick(run, FAULT_GAP_MS));
@@ -238,9 +238,9 @@
 	resume(net);
 	ck_assert_msg(memb_net_converge(net, CONVERGE_MS) >= 0,
 		      "seed %u does not converge", seed);
-	memb_net_run(net, AFTER_MS);
-	check_same(net);
-	check_owners(net);
+	memb_net_run(net, SETTLE_MS);
+	check_members_agree(net);
+	check_owners_agree(net);
 	steps = net->steps;
 	memb_net_free(net);
 	free(run);
--- a/test/test_quarantine.c
+++ b/test/test_quarantine.c
@@ -46,7 +46,7 @@
 		ck_assert(crash(at, REQUEST, start, now));
 }
 
-START_TEST(the_third_crash_holds_a_request_back)
+START_TEST(third_crash_quarantines_request)
 {
 	crash(q, REQUEST, 1, 10);
 	crash(q, REQUEST, 2, 20);
@@ -58,7 +58,7 @@
 }
 END_TEST
 
-START_TEST(a_crash_that_many_saw_counts_once)
+START_TEST(duplicate_crash_reports_count_once)
 {
 	ck_assert(crash(q, REQUEST, 1, 10));
 	for (int i = 0; i < 5; i++)
@@ -67,7 +67,7 @@
 }
 END_TEST
 
-START_TEST(a_request_that_is_answered_is_not_held_back)
+START_TEST(answered_request_is_cleared)
 {
 	crash(q, REQUEST, 1, 10);
 	crash(q, REQUEST, 2, 20);
@@ -85,12 +85,12 @@
 }
 END_TEST
 
-static void pass(void *arg, const struct dl_crash *c)
+static void merge_into(void *arg, const struct dl_crash *c)
 {
 	dl_quarantine_merge(arg, c, 1000);
 }
 
-START_TEST(crashes_on_both_sides_of_a_cut_are_counted_together)
+START_TEST(partitioned_counts_merge)
 {
 	struct dl_quarantine *there = dl_quarantine_new();
 
@@ -99,46 +99,46 @@
 	crash(there, REQUEST, 2, 20);
 	crash(there, REQUEST, 3, 30);
 	ck_assert(!is_held(q, 1000) && !is_held(there, 1000));
-	dl_quarantine_foreach(q, 1000, pass, there);
-	dl_quarantine_foreach(there, 1000, pass, q);
+	dl_quarantine_foreach(q, 1000, merge_into, there);
+	dl_quarantine_foreach(there, 1000, merge_into, q);
 	ck_assert(is_held(q, 1000) && is_held(there, 1000));
 	dl_quarantine_free(there);
 }
 END_TEST
 
 /* VMs that each pass on what is news to them, in any order. */
-#define VMS	  4
-#define WORDS_MAX 4096
+#define VMS	    4
+#define REPORTS_MAX 4096
 
-struct word {
+struct report {
 	int to;
 	struct dl_crash crash;
 };
 
 static struct {
 	struct dl_quarantine *at[VMS];
-	struct word word[WORDS_MAX];
-	uint32_t words, passed;
+	struct report report[REPORTS_MAX];
+	uint32_t reports, delivered;
 } net;
 
-static void tell_others(int from, const struct dl_crash *c)
+static void send_to_others(int from, const struct dl_crash *c)
 {
 	for (int to = 0; to < VMS; to++) {
 		if (to == from)
 			continue;
-		ck_assert_uint_lt(net.words, WORDS_MAX);
-		net.word[net.words++] = (struct word){ to, *c };
+		ck_assert_uint_lt(net.reports, REPORTS_MAX);
+		net.report[net.reports++] = (struct report){ to, *c };
 	}
 }
 
-static void happens(int vm, struct dl_crash c)
+static void observe(int vm, struct dl_crash c)
 {
 	c.cleared = dl_quarantine_clear_count(net.at[vm], c.request) + !c.start;
 	if (dl_quarantine_merge(net.at[vm], &c, 100))
-		tell_others(vm, &c);
+		send_to_others(vm, &c);
 }
 
-START_TEST(words_that_cross_come_to_rest)
+START_TEST(crash_reports_converge_in_any_order)
 {
 	srand((unsigned)_i);
 	memset(&net, 0, sizeof(net));
@@ -147,17 +147,17 @@
 	for (uint64_t n = 0; n < 12; n++) {
 		uint64_t start = rand() % 3 ? n / 2 + 1 : 0;
 
-		happens(rand() % VMS, (struct dl_crash){ .request = REQUEST,
+		observe(rand() % VMS, (struct dl_crash){ .request = REQUEST,
 							 .start = start });
 	}
-	while (net.words) {
-		uint32_t i = (uint32_t)rand() % net.words;
-		struct word w = net.word[i];
+	while (net.reports) {
+		uint32_t i = (uint32_t)rand() % net.reports;
+		struct report w = net.report[i];
 
-		net.word[i] = net.word[--net.words];
-		ck_assert_uint_lt(net.passed++, WORDS_MAX);
+		net.report[i] = net.report[--net.reports];
+		ck_assert_uint_lt(net.delivered++, REPORTS_MAX);
 		if (dl_quarantine_merge(net.at[w.to], &w.crash, 100))
-			tell_others(w.to, &w.crash);
+			send_to_others(w.to, &w.crash);
 	}
 	for (int vm = 1; vm < VMS; vm++)
 		ck_assert_uint_eq(
@@ -168,19 +168,19 @@
 }
 END_TEST
 
-START_TEST(a_vm_that_starts_holds_it_back_no_longer_than_the_others)
+START_TEST(new_vm_keeps_remaining_time)
 {
 	struct dl_quarantine *started = dl_quarantine_new();
 
 	crash_thrice(q, 0);
-	dl_quarantine_foreach(q, 1000, pass, started);
+	dl_quarantine_foreach(q, 1000, merge_into, started);
 	ck_assert_uint_eq(dl_quarantine_remaining_ms(started, REQUEST, 1000),
 			  dl_quarantine_remaining_ms(q, REQUEST, 1000));
 	dl_quarantine_free(started);
 }
 END_TEST
 
-START_TEST(after_an_hour_one_more_crash_holds_it_back_again)
+START_TEST(crash_after_hold_requarantines)
 {
 	crash_thrice(q, 0);
 	ck_assert(is_held(q, HOUR_MS - 1));
@@ -194,7 +194,7 @@
 }
 END_TEST
 
-START_TEST(crashes_that_are_long_apart_do_not_add_up)
+START_TEST(old_crashes_are_not_counted)
 {
 	crash(q, REQUEST, 1, 0);
 	crash(q, REQUEST, 2, 1000);
@@ -204,7 +204,7 @@
 }
 END_TEST
 
-START_TEST(many_that_were_beside_it_do_not_push_it_out)
+START_TEST(quarantined_request_is_not_evicted)
 {
 	crash_thrice(q, 0);
 	for (uint64_t i = 0; i < 20000; i++)
@@ -213,7 +213,7 @@
 }
 END_TEST
 
-START_TEST(only_what_broke_off_at_a_start_is_blamed_for_its_crash)
+START_TEST(only_interrupted_requests_are_blamed)
 {
 	struct dl_crash out;
 
@@ -232,7 +232,7 @@
 }
 END_TEST
 
-START_TEST(a_break_without_a_crash_blames_nobody)
+START_TEST(interruption_without_crash_is_ignored)
 {
 	for (uint64_t start = 1; start <= 10; start++)
 		dl_quarantine_attempt_interrupted(q, REQUEST, start, 10);
@@ -241,7 +241,7 @@
 }
 END_TEST
 
-START_TEST(crashes_survive_the_wire)
+START_TEST(crashes_round_trip)
 {
 	struct dl_crash in[3] = { { 1, 2, 3, 4 },
 				  { UINT64_MAX, 0, 1, UINT32_MAX },
@@ -268,7 +268,7 @@
 }
 END_TEST
 
-START_TEST(a_body_of_too_many_crashes_is_refused)
+START_TEST(oversized_crash_list_is_rejected)
 {
 	static struct dl_crash many[DL_CRASHES_MAX + 1];
 	struct dl_crash out[DL_CRASHES_MAX];
@@ -287,21 +287,19 @@
 	TCase *tc = tcase_create("quarantine");
 
 	tcase_add_checked_fixture(tc, begin, end);
-	tcase_add_test(tc, the_third_crash_holds_a_request_back);
-	tcase_add_test(tc, a_crash_that_many_saw_counts_once);
-	tcase_add_test(tc, a_request_that_is_answered_is_not_held_back);
-	tcase_add_loop_test(tc, words_that_cross_come_to_rest, 0, 200);
-	tcase_add_test(tc, crashes_on_both_sides_of_a_cut_are_counted_together);
-	tcase_add_test(
-		tc, a_vm_that_starts_holds_it_back_no_longer_than_the_others);
-	tcase_add_test(tc, after_an_hour_one_more_crash_holds_it_back_again);
-	tcase_add_test(tc, crashes_that_are_long_apart_do_not_add_up);
-	tcase_add_test(tc, many_that_were_beside_it_do_not_push_it_out);
-	tcase_add_test(tc,
-		       only_what_broke_off_at_a_start_is_blamed_for_its_crash);
-	tcase_add_test(tc, a_break_without_a_crash_blames_nobody);
-	tcase_add_test(tc, crashes_survive_the_wire);
-	tcase_add_test(tc, a_body_of_too_many_crashes_is_refused);
+	tcase_add_test(tc, third_crash_quarantines_request);
+	tcase_add_test(tc, duplicate_crash_reports_count_once);
+	tcase_add_test(tc, answered_request_is_cleared);
+	tcase_add_loop_test(tc, crash_reports_converge_in_any_order, 0, 200);
+	tcase_add_test(tc, partitioned_counts_merge);
+	tcase_add_test(tc, new_vm_keeps_remaining_time);
+	tcase_add_test(tc, crash_after_hold_requarantines);
+	tcase_add_test(tc, old_crashes_are_not_counted);
+	tcase_add_test(tc, quarantined_request_is_not_evicted);
+	tcase_add_test(tc, only_interrupted_requests_are_blamed);
+	tcase_add_test(tc, interruption_without_crash_is_ignored);
+	tcase_add_test(tc, crashes_round_trip);
+	tcase_add_test(tc, oversized_crash_list_is_rejected);
 	suite_add_tcase(suite, tc);
 	return suite_run(suite);
 }
--- a/test/test_reports.c
+++ b/test/test_reports.c
@@ -19,34 +19,34 @@
 	dl_reports_free(reports);
 }
 
-static bool hear(const char *instance, const char *words, int64_t now,
-		 uint64_t *key)
+static bool add_report(const char *instance, const char *words, int64_t now,
+		       uint64_t *key)
 {
 	return dl_reports_add(reports, dl_str_of(instance), dl_str_of(words),
 			      now, key);
 }
 
-START_TEST(the_same_words_have_one_key)
+START_TEST(equal_reports_share_a_key)
 {
 	uint64_t first, again, other;
 
-	ck_assert(hear("a", "ready", 1, &first));
-	ck_assert(!hear("a", "ready", 2, &again));
+	ck_assert(add_report("a", "ready", 1, &first));
+	ck_assert(!add_report("a", "ready", 2, &again));
 	ck_assert_uint_eq(first, again);
 	ck_assert(dl_str_eq(dl_reports_find(reports, first), DL_STR("ready")));
 	/* Of a start the last words count. */
-	ck_assert(hear("a", "slower", 3, &other));
+	ck_assert(add_report("a", "slower", 3, &other));
 	ck_assert_uint_eq(dl_reports_find(reports, first).n, 0);
 	ck_assert_uint_eq(dl_reports_count(reports), 1);
 }
 END_TEST
 
-START_TEST(a_start_that_left_has_no_words)
+START_TEST(removed_instance_has_no_report)
 {
 	uint64_t a, b;
 
-	hear("a", "a is ready", 1, &a);
-	hear("b", "b is ready", 1, &b);
+	add_report("a", "a is ready", 1, &a);
+	add_report("b", "b is ready", 1, &b);
 	dl_reports_remove(reports, DL_STR("a"));
 	dl_reports_remove(reports, DL_STR("nobody"));
 	ck_assert_uint_eq(dl_reports_find(reports, a).n, 0);
@@ -59,41 +59,41 @@
  * many so seldom that a VM takes in a bounded number of keys; never more than
  * two seconds late, since one that is not told of for six is taken for gone.
  */
-START_TEST(many_are_told_of_more_seldom)
+START_TEST(relay_interval_grows_with_endpoints)
 {
-	uint64_t key[2000], told = 0;
+	uint64_t key[2000], relayed = 0;
 	char name[16];
 
-	hear("one", "one", 0, &key[0]);
+	add_report("one", "one", 0, &key[0]);
 	for (int64_t at = 1200; at <= 12000; at += 1200)
-		told += dl_reports_relay_due(reports, key[0], at);
-	ck_assert_uint_eq(told, 10);
-	told = 0;
+		relayed += dl_reports_relay_due(reports, key[0], at);
+	ck_assert_uint_eq(relayed, 10);
+	relayed = 0;
 	for (int i = 0; i < 2000; i++) {
 		snprintf(name, sizeof(name), "e%d", i);
-		hear(name, name, 0, &key[i]);
+		add_report(name, name, 0, &key[i]);
 	}
 	for (int64_t at = 1200; at <= 12000; at += 1200)
 		for (int i = 0; i < 2000; i++)
-			told += dl_reports_relay_due(reports, key[i], at);
-	ck_assert_uint_eq(told, 2000ul * 5);
+			relayed += dl_reports_relay_due(reports, key[i], at);
+	ck_assert_uint_eq(relayed, 2000ul * 5);
 	ck_assert(!dl_reports_relay_due(reports, 12345, 99999));
 }
 END_TEST
 
-START_TEST(silent_ones_are_forgotten)
+START_TEST(silent_endpoints_expire)
 {
 	uint64_t a, b;
 
-	hear("a", "a is ready", 1000, &a);
-	hear("b", "b is ready", 1000, &b);
+	add_report("a", "a is ready", 1000, &a);
+	add_report("b", "b is ready", 1000, &b);
 	dl_reports_refresh(reports, b, 5000);
 	ck_assert(!dl_reports_received_since(reports, a, 3000));
 	ck_assert(dl_reports_received_since(reports, b, 3000));
 	dl_reports_expire(reports, 3000);
 	ck_assert_uint_eq(dl_reports_count(reports), 1);
 	/* Heard again it is new. */
-	ck_assert(hear("a", "a is ready", 6000, &a));
+	ck_assert(add_report("a", "a is ready", 6000, &a));
 }
 END_TEST
 
@@ -121,8 +121,8 @@
 }
 
 /* Follow a push from one VM down to the last. */
-static void follow(const uint64_t *all, uint64_t from, const uint64_t *vms,
-		   uint32_t count, uint32_t depth, struct pushed *out)
+static void follow_push(const uint64_t *all, uint64_t from, const uint64_t *vms,
+			uint32_t count, uint32_t depth, struct pushed *out)
 {
 	if (depth > out->deepest)
 		out->deepest = depth;
@@ -144,7 +144,7 @@
 		dl_packer_close(&pk);
 		out->times[index_of(all, to)]++;
 		out->crossings += network_of(to) != network_of(from);
-		follow(all, to, rest, n, depth + 1, out);
+		follow_push(all, to, rest, n, depth + 1, out);
 	}
 }
 
@@ -153,14 +153,14 @@
  * from their own network: 236 of 295 came from another one when the list was
  * dealt out one by one.
  */
-START_TEST(a_push_stays_in_its_network)
+START_TEST(push_prefers_own_network)
 {
 	struct pushed out = { 0 };
 	uint64_t vms[VMS];
 
 	for (uint32_t i = 0; i < VMS; i++)
 		vms[i] = ((uint64_t)(i * NETWORKS / VMS) << 16) + i;
-	follow(vms, vms[0], vms, VMS, 1, &out);
+	follow_push(vms, vms[0], vms, VMS, 1, &out);
 	for (uint32_t i = 0; i < VMS; i++)
 		ck_assert_uint_eq(out.times[i], 1);
 	ck_assert_uint_le(out.deepest, 4);
@@ -177,10 +177,10 @@
 
 	suite_add_tcase(s, t);
 	tcase_add_checked_fixture(t, begin, end);
-	tcase_add_test(t, the_same_words_have_one_key);
-	tcase_add_test(t, a_start_that_left_has_no_words);
-	tcase_add_test(t, many_are_told_of_more_seldom);
-	tcase_add_test(t, silent_ones_are_forgotten);
-	tcase_add_test(t, a_push_stays_in_its_network);
+	tcase_add_test(t, equal_reports_share_a_key);
+	tcase_add_test(t, removed_instance_has_no_report);
+	tcase_add_test(t, relay_interval_grows_with_endpoints);
+	tcase_add_test(t, silent_endpoints_expire);
+	tcase_add_test(t, push_prefers_own_network);
 	return suite_run(s);
 }
