--- a/include/daisyledge/base.h
+++ b/include/daisyledge/base.h
@@ -1,9 +1,9 @@
 /*
- * What every part of the library shares: length-counted strings, addresses,
- * errors that carry the step and the peer, and times.
+ * Types shared by all parts of the library: length-counted strings, addresses,
+ * errors with the step and the peer, and log levels.
  *
- * Times are int64_t milliseconds of a monotonic clock that the caller reads;
- * no part of the library reads a clock.  Durations end in _ms.
+ * Times are int64_t milliseconds of a monotonic clock that the caller reads; no
+ * part of the library reads a clock. Durations end in _ms.
  */
 #ifndef DAISYLEDGE_BASE_H
 #define DAISYLEDGE_BASE_H
@@ -12,7 +12,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* A string with its length; not terminated, not owned. */
+/* A string with its length; not NUL-terminated, not owned. */
 struct dl_str {
 	const char *s;
 	size_t n;
@@ -23,39 +23,44 @@
 /* The longest name of a service, workspace, endpoint, VM or class. */
 #define DL_NAME_MAX 63
 
-/* A short string held in place, for names that outlive their message. */
+/*
+ * A short string stored inline, for names that outlive the message they came
+ * in.
+ */
 struct dl_name {
 	uint8_t n;
 	char s[DL_NAME_MAX + 1];
 };
 
 /*
- * A process of the system, named by where it listens for its peers:
- * IPv4 address and port packed as ip << 16 | port, host order; 0 is nobody.
- * Held as a plain uint64_t and named vm where it stands.
+ * A process of the system, identified by the address on which it accepts peer
+ * connections: IPv4 address and port packed as ip << 16 | port, in host byte
+ * order; 0 means none. Stored as a plain uint64_t and usually named vm.
  */
 #define DL_VM_NONE ((uint64_t)0)
 
-/* The step of a call or of a change at which an error arose. */
+/*
+ * The step of a call or of a configuration change at which an error occurred.
+ */
 enum dl_step {
 	DL_STEP_NONE,
-	DL_STEP_READ,  /* reading what the caller sent */
-	DL_STEP_CHECK, /* checking it */
+	DL_STEP_READ,  /* reading the caller's request */
+	DL_STEP_CHECK, /* validating it */
 	DL_STEP_CLAIM, /* writing the idempotency claim */
 	DL_STEP_ADMIT,
 	DL_STEP_QUEUE,
 	DL_STEP_PLACE,
 	DL_STEP_CONNECT,
 	DL_STEP_SEND,
-	DL_STEP_HEAD, /* waiting for the head of the answer */
-	DL_STEP_BODY, /* between the first and the last byte of it */
+	DL_STEP_HEAD, /* waiting for the response head */
+	DL_STEP_BODY, /* between the first and last byte of the response body */
 	DL_STEP_REPLICATE,
-	DL_STEP_STORE, /* on the disk */
+	DL_STEP_STORE, /* writing to or reading from disk */
 	DL_STEP_APPLY,
 	DL_STEP_COUNT,
 };
 
-/* An error: a negative errno, where it arose, with whom, and why. */
+/* An error: a negative errno, the step, the peer and a message. */
 struct dl_err {
 	int code;
 	enum dl_step step;
@@ -63,11 +68,11 @@
 	char text[160];
 };
 
-#define DL_ENOLEADER (-1001) /* no leader is known, ask another replica */
-#define DL_ENOQUORUM (-1002) /* no majority answers */
+#define DL_ENOLEADER (-1001) /* no leader known; ask another replica */
+#define DL_ENOQUORUM (-1002) /* no majority of replicas answers */
 #define DL_ECONFLICT (-1003) /* another change took this version */
-#define DL_EREUSED   (-1004) /* a change id with another text */
-#define DL_EDAMAGED  (-1005) /* a stored record fails its checksum */
+#define DL_EREUSED   (-1004) /* change id reused with a different text */
+#define DL_EDAMAGED  (-1005) /* stored record fails its checksum */
 
 const char *dl_step_name(enum dl_step step);
 
@@ -88,7 +93,7 @@
 bool dl_vm_parse(struct dl_str s, uint64_t *out);
 const char *dl_vm_text(uint64_t vm, char out[24]);
 
-/* A word of the log: which part speaks, and how loud. */
+/* Severity of a log message. */
 enum dl_level {
 	DL_DEBUG,
 	DL_INFO,
@@ -96,7 +101,7 @@
 	DL_ERROR
 };
 
-/* Where messages go; without a sink they are dropped. */
+/* Destination of log messages; without a sink they are dropped. */
 struct dl_log_sink {
 	void (*line)(void *arg, enum dl_level level, const char *part,
 		     const char *text);
