--- a/include/daisyledge/backoff.h
+++ b/include/daisyledge/backoff.h
@@ -1,9 +1,10 @@
 /*
- * Endpoints that have asked a VM to wait: one that turns a request away may
- * name a time in which it wants nothing more from the VM that sent it.
+ * Retry-after times requested by endpoints: an endpoint that rejects a request
+ * may name a period in which it wants no further requests from the VM that sent
+ * it.
  *
- * Whom that concerns is a number of the caller's choosing, such as a hash of
- * the endpoint's start and of the VM.  Pure.
+ * The caller chooses the key, such as a hash of the endpoint instance and the
+ * VM. The module does no I/O and reads no clock.
  */
 #ifndef DAISYLEDGE_BACKOFF_H
 #define DAISYLEDGE_BACKOFF_H
@@ -15,15 +16,16 @@
 struct dl_backoff *dl_backoff_new(void);
 void dl_backoff_free(struct dl_backoff *b);
 /*
- * Wait until a time.  False where a time that is no earlier is known, and where
- * there is no room: past DL_BACKOFF_MAX that have not ended.
+ * Sets the time until which requests for a key must wait. Returns false if an
+ * equal or later time is already set, or if DL_BACKOFF_MAX unexpired entries
+ * exist.
  */
 bool dl_backoff_set(struct dl_backoff *b, uint64_t key, int64_t until,
 		    int64_t now);
-/* How much longer to wait, ms; 0: not at all. */
+/* Remaining wait in ms; 0 if there is none. */
 uint32_t dl_backoff_remaining_ms(const struct dl_backoff *b, uint64_t key,
 				 int64_t now);
-/* Whether any time has not ended: a quick look for the ordinary case. */
+/* Whether any wait may be unexpired: a cheap check for the common case. */
 bool dl_backoff_any_active(const struct dl_backoff *b, int64_t now);
 
 #define DL_BACKOFF_MAX 65536
--- a/src/coordination/backoff.c
+++ b/src/coordination/backoff.c
@@ -1,9 +1,12 @@
-/* Endpoints that have asked a VM to wait; see the header. */
+/* Retry-after times requested by endpoints; see the header. */
 #include "daisyledge/backoff.h"
 
 #include <glib.h>
 
-/* From so many on, ended ones are dropped whenever their number has doubled. */
+/*
+ * From this many entries on, expired ones are removed each time the number of
+ * entries has doubled.
+ */
 #define SWEEP_MIN 64
 
 struct wait {
@@ -13,11 +16,11 @@
 
 struct dl_backoff {
 	GHashTable *waits;
-	uint32_t sweep_at; /* entries */
-	int64_t latest;	   /* end of all that were noted */
+	uint32_t sweep_at; /* number of entries */
+	int64_t latest;	   /* latest end of all waits */
 };
 
-/* Nobody has asked to wait. */
+/* Creates a table without entries. */
 struct dl_backoff *dl_backoff_new(void)
 {
 	struct dl_backoff *b = g_new0(struct dl_backoff, 1);
@@ -28,7 +31,7 @@
 	return b;
 }
 
-/* Release it; NULL is nothing to do. */
+/* Frees the table; NULL is allowed. */
 void dl_backoff_free(struct dl_backoff *b)
 {
 	if (!b)
@@ -42,7 +45,7 @@
 	return ((const struct wait *)value)->until <= *(const int64_t *)now;
 }
 
-/* Make room by dropping what has ended; false where there is none. */
+/* Makes room by removing expired entries; false if the table stays full. */
 static bool make_room(struct dl_backoff *b, int64_t now)
 {
 	uint32_t n = g_hash_table_size(b->waits);
@@ -55,7 +58,7 @@
 	return n < b->sweep_at;
 }
 
-/* Wait until a time, or until the later one that is known. */
+/* Sets the end of a wait, unless an equal or later one is set. */
 bool dl_backoff_set(struct dl_backoff *b, uint64_t key, int64_t until,
 		    int64_t now)
 {
@@ -75,7 +78,7 @@
 	return true;
 }
 
-/* How much longer to wait. */
+/* Returns the remaining wait in ms. */
 uint32_t dl_backoff_remaining_ms(const struct dl_backoff *b, uint64_t key,
 				 int64_t now)
 {
@@ -86,7 +89,7 @@
 	return (uint32_t)MIN(w->until - now, UINT32_MAX);
 }
 
-/* Whether any time has not ended. */
+/* Whether any wait may be unexpired. */
 bool dl_backoff_any_active(const struct dl_backoff *b, int64_t now)
 {
 	return now < b->latest;
