--- a/src/coordination/call.c
+++ b/src/coordination/call.c
@@ -1,10 +1,10 @@
 /*
- * Calls that tell the truth.
+ * Outcome of attempts, and what to do after them.
  *
- * One table decides what an attempt came to.  "Not run" stands only where it
- * is proved: no byte of the request left, or the endpoint itself said so.
- * Whatever is neither proved nor answered is unknown, and an unknown request
- * that is not idempotent is never sent again.
+ * One table decides the outcome of an attempt. "Not run" is reported only where
+ * it is proved: no byte of the request was sent, or the endpoint itself said
+ * so. Whatever is neither proved nor answered is unknown, and an unknown
+ * request that is not idempotent is never sent again.
  */
 #include "daisyledge/call.h"
 
@@ -19,14 +19,14 @@
 #define STATUS_UNKNOWN_METHOD 501
 #define STATUS_TIMEOUT	      504
 #define STATUS_END	      600
-#define PAUSE_FACTOR	      2 /* a gap in our own looks this long is a pause */
+#define PAUSE_FACTOR	      2 /* times the limit */
 
-/* What a cell of the table says. */
+/* Content of a table cell. */
 enum cell {
 	CELL_UNKNOWN,
 	CELL_NOT_RUN,
-	CELL_COMPLETE, /* a whole answer: its status decides */
-	CELL_PARTIAL,  /* a part of one: only an error status decides */
+	CELL_COMPLETE, /* complete response: its status decides */
+	CELL_PARTIAL,  /* partial response: only an error status decides */
 };
 
 static enum dl_outcome outcome_from_status(enum cell cell, uint16_t status);
@@ -50,10 +50,10 @@
 #define P CELL_PARTIAL
 
 /*
- * By sent, received and broke (nothing, connect, reset, silent, deadline,
- * caller, garbled).  A garbled answer proves nothing, even where it says
- * "not run": it may be another request's.  An answer before any byte of the
- * request had left cannot be to it.
+ * Indexed by sent, received and failure (none, connect, reset, idle timeout,
+ * deadline, caller gone, bad response). A bad response proves nothing, even if
+ * it says "not run": it may belong to another request. A response that arrives
+ * before any byte of the request was sent cannot belong to it.
  */
 static const uint8_t outcomes[DL_SENT_COUNT][DL_RECV_COUNT][DL_FAILURE_COUNT] = {
 	[DL_SENT_NOTHING] = {
@@ -82,7 +82,7 @@
 #undef P
 /* clang-format on */
 
-/* "done", "failed", "not-run", "unknown". */
+/* Returns "done", "failed", "not-run" or "unknown". */
 const char *dl_outcome_name(enum dl_outcome outcome)
 {
 	if ((unsigned)outcome >= DL_OUTCOME_COUNT)
@@ -90,7 +90,7 @@
 	return outcome_names[outcome];
 }
 
-/* What the status of an answer, whole or in part, says. */
+/* Returns the outcome for the status of a complete or partial response. */
 static enum dl_outcome outcome_from_status(enum cell cell, uint16_t status)
 {
 	if (status < STATUS_MIN || status >= STATUS_END)
@@ -100,9 +100,7 @@
 	return cell == CELL_COMPLETE ? DL_OUTCOME_DONE : DL_OUTCOME_UNKNOWN;
 }
 
-/*
- * What an attempt came to.  An attempt outside the table is unknown.
- */
+/* Returns the outcome of an attempt; unknown for values outside the table. */
 enum dl_outcome dl_call_outcome(const struct dl_attempt *attempt)
 {
 	enum cell cell;
@@ -121,11 +119,12 @@
 }
 
 /*
- * A retry budget: permille retries for each thousand first tries, and at
- * most burst of them saved up; it begins full.
+ * Initialises a retry budget: permille retries for each thousand first
+ * attempts, with at most burst retries saved up. It starts full.
  *
- * Load: a failure domain that returns, or endpoints that fail everything.
- * Harm: retries that multiply the load when there is least room for it.
+ * The budget limits the load that retries add when a failure domain comes back
+ * or when endpoints fail every request, which is when there is least spare
+ * capacity.
  */
 void dl_retry_budget_init(struct dl_retry_budget *budget, uint32_t permille,
 			  uint32_t burst)
@@ -135,7 +134,7 @@
 	budget->credit = (uint64_t)burst * CREDITS_PER_RETRY;
 }
 
-/* Count a first try. */
+/* Credits the budget for a first attempt. */
 void dl_retry_budget_deposit(struct dl_retry_budget *budget)
 {
 	uint64_t max = (uint64_t)budget->burst * CREDITS_PER_RETRY;
@@ -145,7 +144,7 @@
 		budget->credit = max;
 }
 
-/* Take one retry out of the budget; false where none is left. */
+/* Takes one retry from the budget; false if none is left. */
 bool dl_retry_budget_withdraw(struct dl_retry_budget *budget)
 {
 	if (budget->credit < CREDITS_PER_RETRY)
@@ -155,10 +154,10 @@
 }
 
 /*
- * Whether the stream may go on at its offset over a new connection.  The
- * endpoint took the whole request and began to answer; only the connection
- * broke.  Not for requests that may run once only: an endpoint that lost the
- * stream might begin it anew.
+ * Whether the stream can continue at its offset over a new connection: the
+ * endpoint received the whole request and started to answer, and only the
+ * connection broke. Non-idempotent requests are never resumed, because an
+ * endpoint that lost the stream might execute them again.
  */
 static bool may_resume(const struct dl_call_state *state,
 		       const struct dl_attempt *attempt)
@@ -171,7 +170,7 @@
 		attempt->failure == DL_FAILURE_IDLE_TIMEOUT);
 }
 
-/* Whether the request may begin again elsewhere. */
+/* Whether the request may be started again on another endpoint. */
 static bool may_retry(const struct dl_call_state *state,
 		      const struct dl_attempt *attempt, enum dl_outcome outcome)
 {
@@ -184,21 +183,24 @@
 	if (outcome == DL_OUTCOME_UNKNOWN)
 		return true;
 	/*
-	 * Others are of the request, and would come again.  500 is not: of an
-	 * endpoint that fails part of what it is sent (7 in 100 of one service
-	 * of three), the callers' own retries met it again.
+	 * Status codes above 504, and 501, depend on the request and would be
+	 * returned again. 500 is not one of these: an endpoint
+	 * may fail only part of its requests (7 in 100 of one service of
+	 * three), and the callers' own retries hit it again.
 	 */
 	return attempt->status <= STATUS_TIMEOUT &&
 	       attempt->status != STATUS_UNKNOWN_METHOD;
 }
 
 /*
- * What to do after an attempt.  Never a retry of a request that is not
- * idempotent unless it provably did not run; never one that cannot end in
- * time, that the budget does not cover, or after bytes of another answer
- * reached the caller.  An attempt of which nothing left is outside the budget:
- * it cost its endpoint nothing, and its dispatcher is told not to offer that
- * endpoint again, so the bound on attempts is enough.
+ * Decides what to do after an attempt. A request that is not idempotent is only
+ * retried if it provably did not run. There is no retry that cannot finish in
+ * time, that the budget does not cover, or that would start over after response
+ * bytes reached the caller.
+ *
+ * An attempt of which nothing was sent does not use the budget: it cost its
+ * endpoint nothing, and its dispatcher is told not to offer that endpoint
+ * again, so the limit on attempts is enough.
  */
 enum dl_next dl_call_next(const struct dl_call_state *state,
 			  const struct dl_attempt *attempt,
@@ -224,9 +226,9 @@
 }
 
 /*
- * Accept bytes that claim to begin at an offset: returns how many of the
- * first ones to skip, all n where they were had before, or -EBADMSG (another
- * request or an old connection) or -ENODATA (a gap).
+ * Accepts n bytes that start at an offset. Returns the number of leading bytes
+ * to skip, which is n if all were received before, -EBADMSG for another request
+ * or an old connection, or -ENODATA for a gap.
  */
 int64_t dl_stream_accept(struct dl_stream *stream, uint64_t request,
 			 uint64_t incarnation, uint64_t offset, size_t n)
@@ -247,8 +249,8 @@
 }
 
 /*
- * The time to pass down to the next hop: what remains until the deadline
- * less a margin for the way back; 0 where it is too late to send.
+ * Returns the time to pass to the next hop: what remains until the deadline
+ * less a margin for the way back; 0 if it is too late to send.
  */
 uint32_t dl_hop_remaining_ms(int64_t deadline, uint32_t margin_ms, int64_t now)
 {
@@ -263,19 +265,22 @@
 	return remaining > UINT32_MAX ? UINT32_MAX : (uint32_t)remaining;
 }
 
-/* The deadline on our own clock for a time that was passed down. */
+/*
+ * Converts a remaining time from the previous hop to a deadline on the local
+ * clock.
+ */
 int64_t dl_hop_deadline(uint32_t remaining_ms, int64_t now)
 {
 	return now + (int64_t)remaining_ms;
 }
 
 /*
- * Whether a connection that stands open may carry another request.
+ * Whether an open connection may carry another request.
  *
- * Something between the two ends may have lost track of it without a word,
- * so an old or an idle one is not trusted; a request that is not idempotent
- * only goes over one that has carried none, since its outcome would be
- * unknown for no reason otherwise.
+ * A middlebox may have dropped the connection state silently, so old and idle
+ * connections are not reused. A request that is not idempotent only uses a
+ * connection that has carried none, because a stale connection would make its
+ * outcome unknown without need.
  */
 bool dl_conn_usable(const struct dl_conn_limits *bounds,
 		    const struct dl_conn_usage *conn, bool idempotent,
@@ -288,7 +293,9 @@
 	       now - conn->last_read < (int64_t)bounds->idle_ms;
 }
 
-/* Begin to watch: first_ms until the first byte, gap_ms between later ones. */
+/*
+ * Starts the timer: first_ms until the first byte, gap_ms between later ones.
+ */
 void dl_idle_timer_start(struct dl_idle_timer *silence, uint32_t first_ms,
 			 uint32_t gap_ms, int64_t now)
 {
@@ -300,7 +307,7 @@
 	silence->last_check = now;
 }
 
-/* A byte came. */
+/* Records that data was received. */
 void dl_idle_timer_data_received(struct dl_idle_timer *silence, int64_t now)
 {
 	silence->started = true;
@@ -309,7 +316,7 @@
 	silence->last_check = now;
 }
 
-/* When dl_idle_timer_expired() would find the silence too long. */
+/* Returns when dl_idle_timer_expired() would return true. */
 int64_t dl_idle_timer_expiry(const struct dl_idle_timer *silence)
 {
 	return silence->last_data + (int64_t)(silence->started ?
@@ -318,9 +325,10 @@
 }
 
 /*
- * Whether it has been silent for too long.  Where our own looks have a gap of
- * more than twice the bound, it was this process that paused: bytes may wait
- * unread, so the time begins again; once, or a slow caller would never see it.
+ * Whether the connection has been idle for too long. If more than twice the
+ * limit passed between two checks, this process was paused and bytes may be
+ * waiting unread, so the timer starts over. This is done once until the next
+ * byte, or a caller that always checks late would never see a timeout.
  */
 bool dl_idle_timer_expired(struct dl_idle_timer *silence, int64_t now)
 {
@@ -337,9 +345,9 @@
 }
 
 /*
- * Join what a claim is on into one key, each part behind its length so that
- * no two claims share one.  Returns its length, -EINVAL for an empty or too
- * long part.
+ * Joins the parts of an idempotency claim into one key, each prefixed by its
+ * length so that no two claims share a key. Returns the length of the key, or
+ * -EINVAL if a part is too long or a required one is empty.
  */
 int dl_claim_key(struct dl_str service, struct dl_str workspace,
 		 struct dl_str key, char out[DL_CLAIM_KEY_MAX])
--- a/test/test_call.c
+++ b/test/test_call.c
@@ -1,4 +1,6 @@
-/* Outcomes cell by cell, what follows them, and the small parts of calls. */
+/*
+ * Tests of attempt outcomes, the retry decision, and the other parts of calls.
+ */
 #include <check.h>
 #include <errno.h>
 #include <stdlib.h>
@@ -9,16 +11,16 @@
 
 #define N 0 /* not run */
 #define U 1 /* unknown */
-#define C 2 /* a whole answer: by its status */
-#define P 3 /* a part: failed at an error status, else unknown */
+#define C 2 /* complete response: by its status */
+#define P 3 /* partial response: failed for an error status, else unknown */
 
 /* clang-format off */
-/* nothing, connect, reset, silent, deadline, caller, garbled */
+/* none, connect, reset, idle timeout, deadline, caller gone, bad response */
 static const int expected[DL_SENT_COUNT][DL_RECV_COUNT][DL_FAILURE_COUNT] = {
 	/* nothing sent */
 	{ { N, N, N, N, N, N, N }, { N, N, N, N, N, N, N },
 	  { N, N, N, N, N, N, N }, { N, N, N, N, N, N, N } },
-	/* a part sent: nothing, head, whole, not run received */
+	/* part sent; rows: received nothing, head, complete, not run */
 	{ { U, U, U, U, U, U, U }, { U, U, P, P, P, P, U },
 	  { C, U, C, C, C, C, U }, { N, U, N, N, N, N, U } },
 	/* all sent */
@@ -60,7 +62,7 @@
 	}
 }
 
-/* Every cell, with every status. */
+/* Checks every cell of the table with every status. */
 START_TEST(outcome_table)
 {
 	const struct status_case *c = &statuses[_i];
@@ -81,7 +83,7 @@
 }
 END_TEST
 
-/* Whatever broke: a request that may run once is sent again only if not run. */
+/* Whatever the failure, a non-idempotent request is retried only if not run. */
 START_TEST(non_idempotent_retried_only_if_not_run)
 {
 	struct dl_call_state s = { .resumable = true,
@@ -128,20 +130,20 @@
 	}
 
 static const struct next_case nexts[] = {
-	{ "begin again", { RETRYABLE }, NO_RESPONSE, DL_NEXT_RETRY },
-	{ "too many",
+	{ "retry", { RETRYABLE }, NO_RESPONSE, DL_NEXT_RETRY },
+	{ "attempts used up",
 	  { .idempotent = true, .attempts = 3, .deadline = 1000 },
 	  NO_RESPONSE,
 	  DL_NEXT_ANSWER },
-	{ "no time",
+	{ "no time for another attempt",
 	  { RETRYABLE, .expected_ms = 1001 },
 	  NO_RESPONSE,
 	  DL_NEXT_ANSWER },
-	{ "bytes are out",
+	{ "bytes already forwarded",
 	  { RETRYABLE, .bytes_to_caller = 1 },
 	  NO_RESPONSE,
 	  DL_NEXT_ANSWER },
-	{ "not run, bytes are out",
+	{ "not run, bytes already forwarded",
 	  { RETRYABLE, .bytes_to_caller = 1 },
 	  { DL_SENT_NOTHING, DL_RECV_NOTHING, DL_FAILURE_CONNECT, 0 },
 	  DL_NEXT_ANSWER },
@@ -153,32 +155,35 @@
 	  { RETRYABLE },
 	  STREAM(DL_FAILURE_RESET),
 	  DL_NEXT_RETRY },
-	{ "caller left",
+	{ "caller disconnected",
 	  { RETRYABLE, .resumable = true },
 	  STREAM(DL_FAILURE_CALLER_GONE),
 	  DL_NEXT_ANSWER },
-	{ "late", { RETRYABLE }, STREAM(DL_FAILURE_DEADLINE), DL_NEXT_ANSWER },
-	{ "unavailable",
+	{ "deadline passed",
+	  { RETRYABLE },
+	  STREAM(DL_FAILURE_DEADLINE),
+	  DL_NEXT_ANSWER },
+	{ "503",
 	  { RETRYABLE },
 	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 503 },
 	  DL_NEXT_RETRY },
-	{ "its own error, another may not have it",
+	{ "500, another endpoint may succeed",
 	  { RETRYABLE },
 	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_RETRY },
-	{ "its own error, twice",
+	{ "500, attempts used up",
 	  { .idempotent = true, .attempts = 3, .deadline = 1000 },
 	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_ANSWER },
-	{ "its own error, may run once only",
+	{ "500, not idempotent",
 	  { .attempts = 1, .deadline = 1000 },
 	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_ANSWER },
-	{ "a method that it does not know",
+	{ "501, the same everywhere",
 	  { RETRYABLE },
 	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 501 },
 	  DL_NEXT_ANSWER },
-	{ "a version that it does not know",
+	{ "505, the same everywhere",
 	  { RETRYABLE },
 	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 505 },
 	  DL_NEXT_ANSWER },
@@ -196,7 +201,9 @@
 	dl_retry_budget_init(&b, 100, 1);
 	ck_assert_msg(dl_call_next(&c->state, &c->attempt, &b, 0) == c->next,
 		      "%s", c->what);
-	/* The one retry saved up is gone, or was not touched. */
+	/*
+	 * The single saved retry is used up by a retry and untouched otherwise.
+	 */
 	ck_assert_int_eq(dl_retry_budget_withdraw(&b),
 			 c->next == DL_NEXT_ANSWER);
 	ck_assert_int_eq(dl_call_next(&c->state, &c->attempt, &b, 0),
@@ -204,7 +211,7 @@
 }
 END_TEST
 
-/* One endpoint that refuses connections must not use up the budget. */
+/* One endpoint that refuses connections must not use up the retry budget. */
 START_TEST(refused_connects_leave_budget_unchanged)
 {
 	const struct dl_attempt refused = { DL_SENT_NOTHING, DL_RECV_NOTHING,
@@ -291,10 +298,10 @@
 	dl_idle_timer_data_received(&s, 1000);
 	ck_assert(!dl_idle_timer_expired(&s, 1099));
 	ck_assert(dl_idle_timer_expired(&s, 1100));
-	/* Nobody looked for minutes: it was this process that paused. */
+	/* No check for minutes: this process was paused. */
 	ck_assert(!dl_idle_timer_expired(&s, 200000));
 	ck_assert(dl_idle_timer_expired(&s, 200100));
-	/* A caller that always looks late sees it all the same. */
+	/* A caller that always checks late must still see the timeout. */
 	ck_assert(dl_idle_timer_expired(&s, 300000));
 }
 END_TEST
