--- a/src/coordination/directory.c
+++ b/src/coordination/directory.c
@@ -1,22 +1,24 @@
-/* Which endpoints there are: one entry an address, the latest start's. */
+/*
+ * Directory of endpoints: one entry for each address, with its latest instance.
+ */
 #include "daisyledge/directory.h"
 
 #include <glib.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* More addresses than any deployment has; further ones are not taken in. */
+/* More addresses than any deployment has; further ones are ignored. */
 #define ENTRIES_MAX 8192
 
 struct dl_directory {
-	GHashTable *by_address;	 /* text to its entry, which owns it */
-	GHashTable *by_instance; /* text to its entry */
+	GHashTable *by_address; /* address to its entry, which the table owns */
+	GHashTable *by_instance; /* instance name to its entry */
 	uint64_t incarnations;
 };
 
 /*
- * How long after its last update an endpoint is taken to be at its address
- * still: two announcements of 1.2 s, and one that came late.
+ * How long after its last announcement an instance is taken to be still at its
+ * address: two announcement periods of 1.2 s, and a delay.
  */
 #define ACTIVE_TIMEOUT_MS 3000
 
@@ -40,7 +42,7 @@
 				const struct dl_directory_update *update,
 				const struct dl_directory_entry **superseded);
 
-/* An empty directory. */
+/* Creates an empty directory. */
 struct dl_directory *dl_directory_new(void)
 {
 	struct dl_directory *dir = g_new0(struct dl_directory, 1);
@@ -51,7 +53,7 @@
 	return dir;
 }
 
-/* Release a directory; NULL is nothing to do. */
+/* Frees a directory; NULL is allowed. */
 void dl_directory_free(struct dl_directory *dir)
 {
 	if (!dir)
@@ -61,7 +63,7 @@
 	g_free(dir);
 }
 
-/* Whether a update is of the start that an entry has. */
+/* Whether an announcement is from the instance that an entry holds. */
 static bool is_same_instance(const struct dl_directory_entry *e,
 			     const struct dl_directory_update *update)
 {
@@ -70,12 +72,15 @@
 }
 
 /*
- * Whether a update is of a start that the one known at its address has
- * followed. Of one name the later start counts.  Of another name, one that was
- * here does not return; one that was never heard of is late if it began before
- * the one that is there and still speaks.  Without that one it is taken in
- * whatever its clock says: a clock that stepped back must not keep an endpoint
- * out.
+ * Whether an announcement is from an instance that was superseded at its
+ * address.
+ *
+ * Among instances of one name, the later start time wins. An instance of
+ * another name that was at the address before does not return unless it started
+ * again. One that was never seen is stale if it started before the current one
+ * and the current one is still being announced. If it is not, the new one is
+ * accepted whatever its start time, so that a clock that stepped back does not
+ * keep an endpoint out.
  */
 static bool is_superseded(const struct dl_directory_entry *e,
 			  const struct dl_directory_update *update, int64_t now)
@@ -95,7 +100,10 @@
 	       now - e->last_seen < ACTIVE_TIMEOUT_MS;
 }
 
-/* Its start has its name no more, unless another address has taken it over. */
+/*
+ * Removes the name of an entry's instance from the index, unless another
+ * address has taken it over.
+ */
 static void unindex_instance(struct dl_directory *dir,
 			     const struct dl_directory_entry *e)
 {
@@ -103,7 +111,7 @@
 		g_hash_table_remove(dir->by_instance, e->instance.s);
 }
 
-/* Another start takes an address over; it holds nothing of the one before. */
+/* Puts a new instance into an entry; no state of the previous one is kept. */
 static void begin_instance(struct dl_directory *dir,
 			   struct dl_directory_entry *e,
 			   const struct dl_directory_update *update)
@@ -133,7 +141,10 @@
 	return DL_DIRECTORY_LEAVING;
 }
 
-/* A update that has no address can only say that a start leaves. */
+/*
+ * Handles an announcement without an address, which can only report that an
+ * instance is leaving.
+ */
 static enum dl_directory_result
 apply_by_instance(struct dl_directory *dir,
 		  const struct dl_directory_update *update,
@@ -150,7 +161,10 @@
 	return mark_leaving(e);
 }
 
-/* The entry of an address, made where there is none; NULL: there is no room. */
+/*
+ * Returns the entry of an address, created if needed; NULL if the directory is
+ * full.
+ */
 static struct dl_directory_entry *entry_at(struct dl_directory *dir,
 					   struct dl_str address)
 {
@@ -169,8 +183,8 @@
 }
 
 /*
- * Take a name over from another address, where an earlier start of it was;
- * false where that one is the later.
+ * Moves an instance name here from another address, where an earlier instance
+ * had it; false if the other instance is the later one.
  */
 static bool claim_instance_name(struct dl_directory *dir,
 				struct dl_directory_entry *e,
@@ -192,12 +206,12 @@
 }
 
 /*
- * Take in an announcement.
+ * Applies an announcement.
  *
- * That a start leaves is final, however late the update comes and whatever its
- * sequence says: earlier announcements of the same start may still be under
- * way.  A start that another one has followed never returns: its announcement
- * was held up on the way.
+ * That an instance is leaving is final, however late the announcement arrives
+ * and whatever its sequence number: earlier announcements of the same instance
+ * may still be in flight. An instance that was superseded never returns: its
+ * announcement was delayed.
  */
 enum dl_directory_result
 dl_directory_apply(struct dl_directory *dir,
@@ -237,7 +251,7 @@
 	return is_new ? DL_DIRECTORY_NEW : DL_DIRECTORY_KNOWN;
 }
 
-/* The start that is known at an address, or NULL. */
+/* Returns the instance known at an address, or NULL. */
 const struct dl_directory_entry *
 dl_directory_find(const struct dl_directory *dir, struct dl_str address)
 {
@@ -248,7 +262,7 @@
 	return g_hash_table_lookup(dir->by_address, name.s);
 }
 
-/* Forget what has been silent since before a time. */
+/* Removes entries that were last seen before a given time. */
 void dl_directory_expire(struct dl_directory *dir, int64_t before)
 {
 	struct dl_directory_entry *e;
@@ -263,7 +277,7 @@
 	}
 }
 
-/* How many addresses are known. */
+/* Returns the number of known addresses. */
 uint32_t dl_directory_count(const struct dl_directory *dir)
 {
 	return g_hash_table_size(dir->by_address);
--- a/test/test_directory.c
+++ b/test/test_directory.c
@@ -1,4 +1,4 @@
-/* Which endpoints there are, from announcements that come late and twice. */
+/* Tests of the directory with announcements that arrive late or twice. */
 #include <check.h>
 #include <stdlib.h>
 
@@ -19,7 +19,7 @@
 	dl_directory_free(dir);
 }
 
-/* The endpoint whose name another start took over, at the last word. */
+/* The entry superseded by the last announcement. */
 static const struct dl_directory_entry *superseded;
 
 static enum dl_directory_result announce_born(const char *address,
@@ -86,7 +86,7 @@
 }
 END_TEST
 
-/* An announcement that a cut held up until another start had the address. */
+/* A partition delays an announcement until another instance has the address. */
 START_TEST(superseded_instance_stays_stale)
 {
 	uint64_t first;
@@ -111,7 +111,7 @@
 }
 END_TEST
 
-/* The same name at the same address: it holds nothing of before. */
+/* A restart with the same name and address keeps no earlier state. */
 START_TEST(restart_with_same_name_and_address)
 {
 	uint64_t first;
@@ -124,7 +124,7 @@
 	ck_assert_uint_gt(known()->incarnation, first);
 	ck_assert_uint_eq(known()->sequence, 1);
 	ck_assert(!known()->leaving);
-	/* Late words of the earlier start, in every form. */
+	/* Late announcements of the earlier instance, in every form. */
 	ck_assert_int_eq(announce_born(AT, "i-1", 100, 10, false, 2100),
 			 DL_DIRECTORY_STALE);
 	ck_assert_int_eq(announce_born(AT, "i-1", 100, 11, true, 2100),
@@ -138,7 +138,7 @@
 }
 END_TEST
 
-/* The same name at another address: nobody is at the first one. */
+/* A restart with the same name at another address: the first one is gone. */
 START_TEST(restart_with_same_name_at_new_address)
 {
 	const char *to = "10.0.0.8:8080";
@@ -148,12 +148,12 @@
 			 DL_DIRECTORY_NEW);
 	ck_assert_ptr_eq(superseded, known());
 	ck_assert(known()->leaving);
-	/* The earlier start's late word brings nothing back. */
+	/* A late announcement of the earlier instance does not restore it. */
 	ck_assert_int_ne(announce_born(AT, "i-1", 100, 10, false, 2100),
 			 DL_DIRECTORY_NEW);
 	ck_assert(known()->leaving);
 	ck_assert(!dl_directory_find(dir, dl_str_of(to))->leaving);
-	/* And the first address may be used again. */
+	/* The first address can be used again. */
 	ck_assert_int_eq(announce_born(AT, "i-2", 300, 1, false, 3000),
 			 DL_DIRECTORY_NEW);
 	ck_assert_int_eq(announce_born("", "i-1", 200, 0, true, 3000),
@@ -163,7 +163,7 @@
 }
 END_TEST
 
-/* The later start may be heard of first. */
+/* The later instance may be announced first. */
 START_TEST(older_start_at_other_address_is_stale)
 {
 	announce_born(AT, "i-1", 200, 1, false, 1000);
@@ -176,7 +176,7 @@
 }
 END_TEST
 
-/* A start that was never heard of while it was there. */
+/* An older instance that was never announced while it was running. */
 START_TEST(unseen_older_instance_is_stale)
 {
 	announce_born(AT, "i-2", 200, 1, false, 1000);
@@ -186,7 +186,7 @@
 }
 END_TEST
 
-/* The clock of its machine stepped back; the one before has fallen silent. */
+/* The machine's clock stepped back, and the previous instance is silent. */
 START_TEST(clock_step_does_not_block_instance)
 {
 	announce_born(AT, "i-1", 200, 1, false, 1000);
@@ -195,7 +195,7 @@
 }
 END_TEST
 
-/* A start that does not say when it began, between others that do. */
+/* An announcement without a start time, between others that have one. */
 START_TEST(start_time_is_optional)
 {
 	announce_born(AT, "i-1", 100, 1, false, 1000);
