--- a/include/daisyledge/lease.h
+++ b/include/daisyledge/lease.h
@@ -1,6 +1,7 @@
 /*
- * How long a copy of the configuration may be trusted: until a while after the
- * leading replica was asked and said that nothing newer is in force.  Pure.
+ * Lease on the local copy of the configuration: it is valid for a limited time
+ * after a request to which the leading replica answered that no newer version
+ * is in force. The module does no I/O and reads no clock.
  *
  * Times are milliseconds of a clock that also runs while the VM is suspended.
  */
@@ -10,51 +11,62 @@
 #include "daisyledge/base.h"
 
 struct dl_lease {
-	int64_t requested_at;  /* the last question; 0 for none */
-	int64_t pending_since; /* the first one since an answer; 0 for none */
-	int64_t answered_at;   /* the question that was answered last */
-	int64_t confirmed_at;  /* the question behind the latest word */
-	uint64_t version;      /* in force by that word */
-	/* The question behind the latest word that we are up to; 0 for none. */
+	int64_t requested_at;  /* last request; 0 if none */
+	int64_t pending_since; /* first unanswered request; 0 if none */
+	int64_t answered_at;   /* request that was answered last */
+	int64_t confirmed_at;  /* request behind the latest confirmation */
+	uint64_t version;      /* in force by that confirmation */
+	/*
+	 * Request behind the latest confirmation whose version is applied here;
+	 * 0 if none.
+	 */
 	int64_t valid_from;
 };
 
 /* A replica's answer. */
 struct dl_lease_answer {
-	int64_t requested_at; /* the question's own time, sent back */
+	int64_t requested_at; /* time of the request, echoed by the replica */
 	uint64_t from;
-	bool confirmed;	  /* it leads, and this is in force */
-	uint64_t version; /* where sure */
-	uint64_t leader;  /* whom it takes for the leader */
+	bool confirmed;	  /* the replica leads and the version is in force */
+	uint64_t version; /* valid if confirmed */
+	uint64_t leader;  /* leader known to the replica */
 };
 
-/* Whether it is time to ask again; lease_ms as below. */
+/* Whether the next request is due; for lease_ms see dl_lease_is_valid(). */
 bool dl_lease_renewal_due(const struct dl_lease *l, uint32_t lease_ms,
 			  int64_t now);
 /*
- * How long a request that finds no word may wait for one, of the left_ms that
- * it has; 0: it is refused.  started, heard: when this process started and when
- * it last heard a replica, on the same clock; heard 0 for never.
+ * How long a request may wait for a confirmation if there is none, given the
+ * left_ms until its deadline; 0 if it must be refused. started and heard are
+ * the times, by the same clock, at which this process started and last heard
+ * from a replica; heard is 0 for never.
  */
 uint32_t dl_lease_max_wait_ms(const struct dl_lease *l, int64_t started,
 			      int64_t heard, uint32_t left_ms, int64_t now);
-/* Whether the one that is asked has not answered in time: ask another. */
+/*
+ * Whether the replica failed to answer in time, so that another must be asked.
+ */
 bool dl_lease_timed_out(const struct dl_lease *l, int64_t now);
-/* Another one is asked from now on. */
+/* Records that requests go to another replica from now on. */
 void dl_lease_replica_changed(struct dl_lease *l);
 void dl_lease_request_sent(struct dl_lease *l, int64_t now);
-/* Take an answer; returns whom to ask next, DL_VM_NONE for any. */
+/* Handles an answer. Returns the replica to ask next, DL_VM_NONE for any. */
 uint64_t dl_lease_handle_answer(struct dl_lease *l,
 				const struct dl_lease_answer *a,
 				uint64_t version, int64_t now);
-/* Another version is in force here. */
+/* Records that another version was applied here. */
 void dl_lease_version_applied(struct dl_lease *l, uint64_t version);
-/* Since when the word that holds was asked for; INT64_MAX for none. */
+/*
+ * Age of the current confirmation, counted from its request; INT64_MAX if none.
+ */
 int64_t dl_lease_age(const struct dl_lease *l, int64_t now);
-/* Whether requests may be let through; lease_ms 0: after one word for ever. */
+/*
+ * Whether requests may be admitted. With lease_ms 0, one confirmation is valid
+ * forever.
+ */
 bool dl_lease_is_valid(const struct dl_lease *l, uint32_t lease_ms,
 		       int64_t now);
-/* Whether new callers should come. */
+/* Whether this VM is ready for new callers. */
 bool dl_lease_ready(const struct dl_lease *l, uint32_t lease_ms, int64_t now);
 
 #endif
--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -1,42 +1,47 @@
-/* Whether a copy of the configuration may still be trusted. */
+/* Lease on the local copy of the configuration; see the header. */
 #include "daisyledge/lease.h"
 
 #include <sys/param.h>
 
 /*
  * An eighth of the time in which a change must be in force everywhere (2 s), so
- * that lost questions cost nothing.
+ * that lost requests do no harm.
  */
 #define RENEW_INTERVAL_MS 250
-/* Without a word, while callers wait for it: some round trips. */
+/*
+ * Interval while there is no confirmation and callers wait for one: a few round
+ * trips.
+ */
 #define RETRY_INTERVAL_MS 100
-/* The leader answers at once; later another one leads. */
+/* The leader answers at once; after this time another one is assumed to lead.
+ */
 #define ANSWER_TIMEOUT_MS 400
 /*
- * A request that is let through at the lease's last moment is on its way to an
- * endpoint for some milliseconds, and clocks drift.
+ * A request that is admitted at the end of the lease takes some milliseconds to
+ * reach an endpoint, and clocks drift.
  */
 #define EXPIRY_MARGIN_MS 300
 /*
- * Not ready for new callers from this share of the lease on: they would find it
- * over before they are served.
+ * Share of the lease after which this VM is not ready for new callers: the
+ * lease would expire before they are served.
  */
 #define READY_PERMILLE 550
 #define PERMILLE       1000
 
 /*
- * A group that lost its leader, or has just started, elects one in some hundred
- * ms.  Requests that come meanwhile wait: told to come back, callers used their
- * one return and were refused again.  Nobody waits longer than this, nor for
- * more than this part of its time, and nobody where the group is not heard: a
- * VM that is cut off cannot know for how long.
+ * A group that lost its leader or has just started elects one within some
+ * hundred ms. Requests that arrive meanwhile wait: when they were told to
+ * retry, callers used up their one retry and were refused again. No request
+ * waits longer than this, nor for more than this part of its remaining time.
+ * None waits while no replica is heard, because a VM that is cut off cannot
+ * know for how long.
  */
 #define WAIT_MAX_MS	      1000
 #define WAIT_DEADLINE_DIVISOR 4
-/* Replicas answer in milliseconds, if only that nobody leads. */
+/* Replicas answer within milliseconds, even without a leader. */
 #define REPLICA_CONTACT_MS 500
 
-/* Whether it is time to ask again. */
+/* Whether the next request to a replica is due. */
 bool dl_lease_renewal_due(const struct dl_lease *l, uint32_t lease_ms,
 			  int64_t now)
 {
@@ -46,7 +51,7 @@
 	return !l->requested_at || now - l->requested_at >= every;
 }
 
-/* How long a request may wait for a word. */
+/* Returns how long a request may wait for a confirmation. */
 uint32_t dl_lease_max_wait_ms(const struct dl_lease *l, int64_t started,
 			      int64_t heard, uint32_t left_ms, int64_t now)
 {
@@ -59,23 +64,23 @@
 }
 
 /*
- * Whether the one that is asked has not answered in time, counted from the
- * first question since an answer: it is asked again sooner than it is given up.
- * Any answer counts, also one that only names another: whoever is named is
- * asked next, and must not be taken for silent before.
+ * Whether the replica has not answered in time, counted from the first request
+ * since the last answer, because requests are repeated sooner than they time
+ * out. Any answer counts, also one that only names another replica: that one is
+ * asked next and must not be taken for silent before.
  */
 bool dl_lease_timed_out(const struct dl_lease *l, int64_t now)
 {
 	return l->pending_since && now - l->pending_since > ANSWER_TIMEOUT_MS;
 }
 
-/* Another one is asked from now on: it has its own time to answer. */
+/* Resets the timeout: the new replica gets the full time to answer. */
 void dl_lease_replica_changed(struct dl_lease *l)
 {
 	l->pending_since = 0;
 }
 
-/* A question is on its way. */
+/* Records that a request was sent. */
 void dl_lease_request_sent(struct dl_lease *l, int64_t now)
 {
 	l->requested_at = now;
@@ -84,11 +89,11 @@
 }
 
 /*
- * Take an answer.  The word counts from the moment of asking: whatever was
- * acknowledged before it was known to the one that answered.  An answer to an
- * older question than the last one answered changes nothing, but for a word:
- * the one that comes to lead may give it late, after others have said that they
- * do not.
+ * Handles an answer. A confirmation counts from the time of its request: the
+ * replica that answered knew of all changes acknowledged before. An answer to
+ * an older request than the last answered one is ignored unless it is a
+ * confirmation: a replica that becomes leader may confirm late, after others
+ * have answered that they do not lead.
  */
 uint64_t dl_lease_handle_answer(struct dl_lease *l,
 				const struct dl_lease_answer *a,
@@ -109,20 +114,26 @@
 	return a->from;
 }
 
-/* Another version is in force here: a word that waited for it holds now. */
+/*
+ * Records the version applied here; a confirmation that waited for it becomes
+ * valid.
+ */
 void dl_lease_version_applied(struct dl_lease *l, uint64_t version)
 {
 	if (l->confirmed_at && version >= l->version)
 		l->valid_from = l->confirmed_at;
 }
 
-/* How long ago the word that holds was asked for; INT64_MAX for none. */
+/*
+ * Returns the age of the valid confirmation, counted from its request;
+ * INT64_MAX if there is none.
+ */
 int64_t dl_lease_age(const struct dl_lease *l, int64_t now)
 {
 	return l->valid_from ? now - l->valid_from : INT64_MAX;
 }
 
-/* Whether requests may be let through. */
+/* Whether requests may be admitted. */
 bool dl_lease_is_valid(const struct dl_lease *l, uint32_t lease_ms, int64_t now)
 {
 	if (!l->valid_from)
@@ -131,7 +142,7 @@
 	       dl_lease_age(l, now) < (int64_t)lease_ms - EXPIRY_MARGIN_MS;
 }
 
-/* Whether new callers should come. */
+/* Whether this VM is ready for new callers. */
 bool dl_lease_ready(const struct dl_lease *l, uint32_t lease_ms, int64_t now)
 {
 	return dl_lease_is_valid(l, lease_ms, now) &&
--- a/test/test_lease.c
+++ b/test/test_lease.c
@@ -1,4 +1,4 @@
-/* How long a copy of the configuration is trusted, and whom an entry asks. */
+/* Tests of the configuration lease and of the choice of the replica to ask. */
 #include <check.h>
 #include <stdlib.h>
 
@@ -37,7 +37,7 @@
 }
 END_TEST
 
-/* What came in between, on the way back or while suspended, counts. */
+/* Time spent on the way back, or while suspended, counts against the lease. */
 START_TEST(lease_starts_at_request)
 {
 	dl_lease_request_sent(&lease, 1000);
@@ -62,8 +62,8 @@
 END_TEST
 
 /*
- * Of eight replicas three do not vote and know no leader; whom a follower names
- * must be asked before the next one in turn is.
+ * Three of eight replicas do not vote and know no leader, so the leader named
+ * by a follower must be asked before the next replica in turn.
  */
 START_TEST(named_leader_is_asked_next)
 {
@@ -94,7 +94,7 @@
 }
 END_TEST
 
-/* A replica that is gone is asked again and again, and left all the same. */
+/* A replica that is gone is asked repeatedly and must still time out. */
 START_TEST(timeout_despite_repeated_requests)
 {
 	int64_t now = 1000;
@@ -122,7 +122,7 @@
 	answer(1000, OTHER, true, 4, 5, 1301);
 	ck_assert_uint_eq(lease.version, 5);
 	ck_assert_int_eq(lease.valid_from, 1250);
-	answer(9000, OTHER, true, 6, 5, 1302); /* of nobody's question */
+	answer(9000, OTHER, true, 6, 5, 1302); /* matches no request */
 	ck_assert_uint_eq(lease.version, 5);
 }
 END_TEST
@@ -135,7 +135,7 @@
 }
 END_TEST
 
-/* The one that comes to lead answers a question that others have answered. */
+/* A new leader answers a request that others have already answered. */
 START_TEST(confirmation_after_other_answers)
 {
 	dl_lease_request_sent(&lease, 1000);
@@ -144,7 +144,7 @@
 	answer(1100, FOLLOWER, false, 0, 3, 1101);
 	ck_assert_uint_eq(answer(1000, LEADER, true, 3, 3, 1150), LEADER);
 	ck_assert_int_eq(lease.valid_from, 1000);
-	/* And nothing but a word comes late. */
+	/* Only a confirmation may arrive late. */
 	answer(1000, OTHER, false, 0, 3, 1160);
 	ck_assert_int_eq(lease.answered_at, 1100);
 }
@@ -161,21 +161,21 @@
 }
 END_TEST
 
-/* Who waits for a word, and how long. */
+/* When a request waits for a confirmation, and how long. */
 static const struct {
 	int64_t held_from, started, heard;
 	uint32_t left_ms;
 	int64_t now;
 	uint32_t patience;
 } waits[] = {
-	/* just started: a part of the time, and no more than a second */
+	/* just started: part of the remaining time, at most a second */
 	{ 0, 10000, 0, 10000, 10100, 1000 },
 	{ 0, 10000, 0, 1000, 10100, 250 },
 	{ 0, 10000, 0, 10000, 11000, 0 },
-	/* a group that answers has no leader yet */
+	/* the group answers but has no leader yet */
 	{ 0, 10000, 12900, 10000, 13000, 1000 },
 	{ 9000, 1000, 12900, 10000, 13000, 1000 },
-	/* cut off: nobody knows for how long */
+	/* cut off: the duration is unknown */
 	{ 9000, 1000, 12400, 10000, 13000, 0 },
 	{ 9000, 12900, 0, 10000, 13000, 0 },
 };
