--- a/src/coordination/memb.c
+++ b/src/coordination/memb.c
@@ -1,14 +1,14 @@
 /*
- * Membership: the table of members and the rules by which news of a member
- * replaces older news.
+ * Membership: the table of members, and the rules by which an update of a
+ * member replaces an older one.
  *
- * A higher incarnation replaces all; at the same one the order is alive,
- * suspect, dead, left.  Two contradictions are not settled by hearsay but by
- * asking the member itself: a death heard of a member of our own domain that
- * is held to be live makes it suspect, and a life heard of one held to be
- * dead has it probed.  A VM of another domain that sees less than half of it
- * is doubted in the same way.  So one VM that was cut off alone cannot talk
- * the others into burying each other once it is back.
+ * A higher incarnation always wins; at the same incarnation the order is alive,
+ * suspect, dead, left. Two contradictions are not resolved by gossip but by
+ * probing the member itself: a death reported for a live member of our own
+ * domain makes it suspect, and a live state reported for a dead member causes a
+ * probe. Reports from a VM of another domain that sees less than half of that
+ * domain are handled in the same way. This prevents a VM that was isolated from
+ * convincing the others that live members are dead once it is back.
  */
 #include "daisyledge/memb.h"
 
@@ -24,9 +24,9 @@
 #define DIGEST_MS	  1000
 #define SLOTS_MIN	  64
 #define PEERS_MIN	  16
-#define RETRANSMITS_EXTRA 2 /* repetitions beyond log2 of the domain */
+#define RETRANSMITS_EXTRA 2 /* beyond log2 of the domain size */
 #define RETRANSMITS_MAX	  60
-#define SUSPECT_LOG2_MIN  3 /* log2 of members that suspect_ms itself is for */
+#define SUSPECT_LOG2_MIN  3 /* suspect_ms applies up to 2^3 members */
 #define DEAD_EXPIRY_MS	  ((int64_t)24 * 60 * 60 * 1000)
 #define TOMBSTONES_MAX	  512
 
@@ -53,7 +53,7 @@
 static void toggle_hash(struct dl_memb *memb, struct memb_peer *peer,
 			int64_t now);
 
-/* Fill a configuration with the suggested periods. */
+/* Sets a configuration to the default periods. */
 void dl_memb_defaults(struct dl_memb_conf *conf)
 {
 	memset(conf, 0, sizeof(*conf));
@@ -65,8 +65,8 @@
 }
 
 /*
- * Begin membership of one VM.  seed makes its choices repeatable; NULL
- * without memory or where the configuration makes no sense.
+ * Creates the membership state of one VM. The seed makes its random choices
+ * repeatable. Returns NULL if out of memory or if the configuration is invalid.
  */
 struct dl_memb *dl_memb_new(const struct dl_memb_conf *conf, uint64_t seed,
 			    int64_t now)
@@ -110,7 +110,7 @@
 	return memb;
 }
 
-/* End membership without a word to anybody. */
+/* Frees the membership state without notifying other VMs. */
 void dl_memb_free(struct dl_memb *memb)
 {
 	if (!memb)
@@ -122,7 +122,9 @@
 	free(memb);
 }
 
-/* A number from this VM's own seeded sequence (splitmix64). */
+/*
+ * Returns a pseudo-random number from this VM's seeded generator (splitmix64).
+ */
 uint64_t memb_random(struct dl_memb *memb)
 {
 	uint64_t z = memb->rng += UINT64_C(0x9e3779b97f4a7c15);
@@ -132,7 +134,7 @@
 	return z ^ (z >> 31);
 }
 
-/* The logarithm rounded up; 0 for one. */
+/* Returns log2 rounded up; 0 for one. */
 uint32_t memb_log2(uint32_t n)
 {
 	uint32_t bits = 0;
@@ -142,7 +144,7 @@
 	return bits;
 }
 
-/* Where a VM stands in the table of slots, or the empty slot for it. */
+/* Returns the slot of a VM in the hash table, or the empty slot for it. */
 static uint32_t find_slot(const struct dl_memb *memb, uint64_t vm)
 {
 	struct dl_str key = { (const char *)&vm, sizeof(vm) };
@@ -153,7 +155,7 @@
 	return at;
 }
 
-/* Fill the table of slots anew. */
+/* Rebuilds the hash table. */
 static void rehash(struct dl_memb *memb)
 {
 	memset(memb->slots, 0, memb->nslots * sizeof(*memb->slots));
@@ -161,7 +163,7 @@
 		memb->slots[find_slot(memb, memb->peers[i].m.vm)] = i + 1;
 }
 
-/* Make room for one more member; false at the bound or without memory. */
+/* Makes room for one more member; false at the limit or if out of memory. */
 static bool grow(struct dl_memb *memb)
 {
 	uint32_t cap = memb->peers_cap ? memb->peers_cap * 2 : PEERS_MIN;
@@ -190,7 +192,7 @@
 	return true;
 }
 
-/* The member of this name, or NULL. */
+/* Returns the member for a VM, or NULL. */
 struct memb_peer *memb_peer(const struct dl_memb *memb, uint64_t vm)
 {
 	uint32_t slot = memb->slots[find_slot(memb, vm)];
@@ -204,7 +206,7 @@
 	return peer->m.state == DL_ALIVE || peer->m.state == DL_SUSPECT;
 }
 
-/* The index of a domain, made where it is new; -1 at the bound. */
+/* Returns the index of a domain, adding it if new; -1 at the limit. */
 static int intern_domain(struct dl_memb *memb, struct dl_str name, int64_t now)
 {
 	struct memb_domain *d = NULL;
@@ -230,7 +232,7 @@
 	return (int)(d - memb->domains);
 }
 
-/* The domain of this tag, or NULL. */
+/* Returns the domain with a tag, or NULL. */
 struct memb_domain *memb_domain_of_tag(struct dl_memb *memb, uint32_t tag)
 {
 	for (uint32_t i = 0; i < memb->ndomains; i++) {
@@ -240,7 +242,7 @@
 	return NULL;
 }
 
-/* What a member adds to its domain's hash: nothing unless it is live. */
+/* Returns a member's contribution to its domain's hash; 0 unless it is live. */
 static uint32_t peer_hash(const struct memb_peer *peer)
 {
 	uint64_t key[4] = { peer->m.vm, peer->m.incarnation,
@@ -254,7 +256,7 @@
 	return (uint32_t)dl_hash(s, 0);
 }
 
-/* Take a member out of its domain's hash, or put it back in. */
+/* Adds a member to its domain's hash, or removes it (XOR). */
 static void toggle_hash(struct dl_memb *memb, struct memb_peer *peer,
 			int64_t now)
 {
@@ -263,14 +265,17 @@
 	memb->domains[peer->domain].hash_changed = now;
 }
 
-/* Whether gossip holds a member to be live, cut off or not. */
+/*
+ * Whether a member is live according to gossip, even if its domain is
+ * unreachable.
+ */
 bool memb_gossip_live(const struct memb_peer *peer)
 {
 	return peer->gossip_state == DL_ALIVE ||
 	       peer->gossip_state == DL_SUSPECT;
 }
 
-/* Have a change of this member reported. */
+/* Queues an event for a member. */
 static void mark_dirty(struct dl_memb *memb, struct memb_peer *peer)
 {
 	if (peer->dirty)
@@ -279,11 +284,14 @@
 	memb->dirty++;
 }
 
-/* Have this member told to others so many times more. */
+/* Queues a member for so many gossip retransmissions. */
 static void queue_gossip(struct dl_memb *memb, struct memb_peer *peer,
 			 uint32_t tells)
 {
-	/* Other domains hear of it without waiting for the next round. */
+	/*
+	 * Send a digest soon, so that other domains need not wait for the next
+	 * round.
+	 */
 	if (peer->domain == 0 && tells > MEMB_VERSION_RETRANSMITS &&
 	    memb->next_digest > memb->last_now + memb->conf.ack_ms)
 		memb->next_digest = memb->last_now + memb->conf.ack_ms;
@@ -296,15 +304,18 @@
 }
 
 /*
- * How often a change of state is repeated by each VM: enough that gossip
- * misses about one VM in a thousand, which the comparison of hashes mends.
+ * Returns how often each VM retransmits a change of state: enough for gossip to
+ * miss about one VM in a thousand, which the comparison of hashes repairs.
  */
 static uint32_t state_retransmits(const struct dl_memb *memb)
 {
 	return RETRANSMITS_EXTRA + memb_log2(memb->domains[0].live + 1);
 }
 
-/* Show what gossip says of a member, unless its whole domain is cut off. */
+/*
+ * Shows a member's gossip state to callers, or dead if its domain is
+ * unreachable.
+ */
 static void publish_state(struct dl_memb *memb, struct memb_peer *peer,
 			  int64_t now)
 {
@@ -321,7 +332,7 @@
 	mark_dirty(memb, peer);
 }
 
-/* Set what gossip says of a member. */
+/* Sets a member's gossip state. */
 static void set_gossip_state(struct dl_memb *memb, struct memb_peer *peer,
 			     enum dl_memb_state said, int64_t now)
 {
@@ -346,7 +357,7 @@
 	publish_state(memb, peer, now);
 }
 
-/* Add a member that was not known; false where there is no room. */
+/* Adds an unknown member; false if there is no room. */
 static bool add_peer(struct dl_memb *memb, const struct memb_update *u,
 		     int64_t now)
 {
@@ -379,7 +390,7 @@
 	return true;
 }
 
-/* Forget a member; the last one takes its place. */
+/* Removes a member; the last one moves to its index. */
 static void drop_peer(struct dl_memb *memb, uint32_t index)
 {
 	struct memb_peer *peer = &memb->peers[index];
@@ -400,8 +411,9 @@
 }
 
 /*
- * Forget members that were gone for a day, and the longest gone of more than
- * TOMBSTONES_MAX: until then their record keeps stale news from raising them.
+ * Removes members that have been gone for a day, and the oldest of more than
+ * TOMBSTONES_MAX. Until then their records keep stale updates from reviving
+ * them.
  */
 void memb_expire_dead(struct dl_memb *memb, int64_t now)
 {
@@ -430,7 +442,7 @@
 	drop_peer(memb, oldest);
 }
 
-/* This VM's own judgement: the member did not answer. */
+/* Suspects a member that did not answer this VM's probe. */
 void memb_suspect(struct dl_memb *memb, struct memb_peer *peer, int64_t now)
 {
 	if (peer->gossip_state != DL_ALIVE)
@@ -440,7 +452,7 @@
 	memb_gossip_now(memb);
 }
 
-/* This VM's own judgement: the suspicion was not refuted in time. */
+/* Declares a suspect dead because it did not refute in time. */
 void memb_declare_dead(struct dl_memb *memb, struct memb_peer *peer,
 		       int64_t now)
 {
@@ -451,7 +463,10 @@
 	memb_gossip_now(memb);
 }
 
-/* Take a whole domain's members out of sight, or show them again. */
+/*
+ * Marks a domain as unreachable, which shows its live members as dead, or
+ * undoes it.
+ */
 void memb_domain_set_unreachable(struct dl_memb *memb, uint32_t domain,
 				 bool cut, int64_t now)
 {
@@ -464,7 +479,7 @@
 	}
 }
 
-/* Others say of this VM what is not so: raise the incarnation past it. */
+/* Refutes an update about this VM that is wrong, by raising its incarnation. */
 static void refute(struct dl_memb *memb, const struct memb_update *u,
 		   int64_t now)
 {
@@ -482,9 +497,9 @@
 }
 
 /*
- * A death that is heard of.  Of a live member of our own domain, or from a
- * doubted VM, it only raises a suspicion, since the member can be asked;
- * returns whether it did.
+ * Handles a reported death. For a live member of our own domain, or from an
+ * untrusted VM, the member only becomes suspect, because it can be probed;
+ * returns whether that is so.
  */
 static bool suspect_instead(struct dl_memb *memb, struct memb_peer *peer,
 			    const struct memb_update *u, enum memb_trust trust,
@@ -501,7 +516,7 @@
 	return true;
 }
 
-/* Move a member to another domain, where it says that it is now. */
+/* Moves a member to another domain, as reported by the member. */
 static void move_domain(struct dl_memb *memb, struct memb_peer *peer,
 			struct dl_str name, int64_t now)
 {
@@ -520,7 +535,7 @@
 	peer->m.domain = memb->domains[domain].name;
 }
 
-/* Take news of a higher incarnation whole. */
+/* Applies an update with a higher incarnation. */
 static void merge_newer_incarnation(struct dl_memb *memb,
 				    struct memb_peer *peer,
 				    const struct memb_update *u,
@@ -540,7 +555,7 @@
 	queue_gossip(memb, peer, state_retransmits(memb));
 }
 
-/* Take news of the incarnation that is known. */
+/* Applies an update with the known incarnation. */
 static void merge_same_incarnation(struct dl_memb *memb, struct memb_peer *peer,
 				   const struct memb_update *u,
 				   enum memb_trust trust, int64_t now)
@@ -565,7 +580,7 @@
 		memb_probe_now(memb, peer, now);
 }
 
-/* Take news of a member. */
+/* Merges an update of a member. */
 void memb_merge(struct dl_memb *memb, const struct memb_update *u,
 		enum memb_trust trust, int64_t now)
 {
@@ -587,7 +602,7 @@
 		merge_same_incarnation(memb, peer, u, trust, now);
 }
 
-/* Have a datagram sent; past the bound it is dropped like a lost one. */
+/* Queues a datagram. If the queue is full, it is dropped like a lost one. */
 void memb_queue(struct dl_memb *memb, enum memb_kind kind, uint64_t to,
 		uint32_t seq, uint64_t target)
 {
@@ -605,7 +620,7 @@
 	intent->page = 0;
 }
 
-/* An address from the settings: asked until it answers. */
+/* Adds an address from the settings, which is contacted until it answers. */
 void dl_memb_add_seed(struct dl_memb *memb, uint64_t vm, int64_t now)
 {
 	if (vm == memb->conf.self || vm == DL_VM_NONE)
@@ -620,7 +635,9 @@
 	memb->next_seed = now;
 }
 
-/* Send some live peers a datagram now: each says how its sender is. */
+/*
+ * Sends a datagram to some live peers at once; each carries the sender's state.
+ */
 static void notify_live_peers(struct dl_memb *memb, enum memb_kind kind)
 {
 	uint32_t start = (uint32_t)(memb_random(memb) % memb->npeers);
@@ -639,8 +656,8 @@
 }
 
 /*
- * What this VM says of itself from now on.  A version lower than the last
- * one is not taken.
+ * Sets the state that this VM announces of itself. A version lower than the
+ * last one is ignored.
  */
 void dl_memb_update_self(struct dl_memb *memb, bool draining,
 			 uint64_t config_version, int64_t now)
@@ -654,8 +671,9 @@
 		mark_dirty(memb, self);
 		queue_gossip(memb, self, state_retransmits(memb));
 		/*
-		 * A VM that stops dispatches no longer; by probes alone the
-		 * others knew 0.3 to 2 s later, and asked it all the while.
+		 * A draining VM no longer dispatches. When others learned this
+		 * from probes only, it took them 0.3 to 2 s, during which they
+		 * kept sending requests to it.
 		 */
 		notify_live_peers(memb, MEMB_PING);
 	}
@@ -666,7 +684,7 @@
 	toggle_hash(memb, self, now);
 }
 
-/* Tell peers that this VM leaves, so that nobody need suspect it. */
+/* Notifies peers that this VM is leaving, so that it is not suspected. */
 void dl_memb_leave(struct dl_memb *memb, int64_t now)
 {
 	if (memb->left)
@@ -676,7 +694,10 @@
 	notify_live_peers(memb, MEMB_LEAVE);
 }
 
-/* The newest version that the sender knows of, and who has it. */
+/*
+ * Merges the newest configuration version known to the sender, and the VM that
+ * has it.
+ */
 static void merge_newest_config(struct dl_memb *memb,
 				const struct memb_msg *msg, int64_t now)
 {
@@ -691,7 +712,7 @@
 	queue_gossip(memb, peer, MEMB_VERSION_RETRANSMITS);
 }
 
-/* How far a datagram's news of others is believed. */
+/* Returns how far the updates in a datagram are trusted. */
 static enum memb_trust sender_trust(struct dl_memb *memb,
 				    const struct memb_msg *msg)
 {
@@ -704,8 +725,8 @@
 }
 
 /*
- * Take a datagram.  0, -EBADMSG where it makes no sense, or -EINVAL where it
- * comes from this VM itself.
+ * Handles a received datagram. Returns 0, -EBADMSG if it is malformed, or
+ * -EINVAL if it is from this VM itself.
  */
 int dl_memb_receive(struct dl_memb *memb, uint64_t from, struct dl_str datagram,
 		    int64_t now)
@@ -755,8 +776,9 @@
 }
 
 /*
- * The next datagram to send, into buf (DL_MEMB_DATAGRAM_MAX); false at none.
- * Runs what is due first, so it is to be called until it returns false.
+ * Gets the next datagram to send, into buf of DL_MEMB_DATAGRAM_MAX bytes; false
+ * if there is none. It runs due timers first, so it must be called until it
+ * returns false.
  */
 bool dl_memb_next_datagram(struct dl_memb *memb, int64_t now, uint64_t *to,
 			   char *buf, size_t *n)
@@ -779,15 +801,16 @@
 	return false;
 }
 
-/* When dl_memb_next_datagram() must be called at the latest. */
+/* Returns the latest time for the next call of dl_memb_next_datagram(). */
 int64_t dl_memb_next_wakeup(const struct dl_memb *memb)
 {
 	return memb->queue_len ? memb->last_now : memb_next_tick(memb);
 }
 
 /*
- * The next change of a member's state, incarnation or draining since the last
- * call; false at none.  Several changes of one member are told as one.
+ * Gets the next change of a member's state, incarnation or draining since the
+ * last call; false if there is none. Several changes of one member are reported
+ * as one.
  */
 bool dl_memb_next_event(struct dl_memb *memb, struct dl_member *out)
 {
--- a/src/coordination/memb_digest.c
+++ b/src/coordination/memb_digest.c
@@ -1,22 +1,23 @@
 /*
- * Between failure domains: a few VMs of each domain exchange digests, and
- * fetch what differs.  A member is judged by its own domain; whether a whole
- * domain can be reached is judged by each VM from the answers that any VM of
- * its own domain had, whose age travels on the probes.
+ * Synchronisation between failure domains: a few VMs of each domain, its
+ * gateways, exchange digests and pull what differs. The state of a member is
+ * decided by its own domain. Whether a whole domain is reachable is decided by
+ * each VM from the answers that any VM of its own domain received; probes carry
+ * the age of those answers.
  */
 #include "coordination/memb_int.h"
 
-#define RANDOM_TARGET_EVERY   4 /* one digest in so many goes to any member */
-#define PULL_QUIET_MS	      2000 /* gossip is given this long before a pull */
+#define RANDOM_TARGET_EVERY   4	   /* one in so many digests */
+#define PULL_QUIET_MS	      2000 /* gossip converges within it */
 #define PULL_EVERY_MS	      5000
 #define PULL_MAX_MS	      30000
 #define DIGEST_PULL_MS	      1000
-#define ISOLATION_MIN_MEMBERS 8 /* so many cannot all be lost by chance */
+#define ISOLATION_MIN_MEMBERS 8 /* this many are not all lost by chance */
 
 static uint64_t pick_in_domain(struct dl_memb *memb, uint32_t domain);
 static uint64_t vm_score(uint64_t vm);
 
-/* The order in which members of a domain take on its digests. */
+/* Hash that decides which members of a domain are its gateways. */
 static uint64_t vm_score(uint64_t vm)
 {
 	struct dl_str s = { (const char *)&vm, sizeof(vm) };
@@ -25,8 +26,8 @@
 }
 
 /*
- * The VMs of a domain that gateways for it: the few live ones of the lowest
- * hash, so that all agree without asking.  Returns how many there are.
+ * Gets the gateways of a domain: the live members with the lowest hashes, so
+ * that all VMs agree without asking. Returns their number.
  */
 uint32_t memb_gateways(const struct dl_memb *memb, uint32_t domain,
 		       uint64_t out[MEMB_GATEWAYS])
@@ -55,7 +56,10 @@
 	return n;
 }
 
-/* Any member of a domain, dead or not: all who gateways for it may be gone. */
+/*
+ * Returns a random member of a domain, dead or not, since all of its gateways
+ * may be gone.
+ */
 static uint64_t pick_in_domain(struct dl_memb *memb, uint32_t domain)
 {
 	uint32_t start = (uint32_t)(memb_random(memb) % memb->npeers);
@@ -70,7 +74,7 @@
 	return DL_VM_NONE;
 }
 
-/* Send a digest to one VM of each other domain, where we are to. */
+/* Sends a digest to one VM of each other domain, if this VM is a gateway. */
 void memb_digest_round(struct dl_memb *memb, int64_t now)
 {
 	uint64_t gateways[MEMB_GATEWAYS];
@@ -99,8 +103,9 @@
 }
 
 /*
- * How long a domain may be silent before it counts as cut off: a suspicion,
- * two digests, and the rounds that the news of an answer takes to spread.
+ * Returns how long a domain may be silent before it counts as unreachable: the
+ * suspicion time, two digests, and the probe rounds in which news of an answer
+ * spreads.
  */
 int64_t memb_domain_timeout_ms(const struct dl_memb *memb)
 {
@@ -112,9 +117,10 @@
 }
 
 /*
- * Take domains out of sight that do not answer, and back that do again.  In
- * our own, where many VMs would otherwise be found dead one a period, nothing
- * from any of them for some periods means that this VM is the one cut off.
+ * Updates which domains are unreachable. If nothing is received from any VM of
+ * a large own domain for some periods, this VM is taken to be the one that is
+ * cut off; otherwise it would find the others dead one by one, one in each
+ * period.
  */
 void memb_check_domains(struct dl_memb *memb, int64_t now)
 {
@@ -136,7 +142,7 @@
 	}
 }
 
-/* Whether it is time to fetch a domain whose hash differs. */
+/* Whether a pull of a domain with a different hash is due. */
 static bool pull_due(const struct memb_domain *d, bool digest, int64_t now)
 {
 	if (digest)
@@ -147,7 +153,7 @@
 	       now - d->last_pull > PULL_MAX_MS;
 }
 
-/* Fetch a domain that was not known. */
+/* Pulls an unknown domain. */
 static void pull_unknown(struct dl_memb *memb, uint64_t from, uint32_t tag,
 			 int64_t now)
 {
@@ -158,9 +164,10 @@
 }
 
 /*
- * Compare what the sender knows with what is known here; fetch from it what
- * differs once gossip had its time.  In our domain the age of each domain's
- * last answer is taken too; an answered digest is such an answer.
+ * Compares the sender's view of each domain with the local one, and pulls
+ * domains that still differ after gossip had time to converge. From a VM of our
+ * own domain, it also takes over the age of each domain's last answer; an ack
+ * of our digest is such an answer.
  */
 void memb_sync_domains(struct dl_memb *memb, uint64_t from,
 		       const struct memb_msg *msg, int64_t now)
--- a/src/coordination/memb_int.h
+++ b/src/coordination/memb_int.h
@@ -1,52 +1,50 @@
 /*
- * Membership, inside: the table of members, the domains, the datagrams still
- * to be sent, and what the files of this part ask of each other.
+ * Internals of membership: the tables of members and domains, the queue of
+ * datagrams, and the functions shared by the memb_*.c files.
  */
 #ifndef DL_MEMB_INT_H
 #define DL_MEMB_INT_H
 
 #include "daisyledge/memb.h"
 
-/* Bounds: memory stays bounded whatever the datagrams say. */
+/* Limits that bound memory whatever the received datagrams contain. */
 #define MEMB_MEMBERS_MAX   4096
 #define MEMB_DOMAINS_MAX   16
 #define MEMB_SEEDS_MAX	   64
-#define MEMB_QUEUE_MAX	   512 /* datagrams waiting to be encoded */
-#define MEMB_RELAYS_MAX	   64  /* indirect probes under way for others */
-#define MEMB_OWNERS	   64  /* owners remembered; a power of two */
+#define MEMB_QUEUE_MAX	   512 /* datagrams to be encoded */
+#define MEMB_RELAYS_MAX	   64  /* indirect probes for other VMs */
+#define MEMB_OWNERS	   64  /* cached owners; a power of two */
 #define MEMB_UPDATES_MAX   64  /* updates in one datagram */
-#define MEMB_PIGGYBACK_MAX 24  /* of them on probes and their answers */
-
-#define MEMB_INDIRECT	   3 /* VMs asked to probe for us */
-#define MEMB_GATEWAYS	   3 /* VMs of a domain that speak to other domains */
-#define MEMB_NOTIFY_MAX	   16
-#define MEMB_GOSSIP_FANOUT 3 /* VMs told of a verdict at once */
-#define MEMB_REFRESH_PULLS 3
-#define MEMB_VERSION_RETRANSMITS                                               \
-	3 /* repetitions of a mere change of version                           \
-	   */
-
-/* What a datagram is for; numbers never change their meaning. */
+#define MEMB_PIGGYBACK_MAX 24  /* of them on probes and acks */
+
+#define MEMB_INDIRECT		 3 /* VMs asked for an indirect probe */
+#define MEMB_GATEWAYS		 3 /* per domain, for digests */
+#define MEMB_NOTIFY_MAX		 16
+#define MEMB_GOSSIP_FANOUT	 3 /* VMs pinged at once after a verdict */
+#define MEMB_REFRESH_PULLS	 3
+#define MEMB_VERSION_RETRANSMITS 3 /* for a change of version only */
+
+/* Type of a datagram; the numbers are part of the wire format. */
 enum memb_kind {
 	MEMB_PING = 1,
 	MEMB_ACK = 2,
-	MEMB_RELAY = 3, /* probe the target for me */
-	MEMB_PULL = 4,	/* tell me a domain, or all */
-	MEMB_PAGE = 5,	/* a part of what was asked for */
+	MEMB_RELAY = 3, /* request to probe the target */
+	MEMB_PULL = 4,	/* request for the members of one domain, or of all */
+	MEMB_PAGE = 5,	/* part of the answer to a pull */
 	MEMB_DIGEST = 6,
 	MEMB_DIGEST_ACK = 7,
 	MEMB_LEAVE = 8,
 	MEMB_KIND_END,
 };
 
-/* How far news is believed. */
+/* How far an update is trusted. */
 enum memb_trust {
 	MEMB_SELF,	/* from the member itself */
-	MEMB_TRUSTED,	/* from one who sees what we see */
-	MEMB_UNTRUSTED, /* from one who sees less than half of its domain */
+	MEMB_TRUSTED,	/* from a VM with the same view as ours */
+	MEMB_UNTRUSTED, /* from a VM that sees less than half of its domain */
 };
 
-/* What is said of a member in a datagram. */
+/* State of a member as sent in a datagram. */
 struct memb_update {
 	uint64_t vm;
 	uint64_t incarnation;
@@ -57,22 +55,25 @@
 	struct dl_str domain;
 };
 
-/* What a sender knows of a domain, in short. */
+/* Summary of what the sender knows of a domain. */
 struct memb_sync {
-	uint32_t tag;	 /* hash of the domain's name */
-	uint32_t hash;	 /* over its live members */
-	uint32_t age_ms; /* since one of our domain was answered by it */
+	uint32_t tag;  /* hash of the domain name */
+	uint32_t hash; /* over its live members */
+	uint32_t
+		age_ms; /* since it last answered a VM of the sender's domain */
 };
 
-/* A datagram after decoding; strings point into it. */
+/* A decoded datagram; strings point into it. */
 struct memb_msg {
 	enum memb_kind kind;
 	uint32_t seq;
-	uint64_t target; /* of a relay or its answer; a tag in a pull */
+	uint64_t
+		target; /* member of a relay or its ack; domain tag of a pull */
 	struct memb_update self;
 	uint64_t newest_vm;
 	uint64_t newest_version;
-	uint32_t live; /* members of its domain that the sender sees */
+	uint32_t
+		live; /* live members in the sender's domain, as it sees them */
 	uint32_t nsync;
 	uint32_t nupdates;
 	struct memb_sync sync[MEMB_DOMAINS_MAX];
@@ -83,47 +84,46 @@
 struct memb_domain {
 	struct dl_name name;
 	uint32_t tag;
-	uint32_t hash;	      /* over live members, order does not matter */
-	uint32_t members;     /* in the table, dead ones included */
-	uint32_t live;	      /* of them, as gossip has it */
-	bool unreachable;     /* no answer from it: its members count as dead */
-	int64_t last_contact; /* by any VM of ours, as far as known */
-	int64_t hash_changed; /* its hash, last */
+	uint32_t hash;	  /* over live members, independent of order */
+	uint32_t members; /* in the table, including dead ones */
+	uint32_t live;	  /* live members according to gossip */
+	bool unreachable; /* no answer from it: its members are shown as dead */
+	int64_t last_contact; /* by any VM of our domain, as far as known */
+	int64_t hash_changed; /* last change of hash */
 	int64_t last_pull;
 };
 
-/* A member and what is under way about it. */
+/* A member and its protocol state. */
 struct memb_peer {
-	struct dl_member m; /* as shown */
-	enum dl_memb_state
-		gossip_state;	   /* as gossip has it; m.state minds cuts */
-	uint8_t domain;		   /* index */
-	uint8_t retransmits;	   /* repetitions left */
-	bool dirty;		   /* an event waits */
-	bool verify;		   /* this VM is to see whether it is dead */
-	bool unreachable;	   /* it does not answer this VM */
-	int64_t suspect_deadline;  /* while said is DL_SUSPECT */
-	int64_t last_direct_probe; /* last probed out of turn */
+	struct dl_member m;		 /* as shown to callers */
+	enum dl_memb_state gossip_state; /* ignores domain.unreachable */
+	uint8_t domain;			 /* index into domains */
+	uint8_t retransmits;		 /* remaining gossip retransmissions */
+	bool dirty;			 /* an event is pending */
+	bool verify;	  /* this VM has to confirm whether it is dead */
+	bool unreachable; /* it does not answer this VM */
+	int64_t suspect_deadline;  /* while gossip_state is DL_SUSPECT */
+	int64_t last_direct_probe; /* last probe outside the probe order */
 };
 
-/* A datagram to be encoded when it is sent. */
+/* A queued datagram; it is encoded when it is sent. */
 struct memb_intent {
 	enum memb_kind kind;
 	uint32_t seq;
-	uint32_t page; /* index of the next member of a page */
+	uint32_t page; /* index of the next member to send in a page */
 	uint64_t to;
 	uint64_t target;
 };
 
-/* The one probe under way. */
+/* The probe in progress. */
 struct memb_probe {
-	uint64_t vm; /* DL_VM_NONE: none */
+	uint64_t vm; /* DL_VM_NONE if there is none */
 	uint32_t seq;
-	bool indirect; /* others were asked */
+	bool indirect; /* indirect probes were requested */
 	int64_t started;
 };
 
-/* An indirect probe under way for another VM. */
+/* An indirect probe in progress for another VM. */
 struct memb_relay {
 	uint64_t origin;
 	uint64_t target;
@@ -131,9 +131,9 @@
 	uint32_t seq;
 };
 
-/* An owner found before, good as long as the members are the same. */
+/* A cached owner; valid while the epoch is unchanged. */
 struct memb_owner {
-	uint64_t epoch; /* 0: none */
+	uint64_t epoch; /* 0: unused */
 	uint64_t key;
 	uint64_t owner;
 	uint32_t domain;
@@ -144,16 +144,17 @@
 	struct memb_peer *peers; /* [0] is this VM */
 	uint32_t npeers;
 	uint32_t peers_cap;
-	uint32_t *slots; /* by hash of the VM: index + 1, 0 is empty */
+	uint32_t *slots; /* hash table by VM: index + 1, 0 is empty */
 	uint32_t nslots;
-	uint32_t dirty;		 /* events that wait */
-	uint32_t dirty_next;	 /* where to look for the next */
-	uint32_t gossip_pending; /* members with repetitions left */
+	uint32_t dirty;	     /* number of pending events */
+	uint32_t dirty_next; /* where the search for the next event starts */
+	uint32_t gossip_pending; /* members with retransmits left */
 	uint32_t suspects;
-	uint64_t epoch;		   /* counts changes of members */
-	struct memb_owner *owners; /* MEMB_OWNERS of them, by key */
+	uint64_t epoch;		   /* incremented at each change of members */
+	struct memb_owner *owners; /* MEMB_OWNERS entries, indexed by key */
 
-	struct memb_domain domains[MEMB_DOMAINS_MAX]; /* [0] is our own */
+	struct memb_domain
+		domains[MEMB_DOMAINS_MAX]; /* [0] is our own domain */
 	uint32_t ndomains;
 
 	struct memb_intent queue[MEMB_QUEUE_MAX];
@@ -162,8 +163,7 @@
 	struct memb_relay relays[MEMB_RELAYS_MAX];
 	uint32_t relay_next;
 	struct memb_probe probe;
-	uint64_t *
-		probe_order; /* shuffled VMs of our domain still to be probed */
+	uint64_t *probe_order; /* shuffled VMs of our domain still to probe */
 	uint32_t probe_order_len;
 	uint32_t probe_order_cap;
 	uint64_t seeds[MEMB_SEEDS_MAX];
@@ -172,18 +172,18 @@
 
 	uint64_t rng;
 	uint32_t seq;
-	uint32_t digest_rounds;	   /* rounds sent */
-	int64_t last_unknown_pull; /* a domain that was not known */
+	uint32_t digest_rounds;	   /* digest rounds sent */
+	int64_t last_unknown_pull; /* last pull of an unknown domain */
 	bool left;
-	bool joined;	      /* some other VM has answered */
-	bool refreshing;      /* after a pause: nothing is judged yet */
-	uint32_t refresh_seq; /* the first of those asked for it */
+	bool joined;	      /* another VM has answered */
+	bool refreshing;      /* after a pause; suspects nobody */
+	uint32_t refresh_seq; /* seq of the first pull of the refresh */
 	int64_t refresh_until;
 	int64_t last_now;
 	int64_t next_probe;
 	int64_t next_digest;
 	int64_t next_seed;
-	int64_t next_dead_probe; /* re-probe of a dead member */
+	int64_t next_dead_probe; /* probe of a dead member */
 	int64_t next_sweep;
 };
 
--- a/src/coordination/memb_probe.c
+++ b/src/coordination/memb_probe.c
@@ -1,17 +1,17 @@
 /*
- * Probes within a failure domain: one random member a period, indirectly
- * through others where it does not answer; and what a pause of this process
- * calls for.
+ * Probes within a failure domain: one random member in each period, and
+ * indirect probes through others if it does not answer; and recovery from a
+ * pause of this process.
  */
 #include <stdlib.h>
 
 #include "coordination/memb_int.h"
 
-#define PROBE_FAIL_ACKS		 3 /* a probe has failed after this many ack_ms */
+#define PROBE_FAIL_ACKS		 3 /* in units of ack_ms */
 #define DIRECT_PROBE_INTERVAL_MS 1000
 #define SEED_JOIN_INTERVAL_MS	 500
 #define SEED_RETRY_INTERVAL_MS	 5000
-#define DEAD_PROBE_PERIODS	 5 /* one dead member is probed every so many */
+#define DEAD_PROBE_PERIODS	 5 /* in probe periods, one dead member each time */
 
 static void begin_probe(struct dl_memb *memb, int64_t now);
 static void check_probe(struct dl_memb *memb, int64_t now);
@@ -23,7 +23,7 @@
 static void probe_dead_member(struct dl_memb *memb);
 static void sweep(struct dl_memb *memb, int64_t now);
 
-/* Put the live members of our domain in a new random order. */
+/* Puts the live members of our domain in a new random order. */
 static bool fill_order(struct dl_memb *memb)
 {
 	uint32_t n = 0;
@@ -53,7 +53,10 @@
 	return n > 0;
 }
 
-/* The next member to be probed: each once before any twice. */
+/*
+ * Returns the next member to probe; each is probed once before any is probed
+ * twice.
+ */
 static struct memb_peer *next_target(struct dl_memb *memb)
 {
 	for (;;) {
@@ -68,7 +71,7 @@
 	}
 }
 
-/* A random member of our domain that is live, or that is dead; or NULL. */
+/* Returns a random live or dead member of our domain, or NULL. */
 static struct memb_peer *random_peer(struct dl_memb *memb, bool live,
 				     uint64_t except)
 {
@@ -87,7 +90,7 @@
 	return NULL;
 }
 
-/* Probe the next member. */
+/* Probes the next member. */
 static void begin_probe(struct dl_memb *memb, int64_t now)
 {
 	struct memb_peer *peer = next_target(memb);
@@ -102,7 +105,7 @@
 	memb_queue(memb, MEMB_PING, peer->m.vm, memb->probe.seq, 0);
 }
 
-/* See whether the probe under way needs help, or has failed. */
+/* Checks whether the probe in progress needs indirect probes, or has failed. */
 static void check_probe(struct dl_memb *memb, int64_t now)
 {
 	struct memb_probe *probe = &memb->probe;
@@ -132,8 +135,8 @@
 }
 
 /*
- * Probe a member out of turn: the datagram tells it what is held of it, so
- * that it can refute.  At most one a second for each member.
+ * Probes a member outside the probe order, at most once a second. The datagram
+ * tells it its state as seen here, so that it can refute.
  */
 void memb_probe_now(struct dl_memb *memb, struct memb_peer *peer, int64_t now)
 {
@@ -144,8 +147,9 @@
 }
 
 /*
- * Tell a few random members of what this VM has just found, rather than with
- * its next probe: the suspicions of all then end at nearly one time.
+ * Sends a new verdict of this VM to a few random members at once instead of
+ * with the next probe, so that the suspicion expires at nearly the same time on
+ * all VMs.
  */
 void memb_gossip_now(struct dl_memb *memb)
 {
@@ -157,14 +161,14 @@
 	}
 }
 
-/* Answer a probe. */
+/* Acknowledges a probe. */
 void memb_on_ping(struct dl_memb *memb, uint64_t from,
 		  const struct memb_msg *msg)
 {
 	memb_queue(memb, MEMB_ACK, from, msg->seq, 0);
 }
 
-/* An answer to a probe of our own, or to one made for another VM. */
+/* Handles an ack to a probe of this VM, or to one made for another VM. */
 void memb_on_ack(struct dl_memb *memb, uint64_t from,
 		 const struct memb_msg *msg)
 {
@@ -184,7 +188,7 @@
 	}
 }
 
-/* Probe a member for another VM. */
+/* Probes a member on behalf of another VM. */
 void memb_on_relay(struct dl_memb *memb, uint64_t from,
 		   const struct memb_msg *msg)
 {
@@ -200,7 +204,10 @@
 	memb_queue(memb, MEMB_PING, msg->target, relay->seq, 0);
 }
 
-/* Ask one address of the settings that is not known to be live. */
+/*
+ * Contacts addresses from the settings that are not known to be live: all of
+ * them before this VM has joined, one at a time after that.
+ */
 static void contact_seeds(struct dl_memb *memb, int64_t now)
 {
 	memb->next_seed = now + (memb->joined ? SEED_RETRY_INTERVAL_MS :
@@ -221,7 +228,7 @@
 	}
 }
 
-/* Probe one dead member, so that a partition heals without an operator. */
+/* Probes one dead member, so that a partition heals without an operator. */
 static void probe_dead_member(struct dl_memb *memb)
 {
 	struct memb_peer *peer = random_peer(memb, false, DL_VM_NONE);
@@ -230,13 +237,13 @@
 		memb_queue(memb, MEMB_PING, peer->m.vm, ++memb->seq, 0);
 }
 
-/* Bury suspects whose time is over, and see which domains answer. */
+/* Declares expired suspects dead, and checks which domains are reachable. */
 static void sweep(struct dl_memb *memb, int64_t now)
 {
 	for (uint32_t i = 1; memb->suspects && i < memb->npeers; i++) {
 		struct memb_peer *peer = &memb->peers[i];
 
-		/* Members elsewhere are judged by their own domain. */
+		/* Members of other domains are judged by their own domain. */
 		if (peer->gossip_state == DL_SUSPECT &&
 		    (peer->domain == 0 || peer->verify) &&
 		    now >= peer->suspect_deadline)
@@ -246,7 +253,7 @@
 	memb_expire_dead(memb, now);
 }
 
-/* Do what is due. */
+/* Runs all timers that are due. */
 void memb_tick(struct dl_memb *memb, int64_t now)
 {
 	const struct dl_memb_conf *conf = &memb->conf;
@@ -277,7 +284,7 @@
 	}
 }
 
-/* When memb_tick() has something to do. */
+/* Returns when memb_tick() is due next. */
 int64_t memb_next_tick(const struct dl_memb *memb)
 {
 	const struct memb_probe *probe = &memb->probe;
@@ -306,9 +313,9 @@
 }
 
 /*
- * Notice a pause of this process by the gap between two calls.  What it held
- * true before is stale: the deadlines that ran on meanwhile are put off by
- * the gap, nothing is judged, and others are asked first.
+ * Detects a pause of this process from the time between two calls. Its state is
+ * stale after a pause, so running deadlines are extended by the gap, no member
+ * is suspected, and the state is pulled from others first.
  */
 void memb_check_pause(struct dl_memb *memb, int64_t now)
 {
--- a/src/coordination/memb_view.c
+++ b/src/coordination/memb_view.c
@@ -1,10 +1,10 @@
 /*
- * What membership is asked for: the members, the newest configuration that one
- * of them shows, and which VM dispatches for a key.
+ * Queries of membership: the members, the newest configuration version, and the
+ * VM that dispatches for a key.
  */
 #include "memb_int.h"
 
-/* What is known of a VM, or NULL; valid until the next datagram. */
+/* Returns what is known of a VM, or NULL; valid until the next datagram. */
 const struct dl_member *dl_memb_find(const struct dl_memb *memb, uint64_t vm)
 {
 	const struct memb_peer *peer = memb_peer(memb, vm);
@@ -12,13 +12,16 @@
 	return peer ? &peer->m : NULL;
 }
 
-/* Walk the members, this VM first; NULL past the last. */
+/* Iterates over the members, this VM first; NULL past the last. */
 const struct dl_member *dl_memb_at(const struct dl_memb *memb, uint32_t index)
 {
 	return index < memb->npeers ? &memb->peers[index].m : NULL;
 }
 
-/* The highest configuration version that any live VM shows, and one such VM. */
+/*
+ * Returns the highest configuration version that any live VM reports, and one
+ * such VM.
+ */
 uint64_t dl_memb_newest_config(const struct dl_memb *memb, uint64_t *vm)
 {
 	uint64_t newest = memb->peers[0].m.config_version;
@@ -37,7 +40,7 @@
 	return newest;
 }
 
-/* The entry of a domain with the highest hash over itself and the key. */
+/* Returns the entry of a domain with the highest hash of the VM and the key. */
 static uint64_t find_owner(const struct dl_memb *memb, uint32_t domain,
 			   uint64_t key)
 {
@@ -62,12 +65,13 @@
 }
 
 /*
- * Keep what another VM owns from it, or give it back, in this VM's eyes alone.
+ * Excludes a VM from ownership, or includes it again, from the point of view of
+ * this VM alone.
  *
- * Load: a failure domain that is cut off with the VM that dispatches.  Until
- * membership is sure (four to six seconds) every VM placed by itself, and the
- * streams of six seconds were late; VMs that see the same cut name the same
- * successor within 0.2 s.
+ * This matters when a partition takes away a failure domain with the VM that
+ * dispatches. Until membership had settled, after four to six seconds, every VM
+ * placed requests by itself, and six-second streams were late. VMs that see the
+ * same partition select the same successor within 0.2 s.
  */
 void dl_memb_set_unreachable(struct dl_memb *memb, uint64_t vm,
 			     bool unreachable)
@@ -82,12 +86,13 @@
 }
 
 /*
- * The live, undrained entry of a failure domain that rendezvous hashing names
- * for a key; DL_VM_NONE where there is none, and where it would be this VM
- * while it has yet to hear what it missed in a pause.
+ * Returns the live, non-draining entry of a failure domain that rendezvous
+ * hashing selects for a key; DL_VM_NONE if there is none, or if it is this VM
+ * and its state is still being refreshed after a pause.
  *
- * Load: a pool's dispatching moves only when its owner goes, so that the
- * queues of all other pools stay where they are when a VM fails or returns.
+ * With rendezvous hashing, the dispatching of a pool moves only when its owner
+ * goes, so the queues of all other pools stay in place when a VM fails or
+ * returns.
  */
 uint64_t dl_memb_owner(const struct dl_memb *memb, struct dl_str domain,
 		       uint64_t key)
--- a/src/coordination/memb_wire.c
+++ b/src/coordination/memb_wire.c
@@ -1,10 +1,11 @@
 /*
- * Datagrams of membership: a msgpack array
- * [kind, seq, sender, [newest VM, its version], live members of the sender's
- * domain, target, syncs, updates],
- * where sender and each update are [VM, incarnation, flags, version] and, of
- * another domain than the sender's, its name; syncs are [tag, hash, age]
- * in one flat array.
+ * Wire format of membership datagrams: a msgpack array [kind, seq, sender,
+ * [newest VM, its version], live members of the sender's domain, target, syncs,
+ * updates].
+ *
+ * Sender and each update are [VM, incarnation, flags, version], followed by the
+ * domain name if the domain is not the sender's; the sender always includes it.
+ * Syncs are [tag, hash, age], all in one flat array.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -17,15 +18,15 @@
 #define FIELDS		   8
 #define UPDATE_FIELDS	   4
 #define SYNC_FIELDS	   3
-#define FLAG_STATE	   3 /* mask */
+#define FLAG_STATE	   3 /* bit mask */
 #define FLAG_REPLICA	   4
 #define FLAG_DRAINING	   8
 #define FLAGS_ALL	   15
 #define UPDATE_BYTES_MAX   128 /* no update is longer */
-#define ARRAY_HEADER_BYTES 3   /* header of an array */
+#define ARRAY_HEADER_BYTES 3   /* header of a msgpack array */
 #define AGE_UNKNOWN_MS	   3600000
 
-/* A bounded buffer to pack into. */
+/* A bounded output buffer. */
 struct wire_buf {
 	char *buf;
 	size_t n;
@@ -44,7 +45,7 @@
 			const struct dl_name *domain);
 static int wire_write(void *arg, const char *buf, size_t n);
 
-/* Append what fits, whole or not at all. */
+/* Appends bytes if all of them fit; otherwise marks the buffer as full. */
 static int wire_write(void *arg, const char *buf, size_t n)
 {
 	struct wire_buf *out = arg;
@@ -58,7 +59,7 @@
 	return 0;
 }
 
-/* Read a number of at most max. */
+/* Reads an unsigned integer of at most max. */
 static bool get_u64(const msgpack_object *o, uint64_t max, uint64_t *out)
 {
 	if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER || o->via.u64 > max)
@@ -67,7 +68,7 @@
 	return true;
 }
 
-/* Read what is said of one member; domain is the sender's. */
+/* Reads the state of one member; domain is the sender's. */
 static bool get_update(const msgpack_object *o, struct dl_str domain,
 		       struct memb_update *out)
 {
@@ -98,7 +99,7 @@
 	return true;
 }
 
-/* Read the syncs. */
+/* Reads the summaries of domains. */
 static bool get_syncs(const msgpack_object *o, struct memb_msg *out)
 {
 	const msgpack_object *f = o->via.array.ptr;
@@ -122,7 +123,7 @@
 	return true;
 }
 
-/* Read the whole array. */
+/* Reads the array of a datagram. */
 static int get_msg(const msgpack_object *o, uint64_t from, struct memb_msg *out)
 {
 	const msgpack_object *f = o->via.array.ptr;
@@ -158,7 +159,7 @@
 	return 0;
 }
 
-/* Decode a datagram; strings of out point into it.  0 or -EBADMSG. */
+/* Decodes a datagram; strings in out point into it. Returns 0 or -EBADMSG. */
 int memb_decode(struct dl_str datagram, uint64_t from, struct memb_msg *out)
 {
 	msgpack_unpacked result;
@@ -176,7 +177,7 @@
 	return r;
 }
 
-/* Pack a member; its domain only where it is not the one given. */
+/* Packs a member, with its domain only if it differs from the given one. */
 static void pack_update(msgpack_packer *pk, const struct memb_peer *peer,
 			const struct dl_name *domain)
 {
@@ -199,7 +200,10 @@
 	msgpack_pack_str_body(pk, m->domain.s, m->domain.n);
 }
 
-/* How long ago a domain last answered one of ours; 0 for our own. */
+/*
+ * Returns the time since a domain last answered a VM of our domain; 0 for our
+ * own.
+ */
 static uint32_t domain_age(const struct dl_memb *memb, uint32_t domain,
 			   int64_t now)
 {
@@ -210,7 +214,7 @@
 	return age > AGE_UNKNOWN_MS ? AGE_UNKNOWN_MS : (uint32_t)age;
 }
 
-/* Pack all but the updates. */
+/* Packs everything before the updates. */
 static void pack_head(struct dl_memb *memb, msgpack_packer *pk,
 		      const struct memb_intent *intent, int64_t now)
 {
@@ -237,7 +241,7 @@
 	}
 }
 
-/* Pack one member into the out for updates; false where it does not fit. */
+/* Packs one member into the buffer of updates; false if it does not fit. */
 static bool put_update(struct dl_memb *memb, struct wire_buf *out,
 		       uint32_t *count, const struct memb_peer *peer)
 {
@@ -254,7 +258,10 @@
 	return true;
 }
 
-/* The next part of what a VM asked for; ends with intent->page at 0. */
+/*
+ * Packs the next page of a pulled domain; intent->page is 0 after the last
+ * page.
+ */
 static void put_page(struct dl_memb *memb, struct wire_buf *out,
 		     uint32_t *count, struct memb_intent *intent)
 {
@@ -273,10 +280,7 @@
 	intent->page = i < memb->npeers ? i : 0;
 }
 
-/*
- * Pick the member whose news has the most repetitions left out of those
- * gathered, and close its gap.
- */
+/* Takes the member with the most retransmissions left out of the candidates. */
 static struct memb_peer *next_gossip(struct dl_memb *memb, uint16_t *news,
 				     uint32_t *n)
 {
@@ -294,10 +298,10 @@
 }
 
 /*
- * News on the back of a probe or its answer.  What is held of the receiver
- * itself goes first where it is not alive, so that it can refute; to one held
- * to be dead nothing else is told, since it may have been cut off and will
- * hear the rest once it has answered.
+ * Packs gossip into a probe or ack. If the receiver itself is not alive as seen
+ * here, that goes first so that it can refute. A receiver that is held to be
+ * dead gets nothing else: it may have been cut off, and gets the rest once it
+ * has answered.
  */
 static void put_gossip(struct dl_memb *memb, struct wire_buf *out,
 		       uint32_t *count, const struct memb_intent *intent)
@@ -329,7 +333,10 @@
 	}
 }
 
-/* Encode a datagram into buf (DL_MEMB_DATAGRAM_MAX); 0 where it fails. */
+/*
+ * Encodes a datagram into buf of DL_MEMB_DATAGRAM_MAX bytes. Returns its
+ * length, or 0 on failure.
+ */
 size_t memb_encode(struct dl_memb *memb, struct memb_intent *intent,
 		   int64_t now, char *buf)
 {
--- a/test/fake/memb_net.c
+++ b/test/fake/memb_net.c
@@ -1,4 +1,4 @@
-/* Many pure members over the fake link. */
+/* A network of VMs that run membership over the fake link. */
 #include "memb_net.h"
 
 #include <assert.h>
@@ -7,7 +7,7 @@
 
 #define VM_BASE		 (UINT64_C(0x0a000001) << 16)
 #define VM_PORT		 7000
-#define POLL_MS		 50 /* between two looks whether all agree */
+#define POLL_MS		 50 /* interval of convergence checks */
 #define INCARNATION_STEP 1000000
 
 static void deliver(struct memb_net *net, int64_t now);
@@ -15,7 +15,7 @@
 static int64_t next_time(const struct memb_net *net);
 static void send_all(struct memb_net *net, uint32_t i, int64_t now);
 
-/* A network without faults and one millisecond a way. */
+/* Sets a configuration without faults and with a delay of 1 ms each way. */
 void memb_net_defaults(struct memb_net_conf *conf, uint32_t vms,
 		       uint32_t domains, uint32_t seed)
 {
@@ -28,7 +28,7 @@
 	dl_memb_defaults(&conf->memb);
 }
 
-/* The name of a domain. */
+/* Returns the name of a domain. */
 struct dl_name memb_net_domain(uint32_t index)
 {
 	struct dl_name name;
@@ -39,7 +39,7 @@
 	return name;
 }
 
-/* A network with all VMs down. */
+/* Creates a network with all VMs down. */
 struct memb_net *memb_net_new(const struct memb_net_conf *conf)
 {
 	struct memb_net *net = calloc(1, sizeof(*net));
@@ -55,7 +55,7 @@
 	return net;
 }
 
-/* Free it with its members. */
+/* Frees the network and its VMs. */
 void memb_net_free(struct memb_net *net)
 {
 	for (uint32_t i = 0; i < net->conf.vms; i++)
@@ -73,7 +73,7 @@
 	return (uint32_t)i;
 }
 
-/* Start a VM; each start has a higher incarnation. */
+/* Starts a VM; each start has a higher incarnation. */
 void memb_net_start(struct memb_net *net, uint32_t vm)
 {
 	struct memb_net_vm *v = &net->vms[vm];
@@ -94,28 +94,28 @@
 	}
 }
 
-/* Start all VMs. */
+/* Starts all VMs. */
 void memb_net_start_all(struct memb_net *net)
 {
 	for (uint32_t i = 0; i < net->conf.vms; i++)
 		memb_net_start(net, i);
 }
 
-/* End a VM's process. */
+/* Kills the process of a VM. */
 void memb_net_kill(struct memb_net *net, uint32_t vm)
 {
 	dl_memb_free(net->vms[vm].memb);
 	net->vms[vm].memb = NULL;
 }
 
-/* Let a VM's process stand still. */
+/* Suspends the process of a VM for a time. */
 void memb_net_pause(struct memb_net *net, uint32_t vm, int64_t ms)
 {
 	net->vms[vm].paused_until = net->now + ms;
 	fake_link_pause(net->link, net->vms[vm].vm, net->now + ms);
 }
 
-/* Send what a VM has to send. */
+/* Sends all datagrams that a VM has queued. */
 static void send_all(struct memb_net *net, uint32_t i, int64_t now)
 {
 	struct memb_net_vm *v = &net->vms[i];
@@ -134,7 +134,7 @@
 	}
 }
 
-/* Hand out what is due. */
+/* Delivers the datagrams that are due. */
 static void deliver(struct memb_net *net, int64_t now)
 {
 	struct fake_datagram d;
@@ -154,7 +154,7 @@
 	}
 }
 
-/* When something happens next. */
+/* Returns the time of the next event. */
 static int64_t next_time(const struct memb_net *net)
 {
 	int64_t next = fake_link_wakeup(net->link);
@@ -173,7 +173,7 @@
 	return next > net->now ? next : net->now + 1;
 }
 
-/* Let so much time pass. */
+/* Advances the time, running all events on the way. */
 void memb_net_run(struct memb_net *net, int64_t ms)
 {
 	int64_t until = net->now + ms;
@@ -196,7 +196,7 @@
 	net->now = until;
 }
 
-/* Count from here. */
+/* Resets the traffic counters. */
 void memb_net_clear_counts(struct memb_net *net)
 {
 	for (uint32_t i = 0; i < net->conf.vms; i++) {
@@ -218,7 +218,10 @@
 	return m && (m->state == DL_ALIVE || m->state == DL_SUSPECT);
 }
 
-/* Whether every running VM shows exactly the running ones of its side. */
+/*
+ * Whether every running VM shows exactly the running VMs of its partition as
+ * live.
+ */
 bool memb_net_converged(const struct memb_net *net)
 {
 	for (uint32_t i = 0; i < net->conf.vms; i++) {
@@ -238,7 +241,7 @@
 	return true;
 }
 
-/* Run until all agree. */
+/* Runs until converged. */
 int64_t memb_net_converge(struct memb_net *net, int64_t limit_ms)
 {
 	int64_t began = net->now;
--- a/test/fake/memb_net.h
+++ b/test/fake/memb_net.h
@@ -1,6 +1,6 @@
 /*
- * Many pure members over the fake link, in one process: started, stopped,
- * paused and parted by the caller, who also gives the time.
+ * A network of VMs that run membership over the fake link in one process. The
+ * caller starts, kills, pauses and partitions them and advances the time.
  */
 #ifndef TEST_FAKE_MEMB_NET_H
 #define TEST_FAKE_MEMB_NET_H
@@ -11,11 +11,11 @@
 #define MEMB_NET_DOMAINS_MAX 8
 
 struct memb_net_conf {
-	uint32_t vms; /* dealt to the domains in turn */
+	uint32_t vms; /* assigned to the domains in turn */
 	uint32_t domains;
-	uint32_t seeds; /* addresses that each VM has in its settings */
+	uint32_t seeds; /* seed addresses configured on each VM */
 	struct fake_link_conf link;
-	struct dl_memb_conf memb; /* periods only */
+	struct dl_memb_conf memb; /* only the periods are used */
 };
 
 /* One VM of the network. */
@@ -24,7 +24,7 @@
 	uint64_t incarnation;
 	struct dl_memb *memb; /* NULL while it is down */
 	int64_t paused_until;
-	uint32_t partition; /* VMs of unequal sides do not reach each other */
+	uint32_t partition; /* VMs reach only their partition */
 	uint64_t msgs_out;
 	uint64_t bytes_out;
 	uint64_t msgs_in;
@@ -36,8 +36,8 @@
 	struct fake_link *link;
 	struct memb_net_vm *vms;
 	int64_t now;
-	uint64_t steps; /* datagrams delivered and wakeups served */
-	/* Looked at after each datagram that a VM took; may be NULL. */
+	uint64_t steps; /* datagrams delivered and timers run */
+	/* Called after each datagram that a VM received; may be NULL. */
 	void (*check)(struct memb_net *net, uint32_t vm);
 	void *arg;
 };
@@ -50,7 +50,7 @@
 
 void memb_net_start(struct memb_net *net, uint32_t vm);
 void memb_net_start_all(struct memb_net *net);
-/* The process dies without a word. */
+/* Kills the process of a VM without notice to the others. */
 void memb_net_kill(struct memb_net *net, uint32_t vm);
 void memb_net_pause(struct memb_net *net, uint32_t vm, int64_t ms);
 void memb_net_run(struct memb_net *net, int64_t ms);
@@ -58,9 +58,12 @@
 
 /* Whether a VM shows another as live. */
 bool memb_net_sees(const struct memb_net *net, uint32_t vm, uint32_t other);
-/* Whether every running VM shows exactly the running ones of its side. */
+/*
+ * Whether every running VM shows exactly the running VMs of its partition as
+ * live.
+ */
 bool memb_net_converged(const struct memb_net *net);
-/* Run until they agree; returns how long it took, -1 past the limit. */
+/* Runs until converged; returns the time taken in ms, or -1 past the limit. */
 int64_t memb_net_converge(struct memb_net *net, int64_t limit_ms);
 
 #endif
--- a/test/test_memb.c
+++ b/test/test_memb.c
@@ -1,4 +1,7 @@
-/* Membership over the fake link: one fault at a time, each with its bound. */
+/*
+ * Tests of membership over the fake link: one fault at a time, each with a time
+ * limit.
+ */
 #include <check.h>
 #include <errno.h>
 #include <stdlib.h>
@@ -10,7 +13,7 @@
 #define SMALL	 7
 #define DOMAINS	 3
 #define START_MS 3000
-/* Two datagrams of a few milliseconds, and what a loaded loop adds. */
+/* Two datagrams of a few ms each, and the delay of a loaded event loop. */
 #define DRAIN_MS	   60
 #define DEAD_MS		   6000 /* probe, its failure, suspicion, a digest */
 #define DOMAIN_LOSS_MS	   9000 /* a whole domain at this size */
@@ -21,7 +24,7 @@
 #define TARGET_VMS_SLOW	   60 /* under a sanitizer */
 #define BUDGET_BYTES_PER_S 12000
 #define BUDGET_MS	   20000
-#define HEADER_BYTES	   46 /* of our frames, UDP and IP */
+#define HEADER_BYTES	   46 /* framing, UDP and IP headers */
 #define FLOOD_VMS	   12000
 #define MEMBERS_MAX	   4096
 #define LONG_PAUSE_MS	   300000
@@ -103,7 +106,7 @@
 }
 END_TEST
 
-/* Deaths that a VM, cut off alone, believes must not reach the others. */
+/* Deaths reported by a VM that was isolated must not reach the others. */
 static void check_others_stay_live(struct memb_net *net, uint32_t vm)
 {
 	for (uint32_t i = 1; i < net->conf.vms; i++) {
@@ -144,7 +147,10 @@
 	memb_net_run(net, LONG_PAUSE_MS - 1);
 	ck_assert(dl_memb_owner(net->vms[3].memb, dl_name_str(&domain), key) !=
 		  net->vms[0].vm);
-	/* Its first look at the clock: it still owns by what it knew. */
+	/*
+	 * Its first clock reading after the pause: by its old state it is the
+	 * owner.
+	 */
 	dl_memb_next_datagram(memb, net->now + 1, &to, buf, &n);
 	ck_assert(dl_memb_owner(memb, dl_name_str(&domain), key) == DL_VM_NONE);
 	memb_net_run(net, 10);
@@ -177,11 +183,14 @@
 
 	for (uint32_t i = 0; (m = dl_memb_at(net->vms[vm].memb, i)); i++) {
 		if (m->state != DL_ALIVE)
-			ck_abort_msg("VM %u suspects another", vm);
+			ck_abort_msg("VM %u does not show all others alive",
+				     vm);
 	}
 }
 
-/* One link broken both ways, all others whole: the indirect probes save it. */
+/*
+ * One link fails in both directions; indirect probes must prevent a suspicion.
+ */
 START_TEST(single_link_failure_is_not_suspected)
 {
 	struct memb_net *net = started(SMALL, 1, (uint32_t)_i + 1);
@@ -195,7 +204,7 @@
 }
 END_TEST
 
-/* The one address that all have is gone; the dead must be asked again. */
+/* The only seed address is gone, so dead members must be probed again. */
 START_TEST(partition_heals_without_seeds)
 {
 	struct memb_net_conf conf;
@@ -217,7 +226,7 @@
 }
 END_TEST
 
-/* Kill those of a domain that speak for it: the ones of the lowest hash. */
+/* Kills the gateways of a domain: its live VMs with the lowest hashes. */
 static void kill_gateways(struct memb_net *net, uint32_t domain)
 {
 	for (int round = 0; round < 3; round++) {
@@ -238,7 +247,7 @@
 	}
 }
 
-/* All that speak between two domains die at once, and the seed with them. */
+/* All gateways of two domains die at once, and so does the seed. */
 START_TEST(domains_reconnect_after_gateway_loss)
 {
 	struct memb_net_conf conf;
@@ -291,7 +300,9 @@
 }
 END_TEST
 
-/* Whoever asks a VM that stops waits in vain: it is told at once, not probed.
+/*
+ * Requests to a stopping VM wait in vain, so draining must be sent at once
+ * rather than with the next probes.
  */
 START_TEST(draining_is_sent_immediately)
 {
@@ -314,8 +325,8 @@
 END_TEST
 
 /*
- * A VM that does not answer some others owns nothing in their eyes; they name
- * the same successor, and the others still name it.
+ * A VM that does not answer some others owns nothing from their point of view.
+ * They agree on its successor, and the other VMs still see it as the owner.
  */
 START_TEST(unreachable_vm_owns_nothing)
 {
@@ -337,7 +348,7 @@
 	ck_assert_uint_eq(dl_memb_owner(third, domain, key), owner);
 	dl_memb_set_unreachable(one, owner, false);
 	ck_assert_uint_eq(dl_memb_owner(one, domain, key), owner);
-	/* With all others out of reach a VM owns everything itself. */
+	/* If all other VMs are unreachable, a VM owns everything itself. */
 	for (uint32_t i = 0; i < SMALL; i++)
 		dl_memb_set_unreachable(one, net->vms[i].vm, true);
 	ck_assert_uint_eq(dl_memb_owner(one, domain, key), net->vms[0].vm);
@@ -396,8 +407,9 @@
 END_TEST
 
 /*
- * The users' budget for control, 12,000 bytes a second and 64 MB a node, for
- * membership alone at the size they aim for; the busiest VM counts.
+ * Users allow 12,000 bytes a second and 64 MB per node for the control plane.
+ * Membership alone must stay within the bytes at the target size, on the
+ * busiest VM.
  */
 START_TEST(traffic_within_budget)
 {
@@ -425,7 +437,7 @@
 }
 END_TEST
 
-/* All that the addresses and news of VMs may take is bounded. */
+/* Memory for the addresses and updates of VMs is bounded. */
 START_TEST(member_table_is_bounded)
 {
 	struct memb_net *net = started(2, 1, 3);
--- a/test/test_memb_random.c
+++ b/test/test_memb_random.c
@@ -1,8 +1,8 @@
 /*
- * Membership under seeded random faults, alone, together and twice: loss,
- * doubling, overtaking, one-way and silent partitions, pauses, kills and
- * restarts.  What must hold always is asserted after each datagram; what must
- * hold again is asserted once the faults have stopped.
+ * Tests of membership under seeded random faults, single and overlapping: loss,
+ * duplication, reordering, one-way and silent partitions, pauses, kills and
+ * restarts. Invariants are checked after each datagram, convergence once the
+ * faults have stopped.
  */
 #include <check.h>
 #include <stdio.h>
@@ -26,9 +26,9 @@
 #define SETTLE_MS     8000
 #define OWNER_KEYS    20
 
-/* What each VM showed of each other, which may never go back. */
+/* The latest values that a VM showed of another; they must not decrease. */
 struct seen {
-	uint64_t boot; /* of the VM that shows it */
+	uint64_t boot; /* incarnation of the VM that shows it */
 	uint64_t incarnation;
 	uint64_t version;
 };
@@ -50,7 +50,7 @@
 	return (z ^ (z >> 31)) % n;
 }
 
-/* An owner is live and takes work, whatever was remembered. */
+/* An owner, cached or not, is live and not draining. */
 static void check_owner(const struct dl_memb *memb)
 {
 	struct dl_name name = memb_net_domain(0);
@@ -59,10 +59,12 @@
 
 	if (owner != DL_VM_NONE &&
 	    (m->draining || (m->state != DL_ALIVE && m->state != DL_SUSPECT)))
-		ck_abort_msg("an owner that is gone");
+		ck_abort_msg("the owner is dead or draining");
 }
 
-/* Never back: incarnations, versions; and nobody buries itself. */
+/*
+ * Incarnations and versions never decrease, and a VM always shows itself alive.
+ */
 static void check_invariants(struct memb_net *net, uint32_t vm)
 {
 	const struct memb_net_vm *v = &net->vms[vm];
@@ -70,7 +72,7 @@
 	const struct dl_member *m;
 
 	if (dl_memb_at(v->memb, 0)->state != DL_ALIVE)
-		ck_abort_msg("VM %u buries itself", vm);
+		ck_abort_msg("VM %u does not show itself alive", vm);
 	check_owner(v->memb);
 	for (uint32_t i = 0; i < net->conf.vms; i++) {
 		struct seen *s = &run->seen[vm][i];
@@ -83,7 +85,9 @@
 			continue;
 		if (m->incarnation < s->incarnation ||
 		    m->config_version < s->version)
-			ck_abort_msg("VM %u takes VM %u back", vm, i);
+			ck_abort_msg(
+				"VM %u shows older values of VM %u than before",
+				vm, i);
 		s->incarnation = m->incarnation;
 		s->version = m->config_version;
 	}
@@ -106,7 +110,7 @@
 		net->vms[i].partition = 0;
 }
 
-/* End every pause now. */
+/* Ends all pauses now. */
 static void resume(struct memb_net *net)
 {
 	for (uint32_t i = 0; i < net->conf.vms; i++) {
@@ -173,7 +177,9 @@
 	}
 }
 
-/* All is whole again: each VM knows of each what that says of itself. */
+/*
+ * After recovery each VM knows of each other VM what that VM reports of itself.
+ */
 static void check_members_agree(struct memb_net *net)
 {
 	for (uint32_t i = 0; i < net->conf.vms; i++) {
