--- a/src/coordination/quarantine.c
+++ b/src/coordination/quarantine.c
@@ -1,43 +1,49 @@
-/* Requests under which endpoints crash; see the header. */
+/* Quarantine of requests that crash endpoints; see the header. */
 #include "daisyledge/quarantine.h"
 
 #include <glib.h>
 
 /*
- * A request is held back for so long after the last crash.  Then it may run
- * once more: what it ran into may have been mended.
+ * Length of the quarantine, from the last crash. After it the request may run
+ * once more, since the fault that it triggered may have been fixed.
  */
 #define HOLD_MS ((int64_t)60 * 60 * 1000)
-/* A crash counts for so long; requests that come more seldom do little harm. */
+/* How long a crash counts; requests that arrive less often do little harm. */
 #define CRASH_WINDOW_MS ((int64_t)10 * 60 * 1000)
-/* A request that was held back is known for so long, to be held back again. */
+/*
+ * How long a request that was quarantined is remembered, so that one more crash
+ * quarantines it again.
+ */
 #define RECORD_TTL_MS ((int64_t)24 * 60 * 60 * 1000)
 /*
- * Requests that are known.  A crash breaks about as many as an endpoint runs at
- * once; past this the one whose last crash is longest ago makes place, of those
- * that are not held back while there are any.
+ * Maximum number of recorded requests. A crash interrupts about as many as an
+ * endpoint runs at once. When the table is full, the request with the oldest
+ * last crash is evicted, and those that reached DL_QUARANTINE_CRASHES only if
+ * there are no others.
  */
 #define REQUESTS_MAX 1024
 /*
- * A restart shows within some seconds; until then it is open whether an
- * endpoint crashed under what broke off there.
+ * A restart of an endpoint is noticed within some seconds; until then it is not
+ * known whether it crashed under the requests that were interrupted there.
  */
 #define INTERRUPTED_MS	10000
 #define INTERRUPTED_MAX 512
-/* A crash that is told later than this is of the hour before. */
+/*
+ * A crash that is reported later than this belongs to the previous quarantine.
+ */
 #define RECENT_CRASH_MS 60000
 
-/* One request under which endpoints crashed. */
+/* A request under which endpoints crashed. */
 struct record {
 	uint64_t request;
 	uint64_t starts[DL_QUARANTINE_CRASHES];
-	uint32_t crashes;   /* since it was cleared */
-	uint32_t cleared;   /* so often */
-	uint32_t next_slot; /* of start, once there are so many */
-	int64_t last;	    /* crash, or when it was cleared */
+	uint32_t crashes;   /* since it was last cleared */
+	uint32_t cleared;   /* times cleared */
+	uint32_t next_slot; /* of starts to replace, once all are used */
+	int64_t last;	    /* time of the last crash, or of the clearing */
 };
 
-/* One attempt that broke off. */
+/* An interrupted attempt. */
 struct interrupted {
 	uint64_t request;
 	uint64_t start;
@@ -46,11 +52,11 @@
 
 struct dl_quarantine {
 	GHashTable *records;
-	struct interrupted broken[INTERRUPTED_MAX]; /* a ring */
+	struct interrupted broken[INTERRUPTED_MAX]; /* ring buffer */
 	uint32_t interrupted_next;
 };
 
-/* Nothing is known yet. */
+/* Creates an empty quarantine. */
 struct dl_quarantine *dl_quarantine_new(void)
 {
 	struct dl_quarantine *q = g_new0(struct dl_quarantine, 1);
@@ -60,7 +66,7 @@
 	return q;
 }
 
-/* Release it; NULL is nothing to do. */
+/* Frees it; NULL is allowed. */
 void dl_quarantine_free(struct dl_quarantine *q)
 {
 	if (!q)
@@ -69,7 +75,7 @@
 	g_free(q);
 }
 
-/* Note an attempt that broke off, in place of the one noted longest ago. */
+/* Records an interrupted attempt, replacing the oldest one. */
 void dl_quarantine_attempt_interrupted(struct dl_quarantine *q,
 				       uint64_t request, uint64_t start,
 				       int64_t now)
@@ -80,7 +86,7 @@
 	*b = (struct interrupted){ request, start, now };
 }
 
-/* Take one attempt that broke off at a start out of the ring. */
+/* Removes one attempt that was interrupted at an instance from the ring. */
 bool dl_quarantine_next_crash(struct dl_quarantine *q, uint64_t start,
 			      int64_t now, struct dl_crash *out)
 {
@@ -162,7 +168,7 @@
 	return r;
 }
 
-/* Begin anew: what the request was blamed for before counts no more. */
+/* Resets a record: crashes from before it was cleared no longer count. */
 static void reset_crashes(struct record *r, uint32_t cleared)
 {
 	r->cleared = cleared;
@@ -171,9 +177,9 @@
 }
 
 /*
- * Count a start among those that crashed.  Past the number that holds a request
- * back one counts only where it does so again: others are of attempts that were
- * on their way.
+ * Adds an instance to those that crashed. Once there are DL_QUARANTINE_CRASHES
+ * of them, another one counts only if it starts a new quarantine; others belong
+ * to attempts that were already running.
  */
 static bool add_start(struct record *r, const struct dl_crash *crash,
 		      int64_t now)
@@ -191,8 +197,8 @@
 }
 
 /*
- * Words are ordered by how often the request had been cleared; those of one
- * such time add up in any order.
+ * Merges a report. Reports are ordered by how often the request had been
+ * cleared; those with the same count add up in any order.
  */
 bool dl_quarantine_merge(struct dl_quarantine *q, const struct dl_crash *crash,
 			 int64_t now)
@@ -216,7 +222,7 @@
 	return changed;
 }
 
-/* Whether crashes under a request are known. */
+/* Whether crashes under a request are recorded. */
 bool dl_quarantine_is_suspect(const struct dl_quarantine *q, uint64_t request)
 {
 	const struct record *r = g_hash_table_lookup(q->records, &request);
@@ -224,7 +230,7 @@
 	return r && r->crashes;
 }
 
-/* How often a request has been cleared. */
+/* Returns how often a request has been cleared. */
 uint32_t dl_quarantine_clear_count(const struct dl_quarantine *q,
 				   uint64_t request)
 {
@@ -233,7 +239,7 @@
 	return r ? r->cleared : 0;
 }
 
-/* How long a request is still held back; 0 where it is not. */
+/* Returns the remaining quarantine in ms; 0 if there is none. */
 uint32_t dl_quarantine_remaining_ms(const struct dl_quarantine *q,
 				    uint64_t request, int64_t now)
 {
@@ -244,7 +250,7 @@
 	return (uint32_t)(r->last + HOLD_MS - now);
 }
 
-/* Tell each crash that still counts. */
+/* Calls a function for each report that still counts. */
 void dl_quarantine_foreach(const struct dl_quarantine *q, int64_t now,
 			   void (*each)(void *arg,
 					const struct dl_crash *crash),
@@ -276,13 +282,13 @@
 	return is_expired(value, *(const int64_t *)now);
 }
 
-/* Drop requests whose crashes are too long ago. */
+/* Removes requests whose last crash is too long ago. */
 void dl_quarantine_expire(struct dl_quarantine *q, int64_t now)
 {
 	g_hash_table_foreach_remove(q->records, is_expired_entry, &now);
 }
 
-/* Count the requests that are held back. */
+/* Counts the requests in quarantine. */
 uint32_t dl_quarantine_count(const struct dl_quarantine *q, int64_t now)
 {
 	uint32_t count = 0;
--- a/test/test_quarantine.c
+++ b/test/test_quarantine.c
@@ -1,4 +1,4 @@
-/* Requests under which endpoints crash: when they are held back, how long. */
+/* Tests of which requests are quarantined, and for how long. */
 #include <check.h>
 #include <stdlib.h>
 #include <string.h>
@@ -76,7 +76,10 @@
 	ck_assert(!dl_quarantine_is_suspect(q, REQUEST));
 	crash(q, REQUEST, 3, 30);
 	ck_assert(!is_held(q, 30));
-	/* Also one that was held back, and was on its way then. */
+	/*
+	 * The same for a quarantined request that was still running and is
+	 * answered.
+	 */
 	crash(q, REQUEST, 4, 40);
 	crash(q, REQUEST, 5, 50);
 	ck_assert(is_held(q, 50));
@@ -106,7 +109,7 @@
 }
 END_TEST
 
-/* VMs that each pass on what is news to them, in any order. */
+/* VMs forward each report that is new to them, delivered in any order. */
 #define VMS	    4
 #define REPORTS_MAX 4096
 
@@ -188,7 +191,7 @@
 	dl_quarantine_expire(q, HOUR_MS);
 	ck_assert(crash(q, REQUEST, 9, HOUR_MS + 5));
 	ck_assert(is_held(q, HOUR_MS + 5));
-	/* Known long enough for that, not for ever. */
+	/* It is remembered long enough for that, but not forever. */
 	dl_quarantine_expire(q, 3 * DAY_MS);
 	ck_assert(!dl_quarantine_is_suspect(q, REQUEST));
 }
@@ -227,7 +230,7 @@
 	ck_assert(dl_quarantine_next_crash(q, 1, 150, &out));
 	ck_assert_uint_eq(out.request, REQUEST + 2);
 	ck_assert(!dl_quarantine_next_crash(q, 1, 150, &out));
-	/* What broke off long before had another cause. */
+	/* An interruption long before the crash had another cause. */
 	ck_assert(!dl_quarantine_next_crash(q, 2, 60000, &out));
 }
 END_TEST
