--- a/include/daisyledge/reports.h
+++ b/include/daisyledge/reports.h
@@ -1,7 +1,8 @@
 /*
- * What endpoints said of themselves last, each under a key of eight bytes that
- * both ends of a connection derive from the words: who has heard them need not
- * be sent them again to be told that the endpoint still says the same.  Pure.
+ * Cache of the latest report of each endpoint, under an eight-byte key that
+ * both ends of a connection derive from the report text: a peer that has the
+ * report is sent only the key to learn that it is unchanged. The module does no
+ * I/O and reads no clock.
  */
 #ifndef DAISYLEDGE_REPORTS_H
 #define DAISYLEDGE_REPORTS_H
@@ -13,27 +14,27 @@
 struct dl_reports *dl_reports_new(void);
 void dl_reports_free(struct dl_reports *reports);
 /*
- * Note an endpoint's words; instance: the start that they are of.  Whether they
- * are new here; their key.
+ * Stores the report text of an endpoint instance. Sets its key; returns whether
+ * the text was new.
  */
 bool dl_reports_add(struct dl_reports *reports, struct dl_str instance,
 		    struct dl_str words, int64_t now, uint64_t *key);
-/* The words of a key; n 0: they are not known here. */
+/* The report text of a key; n is 0 if it is not cached. */
 struct dl_str dl_reports_find(const struct dl_reports *reports, uint64_t key);
-/* Whether a key's words were heard since a time. */
+/* Whether the report of a key was received at or after a given time. */
 bool dl_reports_received_since(const struct dl_reports *reports, uint64_t key,
 			       int64_t since);
 /*
- * Whether others are to be told that they were said again, and note that they
- * are: of many endpoints each one more seldom.
+ * Whether peers must be told that a report is unchanged; if so, records that
+ * they are. The interval grows with the number of endpoints.
  */
 bool dl_reports_relay_due(struct dl_reports *reports, uint64_t key,
 			  int64_t now);
-/* They were said again, as their key tells. */
+/* Records that a report was received again, by its key alone. */
 void dl_reports_refresh(struct dl_reports *reports, uint64_t key, int64_t now);
-/* A start leaves: nothing that it said before counts. */
+/* Removes the report of an instance that is leaving. */
 void dl_reports_remove(struct dl_reports *reports, struct dl_str instance);
-/* Forget what has not been said since before a time. */
+/* Removes reports that were last received before a given time. */
 void dl_reports_expire(struct dl_reports *reports, int64_t before);
 uint32_t dl_reports_count(const struct dl_reports *reports);
 
--- a/src/coordination/reports.c
+++ b/src/coordination/reports.c
@@ -1,16 +1,16 @@
-/* Endpoints' last words by their keys; see the header. */
+/* Cache of endpoint reports by key; see the header. */
 #include "daisyledge/reports.h"
 
 #include <glib.h>
 
-/* More than any deployment has endpoints; what is said past it is not kept. */
+/* More than any deployment has endpoints; further reports are not cached. */
 #define REPORTS_MAX 8192
 
 /*
- * What a VM takes in of keys from one that passes them on, bytes a second, and
- * how long an endpoint is not told of at the most for it: an endpoint that is
- * not heard of for 6 s is taken for gone, and its own words may be late by
- * seconds.
+ * Rate of keys, in bytes per second, that a VM receives from the one that
+ * relays them, and the longest time that an endpoint goes unreported to keep to
+ * it. An endpoint that is not reported for 6 s is taken for gone, and its own
+ * reports may be late by seconds.
  */
 #define KEY_BYTES_PER_S	   1500
 #define KEY_BYTES	   9
@@ -20,14 +20,14 @@
 struct report {
 	uint64_t key;
 	int64_t last_received;
-	int64_t last_relayed; /* to others, that they are said */
+	int64_t last_relayed; /* last told to peers */
 	GBytes *body;
 	char *instance;
 };
 
 struct dl_reports {
 	GHashTable *by_key;	 /* owns the reports */
-	GHashTable *by_instance; /* of each start the last one */
+	GHashTable *by_instance; /* latest report of each instance */
 };
 
 static void report_free(gpointer p)
@@ -39,7 +39,7 @@
 	g_free(report);
 }
 
-/* Nothing heard yet. */
+/* Creates an empty cache. */
 struct dl_reports *dl_reports_new(void)
 {
 	struct dl_reports *r = g_new0(struct dl_reports, 1);
@@ -50,7 +50,7 @@
 	return r;
 }
 
-/* Release them; NULL is nothing to do. */
+/* Frees the cache; NULL is allowed. */
 void dl_reports_free(struct dl_reports *reports)
 {
 	if (!reports)
@@ -60,7 +60,9 @@
 	g_free(reports);
 }
 
-/* Its start has no words any more, unless it has said others since. */
+/*
+ * Removes an instance from the index, unless it has sent another report since.
+ */
 static void unindex_instance(struct dl_reports *reports,
 			     const struct report *report)
 {
@@ -69,7 +71,7 @@
 		g_hash_table_remove(reports->by_instance, report->instance);
 }
 
-/* Of each start the last words are kept, others make place. */
+/* Stores a report. Only the latest one of each instance is kept. */
 bool dl_reports_add(struct dl_reports *reports, struct dl_str instance,
 		    struct dl_str words, int64_t now, uint64_t *key)
 {
@@ -95,7 +97,7 @@
 	return true;
 }
 
-/* The words of a key. */
+/* Returns the report text of a key. */
 struct dl_str dl_reports_find(const struct dl_reports *reports, uint64_t key)
 {
 	const struct report *report =
@@ -107,7 +109,7 @@
 	return words;
 }
 
-/* Whether they were heard since a time. */
+/* Whether a report was received at or after a given time. */
 bool dl_reports_received_since(const struct dl_reports *reports, uint64_t key,
 			       int64_t since)
 {
@@ -117,7 +119,7 @@
 	return report && report->last_received >= since;
 }
 
-/* They are due after a time that grows with the number of endpoints. */
+/* Whether a relay is due; the interval grows with the number of endpoints. */
 bool dl_reports_relay_due(struct dl_reports *reports, uint64_t key, int64_t now)
 {
 	struct report *report = g_hash_table_lookup(reports->by_key, &key);
@@ -131,7 +133,7 @@
 	return true;
 }
 
-/* They were said again. */
+/* Records that a report was received again. */
 void dl_reports_refresh(struct dl_reports *reports, uint64_t key, int64_t now)
 {
 	struct report *report = g_hash_table_lookup(reports->by_key, &key);
@@ -140,7 +142,7 @@
 		report->last_received = now;
 }
 
-/* A start leaves. */
+/* Removes the report of an instance. */
 void dl_reports_remove(struct dl_reports *reports, struct dl_str instance)
 {
 	char *name = g_strndup(instance.s, instance.n);
@@ -153,7 +155,7 @@
 	g_free(name);
 }
 
-/* Forget what has not been said since before a time. */
+/* Removes reports that were last received before a given time. */
 void dl_reports_expire(struct dl_reports *reports, int64_t before)
 {
 	struct report *report;
@@ -168,7 +170,7 @@
 	}
 }
 
-/* How many there are. */
+/* Returns the number of cached reports. */
 uint32_t dl_reports_count(const struct dl_reports *reports)
 {
 	return g_hash_table_size(reports->by_key);
--- a/test/test_reports.c
+++ b/test/test_reports.c
@@ -1,4 +1,7 @@
-/* What endpoints said, by keys, and the tree in which versions are pushed. */
+/*
+ * Tests of the report cache, and of the tree that pushes configuration
+ * versions.
+ */
 #include <check.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -34,7 +37,7 @@
 	ck_assert(!add_report("a", "ready", 2, &again));
 	ck_assert_uint_eq(first, again);
 	ck_assert(dl_str_eq(dl_reports_find(reports, first), DL_STR("ready")));
-	/* Of a start the last words count. */
+	/* Only the latest report of an instance is kept. */
 	ck_assert(add_report("a", "slower", 3, &other));
 	ck_assert_uint_eq(dl_reports_find(reports, first).n, 0);
 	ck_assert_uint_eq(dl_reports_count(reports), 1);
@@ -55,9 +58,10 @@
 END_TEST
 
 /*
- * That an endpoint says the same is told each time while there are few, and of
- * many so seldom that a VM takes in a bounded number of keys; never more than
- * two seconds late, since one that is not told of for six is taken for gone.
+ * An unchanged report is relayed each time while there are few endpoints, and
+ * less often for many, so that a VM receives a bounded rate of keys. The delay
+ * never exceeds two seconds, because an endpoint that is not reported for six
+ * is taken for gone.
  */
 START_TEST(relay_interval_grows_with_endpoints)
 {
@@ -92,12 +96,12 @@
 	ck_assert(dl_reports_received_since(reports, b, 3000));
 	dl_reports_expire(reports, 3000);
 	ck_assert_uint_eq(dl_reports_count(reports), 1);
-	/* Heard again it is new. */
+	/* It is new again after it expired. */
 	ck_assert(add_report("a", "a is ready", 6000, &a));
 }
 END_TEST
 
-/* 295 VMs in five networks, and what one sends another about them. */
+/* 295 VMs in five networks, and the pushes between them. */
 #define VMS	 295
 #define NETWORKS 5
 
@@ -120,7 +124,7 @@
 	return i;
 }
 
-/* Follow a push from one VM down to the last. */
+/* Follows a push from one VM down to the leaves. */
 static void follow_push(const uint64_t *all, uint64_t from, const uint64_t *vms,
 			uint32_t count, uint32_t depth, struct pushed *out)
 {
@@ -149,9 +153,9 @@
 }
 
 /*
- * Each VM gets a version once, three steps away at the most, and most get it
- * from their own network: 236 of 295 came from another one when the list was
- * dealt out one by one.
+ * Each VM gets a version once, in at most three steps, and most get it from
+ * their own network: 236 of 295 got it from another one when the list was split
+ * round-robin.
  */
 START_TEST(push_prefers_own_network)
 {
@@ -164,8 +168,8 @@
 	for (uint32_t i = 0; i < VMS; i++)
 		ck_assert_uint_eq(out.times[i], 1);
 	ck_assert_uint_le(out.deepest, 4);
-	printf("%u of %d VMs get it from another network\n", out.crossings,
-	       VMS);
+	printf("%u of %d VMs get the version from another network\n",
+	       out.crossings, VMS);
 	ck_assert_uint_le(out.crossings, VMS / 10);
 }
 END_TEST
