--- a/src/coordination/call.c
+++ b/src/coordination/call.c
@@ -1,10 +1,10 @@
 /*
- * Calls that tell the truth.
+ * Outcome of attempts, and what to do after them.
  *
- * One table decides what an attempt came to.  "Not run" stands only where it
- * is proved: no byte of the request left, or the endpoint itself said so.
- * Whatever is neither proved nor answered is unknown, and an unknown request
- * that is not idempotent is never sent again.
+ * One table decides the outcome of an attempt. "Not run" is reported only where
+ * it is proved: no byte of the request was sent, or the endpoint itself said
+ * so. Whatever is neither proved nor answered is unknown, and an unknown
+ * request that is not idempotent is never sent again.
  */
 #include "daisyledge/call.h"
 
@@ -13,23 +13,23 @@
 #include <string.h>
 
 #define ATTEMPTS_MAX	      3
-#define CREDIT		      1000 /* thousandths of a retry */
+#define CREDITS_PER_RETRY     1000 /* thousandths of a retry */
 #define STATUS_MIN	      200
 #define STATUS_ERROR	      500
 #define STATUS_UNKNOWN_METHOD 501
 #define STATUS_TIMEOUT	      504
 #define STATUS_END	      600
-#define PAUSE_GAPS	      2 /* a gap in our own looks this long is a pause */
+#define PAUSE_FACTOR	      2 /* times the limit */
 
-/* What a cell of the table says. */
+/* Content of a table cell. */
 enum cell {
 	CELL_UNKNOWN,
 	CELL_NOT_RUN,
-	CELL_WHOLE, /* a whole answer: its status decides */
-	CELL_HEAD,  /* a part of one: only an error status decides */
+	CELL_COMPLETE, /* complete response: its status decides */
+	CELL_PARTIAL,  /* partial response: only an error status decides */
 };
 
-static enum dl_outcome by_status(enum cell cell, uint16_t status);
+static enum dl_outcome outcome_from_status(enum cell cell, uint16_t status);
 static bool may_resume(const struct dl_call_state *state,
 		       const struct dl_attempt *attempt);
 static bool may_retry(const struct dl_call_state *state,
@@ -46,43 +46,43 @@
 /* clang-format off */
 #define U CELL_UNKNOWN
 #define N CELL_NOT_RUN
-#define W CELL_WHOLE
-#define H CELL_HEAD
+#define C CELL_COMPLETE
+#define P CELL_PARTIAL
 
 /*
- * By sent, received and broke (nothing, connect, reset, silent, deadline,
- * caller, garbled).  A garbled answer proves nothing, even where it says
- * "not run": it may be another request's.  An answer before any byte of the
- * request had left cannot be to it.
+ * Indexed by sent, received and failure (none, connect, reset, idle timeout,
+ * deadline, caller gone, bad response). A bad response proves nothing, even if
+ * it says "not run": it may belong to another request. A response that arrives
+ * before any byte of the request was sent cannot belong to it.
  */
-static const uint8_t outcomes[DL_SENT_COUNT][DL_RECV_COUNT][DL_BROKE_COUNT] = {
+static const uint8_t outcomes[DL_SENT_COUNT][DL_RECV_COUNT][DL_FAILURE_COUNT] = {
 	[DL_SENT_NOTHING] = {
 		[DL_RECV_NOTHING] = { N, N, N, N, N, N, N },
 		[DL_RECV_HEAD]    = { N, N, N, N, N, N, N },
-		[DL_RECV_WHOLE]   = { N, N, N, N, N, N, N },
+		[DL_RECV_COMPLETE]   = { N, N, N, N, N, N, N },
 		[DL_RECV_NOT_RUN] = { N, N, N, N, N, N, N },
 	},
 	[DL_SENT_PART] = {
 		[DL_RECV_NOTHING] = { U, U, U, U, U, U, U },
-		[DL_RECV_HEAD]    = { U, U, H, H, H, H, U },
-		[DL_RECV_WHOLE]   = { W, U, W, W, W, W, U },
+		[DL_RECV_HEAD]    = { U, U, P, P, P, P, U },
+		[DL_RECV_COMPLETE]   = { C, U, C, C, C, C, U },
 		[DL_RECV_NOT_RUN] = { N, U, N, N, N, N, U },
 	},
 	[DL_SENT_ALL] = {
 		[DL_RECV_NOTHING] = { U, U, U, U, U, U, U },
-		[DL_RECV_HEAD]    = { U, U, H, H, H, H, U },
-		[DL_RECV_WHOLE]   = { W, U, W, W, W, W, U },
+		[DL_RECV_HEAD]    = { U, U, P, P, P, P, U },
+		[DL_RECV_COMPLETE]   = { C, U, C, C, C, C, U },
 		[DL_RECV_NOT_RUN] = { N, U, N, N, N, N, U },
 	},
 };
 
 #undef U
 #undef N
-#undef W
-#undef H
+#undef C
+#undef P
 /* clang-format on */
 
-/* "done", "failed", "not-run", "unknown". */
+/* Returns "done", "failed", "not-run" or "unknown". */
 const char *dl_outcome_name(enum dl_outcome outcome)
 {
 	if ((unsigned)outcome >= DL_OUTCOME_COUNT)
@@ -90,75 +90,74 @@
 	return outcome_names[outcome];
 }
 
-/* What the status of an answer, whole or in part, says. */
-static enum dl_outcome by_status(enum cell cell, uint16_t status)
+/* Returns the outcome for the status of a complete or partial response. */
+static enum dl_outcome outcome_from_status(enum cell cell, uint16_t status)
 {
 	if (status < STATUS_MIN || status >= STATUS_END)
 		return DL_OUTCOME_UNKNOWN;
 	if (status >= STATUS_ERROR)
 		return DL_OUTCOME_FAILED;
-	return cell == CELL_WHOLE ? DL_OUTCOME_DONE : DL_OUTCOME_UNKNOWN;
+	return cell == CELL_COMPLETE ? DL_OUTCOME_DONE : DL_OUTCOME_UNKNOWN;
 }
 
-/*
- * What an attempt came to.  An attempt outside the table is unknown.
- */
+/* Returns the outcome of an attempt; unknown for values outside the table. */
 enum dl_outcome dl_call_outcome(const struct dl_attempt *attempt)
 {
 	enum cell cell;
 
 	if ((unsigned)attempt->sent >= DL_SENT_COUNT ||
 	    (unsigned)attempt->received >= DL_RECV_COUNT ||
-	    (unsigned)attempt->broke >= DL_BROKE_COUNT)
+	    (unsigned)attempt->failure >= DL_FAILURE_COUNT)
 		return DL_OUTCOME_UNKNOWN;
 	cell = (enum cell)
-		outcomes[attempt->sent][attempt->received][attempt->broke];
+		outcomes[attempt->sent][attempt->received][attempt->failure];
 	if (cell == CELL_NOT_RUN)
 		return DL_OUTCOME_NOT_RUN;
 	if (cell == CELL_UNKNOWN)
 		return DL_OUTCOME_UNKNOWN;
-	return by_status(cell, attempt->status);
+	return outcome_from_status(cell, attempt->status);
 }
 
 /*
- * A retry budget: permille retries for each thousand first tries, and at
- * most burst of them saved up; it begins full.
+ * Initialises a retry budget: permille retries for each thousand first
+ * attempts, with at most burst retries saved up. It starts full.
  *
- * Load: a failure domain that returns, or endpoints that fail everything.
- * Harm: retries that multiply the load when there is least room for it.
+ * The budget limits the load that retries add when a failure domain comes back
+ * or when endpoints fail every request, which is when there is least spare
+ * capacity.
  */
 void dl_retry_budget_init(struct dl_retry_budget *budget, uint32_t permille,
 			  uint32_t burst)
 {
 	budget->permille = permille;
 	budget->burst = burst;
-	budget->credit = (uint64_t)burst * CREDIT;
+	budget->credit = (uint64_t)burst * CREDITS_PER_RETRY;
 }
 
-/* Count a first try. */
-void dl_retry_budget_first(struct dl_retry_budget *budget)
+/* Credits the budget for a first attempt. */
+void dl_retry_budget_deposit(struct dl_retry_budget *budget)
 {
-	uint64_t max = (uint64_t)budget->burst * CREDIT;
+	uint64_t max = (uint64_t)budget->burst * CREDITS_PER_RETRY;
 
 	budget->credit += budget->permille;
 	if (budget->credit > max)
 		budget->credit = max;
 }
 
-/* Take one retry out of the budget; false where none is left. */
-bool dl_retry_budget_take(struct dl_retry_budget *budget)
+/* Takes one retry from the budget; false if none is left. */
+bool dl_retry_budget_withdraw(struct dl_retry_budget *budget)
 {
-	if (budget->credit < CREDIT)
+	if (budget->credit < CREDITS_PER_RETRY)
 		return false;
-	budget->credit -= CREDIT;
+	budget->credit -= CREDITS_PER_RETRY;
 	return true;
 }
 
 /*
- * Whether the stream may go on at its offset over a new connection.  The
- * endpoint took the whole request and began to answer; only the connection
- * broke.  Not for requests that may run once only: an endpoint that lost the
- * stream might begin it anew.
+ * Whether the stream can continue at its offset over a new connection: the
+ * endpoint received the whole request and started to answer, and only the
+ * connection broke. Non-idempotent requests are never resumed, because an
+ * endpoint that lost the stream might execute them again.
  */
 static bool may_resume(const struct dl_call_state *state,
 		       const struct dl_attempt *attempt)
@@ -167,11 +166,11 @@
 	       attempt->sent == DL_SENT_ALL &&
 	       attempt->received == DL_RECV_HEAD &&
 	       attempt->status < STATUS_ERROR &&
-	       (attempt->broke == DL_BROKE_RESET ||
-		attempt->broke == DL_BROKE_SILENT);
+	       (attempt->failure == DL_FAILURE_RESET ||
+		attempt->failure == DL_FAILURE_IDLE_TIMEOUT);
 }
 
-/* Whether the request may begin again elsewhere. */
+/* Whether the request may be started again on another endpoint. */
 static bool may_retry(const struct dl_call_state *state,
 		      const struct dl_attempt *attempt, enum dl_outcome outcome)
 {
@@ -184,21 +183,24 @@
 	if (outcome == DL_OUTCOME_UNKNOWN)
 		return true;
 	/*
-	 * Others are of the request, and would come again.  500 is not: of an
-	 * endpoint that fails part of what it is sent (7 in 100 of one service
-	 * of three), the callers' own retries met it again.
+	 * Status codes above 504, and 501, depend on the request and would be
+	 * returned again. 500 is not one of these: an endpoint
+	 * may fail only part of its requests (7 in 100 of one service of
+	 * three), and the callers' own retries hit it again.
 	 */
 	return attempt->status <= STATUS_TIMEOUT &&
 	       attempt->status != STATUS_UNKNOWN_METHOD;
 }
 
 /*
- * What to do after an attempt.  Never a retry of a request that is not
- * idempotent unless it provably did not run; never one that cannot end in
- * time, that the budget does not cover, or after bytes of another answer
- * reached the caller.  An attempt of which nothing left is outside the budget:
- * it cost its endpoint nothing, and its dispatcher is told not to offer that
- * endpoint again, so the bound on attempts is enough.
+ * Decides what to do after an attempt. A request that is not idempotent is only
+ * retried if it provably did not run. There is no retry that cannot finish in
+ * time, that the budget does not cover, or that would start over after response
+ * bytes reached the caller.
+ *
+ * An attempt of which nothing was sent does not use the budget: it cost its
+ * endpoint nothing, and its dispatcher is told not to offer that endpoint
+ * again, so the limit on attempts is enough.
  */
 enum dl_next dl_call_next(const struct dl_call_state *state,
 			  const struct dl_attempt *attempt,
@@ -207,8 +209,9 @@
 	enum dl_outcome outcome = dl_call_outcome(attempt);
 	bool resume = may_resume(state, attempt);
 
-	if (outcome == DL_OUTCOME_DONE || attempt->broke == DL_BROKE_CALLER ||
-	    attempt->broke == DL_BROKE_DEADLINE)
+	if (outcome == DL_OUTCOME_DONE ||
+	    attempt->failure == DL_FAILURE_CALLER_GONE ||
+	    attempt->failure == DL_FAILURE_DEADLINE)
 		return DL_NEXT_ANSWER;
 	if (state->attempts >= ATTEMPTS_MAX ||
 	    state->deadline - now < (int64_t)state->expected_ms ||
@@ -216,15 +219,16 @@
 		return DL_NEXT_ANSWER;
 	if (!resume && !may_retry(state, attempt, outcome))
 		return DL_NEXT_ANSWER;
-	if (attempt->sent != DL_SENT_NOTHING && !dl_retry_budget_take(budget))
+	if (attempt->sent != DL_SENT_NOTHING &&
+	    !dl_retry_budget_withdraw(budget))
 		return DL_NEXT_ANSWER;
 	return resume ? DL_NEXT_RESUME : DL_NEXT_RETRY;
 }
 
 /*
- * Accept bytes that claim to begin at an offset: returns how many of the
- * first ones to skip, all n where they were had before, or -EBADMSG (another
- * request or an old connection) or -ENODATA (a gap).
+ * Accepts n bytes that start at an offset. Returns the number of leading bytes
+ * to skip, which is n if all were received before, -EBADMSG for another request
+ * or an old connection, or -ENODATA for a gap.
  */
 int64_t dl_stream_accept(struct dl_stream *stream, uint64_t request,
 			 uint64_t incarnation, uint64_t offset, size_t n)
@@ -245,8 +249,8 @@
 }
 
 /*
- * The time to pass down to the next hop: what remains until the deadline
- * less a margin for the way back; 0 where it is too late to send.
+ * Returns the time to pass to the next hop: what remains until the deadline
+ * less a margin for the way back; 0 if it is too late to send.
  */
 uint32_t dl_hop_remaining_ms(int64_t deadline, uint32_t margin_ms, int64_t now)
 {
@@ -261,82 +265,89 @@
 	return remaining > UINT32_MAX ? UINT32_MAX : (uint32_t)remaining;
 }
 
-/* The deadline on our own clock for a time that was passed down. */
+/*
+ * Converts a remaining time from the previous hop to a deadline on the local
+ * clock.
+ */
 int64_t dl_hop_deadline(uint32_t remaining_ms, int64_t now)
 {
 	return now + (int64_t)remaining_ms;
 }
 
 /*
- * Whether a connection that stands open may carry another request.
+ * Whether an open connection may carry another request.
  *
- * Something between the two ends may have lost track of it without a word,
- * so an old or an idle one is not trusted; a request that is not idempotent
- * only goes over one that has carried none, since its outcome would be
- * unknown for no reason otherwise.
+ * A middlebox may have dropped the connection state silently, so old and idle
+ * connections are not reused. A request that is not idempotent only uses a
+ * connection that has carried none, because a stale connection would make its
+ * outcome unknown without need.
  */
-bool dl_conn_usable(const struct dl_conn_bounds *bounds,
-		    const struct dl_conn_age *conn, bool idempotent,
+bool dl_conn_usable(const struct dl_conn_limits *bounds,
+		    const struct dl_conn_usage *conn, bool idempotent,
 		    int64_t now)
 {
 	if (!idempotent && conn->requests)
 		return false;
 	return conn->requests < bounds->requests &&
 	       now - conn->opened < (int64_t)bounds->age_ms &&
-	       now - conn->heard < (int64_t)bounds->idle_ms;
+	       now - conn->last_read < (int64_t)bounds->idle_ms;
 }
 
-/* Begin to watch: first_ms until the first byte, gap_ms between later ones. */
-void dl_silence_begin(struct dl_silence *silence, uint32_t first_ms,
-		      uint32_t gap_ms, int64_t now)
+/*
+ * Starts the timer: first_ms until the first byte, gap_ms between later ones.
+ */
+void dl_idle_timer_start(struct dl_idle_timer *silence, uint32_t first_ms,
+			 uint32_t gap_ms, int64_t now)
 {
 	silence->first_ms = first_ms;
 	silence->gap_ms = gap_ms;
 	silence->started = false;
-	silence->forgiven = false;
-	silence->since = now;
-	silence->checked = now;
+	silence->pause_excused = false;
+	silence->last_data = now;
+	silence->last_check = now;
 }
 
-/* A byte came. */
-void dl_silence_heard(struct dl_silence *silence, int64_t now)
+/* Records that data was received. */
+void dl_idle_timer_data_received(struct dl_idle_timer *silence, int64_t now)
 {
 	silence->started = true;
-	silence->forgiven = false;
-	silence->since = now;
-	silence->checked = now;
+	silence->pause_excused = false;
+	silence->last_data = now;
+	silence->last_check = now;
 }
 
-/* When dl_silence_check() would find the silence too long. */
-int64_t dl_silence_wakeup(const struct dl_silence *silence)
+/* Returns when dl_idle_timer_expired() would return true. */
+int64_t dl_idle_timer_expiry(const struct dl_idle_timer *silence)
 {
-	return silence->since + (int64_t)(silence->started ? silence->gap_ms :
-							     silence->first_ms);
+	return silence->last_data + (int64_t)(silence->started ?
+						      silence->gap_ms :
+						      silence->first_ms);
 }
 
 /*
- * Whether it has been silent for too long.  Where our own looks have a gap of
- * more than twice the bound, it was this process that paused: bytes may wait
- * unread, so the time begins again; once, or a slow caller would never see it.
+ * Whether the connection has been idle for too long. If more than twice the
+ * limit passed between two checks, this process was paused and bytes may be
+ * waiting unread, so the timer starts over. This is done once until the next
+ * byte, or a caller that always checks late would never see a timeout.
  */
-bool dl_silence_check(struct dl_silence *silence, int64_t now)
+bool dl_idle_timer_expired(struct dl_idle_timer *silence, int64_t now)
 {
-	int64_t bound = dl_silence_wakeup(silence) - silence->since;
-	int64_t gap = now - silence->checked;
+	int64_t bound = dl_idle_timer_expiry(silence) - silence->last_data;
+	int64_t gap = now - silence->last_check;
 
-	silence->checked = now;
-	if (gap > bound * PAUSE_GAPS && !silence->forgiven) {
-		silence->forgiven = true;
-		silence->since = now;
+	silence->last_check = now;
+	if (gap > bound * PAUSE_FACTOR && !silence->pause_excused) {
+		silence->pause_excused = true;
+		silence->last_data = now;
 		return false;
 	}
-	return now >= dl_silence_wakeup(silence);
+	return now >= dl_idle_timer_expiry(silence);
 }
 
 /*
- * Join what a claim is on into one key, each part behind its length so that
- * no two claims share one.  Returns its length, -EINVAL for an empty or too
- * long part.
+ * Joins the parts of an idempotency claim into one key, each prefixed by its
+ * length so that no two claims share a key. Returns the length of the key, or
+ * -EINVAL if a part is too long or a required one is empty.
  */
 int dl_claim_key(struct dl_str service, struct dl_str workspace,
 		 struct dl_str key, char out[DL_CLAIM_KEY_MAX])
--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -1,137 +1,151 @@
-/* Whether a copy of the configuration may still be trusted. */
+/* Lease on the local copy of the configuration; see the header. */
 #include "daisyledge/lease.h"
 
 #include <sys/param.h>
 
 /*
  * An eighth of the time in which a change must be in force everywhere (2 s), so
- * that lost questions cost nothing.
+ * that lost requests do no harm.
  */
-#define ASK_EVERY_MS 250
-/* Without a word, while callers wait for it: some round trips. */
-#define ASK_SOON_MS 100
-/* The leader answers at once; later another one leads. */
-#define ANSWER_MS 400
+#define RENEW_INTERVAL_MS 250
 /*
- * A request that is let through at the lease's last moment is on its way to an
- * endpoint for some milliseconds, and clocks drift.
+ * Interval while there is no confirmation and callers wait for one: a few round
+ * trips.
  */
-#define MARGIN_MS 300
+#define RETRY_INTERVAL_MS 100
+/* The leader answers at once; after this time another one is assumed to lead.
+ */
+#define ANSWER_TIMEOUT_MS 400
+/*
+ * A request that is admitted at the end of the lease takes some milliseconds to
+ * reach an endpoint, and clocks drift.
+ */
+#define EXPIRY_MARGIN_MS 300
 /*
- * Not ready for new callers from this share of the lease on: they would find it
- * over before they are served.
+ * Share of the lease after which this VM is not ready for new callers: the
+ * lease would expire before they are served.
  */
 #define READY_PERMILLE 550
 #define PERMILLE       1000
 
 /*
- * A group that lost its leader, or has just started, elects one in some hundred
- * ms.  Requests that come meanwhile wait: told to come back, callers used their
- * one return and were refused again.  Nobody waits longer than this, nor for
- * more than this part of its time, and nobody where the group is not heard: a
- * VM that is cut off cannot know for how long.
+ * A group that lost its leader or has just started elects one within some
+ * hundred ms. Requests that arrive meanwhile wait: when they were told to
+ * retry, callers used up their one retry and were refused again. No request
+ * waits longer than this, nor for more than this part of its remaining time.
+ * None waits while no replica is heard, because a VM that is cut off cannot
+ * know for how long.
  */
-#define WAIT_MS	  1000
-#define WAIT_PART 4
-/* Replicas answer in milliseconds, if only that nobody leads. */
-#define HEARD_MS 500
+#define WAIT_MAX_MS	      1000
+#define WAIT_DEADLINE_DIVISOR 4
+/* Replicas answer within milliseconds, even without a leader. */
+#define REPLICA_CONTACT_MS 500
 
-/* Whether it is time to ask again. */
-bool dl_lease_due(const struct dl_lease *l, uint32_t lease_ms, int64_t now)
+/* Whether the next request to a replica is due. */
+bool dl_lease_renewal_due(const struct dl_lease *l, uint32_t lease_ms,
+			  int64_t now)
 {
-	int64_t every = dl_lease_ready(l, lease_ms, now) ? ASK_EVERY_MS :
-							   ASK_SOON_MS;
+	int64_t every = dl_lease_ready(l, lease_ms, now) ? RENEW_INTERVAL_MS :
+							   RETRY_INTERVAL_MS;
 
-	return !l->asked_at || now - l->asked_at >= every;
+	return !l->requested_at || now - l->requested_at >= every;
 }
 
-/* How long a request may wait for a word. */
-uint32_t dl_lease_patience(const struct dl_lease *l, int64_t started,
-			   int64_t heard, uint32_t left_ms, int64_t now)
+/* Returns how long a request may wait for a confirmation. */
+uint32_t dl_lease_max_wait_ms(const struct dl_lease *l, int64_t started,
+			      int64_t heard, uint32_t left_ms, int64_t now)
 {
-	bool starting = !l->held_from && now - started < WAIT_MS;
-	bool in_touch = heard && now - heard < HEARD_MS;
+	bool starting = !l->valid_from && now - started < WAIT_MAX_MS;
+	bool replica_reachable = heard && now - heard < REPLICA_CONTACT_MS;
 
-	if (!starting && !in_touch)
+	if (!starting && !replica_reachable)
 		return 0;
-	return MIN(left_ms / WAIT_PART, WAIT_MS);
+	return MIN(left_ms / WAIT_DEADLINE_DIVISOR, WAIT_MAX_MS);
 }
 
 /*
- * Whether the one that is asked has not answered in time, counted from the
- * first question since an answer: it is asked again sooner than it is given up.
- * Any answer counts, also one that only names another: whoever is named is
- * asked next, and must not be taken for silent before.
+ * Whether the replica has not answered in time, counted from the first request
+ * since the last answer, because requests are repeated sooner than they time
+ * out. Any answer counts, also one that only names another replica: that one is
+ * asked next and must not be taken for silent before.
  */
-bool dl_lease_unanswered(const struct dl_lease *l, int64_t now)
+bool dl_lease_timed_out(const struct dl_lease *l, int64_t now)
 {
-	return l->waits_from && now - l->waits_from > ANSWER_MS;
+	return l->pending_since && now - l->pending_since > ANSWER_TIMEOUT_MS;
 }
 
-/* Another one is asked from now on: it has its own time to answer. */
-void dl_lease_other(struct dl_lease *l)
+/* Resets the timeout: the new replica gets the full time to answer. */
+void dl_lease_replica_changed(struct dl_lease *l)
 {
-	l->waits_from = 0;
+	l->pending_since = 0;
 }
 
-/* A question is on its way. */
-void dl_lease_asked(struct dl_lease *l, int64_t now)
+/* Records that a request was sent. */
+void dl_lease_request_sent(struct dl_lease *l, int64_t now)
 {
-	l->asked_at = now;
-	if (!l->waits_from)
-		l->waits_from = now;
+	l->requested_at = now;
+	if (!l->pending_since)
+		l->pending_since = now;
 }
 
 /*
- * Take an answer.  The word counts from the moment of asking: whatever was
- * acknowledged before it was known to the one that answered.  An answer to an
- * older question than the last one answered changes nothing, but for a word:
- * the one that comes to lead may give it late, after others have said that they
- * do not.
+ * Handles an answer. A confirmation counts from the time of its request: the
+ * replica that answered knew of all changes acknowledged before. An answer to
+ * an older request than the last answered one is ignored unless it is a
+ * confirmation: a replica that becomes leader may confirm late, after others
+ * have answered that they do not lead.
  */
-uint64_t dl_lease_take(struct dl_lease *l, const struct dl_lease_answer *a,
-		       uint64_t version, int64_t now)
+uint64_t dl_lease_handle_answer(struct dl_lease *l,
+				const struct dl_lease_answer *a,
+				uint64_t version, int64_t now)
 {
-	if (a->asked_at > now || (!a->sure && a->asked_at < l->answered_at))
+	if (a->requested_at > now ||
+	    (!a->confirmed && a->requested_at < l->answered_at))
 		return a->from;
-	l->answered_at = MAX(l->answered_at, a->asked_at);
-	l->waits_from = 0;
-	if (!a->sure)
+	l->answered_at = MAX(l->answered_at, a->requested_at);
+	l->pending_since = 0;
+	if (!a->confirmed)
 		return a->leader == a->from ? DL_VM_NONE : a->leader;
-	if (a->asked_at > l->word_from) {
-		l->word_from = a->asked_at;
+	if (a->requested_at > l->confirmed_at) {
+		l->confirmed_at = a->requested_at;
 		l->version = a->version;
-		dl_lease_version(l, version);
+		dl_lease_version_applied(l, version);
 	}
 	return a->from;
 }
 
-/* Another version is in force here: a word that waited for it holds now. */
-void dl_lease_version(struct dl_lease *l, uint64_t version)
+/*
+ * Records the version applied here; a confirmation that waited for it becomes
+ * valid.
+ */
+void dl_lease_version_applied(struct dl_lease *l, uint64_t version)
 {
-	if (l->word_from && version >= l->version)
-		l->held_from = l->word_from;
+	if (l->confirmed_at && version >= l->version)
+		l->valid_from = l->confirmed_at;
 }
 
-/* How long ago the word that holds was asked for; INT64_MAX for none. */
+/*
+ * Returns the age of the valid confirmation, counted from its request;
+ * INT64_MAX if there is none.
+ */
 int64_t dl_lease_age(const struct dl_lease *l, int64_t now)
 {
-	return l->held_from ? now - l->held_from : INT64_MAX;
+	return l->valid_from ? now - l->valid_from : INT64_MAX;
 }
 
-/* Whether requests may be let through. */
-bool dl_lease_holds(const struct dl_lease *l, uint32_t lease_ms, int64_t now)
+/* Whether requests may be admitted. */
+bool dl_lease_is_valid(const struct dl_lease *l, uint32_t lease_ms, int64_t now)
 {
-	if (!l->held_from)
+	if (!l->valid_from)
 		return false;
 	return lease_ms == 0 ||
-	       dl_lease_age(l, now) < (int64_t)lease_ms - MARGIN_MS;
+	       dl_lease_age(l, now) < (int64_t)lease_ms - EXPIRY_MARGIN_MS;
 }
 
-/* Whether new callers should come. */
+/* Whether this VM is ready for new callers. */
 bool dl_lease_ready(const struct dl_lease *l, uint32_t lease_ms, int64_t now)
 {
-	return dl_lease_holds(l, lease_ms, now) &&
+	return dl_lease_is_valid(l, lease_ms, now) &&
 	       (lease_ms == 0 || dl_lease_age(l, now) < (int64_t)lease_ms *
 								READY_PERMILLE /
 								PERMILLE);
--- a/src/coordination/memb_probe.c
+++ b/src/coordination/memb_probe.c
@@ -1,17 +1,17 @@
 /*
- * Probes within a failure domain: one random member a period, indirectly
- * through others where it does not answer; and what a pause of this process
- * calls for.
+ * Probes within a failure domain: one random member in each period, and
+ * indirect probes through others if it does not answer; and recovery from a
+ * pause of this process.
  */
 #include <stdlib.h>
 
 #include "coordination/memb_int.h"
 
-#define PROBE_FAIL_ACKS 3 /* a probe has failed after this many ack_ms */
-#define ASK_AGAIN_MS	1000
-#define SEED_FAST_MS	500
-#define SEED_SLOW_MS	5000
-#define REVIVE_PERIODS	5 /* one dead member is probed every so many */
+#define PROBE_FAIL_ACKS		 3 /* in units of ack_ms */
+#define DIRECT_PROBE_INTERVAL_MS 1000
+#define SEED_JOIN_INTERVAL_MS	 500
+#define SEED_RETRY_INTERVAL_MS	 5000
+#define DEAD_PROBE_PERIODS	 5 /* in probe periods, one dead member each time */
 
 static void begin_probe(struct dl_memb *memb, int64_t now);
 static void check_probe(struct dl_memb *memb, int64_t now);
@@ -19,55 +19,59 @@
 static struct memb_peer *next_target(struct dl_memb *memb);
 static struct memb_peer *random_peer(struct dl_memb *memb, bool live,
 				     uint64_t except);
-static void ask_seeds(struct dl_memb *memb, int64_t now);
-static void revive(struct dl_memb *memb);
+static void contact_seeds(struct dl_memb *memb, int64_t now);
+static void probe_dead_member(struct dl_memb *memb);
 static void sweep(struct dl_memb *memb, int64_t now);
 
-/* Put the live members of our domain in a new random order. */
+/* Puts the live members of our domain in a new random order. */
 static bool fill_order(struct dl_memb *memb)
 {
 	uint32_t n = 0;
 
-	if (memb->order_cap < memb->peers_cap) {
-		uint64_t *order =
-			realloc(memb->order, memb->peers_cap * sizeof(*order));
+	if (memb->probe_order_cap < memb->peers_cap) {
+		uint64_t *order = realloc(memb->probe_order,
+					  memb->peers_cap * sizeof(*order));
 		if (!order)
 			return false;
-		memb->order = order;
-		memb->order_cap = memb->peers_cap;
+		memb->probe_order = order;
+		memb->probe_order_cap = memb->peers_cap;
 	}
 	for (uint32_t i = 1; i < memb->npeers; i++) {
 		const struct memb_peer *peer = &memb->peers[i];
 
-		if (peer->domain == 0 && memb_said_live(peer))
-			memb->order[n++] = peer->m.vm;
+		if (peer->domain == 0 && memb_gossip_live(peer))
+			memb->probe_order[n++] = peer->m.vm;
 	}
 	for (uint32_t i = n; i > 1; i--) {
 		uint32_t j = (uint32_t)(memb_random(memb) % i);
-		uint64_t vm = memb->order[i - 1];
+		uint64_t vm = memb->probe_order[i - 1];
 
-		memb->order[i - 1] = memb->order[j];
-		memb->order[j] = vm;
+		memb->probe_order[i - 1] = memb->probe_order[j];
+		memb->probe_order[j] = vm;
 	}
-	memb->order_len = n;
+	memb->probe_order_len = n;
 	return n > 0;
 }
 
-/* The next member to be probed: each once before any twice. */
+/*
+ * Returns the next member to probe; each is probed once before any is probed
+ * twice.
+ */
 static struct memb_peer *next_target(struct dl_memb *memb)
 {
 	for (;;) {
 		struct memb_peer *peer;
 
-		if (memb->order_len == 0 && !fill_order(memb))
+		if (memb->probe_order_len == 0 && !fill_order(memb))
 			return NULL;
-		peer = memb_peer(memb, memb->order[--memb->order_len]);
-		if (peer && peer->domain == 0 && memb_said_live(peer))
+		peer = memb_peer(memb,
+				 memb->probe_order[--memb->probe_order_len]);
+		if (peer && peer->domain == 0 && memb_gossip_live(peer))
 			return peer;
 	}
 }
 
-/* A random member of our domain that is live, or that is dead; or NULL. */
+/* Returns a random live or dead member of our domain, or NULL. */
 static struct memb_peer *random_peer(struct dl_memb *memb, bool live,
 				     uint64_t except)
 {
@@ -79,13 +83,14 @@
 
 		if (at == 0 || peer->domain != 0 || peer->m.vm == except)
 			continue;
-		if (live ? memb_said_live(peer) : peer->said == DL_DEAD)
+		if (live ? memb_gossip_live(peer) :
+			   peer->gossip_state == DL_DEAD)
 			return peer;
 	}
 	return NULL;
 }
 
-/* Probe the next member. */
+/* Probes the next member. */
 static void begin_probe(struct dl_memb *memb, int64_t now)
 {
 	struct memb_peer *peer = next_target(memb);
@@ -100,7 +105,7 @@
 	memb_queue(memb, MEMB_PING, peer->m.vm, memb->probe.seq, 0);
 }
 
-/* See whether the probe under way needs help, or has failed. */
+/* Checks whether the probe in progress needs indirect probes, or has failed. */
 static void check_probe(struct dl_memb *memb, int64_t now)
 {
 	struct memb_probe *probe = &memb->probe;
@@ -115,7 +120,7 @@
 		if (!peer)
 			return;
 		memb_suspect(memb, peer, now);
-		memb_ask(memb, peer, now);
+		memb_probe_now(memb, peer, now);
 		return;
 	}
 	if (probe->indirect || waited < memb->conf.ack_ms)
@@ -130,39 +135,40 @@
 }
 
 /*
- * Probe a member out of turn: the datagram tells it what is held of it, so
- * that it can refute.  At most one a second for each member.
+ * Probes a member outside the probe order, at most once a second. The datagram
+ * tells it its state as seen here, so that it can refute.
  */
-void memb_ask(struct dl_memb *memb, struct memb_peer *peer, int64_t now)
+void memb_probe_now(struct dl_memb *memb, struct memb_peer *peer, int64_t now)
 {
-	if (now - peer->asked < ASK_AGAIN_MS)
+	if (now - peer->last_direct_probe < DIRECT_PROBE_INTERVAL_MS)
 		return;
-	peer->asked = now;
+	peer->last_direct_probe = now;
 	memb_queue(memb, MEMB_PING, peer->m.vm, ++memb->seq, 0);
 }
 
 /*
- * Tell a few random members of what this VM has just found, rather than with
- * its next probe: the suspicions of all then end at nearly one time.
+ * Sends a new verdict of this VM to a few random members at once instead of
+ * with the next probe, so that the suspicion expires at nearly the same time on
+ * all VMs.
  */
-void memb_spread(struct dl_memb *memb)
+void memb_gossip_now(struct dl_memb *memb)
 {
-	for (int i = 0; i < MEMB_SPREAD; i++) {
+	for (int i = 0; i < MEMB_GOSSIP_FANOUT; i++) {
 		struct memb_peer *peer = random_peer(memb, true, DL_VM_NONE);
 
-		if (peer && peer->said == DL_ALIVE)
+		if (peer && peer->gossip_state == DL_ALIVE)
 			memb_queue(memb, MEMB_PING, peer->m.vm, ++memb->seq, 0);
 	}
 }
 
-/* Answer a probe. */
+/* Acknowledges a probe. */
 void memb_on_ping(struct dl_memb *memb, uint64_t from,
 		  const struct memb_msg *msg)
 {
 	memb_queue(memb, MEMB_ACK, from, msg->seq, 0);
 }
 
-/* An answer to a probe of our own, or to one made for another VM. */
+/* Handles an ack to a probe of this VM, or to one made for another VM. */
 void memb_on_ack(struct dl_memb *memb, uint64_t from,
 		 const struct memb_msg *msg)
 {
@@ -182,15 +188,15 @@
 	}
 }
 
-/* Probe a member for another VM. */
+/* Probes a member on behalf of another VM. */
 void memb_on_relay(struct dl_memb *memb, uint64_t from,
 		   const struct memb_msg *msg)
 {
-	struct memb_relay *relay = &memb->relays[memb->relay_at];
+	struct memb_relay *relay = &memb->relays[memb->relay_next];
 
 	if (msg->target == memb->conf.self || msg->target == DL_VM_NONE)
 		return;
-	memb->relay_at = (memb->relay_at + 1) % MEMB_RELAYS_MAX;
+	memb->relay_next = (memb->relay_next + 1) % MEMB_RELAYS_MAX;
 	relay->origin = from;
 	relay->origin_seq = msg->seq;
 	relay->target = msg->target;
@@ -198,12 +204,16 @@
 	memb_queue(memb, MEMB_PING, msg->target, relay->seq, 0);
 }
 
-/* Ask one address of the settings that is not known to be live. */
-static void ask_seeds(struct dl_memb *memb, int64_t now)
+/*
+ * Contacts addresses from the settings that are not known to be live: all of
+ * them before this VM has joined, one at a time after that.
+ */
+static void contact_seeds(struct dl_memb *memb, int64_t now)
 {
-	memb->next_seed = now + (memb->joined ? SEED_SLOW_MS : SEED_FAST_MS);
+	memb->next_seed = now + (memb->joined ? SEED_RETRY_INTERVAL_MS :
+						SEED_JOIN_INTERVAL_MS);
 	for (uint32_t i = 0; i < memb->nseeds; i++) {
-		uint64_t vm = memb->seeds[memb->seed_at++ % memb->nseeds];
+		uint64_t vm = memb->seeds[memb->seed_next++ % memb->nseeds];
 		const struct memb_peer *peer = memb_peer(memb, vm);
 
 		if (peer && memb_peer_live(peer))
@@ -218,8 +228,8 @@
 	}
 }
 
-/* Probe one dead member, so that a partition heals without an operator. */
-static void revive(struct dl_memb *memb)
+/* Probes one dead member, so that a partition heals without an operator. */
+static void probe_dead_member(struct dl_memb *memb)
 {
 	struct memb_peer *peer = random_peer(memb, false, DL_VM_NONE);
 
@@ -227,23 +237,23 @@
 		memb_queue(memb, MEMB_PING, peer->m.vm, ++memb->seq, 0);
 }
 
-/* Bury suspects whose time is over, and see which domains answer. */
+/* Declares expired suspects dead, and checks which domains are reachable. */
 static void sweep(struct dl_memb *memb, int64_t now)
 {
 	for (uint32_t i = 1; memb->suspects && i < memb->npeers; i++) {
 		struct memb_peer *peer = &memb->peers[i];
 
-		/* Members elsewhere are judged by their own domain. */
-		if (peer->said == DL_SUSPECT &&
+		/* Members of other domains are judged by their own domain. */
+		if (peer->gossip_state == DL_SUSPECT &&
 		    (peer->domain == 0 || peer->verify) &&
 		    now >= peer->suspect_deadline)
-			memb_dead(memb, peer, now);
+			memb_declare_dead(memb, peer, now);
 	}
-	memb_watch_domains(memb, now);
-	memb_forget_old(memb, now);
+	memb_check_domains(memb, now);
+	memb_expire_dead(memb, now);
 }
 
-/* Do what is due. */
+/* Runs all timers that are due. */
 void memb_tick(struct dl_memb *memb, int64_t now)
 {
 	const struct dl_memb_conf *conf = &memb->conf;
@@ -262,11 +272,11 @@
 		memb_digest_round(memb, now);
 	}
 	if (memb->nseeds && now >= memb->next_seed)
-		ask_seeds(memb, now);
-	if (now >= memb->next_revive) {
-		memb->next_revive =
-			now + (int64_t)conf->probe_ms * REVIVE_PERIODS;
-		revive(memb);
+		contact_seeds(memb, now);
+	if (now >= memb->next_dead_probe) {
+		memb->next_dead_probe =
+			now + (int64_t)conf->probe_ms * DEAD_PROBE_PERIODS;
+		probe_dead_member(memb);
 	}
 	if (now >= memb->next_sweep) {
 		memb->next_sweep = now + conf->ack_ms;
@@ -274,7 +284,7 @@
 	}
 }
 
-/* When memb_tick() has something to do. */
+/* Returns when memb_tick() is due next. */
 int64_t memb_next_tick(const struct dl_memb *memb)
 {
 	const struct memb_probe *probe = &memb->probe;
@@ -295,19 +305,19 @@
 		next = memb->next_digest;
 	if (memb->nseeds && memb->next_seed < next)
 		next = memb->next_seed;
-	if (memb->next_revive < next)
-		next = memb->next_revive;
+	if (memb->next_dead_probe < next)
+		next = memb->next_dead_probe;
 	if (memb->suspects && memb->next_sweep < next)
 		next = memb->next_sweep;
 	return next;
 }
 
 /*
- * Notice a pause of this process by the gap between two calls.  What it held
- * true before is stale: the deadlines that ran on meanwhile are put off by
- * the gap, nothing is judged, and others are asked first.
+ * Detects a pause of this process from the time between two calls. Its state is
+ * stale after a pause, so running deadlines are extended by the gap, no member
+ * is suspected, and the state is pulled from others first.
  */
-void memb_noticed(struct dl_memb *memb, int64_t now)
+void memb_check_pause(struct dl_memb *memb, int64_t now)
 {
 	int64_t gap = now - memb->last_now;
 
@@ -317,12 +327,12 @@
 	memb->probe.vm = DL_VM_NONE;
 	memb->refresh_seq = memb->seq + 1;
 	for (uint32_t i = 1; i < memb->npeers; i++) {
-		if (memb->peers[i].said == DL_SUSPECT)
+		if (memb->peers[i].gossip_state == DL_SUSPECT)
 			memb->peers[i].suspect_deadline += gap;
 	}
 	for (uint32_t i = 0; i < memb->ndomains; i++)
-		memb->domains[i].reached += gap;
-	for (int i = 0; i < MEMB_REFRESH_ASKS; i++) {
+		memb->domains[i].last_contact += gap;
+	for (int i = 0; i < MEMB_REFRESH_PULLS; i++) {
 		struct memb_peer *peer = random_peer(memb, true, DL_VM_NONE);
 
 		if (!peer)
--- a/src/coordination/memb_wire.c
+++ b/src/coordination/memb_wire.c
@@ -1,10 +1,11 @@
 /*
- * Datagrams of membership: a msgpack array
- * [kind, seq, sender, [newest VM, its version], live members of the sender's
- * domain, target, syncs, updates],
- * where sender and each update are [VM, incarnation, flags, version] and, of
- * another domain than the sender's, its name; syncs are [tag, hash, age]
- * in one flat array.
+ * Wire format of membership datagrams: a msgpack array [kind, seq, sender,
+ * [newest VM, its version], live members of the sender's domain, target, syncs,
+ * updates].
+ *
+ * Sender and each update are [VM, incarnation, flags, version], followed by the
+ * domain name if the domain is not the sender's; the sender always includes it.
+ * Syncs are [tag, hash, age], all in one flat array.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -14,19 +15,19 @@
 
 #include "coordination/memb_int.h"
 
-#define FIELDS	       8
-#define UPDATE_FIELDS  4
-#define SYNC_FIELDS    3
-#define FLAG_STATE     3 /* mask */
-#define FLAG_REPLICA   4
-#define FLAG_DRAINING  8
-#define FLAGS_ALL      15
-#define UPDATE_ROOM    128 /* no update is longer */
-#define ARRAY_ROOM     3   /* header of an array */
-#define AGE_UNKNOWN_MS 3600000
-
-/* A bounded buffer to pack into. */
-struct room {
+#define FIELDS		   8
+#define UPDATE_FIELDS	   4
+#define SYNC_FIELDS	   3
+#define FLAG_STATE	   3 /* bit mask */
+#define FLAG_REPLICA	   4
+#define FLAG_DRAINING	   8
+#define FLAGS_ALL	   15
+#define UPDATE_BYTES_MAX   128 /* no update is longer */
+#define ARRAY_HEADER_BYTES 3   /* header of a msgpack array */
+#define AGE_UNKNOWN_MS	   3600000
+
+/* A bounded output buffer. */
+struct wire_buf {
 	char *buf;
 	size_t n;
 	size_t max;
@@ -42,23 +43,23 @@
 		      const struct memb_intent *intent, int64_t now);
 static void pack_update(msgpack_packer *pk, const struct memb_peer *peer,
 			const struct dl_name *domain);
-static int write_room(void *arg, const char *buf, size_t n);
+static int wire_write(void *arg, const char *buf, size_t n);
 
-/* Append what fits, whole or not at all. */
-static int write_room(void *arg, const char *buf, size_t n)
+/* Appends bytes if all of them fit; otherwise marks the buffer as full. */
+static int wire_write(void *arg, const char *buf, size_t n)
 {
-	struct room *room = arg;
+	struct wire_buf *out = arg;
 
-	if (room->full || room->n + n > room->max) {
-		room->full = true;
+	if (out->full || out->n + n > out->max) {
+		out->full = true;
 		return -1;
 	}
-	memcpy(room->buf + room->n, buf, n);
-	room->n += n;
+	memcpy(out->buf + out->n, buf, n);
+	out->n += n;
 	return 0;
 }
 
-/* Read a number of at most max. */
+/* Reads an unsigned integer of at most max. */
 static bool get_u64(const msgpack_object *o, uint64_t max, uint64_t *out)
 {
 	if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER || o->via.u64 > max)
@@ -67,7 +68,7 @@
 	return true;
 }
 
-/* Read what is said of one member; domain is the sender's. */
+/* Reads the state of one member; domain is the sender's. */
 static bool get_update(const msgpack_object *o, struct dl_str domain,
 		       struct memb_update *out)
 {
@@ -98,7 +99,7 @@
 	return true;
 }
 
-/* Read the syncs. */
+/* Reads the summaries of domains. */
 static bool get_syncs(const msgpack_object *o, struct memb_msg *out)
 {
 	const msgpack_object *f = o->via.array.ptr;
@@ -122,7 +123,7 @@
 	return true;
 }
 
-/* Read the whole array. */
+/* Reads the array of a datagram. */
 static int get_msg(const msgpack_object *o, uint64_t from, struct memb_msg *out)
 {
 	const msgpack_object *f = o->via.array.ptr;
@@ -158,7 +159,7 @@
 	return 0;
 }
 
-/* Decode a datagram; strings of out point into it.  0 or -EBADMSG. */
+/* Decodes a datagram; strings in out point into it. Returns 0 or -EBADMSG. */
 int memb_decode(struct dl_str datagram, uint64_t from, struct memb_msg *out)
 {
 	msgpack_unpacked result;
@@ -176,13 +177,13 @@
 	return r;
 }
 
-/* Pack a member; its domain only where it is not the one given. */
+/* Packs a member, with its domain only if it differs from the given one. */
 static void pack_update(msgpack_packer *pk, const struct memb_peer *peer,
 			const struct dl_name *domain)
 {
 	const struct dl_member *m = &peer->m;
 	bool named = !domain || !dl_name_eq(domain, dl_name_str(&m->domain));
-	uint8_t flags = (uint8_t)peer->said;
+	uint8_t flags = (uint8_t)peer->gossip_state;
 
 	if (m->replica)
 		flags |= FLAG_REPLICA;
@@ -199,23 +200,26 @@
 	msgpack_pack_str_body(pk, m->domain.s, m->domain.n);
 }
 
-/* How long ago a domain last answered one of ours; 0 for our own. */
+/*
+ * Returns the time since a domain last answered a VM of our domain; 0 for our
+ * own.
+ */
 static uint32_t domain_age(const struct dl_memb *memb, uint32_t domain,
 			   int64_t now)
 {
-	int64_t age = now - memb->domains[domain].reached;
+	int64_t age = now - memb->domains[domain].last_contact;
 
 	if (domain == 0 || age < 0)
 		return 0;
 	return age > AGE_UNKNOWN_MS ? AGE_UNKNOWN_MS : (uint32_t)age;
 }
 
-/* Pack all but the updates. */
+/* Packs everything before the updates. */
 static void pack_head(struct dl_memb *memb, msgpack_packer *pk,
 		      const struct memb_intent *intent, int64_t now)
 {
 	uint64_t newest_vm;
-	uint64_t newest = dl_memb_newest(memb, &newest_vm);
+	uint64_t newest = dl_memb_newest_config(memb, &newest_vm);
 	uint32_t nsync = memb->ndomains;
 
 	if (intent->kind == MEMB_PULL || intent->kind == MEMB_PAGE)
@@ -237,26 +241,29 @@
 	}
 }
 
-/* Pack one member into the room for updates; false where it does not fit. */
-static bool put_update(struct dl_memb *memb, struct room *room, uint32_t *count,
-		       const struct memb_peer *peer)
+/* Packs one member into the buffer of updates; false if it does not fit. */
+static bool put_update(struct dl_memb *memb, struct wire_buf *out,
+		       uint32_t *count, const struct memb_peer *peer)
 {
-	char one[UPDATE_ROOM];
-	struct room small = { one, 0, sizeof(one), false };
+	char one[UPDATE_BYTES_MAX];
+	struct wire_buf one_buf = { one, 0, sizeof(one), false };
 	msgpack_packer pk;
 
-	msgpack_packer_init(&pk, &small, write_room);
+	msgpack_packer_init(&pk, &one_buf, wire_write);
 	pack_update(&pk, peer, &memb->conf.domain);
-	if (small.full || room->n + small.n > room->max)
+	if (one_buf.full || out->n + one_buf.n > out->max)
 		return false;
-	write_room(room, one, small.n);
+	wire_write(out, one, one_buf.n);
 	(*count)++;
 	return true;
 }
 
-/* The next part of what a VM asked for; ends with intent->page at 0. */
-static void put_page(struct dl_memb *memb, struct room *room, uint32_t *count,
-		     struct memb_intent *intent)
+/*
+ * Packs the next page of a pulled domain; intent->page is 0 after the last
+ * page.
+ */
+static void put_page(struct dl_memb *memb, struct wire_buf *out,
+		     uint32_t *count, struct memb_intent *intent)
 {
 	uint32_t i = intent->page;
 
@@ -267,24 +274,22 @@
 		    memb->domains[peer->domain].tag != intent->target)
 			continue;
 		if (*count == MEMB_UPDATES_MAX ||
-		    !put_update(memb, room, count, peer))
+		    !put_update(memb, out, count, peer))
 			break;
 	}
 	intent->page = i < memb->npeers ? i : 0;
 }
 
-/*
- * Pick the member whose news has the most repetitions left out of those
- * gathered, and close its gap.
- */
-static struct memb_peer *take_news(struct dl_memb *memb, uint16_t *news,
-				   uint32_t *n)
+/* Takes the member with the most retransmissions left out of the candidates. */
+static struct memb_peer *next_gossip(struct dl_memb *memb, uint16_t *news,
+				     uint32_t *n)
 {
 	uint32_t best = 0;
 	uint16_t index;
 
 	for (uint32_t i = 1; i < *n; i++) {
-		if (memb->peers[news[i]].tells > memb->peers[news[best]].tells)
+		if (memb->peers[news[i]].retransmits >
+		    memb->peers[news[best]].retransmits)
 			best = i;
 	}
 	index = news[best];
@@ -293,61 +298,64 @@
 }
 
 /*
- * News on the back of a probe or its answer.  What is held of the receiver
- * itself goes first where it is not alive, so that it can refute; to one held
- * to be dead nothing else is told, since it may have been cut off and will
- * hear the rest once it has answered.
+ * Packs gossip into a probe or ack. If the receiver itself is not alive as seen
+ * here, that goes first so that it can refute. A receiver that is held to be
+ * dead gets nothing else: it may have been cut off, and gets the rest once it
+ * has answered.
  */
-static void put_news(struct dl_memb *memb, struct room *room, uint32_t *count,
-		     const struct memb_intent *intent)
+static void put_gossip(struct dl_memb *memb, struct wire_buf *out,
+		       uint32_t *count, const struct memb_intent *intent)
 {
 	uint16_t news[MEMB_MEMBERS_MAX];
 	struct memb_peer *to = memb_peer(memb, intent->to);
 	struct memb_peer *target = memb_peer(memb, intent->target);
 	uint32_t n = 0;
 
-	if (to && to->said != DL_ALIVE)
-		put_update(memb, room, count, to);
-	if (to && to->said == DL_DEAD)
+	if (to && to->gossip_state != DL_ALIVE)
+		put_update(memb, out, count, to);
+	if (to && to->gossip_state == DL_DEAD)
 		return;
 	if (intent->kind == MEMB_ACK && target)
-		put_update(memb, room, count, target);
-	if (memb->telling == 0)
+		put_update(memb, out, count, target);
+	if (memb->gossip_pending == 0)
 		return;
 	for (uint32_t i = 0; i < memb->npeers; i++) {
-		if (memb->peers[i].tells && &memb->peers[i] != to)
+		if (memb->peers[i].retransmits && &memb->peers[i] != to)
 			news[n++] = (uint16_t)i;
 	}
 	while (n && *count < MEMB_PIGGYBACK_MAX) {
-		struct memb_peer *peer = take_news(memb, news, &n);
+		struct memb_peer *peer = next_gossip(memb, news, &n);
 
-		if (!put_update(memb, room, count, peer))
+		if (!put_update(memb, out, count, peer))
 			return;
-		if (--peer->tells == 0)
-			memb->telling--;
+		if (--peer->retransmits == 0)
+			memb->gossip_pending--;
 	}
 }
 
-/* Encode a datagram into buf (DL_MEMB_DATAGRAM_MAX); 0 where it fails. */
+/*
+ * Encodes a datagram into buf of DL_MEMB_DATAGRAM_MAX bytes. Returns its
+ * length, or 0 on failure.
+ */
 size_t memb_encode(struct dl_memb *memb, struct memb_intent *intent,
 		   int64_t now, char *buf)
 {
 	char updates[DL_MEMB_DATAGRAM_MAX];
-	struct room head = { buf, 0, memb->conf.datagram_max, false };
-	struct room tail = { updates, 0, 0, false };
+	struct wire_buf head = { buf, 0, memb->conf.datagram_max, false };
+	struct wire_buf tail = { updates, 0, 0, false };
 	uint32_t count = 0;
 	msgpack_packer pk;
 
-	msgpack_packer_init(&pk, &head, write_room);
+	msgpack_packer_init(&pk, &head, wire_write);
 	pack_head(memb, &pk, intent, now);
-	if (head.full || head.n + ARRAY_ROOM > head.max)
+	if (head.full || head.n + ARRAY_HEADER_BYTES > head.max)
 		return 0;
-	tail.max = head.max - head.n - ARRAY_ROOM;
+	tail.max = head.max - head.n - ARRAY_HEADER_BYTES;
 	if (intent->kind == MEMB_PAGE)
 		put_page(memb, &tail, &count, intent);
 	else
-		put_news(memb, &tail, &count, intent);
+		put_gossip(memb, &tail, &count, intent);
 	msgpack_pack_array(&pk, count);
-	write_room(&head, updates, tail.n);
+	wire_write(&head, updates, tail.n);
 	return head.full ? 0 : head.n;
 }
--- a/src/coordination/quarantine.c
+++ b/src/coordination/quarantine.c
@@ -1,44 +1,50 @@
-/* Requests under which endpoints crash; see the header. */
+/* Quarantine of requests that crash endpoints; see the header. */
 #include "daisyledge/quarantine.h"
 
 #include <glib.h>
 
 /*
- * A request is held back for so long after the last crash.  Then it may run
- * once more: what it ran into may have been mended.
+ * Length of the quarantine, from the last crash. After it the request may run
+ * once more, since the fault that it triggered may have been fixed.
  */
-#define HELD_MS ((int64_t)60 * 60 * 1000)
-/* A crash counts for so long; requests that come more seldom do little harm. */
-#define SUSPECT_MS ((int64_t)10 * 60 * 1000)
-/* A request that was held back is known for so long, to be held back again. */
-#define KNOWN_MS ((int64_t)24 * 60 * 60 * 1000)
+#define HOLD_MS ((int64_t)60 * 60 * 1000)
+/* How long a crash counts; requests that arrive less often do little harm. */
+#define CRASH_WINDOW_MS ((int64_t)10 * 60 * 1000)
 /*
- * Requests that are known.  A crash breaks about as many as an endpoint runs at
- * once; past this the one whose last crash is longest ago makes place, of those
- * that are not held back while there are any.
+ * How long a request that was quarantined is remembered, so that one more crash
+ * quarantines it again.
+ */
+#define RECORD_TTL_MS ((int64_t)24 * 60 * 60 * 1000)
+/*
+ * Maximum number of recorded requests. A crash interrupts about as many as an
+ * endpoint runs at once. When the table is full, the request with the oldest
+ * last crash is evicted, and those that reached DL_QUARANTINE_CRASHES only if
+ * there are no others.
  */
 #define REQUESTS_MAX 1024
 /*
- * A restart shows within some seconds; until then it is open whether an
- * endpoint crashed under what broke off there.
+ * A restart of an endpoint is noticed within some seconds; until then it is not
+ * known whether it crashed under the requests that were interrupted there.
+ */
+#define INTERRUPTED_MS	10000
+#define INTERRUPTED_MAX 512
+/*
+ * A crash that is reported later than this belongs to the previous quarantine.
  */
-#define BROKE_MS  10000
-#define BROKE_MAX 512
-/* A crash that is told later than this is of the hour before. */
-#define FRESH_MS 60000
+#define RECENT_CRASH_MS 60000
 
-/* One request under which endpoints crashed. */
+/* A request under which endpoints crashed. */
 struct record {
 	uint64_t request;
-	uint64_t start[DL_QUARANTINE_CRASHES];
-	uint32_t crashes; /* since it was cleared */
-	uint32_t cleared; /* so often */
-	uint32_t oldest;  /* of start, once there are so many */
-	int64_t last;	  /* crash, or when it was cleared */
+	uint64_t starts[DL_QUARANTINE_CRASHES];
+	uint32_t crashes;   /* since it was last cleared */
+	uint32_t cleared;   /* times cleared */
+	uint32_t next_slot; /* of starts to replace, once all are used */
+	int64_t last;	    /* time of the last crash, or of the clearing */
 };
 
-/* One attempt that broke off. */
-struct broken {
+/* An interrupted attempt. */
+struct interrupted {
 	uint64_t request;
 	uint64_t start;
 	int64_t at;
@@ -46,11 +52,11 @@
 
 struct dl_quarantine {
 	GHashTable *records;
-	struct broken broken[BROKE_MAX]; /* a ring */
-	uint32_t broken_at;
+	struct interrupted broken[INTERRUPTED_MAX]; /* ring buffer */
+	uint32_t interrupted_next;
 };
 
-/* Nothing is known yet. */
+/* Creates an empty quarantine. */
 struct dl_quarantine *dl_quarantine_new(void)
 {
 	struct dl_quarantine *q = g_new0(struct dl_quarantine, 1);
@@ -60,7 +66,7 @@
 	return q;
 }
 
-/* Release it; NULL is nothing to do. */
+/* Frees it; NULL is allowed. */
 void dl_quarantine_free(struct dl_quarantine *q)
 {
 	if (!q)
@@ -69,28 +75,31 @@
 	g_free(q);
 }
 
-/* Note an attempt that broke off, in place of the one noted longest ago. */
-void dl_quarantine_broke(struct dl_quarantine *q, uint64_t request,
-			 uint64_t start, int64_t now)
+/* Records an interrupted attempt, replacing the oldest one. */
+void dl_quarantine_attempt_interrupted(struct dl_quarantine *q,
+				       uint64_t request, uint64_t start,
+				       int64_t now)
 {
-	struct broken *b = &q->broken[q->broken_at++ % BROKE_MAX];
+	struct interrupted *b =
+		&q->broken[q->interrupted_next++ % INTERRUPTED_MAX];
 
-	*b = (struct broken){ request, start, now };
+	*b = (struct interrupted){ request, start, now };
 }
 
-/* Take one attempt that broke off at a start out of the ring. */
-bool dl_quarantine_crashed(struct dl_quarantine *q, uint64_t start, int64_t now,
-			   struct dl_crash *out)
+/* Removes one attempt that was interrupted at an instance from the ring. */
+bool dl_quarantine_next_crash(struct dl_quarantine *q, uint64_t start,
+			      int64_t now, struct dl_crash *out)
 {
-	for (uint32_t i = 0; i < BROKE_MAX; i++) {
-		struct broken *b = &q->broken[i];
+	for (uint32_t i = 0; i < INTERRUPTED_MAX; i++) {
+		struct interrupted *b = &q->broken[i];
 
-		if (!b->request || b->start != start || now - b->at >= BROKE_MS)
+		if (!b->request || b->start != start ||
+		    now - b->at >= INTERRUPTED_MS)
 			continue;
 		*out = (struct dl_crash){
 			.request = b->request,
 			.start = start,
-			.cleared = dl_quarantine_cleared(q, b->request),
+			.cleared = dl_quarantine_clear_count(q, b->request),
 			.age_ms = (uint32_t)(now - b->at),
 		};
 		b->request = 0;
@@ -101,25 +110,26 @@
 
 static bool is_held(const struct record *r, int64_t now)
 {
-	return r->crashes == DL_QUARANTINE_CRASHES && now - r->last < HELD_MS;
+	return r->crashes == DL_QUARANTINE_CRASHES && now - r->last < HOLD_MS;
 }
 
-static bool is_over(const struct record *r, int64_t now)
+static bool is_expired(const struct record *r, int64_t now)
 {
-	return now - r->last >=
-	       (r->crashes == DL_QUARANTINE_CRASHES ? KNOWN_MS : SUSPECT_MS);
+	return now - r->last >= (r->crashes == DL_QUARANTINE_CRASHES ?
+					 RECORD_TTL_MS :
+					 CRASH_WINDOW_MS);
 }
 
 static bool has_start(const struct record *r, uint64_t start)
 {
 	for (uint32_t i = 0; i < r->crashes; i++) {
-		if (r->start[i] == start)
+		if (r->starts[i] == start)
 			return true;
 	}
 	return false;
 }
 
-static bool goes_first(const struct record *a, const struct record *b)
+static bool evict_before(const struct record *a, const struct record *b)
 {
 	bool a_full = a->crashes == DL_QUARANTINE_CRASHES;
 	bool b_full = b->crashes == DL_QUARANTINE_CRASHES;
@@ -127,7 +137,7 @@
 	return a_full == b_full ? a->last < b->last : b_full;
 }
 
-static void make_place(struct dl_quarantine *q)
+static void evict_one(struct dl_quarantine *q)
 {
 	const struct record *first = NULL;
 	GHashTableIter it;
@@ -135,21 +145,22 @@
 
 	g_hash_table_iter_init(&it, q->records);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
-		if (!first || goes_first(value, first))
+		if (!first || evict_before(value, first))
 			first = value;
 	}
 	if (first)
 		g_hash_table_remove(q->records, &first->request);
 }
 
-static struct record *record_of(struct dl_quarantine *q, uint64_t request)
+static struct record *get_or_add_record(struct dl_quarantine *q,
+					uint64_t request)
 {
 	struct record *r = g_hash_table_lookup(q->records, &request);
 
 	if (r)
 		return r;
 	if (g_hash_table_size(q->records) >= REQUESTS_MAX)
-		make_place(q);
+		evict_one(q);
 	r = g_new0(struct record, 1);
 	r->request = request;
 	r->last = INT64_MIN / 2;
@@ -157,18 +168,18 @@
 	return r;
 }
 
-/* Begin anew: what the request was blamed for before counts no more. */
-static void clear(struct record *r, uint32_t cleared)
+/* Resets a record: crashes from before it was cleared no longer count. */
+static void reset_crashes(struct record *r, uint32_t cleared)
 {
 	r->cleared = cleared;
 	r->crashes = 0;
-	r->oldest = 0;
+	r->next_slot = 0;
 }
 
 /*
- * Count a start among those that crashed.  Past the number that holds a request
- * back one counts only where it does so again: others are of attempts that were
- * on their way.
+ * Adds an instance to those that crashed. Once there are DL_QUARANTINE_CRASHES
+ * of them, another one counts only if it starts a new quarantine; others belong
+ * to attempts that were already running.
  */
 static bool add_start(struct record *r, const struct dl_crash *crash,
 		      int64_t now)
@@ -176,72 +187,74 @@
 	if (has_start(r, crash->start))
 		return false;
 	if (r->crashes < DL_QUARANTINE_CRASHES) {
-		r->start[r->crashes++] = crash->start;
+		r->starts[r->crashes++] = crash->start;
 		return true;
 	}
-	if (is_held(r, now) || crash->age_ms >= FRESH_MS)
+	if (is_held(r, now) || crash->age_ms >= RECENT_CRASH_MS)
 		return false;
-	r->start[r->oldest++ % DL_QUARANTINE_CRASHES] = crash->start;
+	r->starts[r->next_slot++ % DL_QUARANTINE_CRASHES] = crash->start;
 	return true;
 }
 
 /*
- * Words are ordered by how often the request had been cleared; those of one
- * such time add up in any order.
+ * Merges a report. Reports are ordered by how often the request had been
+ * cleared; those with the same count add up in any order.
  */
-bool dl_quarantine_note(struct dl_quarantine *q, const struct dl_crash *crash,
-			int64_t now)
+bool dl_quarantine_merge(struct dl_quarantine *q, const struct dl_crash *crash,
+			 int64_t now)
 {
 	int64_t at = now - crash->age_ms;
 	struct record *r;
-	bool news;
+	bool changed;
 
-	if (!crash->request || crash->age_ms >= KNOWN_MS)
+	if (!crash->request || crash->age_ms >= RECORD_TTL_MS)
 		return false;
-	r = record_of(q, crash->request);
+	r = get_or_add_record(q, crash->request);
 	if (crash->cleared < r->cleared)
 		return false;
-	news = crash->cleared > r->cleared;
-	if (news)
-		clear(r, crash->cleared);
+	changed = crash->cleared > r->cleared;
+	if (changed)
+		reset_crashes(r, crash->cleared);
 	if (crash->start && add_start(r, crash, now))
-		news = true;
-	if (news && at > r->last)
+		changed = true;
+	if (changed && at > r->last)
 		r->last = at;
-	return news;
+	return changed;
 }
 
-/* Whether crashes under a request are known. */
-bool dl_quarantine_suspects(const struct dl_quarantine *q, uint64_t request)
+/* Whether crashes under a request are recorded. */
+bool dl_quarantine_is_suspect(const struct dl_quarantine *q, uint64_t request)
 {
 	const struct record *r = g_hash_table_lookup(q->records, &request);
 
 	return r && r->crashes;
 }
 
-/* How often a request has been cleared. */
-uint32_t dl_quarantine_cleared(const struct dl_quarantine *q, uint64_t request)
+/* Returns how often a request has been cleared. */
+uint32_t dl_quarantine_clear_count(const struct dl_quarantine *q,
+				   uint64_t request)
 {
 	const struct record *r = g_hash_table_lookup(q->records, &request);
 
 	return r ? r->cleared : 0;
 }
 
-/* How long a request is still held back; 0 where it is not. */
-uint32_t dl_quarantine_left_ms(const struct dl_quarantine *q, uint64_t request,
-			       int64_t now)
+/* Returns the remaining quarantine in ms; 0 if there is none. */
+uint32_t dl_quarantine_remaining_ms(const struct dl_quarantine *q,
+				    uint64_t request, int64_t now)
 {
 	const struct record *r = g_hash_table_lookup(q->records, &request);
 
 	if (!r || !is_held(r, now))
 		return 0;
-	return (uint32_t)(r->last + HELD_MS - now);
+	return (uint32_t)(r->last + HOLD_MS - now);
 }
 
-/* Tell each crash that still counts. */
-void dl_quarantine_each(const struct dl_quarantine *q, int64_t now,
-			void (*each)(void *arg, const struct dl_crash *crash),
-			void *arg)
+/* Calls a function for each report that still counts. */
+void dl_quarantine_foreach(const struct dl_quarantine *q, int64_t now,
+			   void (*each)(void *arg,
+					const struct dl_crash *crash),
+			   void *arg)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -253,29 +266,29 @@
 					  .cleared = r->cleared,
 					  .age_ms = (uint32_t)(now - r->last) };
 
-		if (is_over(r, now))
+		if (is_expired(r, now))
 			continue;
 		if (!r->crashes)
 			each(arg, &crash);
 		for (uint32_t i = 0; i < r->crashes; i++) {
-			crash.start = r->start[i];
+			crash.start = r->starts[i];
 			each(arg, &crash);
 		}
 	}
 }
 
-static gboolean over(gpointer key, gpointer value, gpointer now)
+static gboolean is_expired_entry(gpointer key, gpointer value, gpointer now)
 {
-	return is_over(value, *(const int64_t *)now);
+	return is_expired(value, *(const int64_t *)now);
 }
 
-/* Drop requests whose crashes are too long ago. */
-void dl_quarantine_forget(struct dl_quarantine *q, int64_t now)
+/* Removes requests whose last crash is too long ago. */
+void dl_quarantine_expire(struct dl_quarantine *q, int64_t now)
 {
-	g_hash_table_foreach_remove(q->records, over, &now);
+	g_hash_table_foreach_remove(q->records, is_expired_entry, &now);
 }
 
-/* Count the requests that are held back. */
+/* Counts the requests in quarantine. */
 uint32_t dl_quarantine_count(const struct dl_quarantine *q, int64_t now)
 {
 	uint32_t count = 0;
--- a/src/coordination/reports.c
+++ b/src/coordination/reports.c
@@ -1,45 +1,45 @@
-/* Endpoints' last words by their keys; see the header. */
+/* Cache of endpoint reports by key; see the header. */
 #include "daisyledge/reports.h"
 
 #include <glib.h>
 
-/* More than any deployment has endpoints; what is said past it is not kept. */
+/* More than any deployment has endpoints; further reports are not cached. */
 #define REPORTS_MAX 8192
 
 /*
- * What a VM takes in of keys from one that passes them on, bytes a second, and
- * how long an endpoint is not told of at the most for it: an endpoint that is
- * not heard of for 6 s is taken for gone, and its own words may be late by
- * seconds.
+ * Rate of keys, in bytes per second, that a VM receives from the one that
+ * relays them, and the longest time that an endpoint goes unreported to keep to
+ * it. An endpoint that is not reported for 6 s is taken for gone, and its own
+ * reports may be late by seconds.
  */
-#define KEYS_RATE     1500
-#define KEY_BYTES     9
-#define UNTOLD_MAX_MS 2000
-#define MS_PER_S      1000
+#define KEY_BYTES_PER_S	   1500
+#define KEY_BYTES	   9
+#define RELAY_DELAY_MAX_MS 2000
+#define MS_PER_S	   1000
 
 struct report {
 	uint64_t key;
-	int64_t heard;
-	int64_t told; /* to others, that they are said */
-	GBytes *words;
+	int64_t last_received;
+	int64_t last_relayed; /* last told to peers */
+	GBytes *body;
 	char *instance;
 };
 
 struct dl_reports {
 	GHashTable *by_key;	 /* owns the reports */
-	GHashTable *by_instance; /* of each start the last one */
+	GHashTable *by_instance; /* latest report of each instance */
 };
 
 static void report_free(gpointer p)
 {
 	struct report *report = p;
 
-	g_bytes_unref(report->words);
+	g_bytes_unref(report->body);
 	g_free(report->instance);
 	g_free(report);
 }
 
-/* Nothing heard yet. */
+/* Creates an empty cache. */
 struct dl_reports *dl_reports_new(void)
 {
 	struct dl_reports *r = g_new0(struct dl_reports, 1);
@@ -50,7 +50,7 @@
 	return r;
 }
 
-/* Release them; NULL is nothing to do. */
+/* Frees the cache; NULL is allowed. */
 void dl_reports_free(struct dl_reports *reports)
 {
 	if (!reports)
@@ -60,41 +60,44 @@
 	g_free(reports);
 }
 
-/* Its start has no words any more, unless it has said others since. */
-static void unname(struct dl_reports *reports, const struct report *report)
+/*
+ * Removes an instance from the index, unless it has sent another report since.
+ */
+static void unindex_instance(struct dl_reports *reports,
+			     const struct report *report)
 {
 	if (g_hash_table_lookup(reports->by_instance, report->instance) ==
 	    report)
 		g_hash_table_remove(reports->by_instance, report->instance);
 }
 
-/* Of each start the last words are kept, others make place. */
-bool dl_reports_hear(struct dl_reports *reports, struct dl_str instance,
-		     struct dl_str words, int64_t now, uint64_t *key)
+/* Stores a report. Only the latest one of each instance is kept. */
+bool dl_reports_add(struct dl_reports *reports, struct dl_str instance,
+		    struct dl_str words, int64_t now, uint64_t *key)
 {
 	struct report *report;
 
 	*key = dl_hash(words, 0);
 	report = g_hash_table_lookup(reports->by_key, key);
 	if (report) {
-		report->heard = now;
+		report->last_received = now;
 		return false;
 	}
-	dl_reports_leave(reports, instance);
+	dl_reports_remove(reports, instance);
 	if (dl_reports_count(reports) >= REPORTS_MAX)
 		return true;
 	report = g_new0(struct report, 1);
 	report->key = *key;
-	report->heard = now;
-	report->told = now;
-	report->words = g_bytes_new(words.s, words.n);
+	report->last_received = now;
+	report->last_relayed = now;
+	report->body = g_bytes_new(words.s, words.n);
 	report->instance = g_strndup(instance.s, instance.n);
 	g_hash_table_insert(reports->by_key, &report->key, report);
 	g_hash_table_insert(reports->by_instance, report->instance, report);
 	return true;
 }
 
-/* The words of a key. */
+/* Returns the report text of a key. */
 struct dl_str dl_reports_find(const struct dl_reports *reports, uint64_t key)
 {
 	const struct report *report =
@@ -102,71 +105,72 @@
 	struct dl_str words = { "", 0 };
 
 	if (report)
-		words.s = g_bytes_get_data(report->words, &words.n);
+		words.s = g_bytes_get_data(report->body, &words.n);
 	return words;
 }
 
-/* Whether they were heard since a time. */
-bool dl_reports_fresh(const struct dl_reports *reports, uint64_t key,
-		      int64_t since)
+/* Whether a report was received at or after a given time. */
+bool dl_reports_received_since(const struct dl_reports *reports, uint64_t key,
+			       int64_t since)
 {
 	const struct report *report =
 		g_hash_table_lookup(reports->by_key, &key);
 
-	return report && report->heard >= since;
+	return report && report->last_received >= since;
 }
 
-/* They are due after a time that grows with the number of endpoints. */
-bool dl_reports_due(struct dl_reports *reports, uint64_t key, int64_t now)
+/* Whether a relay is due; the interval grows with the number of endpoints. */
+bool dl_reports_relay_due(struct dl_reports *reports, uint64_t key, int64_t now)
 {
 	struct report *report = g_hash_table_lookup(reports->by_key, &key);
 	int64_t every = (int64_t)dl_reports_count(reports) * KEY_BYTES *
-			MS_PER_S / KEYS_RATE;
+			MS_PER_S / KEY_BYTES_PER_S;
 
-	if (!report || now - report->told < MIN(every, UNTOLD_MAX_MS))
+	if (!report ||
+	    now - report->last_relayed < MIN(every, RELAY_DELAY_MAX_MS))
 		return false;
-	report->told = now;
+	report->last_relayed = now;
 	return true;
 }
 
-/* They were said again. */
-void dl_reports_again(struct dl_reports *reports, uint64_t key, int64_t now)
+/* Records that a report was received again. */
+void dl_reports_refresh(struct dl_reports *reports, uint64_t key, int64_t now)
 {
 	struct report *report = g_hash_table_lookup(reports->by_key, &key);
 
 	if (report)
-		report->heard = now;
+		report->last_received = now;
 }
 
-/* A start leaves. */
-void dl_reports_leave(struct dl_reports *reports, struct dl_str instance)
+/* Removes the report of an instance. */
+void dl_reports_remove(struct dl_reports *reports, struct dl_str instance)
 {
 	char *name = g_strndup(instance.s, instance.n);
 	struct report *report = g_hash_table_lookup(reports->by_instance, name);
 
 	if (report) {
-		unname(reports, report);
+		unindex_instance(reports, report);
 		g_hash_table_remove(reports->by_key, &report->key);
 	}
 	g_free(name);
 }
 
-/* Forget what has not been said since before a time. */
-void dl_reports_forget(struct dl_reports *reports, int64_t before)
+/* Removes reports that were last received before a given time. */
+void dl_reports_expire(struct dl_reports *reports, int64_t before)
 {
 	struct report *report;
 	GHashTableIter iter;
 
 	g_hash_table_iter_init(&iter, reports->by_key);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&report)) {
-		if (report->heard >= before)
+		if (report->last_received >= before)
 			continue;
-		unname(reports, report);
+		unindex_instance(reports, report);
 		g_hash_table_iter_remove(&iter);
 	}
 }
 
-/* How many there are. */
+/* Returns the number of cached reports. */
 uint32_t dl_reports_count(const struct dl_reports *reports)
 {
 	return g_hash_table_size(reports->by_key);
--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -117,12 +117,12 @@
 	const struct dl_directory_entry *d, *left;
 	uint64_t before = entry_endpoint_start(e, dl_name_str(&a->service),
 					       dl_name_str(&a->report.id));
-	enum dl_heard heard =
+	enum dl_directory_result heard =
 		dl_node_hear(e->directory, a, entry_now(e), &d, &left);
 
-	if (heard == DL_HEARD_OLD)
+	if (heard == DL_DIRECTORY_STALE)
 		return false;
-	if (heard == DL_HEARD_NEW)
+	if (heard == DL_DIRECTORY_NEW)
 		entry_quarantine_crashed(e, before);
 	if (left)
 		forget_earlier(e, left);
@@ -175,10 +175,10 @@
 	if (dl_report_read(words, &a))
 		return;
 	if (a.instance.n && a.report.leaving)
-		dl_reports_leave(e->reports, dl_name_str(&a.instance));
+		dl_reports_remove(e->reports, dl_name_str(&a.instance));
 	else if (a.instance.n)
-		dl_reports_hear(e->reports, dl_name_str(&a.instance), words,
-				entry_now(e), &key);
+		dl_reports_add(e->reports, dl_name_str(&a.instance), words,
+			       entry_now(e), &key);
 	take_passed(e, &a);
 }
 
@@ -248,7 +248,7 @@
 		struct dl_str words = dl_reports_find(e->reports, keys[i]);
 		struct dl_announcement a;
 
-		dl_reports_again(e->reports, keys[i], entry_now(e));
+		dl_reports_refresh(e->reports, keys[i], entry_now(e));
 		if (words.n && dl_report_read(words, &a) == 0)
 			take_passed(e, &a);
 		else
--- a/src/main/entry_call.c
+++ b/src/main/entry_call.c
@@ -331,7 +331,7 @@
 		return;
 	if (c->attempt)
 		a = dl_httpc_progress(c->attempt);
-	a.broke = DL_BROKE_CALLER;
+	a.failure = DL_FAILURE_CALLER_GONE;
 	entry_quarantine_attempt(c, &a, NULL);
 	outcome = dl_call_outcome(&a);
 	c->usage.ran = a.sent != DL_SENT_NOTHING;
@@ -385,7 +385,7 @@
 	}
 	if (c->attempt)
 		a = dl_httpc_progress(c->attempt);
-	a.broke = DL_BROKE_DEADLINE;
+	a.failure = DL_FAILURE_DEADLINE;
 	entry_quarantine_attempt(c, &a, NULL);
 	outcome = dl_call_outcome(&a);
 	c->usage.ran = a.sent != DL_SENT_NOTHING;
@@ -424,7 +424,7 @@
 	}
 	if (c->attempt)
 		a = dl_httpc_progress(c->attempt);
-	a.broke = DL_BROKE_RESET;
+	a.failure = DL_FAILURE_RESET;
 	dl_err_set(&err, -ECANCELED, DL_STEP_BODY, NULL,
 		   "this VM is shutting down");
 	outcome = dl_call_outcome(&a);
--- a/src/main/entry_quarantine.c
+++ b/src/main/entry_quarantine.c
@@ -41,8 +41,8 @@
 	int64_t now = entry_now(e);
 	struct dl_crash crash;
 
-	while (start &&
-	       dl_quarantine_crashed(e->quarantine.known, start, now, &crash))
+	while (start && dl_quarantine_next_crash(e->quarantine.known, start,
+						 now, &crash))
 		quarantine_note(&e->quarantine, &crash, now);
 }
 
@@ -104,12 +104,12 @@
 		entry_quarantine_crashed(e, c->endpoint_start);
 	if (!c->endpoint_start || !c->content_hash ||
 	    attempt->sent == DL_SENT_NOTHING ||
-	    attempt->broke == DL_BROKE_NOTHING ||
-	    attempt->broke == DL_BROKE_GARBLED)
+	    attempt->failure == DL_FAILURE_NONE ||
+	    attempt->failure == DL_FAILURE_BAD_RESPONSE)
 		return;
-	dl_quarantine_broke(e->quarantine.known, c->content_hash,
-			    c->endpoint_start, entry_now(e));
-	if (attempt->broke == DL_BROKE_RESET &&
+	dl_quarantine_attempt_interrupted(e->quarantine.known, c->content_hash,
+					  c->endpoint_start, entry_now(e));
+	if (attempt->failure == DL_FAILURE_RESET &&
 	    dl_vm_parse(dl_name_str(&c->grant.endpoint[0]), &address))
 		probe_soon(e, c->endpoint_start, address);
 }
@@ -120,9 +120,10 @@
 	const struct dl_quarantine *known = c->e->quarantine.known;
 	struct dl_crash harmless = { .request = c->content_hash };
 
-	if (!dl_quarantine_suspects(known, c->content_hash))
+	if (!dl_quarantine_is_suspect(known, c->content_hash))
 		return;
-	harmless.cleared = dl_quarantine_cleared(known, c->content_hash) + 1;
+	harmless.cleared =
+		dl_quarantine_clear_count(known, c->content_hash) + 1;
 	quarantine_note(&c->e->quarantine, &harmless, entry_now(c->e));
 }
 
@@ -132,8 +133,8 @@
  */
 bool entry_quarantine_refuses(struct call *c)
 {
-	uint32_t left = dl_quarantine_left_ms(c->e->quarantine.known,
-					      c->content_hash, entry_now(c->e));
+	uint32_t left = dl_quarantine_remaining_ms(
+		c->e->quarantine.known, c->content_hash, entry_now(c->e));
 
 	if (!left)
 		return false;
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -440,7 +440,7 @@
 
 	if (a.received != DL_RECV_NOTHING &&
 	    (c->route.head.wrong_request || c->route.head.event_too_long)) {
-		a.broke = DL_BROKE_GARBLED;
+		a.failure = DL_FAILURE_BAD_RESPONSE;
 		a.received = DL_RECV_HEAD;
 	} else if (c->route.head.not_run && a.received != DL_RECV_NOTHING) {
 		a.received = DL_RECV_NOT_RUN;
@@ -501,7 +501,7 @@
 /* Whether the endpoint, or a helper of its group, could not be reached. */
 static bool was_unreachable(const struct call *c, const struct dl_attempt *a)
 {
-	return a->broke == DL_BROKE_CONNECT || c->usage.at_fault.n;
+	return a->failure == DL_FAILURE_CONNECT || c->usage.at_fault.n;
 }
 
 /*
@@ -544,7 +544,8 @@
 	}
 	entry_quarantine_attempt(c, &a, err);
 	/* A resumed stream that gets an error is not complete. */
-	complete = a.received == DL_RECV_WHOLE && a.broke == DL_BROKE_NOTHING &&
+	complete = a.received == DL_RECV_COMPLETE &&
+		   a.failure == DL_FAILURE_NONE &&
 		   !(c->relayed && !c->route.head.is_event_stream);
 	call_fill_usage(c, &a, c->prompt_tokens, c->output_tokens,
 			c->status >= STATUS_ERROR || !complete);
@@ -559,7 +560,7 @@
 	       "status=%u retry_after_ms=%u leaving=%d outcome=%s events=%lu "
 	       "at_fault=%s step=%s why=\"%s\" content=%016lx",
 	       c->id_text, c->grant.endpoint[0].s, c->route.instance.s, a.sent,
-	       a.received, a.broke, c->status, c->route.head.retry_after_ms,
+	       a.received, a.failure, c->status, c->route.head.retry_after_ms,
 	       c->route.head.leaving, dl_outcome_name(outcome),
 	       (unsigned long)c->relayed, c->route.head.at_fault.s,
 	       dl_step_name(err->step), err->text,
--- a/src/main/entry_reservation.c
+++ b/src/main/entry_reservation.c
@@ -125,15 +125,15 @@
 	struct reservation *r = arg;
 
 	r->in_flight = NULL;
-	r->unreachable = attempt->broke == DL_BROKE_CONNECT;
-	if (attempt->broke != DL_BROKE_NOTHING && r->set->pending)
+	r->unreachable = attempt->failure == DL_FAILURE_CONNECT;
+	if (attempt->failure != DL_FAILURE_NONE && r->set->pending)
 		r->refused = true;
 	if (r->refused)
 		dl_msg(DL_MSG_TICKET_REFUSED,
 		       "request=%s endpoint=%s tokens=%lu status=%u broke=%d",
 		       r->set->c->id_text, r->address.s,
 		       (unsigned long)r->tokens, attempt->status,
-		       attempt->broke);
+		       attempt->failure);
 	if (r->set->pending)
 		on_all_answered(r->set);
 }
--- a/src/main/entry_route.c
+++ b/src/main/entry_route.c
@@ -141,9 +141,9 @@
 {
 	int64_t up = entry_now(e) - e->started_at;
 
-	if (e->lease.held_from || up >= GROUP_RETRY_MS - GROUP_RETRY_SOON_MS)
-		return e->lease.held_from ? GROUP_RETRY_MS :
-					    GROUP_RETRY_SOON_MS;
+	if (e->lease.valid_from || up >= GROUP_RETRY_MS - GROUP_RETRY_SOON_MS)
+		return e->lease.valid_from ? GROUP_RETRY_MS :
+					     GROUP_RETRY_SOON_MS;
 	return (uint32_t)(GROUP_RETRY_MS - up);
 }
 
@@ -276,7 +276,7 @@
 	}
 	fill_service(c, service);
 	fill_size(c, in, service);
-	dl_retry_budget_first(entry_call_retry_budget(c));
+	dl_retry_budget_deposit(entry_call_retry_budget(c));
 	if (e->node.stopping && !ends_before_stop(c, service)) {
 		entry_call_refuse(c, DL_REASON_DRAINING, DL_STEP_ADMIT,
 				  e->node.self, RETRY_OTHER_VM_MS);
--- a/test/test_call.c
+++ b/test/test_call.c
@@ -1,4 +1,6 @@
-/* Outcomes cell by cell, what follows them, and the small parts of calls. */
+/*
+ * Tests of attempt outcomes, the retry decision, and the other parts of calls.
+ */
 #include <check.h>
 #include <errno.h>
 #include <stdlib.h>
@@ -9,21 +11,21 @@
 
 #define N 0 /* not run */
 #define U 1 /* unknown */
-#define W 2 /* a whole answer: by its status */
-#define H 3 /* a part: failed at an error status, else unknown */
+#define C 2 /* complete response: by its status */
+#define P 3 /* partial response: failed for an error status, else unknown */
 
 /* clang-format off */
-/* nothing, connect, reset, silent, deadline, caller, garbled */
-static const int expected[DL_SENT_COUNT][DL_RECV_COUNT][DL_BROKE_COUNT] = {
+/* none, connect, reset, idle timeout, deadline, caller gone, bad response */
+static const int expected[DL_SENT_COUNT][DL_RECV_COUNT][DL_FAILURE_COUNT] = {
 	/* nothing sent */
 	{ { N, N, N, N, N, N, N }, { N, N, N, N, N, N, N },
 	  { N, N, N, N, N, N, N }, { N, N, N, N, N, N, N } },
-	/* a part sent: nothing, head, whole, not run received */
-	{ { U, U, U, U, U, U, U }, { U, U, H, H, H, H, U },
-	  { W, U, W, W, W, W, U }, { N, U, N, N, N, N, U } },
+	/* part sent; rows: received nothing, head, complete, not run */
+	{ { U, U, U, U, U, U, U }, { U, U, P, P, P, P, U },
+	  { C, U, C, C, C, C, U }, { N, U, N, N, N, N, U } },
 	/* all sent */
-	{ { U, U, U, U, U, U, U }, { U, U, H, H, H, H, U },
-	  { W, U, W, W, W, W, U }, { N, U, N, N, N, N, U } },
+	{ { U, U, U, U, U, U, U }, { U, U, P, P, P, P, U },
+	  { C, U, C, C, C, C, U }, { N, U, N, N, N, N, U } },
 };
 /* clang-format on */
 
@@ -48,39 +50,41 @@
 static enum dl_outcome expect(const struct dl_attempt *a,
 			      const struct status_case *c)
 {
-	switch (expected[a->sent][a->received][a->broke]) {
+	switch (expected[a->sent][a->received][a->failure]) {
 	case N:
 		return DL_OUTCOME_NOT_RUN;
-	case W:
+	case C:
 		return c->whole;
-	case H:
+	case P:
 		return c->head;
 	default:
 		return DL_OUTCOME_UNKNOWN;
 	}
 }
 
-/* Every cell, with every status. */
-START_TEST(outcome_of_each_cell)
+/* Checks every cell of the table with every status. */
+START_TEST(outcome_table)
 {
 	const struct status_case *c = &statuses[_i];
 	struct dl_attempt a = { .status = c->status };
 
 	for (a.sent = 0; a.sent < DL_SENT_COUNT; a.sent++) {
 		for (a.received = 0; a.received < DL_RECV_COUNT; a.received++) {
-			for (a.broke = 0; a.broke < DL_BROKE_COUNT; a.broke++)
-				ck_assert_msg(
-					dl_call_outcome(&a) == expect(&a, c),
-					"sent %d received %d broke %d "
-					"status %d",
-					a.sent, a.received, a.broke, a.status);
+			for (a.failure = 0; a.failure < DL_FAILURE_COUNT;
+			     a.failure++)
+				ck_assert_msg(dl_call_outcome(&a) ==
+						      expect(&a, c),
+					      "sent %d received %d broke %d "
+					      "status %d",
+					      a.sent, a.received, a.failure,
+					      a.status);
 		}
 	}
 }
 END_TEST
 
-/* Whatever broke: a request that may run once is sent again only if not run. */
-START_TEST(once_only_never_twice)
+/* Whatever the failure, a non-idempotent request is retried only if not run. */
+START_TEST(non_idempotent_retried_only_if_not_run)
 {
 	struct dl_call_state s = { .resumable = true,
 				   .attempts = 1,
@@ -90,7 +94,8 @@
 
 	for (a.sent = 0; a.sent < DL_SENT_COUNT; a.sent++) {
 		for (a.received = 0; a.received < DL_RECV_COUNT; a.received++) {
-			for (a.broke = 0; a.broke < DL_BROKE_COUNT; a.broke++) {
+			for (a.failure = 0; a.failure < DL_FAILURE_COUNT;
+			     a.failure++) {
 				struct dl_retry_budget b;
 
 				dl_retry_budget_init(&b, 100, 10);
@@ -114,10 +119,10 @@
 	enum dl_next next;
 };
 
-#define AGAIN .idempotent = true, .attempts = 1, .deadline = 1000
-#define LOST                                                                   \
+#define RETRYABLE .idempotent = true, .attempts = 1, .deadline = 1000
+#define NO_RESPONSE                                                            \
 	{                                                                      \
-		DL_SENT_ALL, DL_RECV_NOTHING, DL_BROKE_RESET, 0                \
+		DL_SENT_ALL, DL_RECV_NOTHING, DL_FAILURE_RESET, 0              \
 	}
 #define STREAM(broke)                                                          \
 	{                                                                      \
@@ -125,57 +130,66 @@
 	}
 
 static const struct next_case nexts[] = {
-	{ "begin again", { AGAIN }, LOST, DL_NEXT_RETRY },
-	{ "too many",
+	{ "retry", { RETRYABLE }, NO_RESPONSE, DL_NEXT_RETRY },
+	{ "attempts used up",
 	  { .idempotent = true, .attempts = 3, .deadline = 1000 },
-	  LOST,
+	  NO_RESPONSE,
 	  DL_NEXT_ANSWER },
-	{ "no time", { AGAIN, .expected_ms = 1001 }, LOST, DL_NEXT_ANSWER },
-	{ "bytes are out",
-	  { AGAIN, .bytes_to_caller = 1 },
-	  LOST,
+	{ "no time for another attempt",
+	  { RETRYABLE, .expected_ms = 1001 },
+	  NO_RESPONSE,
 	  DL_NEXT_ANSWER },
-	{ "not run, bytes are out",
-	  { AGAIN, .bytes_to_caller = 1 },
-	  { DL_SENT_NOTHING, DL_RECV_NOTHING, DL_BROKE_CONNECT, 0 },
+	{ "bytes already forwarded",
+	  { RETRYABLE, .bytes_to_caller = 1 },
+	  NO_RESPONSE,
+	  DL_NEXT_ANSWER },
+	{ "not run, bytes already forwarded",
+	  { RETRYABLE, .bytes_to_caller = 1 },
+	  { DL_SENT_NOTHING, DL_RECV_NOTHING, DL_FAILURE_CONNECT, 0 },
 	  DL_NEXT_ANSWER },
 	{ "resume",
-	  { AGAIN, .resumable = true, .bytes_to_caller = 9 },
-	  STREAM(DL_BROKE_SILENT),
+	  { RETRYABLE, .resumable = true, .bytes_to_caller = 9 },
+	  STREAM(DL_FAILURE_IDLE_TIMEOUT),
 	  DL_NEXT_RESUME },
-	{ "cannot resume", { AGAIN }, STREAM(DL_BROKE_RESET), DL_NEXT_RETRY },
-	{ "caller left",
-	  { AGAIN, .resumable = true },
-	  STREAM(DL_BROKE_CALLER),
+	{ "cannot resume",
+	  { RETRYABLE },
+	  STREAM(DL_FAILURE_RESET),
+	  DL_NEXT_RETRY },
+	{ "caller disconnected",
+	  { RETRYABLE, .resumable = true },
+	  STREAM(DL_FAILURE_CALLER_GONE),
+	  DL_NEXT_ANSWER },
+	{ "deadline passed",
+	  { RETRYABLE },
+	  STREAM(DL_FAILURE_DEADLINE),
 	  DL_NEXT_ANSWER },
-	{ "late", { AGAIN }, STREAM(DL_BROKE_DEADLINE), DL_NEXT_ANSWER },
-	{ "unavailable",
-	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 503 },
+	{ "503",
+	  { RETRYABLE },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 503 },
 	  DL_NEXT_RETRY },
-	{ "its own error, another may not have it",
-	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 500 },
+	{ "500, another endpoint may succeed",
+	  { RETRYABLE },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_RETRY },
-	{ "its own error, twice",
+	{ "500, attempts used up",
 	  { .idempotent = true, .attempts = 3, .deadline = 1000 },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 500 },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_ANSWER },
-	{ "its own error, may run once only",
+	{ "500, not idempotent",
 	  { .attempts = 1, .deadline = 1000 },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 500 },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 500 },
 	  DL_NEXT_ANSWER },
-	{ "a method that it does not know",
-	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 501 },
+	{ "501, the same everywhere",
+	  { RETRYABLE },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 501 },
 	  DL_NEXT_ANSWER },
-	{ "a version that it does not know",
-	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 505 },
+	{ "505, the same everywhere",
+	  { RETRYABLE },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 505 },
 	  DL_NEXT_ANSWER },
 	{ "done",
-	  { AGAIN },
-	  { DL_SENT_ALL, DL_RECV_WHOLE, DL_BROKE_NOTHING, 200 },
+	  { RETRYABLE },
+	  { DL_SENT_ALL, DL_RECV_COMPLETE, DL_FAILURE_NONE, 200 },
 	  DL_NEXT_ANSWER },
 };
 
@@ -187,18 +201,21 @@
 	dl_retry_budget_init(&b, 100, 1);
 	ck_assert_msg(dl_call_next(&c->state, &c->attempt, &b, 0) == c->next,
 		      "%s", c->what);
-	/* The one retry saved up is gone, or was not touched. */
-	ck_assert_int_eq(dl_retry_budget_take(&b), c->next == DL_NEXT_ANSWER);
+	/*
+	 * The single saved retry is used up by a retry and untouched otherwise.
+	 */
+	ck_assert_int_eq(dl_retry_budget_withdraw(&b),
+			 c->next == DL_NEXT_ANSWER);
 	ck_assert_int_eq(dl_call_next(&c->state, &c->attempt, &b, 0),
 			 DL_NEXT_ANSWER);
 }
 END_TEST
 
-/* One endpoint that refuses connections must not use up the budget. */
-START_TEST(refused_connects_cost_no_budget)
+/* One endpoint that refuses connections must not use up the retry budget. */
+START_TEST(refused_connects_leave_budget_unchanged)
 {
 	const struct dl_attempt refused = { DL_SENT_NOTHING, DL_RECV_NOTHING,
-					    DL_BROKE_CONNECT, 0 };
+					    DL_FAILURE_CONNECT, 0 };
 	struct dl_call_state state = { .attempts = 1, .deadline = 1000 };
 	struct dl_retry_budget b;
 
@@ -206,22 +223,22 @@
 	for (int i = 0; i < 100; i++)
 		ck_assert_int_eq(dl_call_next(&state, &refused, &b, 0),
 				 DL_NEXT_RETRY);
-	ck_assert(dl_retry_budget_take(&b));
+	ck_assert(dl_retry_budget_withdraw(&b));
 	ck_assert_int_eq(dl_call_next(&state, &refused, &b, 0), DL_NEXT_RETRY);
 	state.attempts = 3;
 	ck_assert_int_eq(dl_call_next(&state, &refused, &b, 0), DL_NEXT_ANSWER);
 }
 END_TEST
 
-START_TEST(budget_is_a_share)
+START_TEST(retry_budget_is_proportional)
 {
 	struct dl_retry_budget b;
 	int taken = 0;
 
 	dl_retry_budget_init(&b, 100, 5);
 	for (int i = 0; i < 1000; i++) {
-		dl_retry_budget_first(&b);
-		taken += dl_retry_budget_take(&b);
+		dl_retry_budget_deposit(&b);
+		taken += dl_retry_budget_withdraw(&b);
 	}
 	ck_assert_int_eq(taken, 104);
 }
@@ -242,7 +259,7 @@
 }
 END_TEST
 
-START_TEST(hops_lose_the_margin)
+START_TEST(hop_time_excludes_margin)
 {
 	ck_assert_uint_eq(dl_hop_remaining_ms(1000, 50, 200), 750);
 	ck_assert_uint_eq(dl_hop_remaining_ms(1000, 50, 950), 0);
@@ -252,15 +269,15 @@
 }
 END_TEST
 
-START_TEST(connections_are_not_trusted_for_long)
+START_TEST(connection_reuse_is_limited)
 {
-	const struct dl_conn_bounds b = { 1000, 100, 3 };
-	struct dl_conn_age c = { .opened = 0, .heard = 0, .requests = 1 };
+	const struct dl_conn_limits b = { 1000, 100, 3 };
+	struct dl_conn_usage c = { .opened = 0, .last_read = 0, .requests = 1 };
 
 	ck_assert(dl_conn_usable(&b, &c, true, 99));
 	ck_assert(!dl_conn_usable(&b, &c, true, 100));
 	ck_assert(!dl_conn_usable(&b, &c, false, 1));
-	c.heard = 950;
+	c.last_read = 950;
 	ck_assert(dl_conn_usable(&b, &c, true, 999));
 	ck_assert(!dl_conn_usable(&b, &c, true, 1000));
 	c.requests = 3;
@@ -270,22 +287,22 @@
 }
 END_TEST
 
-START_TEST(silence_is_found_and_a_pause_is_not_silence)
+START_TEST(idle_timer_ignores_one_process_pause)
 {
-	struct dl_silence s;
-
-	dl_silence_begin(&s, 1000, 100, 0);
-	ck_assert_int_eq(dl_silence_wakeup(&s), 1000);
-	ck_assert(!dl_silence_check(&s, 999));
-	ck_assert(dl_silence_check(&s, 1000));
-	dl_silence_heard(&s, 1000);
-	ck_assert(!dl_silence_check(&s, 1099));
-	ck_assert(dl_silence_check(&s, 1100));
-	/* Nobody looked for minutes: it was this process that paused. */
-	ck_assert(!dl_silence_check(&s, 200000));
-	ck_assert(dl_silence_check(&s, 200100));
-	/* A caller that always looks late sees it all the same. */
-	ck_assert(dl_silence_check(&s, 300000));
+	struct dl_idle_timer s;
+
+	dl_idle_timer_start(&s, 1000, 100, 0);
+	ck_assert_int_eq(dl_idle_timer_expiry(&s), 1000);
+	ck_assert(!dl_idle_timer_expired(&s, 999));
+	ck_assert(dl_idle_timer_expired(&s, 1000));
+	dl_idle_timer_data_received(&s, 1000);
+	ck_assert(!dl_idle_timer_expired(&s, 1099));
+	ck_assert(dl_idle_timer_expired(&s, 1100));
+	/* No check for minutes: this process was paused. */
+	ck_assert(!dl_idle_timer_expired(&s, 200000));
+	ck_assert(dl_idle_timer_expired(&s, 200100));
+	/* A caller that always checks late must still see the timeout. */
+	ck_assert(dl_idle_timer_expired(&s, 300000));
 }
 END_TEST
 
@@ -317,16 +334,17 @@
 	TCase *t = tcase_create("call");
 
 	suite_add_tcase(s, t);
-	tcase_add_loop_test(t, outcome_of_each_cell, 0, STATUSES);
-	tcase_add_loop_test(t, once_only_never_twice, 0, STATUSES);
+	tcase_add_loop_test(t, outcome_table, 0, STATUSES);
+	tcase_add_loop_test(t, non_idempotent_retried_only_if_not_run, 0,
+			    STATUSES);
 	tcase_add_loop_test(t, next_of_each_case, 0,
 			    sizeof(nexts) / sizeof(nexts[0]));
-	tcase_add_test(t, refused_connects_cost_no_budget);
-	tcase_add_test(t, budget_is_a_share);
+	tcase_add_test(t, refused_connects_leave_budget_unchanged);
+	tcase_add_test(t, retry_budget_is_proportional);
 	tcase_add_test(t, stream_by_offset);
-	tcase_add_test(t, hops_lose_the_margin);
-	tcase_add_test(t, connections_are_not_trusted_for_long);
-	tcase_add_test(t, silence_is_found_and_a_pause_is_not_silence);
+	tcase_add_test(t, hop_time_excludes_margin);
+	tcase_add_test(t, connection_reuse_is_limited);
+	tcase_add_test(t, idle_timer_ignores_one_process_pause);
 	tcase_add_test(t, claim_keys_are_unambiguous);
 	return suite_run(s);
 }
--- a/test/test_memb.c
+++ b/test/test_memb.c
@@ -1,4 +1,7 @@
-/* Membership over the fake link: one fault at a time, each with its bound. */
+/*
+ * Tests of membership over the fake link: one fault at a time, each with a time
+ * limit.
+ */
 #include <check.h>
 #include <errno.h>
 #include <stdlib.h>
@@ -10,21 +13,21 @@
 #define SMALL	 7
 #define DOMAINS	 3
 #define START_MS 3000
-/* Two datagrams of a few milliseconds, and what a loaded loop adds. */
-#define AT_ONCE_MS    60
-#define DEAD_MS	      6000 /* probe, its failure, suspicion, a digest */
-#define CUT_MS	      9000 /* a whole domain at this size */
-#define HEAL_MS	      15000
-#define ALONE_MS      24000
-#define LONG_MS	      60000
-#define TARGET	      370
-#define TARGET_SLOW   60 /* under a sanitizer */
-#define BUDGET	      12000
-#define BUDGET_MS     20000
-#define ENVELOPE      46 /* of our frames, UDP and IP */
-#define FLOOD	      12000
-#define MEMBERS_MAX   4096
-#define LONG_PAUSE_MS 300000
+/* Two datagrams of a few ms each, and the delay of a loaded event loop. */
+#define DRAIN_MS	   60
+#define DEAD_MS		   6000 /* probe, its failure, suspicion, a digest */
+#define DOMAIN_LOSS_MS	   9000 /* a whole domain at this size */
+#define HEAL_MS		   15000
+#define ISOLATION_MS	   24000
+#define LONG_MS		   60000
+#define TARGET_VMS	   370
+#define TARGET_VMS_SLOW	   60 /* under a sanitizer */
+#define BUDGET_BYTES_PER_S 12000
+#define BUDGET_MS	   20000
+#define HEADER_BYTES	   46 /* framing, UDP and IP headers */
+#define FLOOD_VMS	   12000
+#define MEMBERS_MAX	   4096
+#define LONG_PAUSE_MS	   300000
 
 static struct memb_net *started(uint32_t vms, uint32_t domains, uint32_t seed)
 {
@@ -34,24 +37,24 @@
 	memb_net_defaults(&conf, vms, domains, seed);
 	net = memb_net_new(&conf);
 	memb_net_start_all(net);
-	ck_assert_int_ge(memb_net_settle(net, START_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, START_MS), 0);
 	memb_net_run(net, START_MS);
 	return net;
 }
 
-START_TEST(a_dead_vm_is_out_and_back_at_once)
+START_TEST(dead_vm_is_removed_and_readmitted)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, (uint32_t)_i + 1);
 
 	memb_net_kill(net, 1);
-	ck_assert_int_ge(memb_net_settle(net, DEAD_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, DEAD_MS), 0);
 	memb_net_start(net, 1);
-	ck_assert_int_ge(memb_net_settle(net, START_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, START_MS), 0);
 	memb_net_free(net);
 }
 END_TEST
 
-START_TEST(a_restart_replaces_its_old_self)
+START_TEST(restart_raises_incarnation)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, (uint32_t)_i + 1);
 	const struct dl_member *m;
@@ -68,7 +71,7 @@
 }
 END_TEST
 
-START_TEST(a_planned_stop_raises_no_suspicion)
+START_TEST(planned_stop_is_not_suspected)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, 5);
 
@@ -87,24 +90,24 @@
 }
 END_TEST
 
-START_TEST(a_cut_off_domain_is_out_and_back)
+START_TEST(unreachable_domain_is_removed_and_readmitted)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, (uint32_t)_i + 1);
 
 	for (uint32_t i = 0; i < SMALL; i += DOMAINS)
-		net->vms[i].side = 1;
-	ck_assert_int_ge(memb_net_settle(net, CUT_MS), 0);
+		net->vms[i].partition = 1;
+	ck_assert_int_ge(memb_net_converge(net, DOMAIN_LOSS_MS), 0);
 	memb_net_run(net, LONG_PAUSE_MS);
-	ck_assert(memb_net_agree(net));
+	ck_assert(memb_net_converged(net));
 	for (uint32_t i = 0; i < SMALL; i++)
-		net->vms[i].side = 0;
-	ck_assert_int_ge(memb_net_settle(net, HEAL_MS), 0);
+		net->vms[i].partition = 0;
+	ck_assert_int_ge(memb_net_converge(net, HEAL_MS), 0);
 	memb_net_free(net);
 }
 END_TEST
 
-/* Deaths that a VM, cut off alone, believes must not reach the others. */
-static void nobody_buries(struct memb_net *net, uint32_t vm)
+/* Deaths reported by a VM that was isolated must not reach the others. */
+static void check_others_stay_live(struct memb_net *net, uint32_t vm)
 {
 	for (uint32_t i = 1; i < net->conf.vms; i++) {
 		if (vm != 0)
@@ -112,24 +115,24 @@
 	}
 }
 
-START_TEST(back_from_alone_without_harm)
+START_TEST(isolated_vm_rejoins_without_false_deaths)
 {
 	uint32_t vms = 24;
 	struct memb_net *net = started(vms, 2, (uint32_t)_i + 1);
 
-	net->vms[0].side = 1;
-	ck_assert_int_ge(memb_net_settle(net, ALONE_MS), 0);
+	net->vms[0].partition = 1;
+	ck_assert_int_ge(memb_net_converge(net, ISOLATION_MS), 0);
 	memb_net_run(net, LONG_MS);
-	net->vms[0].side = 0;
-	net->check = nobody_buries;
-	ck_assert_int_ge(memb_net_settle(net, HEAL_MS), 0);
+	net->vms[0].partition = 0;
+	net->check = check_others_stay_live;
+	ck_assert_int_ge(memb_net_converge(net, HEAL_MS), 0);
 	memb_net_run(net, HEAL_MS);
-	ck_assert(memb_net_agree(net));
+	ck_assert(memb_net_converged(net));
 	memb_net_free(net);
 }
 END_TEST
 
-START_TEST(a_pause_is_noticed_first)
+START_TEST(paused_vm_does_not_own_until_refreshed)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, (uint32_t)_i + 1);
 	struct dl_name domain = memb_net_domain(0);
@@ -144,59 +147,65 @@
 	memb_net_run(net, LONG_PAUSE_MS - 1);
 	ck_assert(dl_memb_owner(net->vms[3].memb, dl_name_str(&domain), key) !=
 		  net->vms[0].vm);
-	/* Its first look at the clock: it still owns by what it knew. */
-	dl_memb_out(memb, net->now + 1, &to, buf, &n);
+	/*
+	 * Its first clock reading after the pause: by its old state it is the
+	 * owner.
+	 */
+	dl_memb_next_datagram(memb, net->now + 1, &to, buf, &n);
 	ck_assert(dl_memb_owner(memb, dl_name_str(&domain), key) == DL_VM_NONE);
 	memb_net_run(net, 10);
-	ck_assert_int_ge(memb_net_settle(net, HEAL_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, HEAL_MS), 0);
 	ck_assert(dl_memb_owner(memb, dl_name_str(&domain), key) ==
 		  net->vms[0].vm);
 	memb_net_free(net);
 }
 END_TEST
 
-START_TEST(a_one_way_cut_is_a_cut)
+START_TEST(one_way_partition_is_detected)
 {
 	struct memb_net *net = started(SMALL, 1, (uint32_t)_i + 1);
 
 	fake_link_cut(net->link, net->vms[1].vm, DL_VM_NONE);
-	memb_net_run(net, ALONE_MS);
+	memb_net_run(net, ISOLATION_MS);
 	for (uint32_t i = 0; i < SMALL; i++) {
 		if (i != 1)
 			ck_assert(!memb_net_sees(net, i, 1));
 	}
 	fake_link_heal(net->link);
-	ck_assert_int_ge(memb_net_settle(net, HEAL_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, HEAL_MS), 0);
 	memb_net_free(net);
 }
 END_TEST
 
-static void suspects_nobody(struct memb_net *net, uint32_t vm)
+static void check_no_suspicion(struct memb_net *net, uint32_t vm)
 {
 	const struct dl_member *m;
 
 	for (uint32_t i = 0; (m = dl_memb_at(net->vms[vm].memb, i)); i++) {
 		if (m->state != DL_ALIVE)
-			ck_abort_msg("VM %u suspects another", vm);
+			ck_abort_msg("VM %u does not show all others alive",
+				     vm);
 	}
 }
 
-/* One link broken both ways, all others whole: the indirect probes save it. */
-START_TEST(one_broken_link_is_no_suspicion)
+/*
+ * One link fails in both directions; indirect probes must prevent a suspicion.
+ */
+START_TEST(single_link_failure_is_not_suspected)
 {
 	struct memb_net *net = started(SMALL, 1, (uint32_t)_i + 1);
 
-	net->check = suspects_nobody;
+	net->check = check_no_suspicion;
 	fake_link_cut(net->link, net->vms[0].vm, net->vms[1].vm);
 	fake_link_cut(net->link, net->vms[1].vm, net->vms[0].vm);
 	memb_net_run(net, LONG_MS);
-	ck_assert(memb_net_agree(net));
+	ck_assert(memb_net_converged(net));
 	memb_net_free(net);
 }
 END_TEST
 
-/* The one address that all have is gone; the dead must be asked again. */
-START_TEST(a_split_heals_without_seeds)
+/* The only seed address is gone, so dead members must be probed again. */
+START_TEST(partition_heals_without_seeds)
 {
 	struct memb_net_conf conf;
 	struct memb_net *net;
@@ -207,18 +216,18 @@
 	memb_net_start_all(net);
 	memb_net_run(net, START_MS);
 	memb_net_kill(net, 0);
-	net->vms[1].side = 1;
-	net->vms[2].side = 1;
-	ck_assert_int_ge(memb_net_settle(net, ALONE_MS), 0);
-	net->vms[1].side = 0;
-	net->vms[2].side = 0;
-	ck_assert_int_ge(memb_net_settle(net, HEAL_MS), 0);
+	net->vms[1].partition = 1;
+	net->vms[2].partition = 1;
+	ck_assert_int_ge(memb_net_converge(net, ISOLATION_MS), 0);
+	net->vms[1].partition = 0;
+	net->vms[2].partition = 0;
+	ck_assert_int_ge(memb_net_converge(net, HEAL_MS), 0);
 	memb_net_free(net);
 }
 END_TEST
 
-/* Kill those of a domain that speak for it: the ones of the lowest hash. */
-static void kill_speakers(struct memb_net *net, uint32_t domain)
+/* Kills the gateways of a domain: its live VMs with the lowest hashes. */
+static void kill_gateways(struct memb_net *net, uint32_t domain)
 {
 	for (int round = 0; round < 3; round++) {
 		uint64_t best = UINT64_MAX;
@@ -238,8 +247,8 @@
 	}
 }
 
-/* All that speak between two domains die at once, and the seed with them. */
-START_TEST(domains_find_each_other_again)
+/* All gateways of two domains die at once, and so does the seed. */
+START_TEST(domains_reconnect_after_gateway_loss)
 {
 	struct memb_net_conf conf;
 	struct memb_net *net;
@@ -249,38 +258,40 @@
 	net = memb_net_new(&conf);
 	memb_net_start_all(net);
 	memb_net_run(net, LONG_MS);
-	kill_speakers(net, 0);
-	kill_speakers(net, 1);
+	kill_gateways(net, 0);
+	kill_gateways(net, 1);
 	memb_net_kill(net, 0);
-	ck_assert_int_ge(memb_net_settle(net, LONG_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, LONG_MS), 0);
 	memb_net_run(net, LONG_MS);
-	ck_assert(memb_net_agree(net));
+	ck_assert(memb_net_converged(net));
 	memb_net_free(net);
 }
 END_TEST
 
-START_TEST(versions_and_draining_spread)
+START_TEST(versions_and_draining_propagate)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, 9);
 	struct dl_name domain = memb_net_domain(0);
 	uint64_t vm;
 
-	dl_memb_self(net->vms[4].memb, false, 17, net->now);
+	dl_memb_update_self(net->vms[4].memb, false, 17, net->now);
 	for (uint32_t i = 0; i < SMALL; i += DOMAINS)
-		dl_memb_self(net->vms[i].memb, true, 3, net->now);
+		dl_memb_update_self(net->vms[i].memb, true, 3, net->now);
 	memb_net_run(net, START_MS);
 	for (uint32_t i = 0; i < SMALL; i++) {
-		ck_assert_uint_eq(dl_memb_newest(net->vms[i].memb, &vm), 17);
+		ck_assert_uint_eq(dl_memb_newest_config(net->vms[i].memb, &vm),
+				  17);
 		ck_assert_uint_eq(vm, net->vms[4].vm);
 		ck_assert_uint_eq(dl_memb_owner(net->vms[i].memb,
 						dl_name_str(&domain), 1),
 				  DL_VM_NONE);
 	}
-	dl_memb_self(net->vms[4].memb, false, 16, net->now);
-	dl_memb_self(net->vms[3].memb, false, 3, net->now);
+	dl_memb_update_self(net->vms[4].memb, false, 16, net->now);
+	dl_memb_update_self(net->vms[3].memb, false, 3, net->now);
 	memb_net_run(net, START_MS);
 	for (uint32_t i = 0; i < SMALL; i++) {
-		ck_assert_uint_eq(dl_memb_newest(net->vms[i].memb, NULL), 17);
+		ck_assert_uint_eq(dl_memb_newest_config(net->vms[i].memb, NULL),
+				  17);
 		ck_assert_uint_eq(dl_memb_owner(net->vms[i].memb,
 						dl_name_str(&domain), 1),
 				  net->vms[3].vm);
@@ -289,9 +300,11 @@
 }
 END_TEST
 
-/* Whoever asks a VM that stops waits in vain: it is told at once, not probed.
+/*
+ * Requests to a stopping VM wait in vain, so draining must be sent at once
+ * rather than with the next probes.
  */
-START_TEST(draining_is_known_at_once)
+START_TEST(draining_is_sent_immediately)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, 9);
 	struct dl_name domain = memb_net_domain(0);
@@ -301,8 +314,8 @@
 
 	while (net->vms[at].vm != owner)
 		at++;
-	dl_memb_self(net->vms[at].memb, true, 3, net->now);
-	memb_net_run(net, AT_ONCE_MS);
+	dl_memb_update_self(net->vms[at].memb, true, 3, net->now);
+	memb_net_run(net, DRAIN_MS);
 	for (uint32_t i = 0; i < SMALL; i++)
 		ck_assert_uint_ne(dl_memb_owner(net->vms[i].memb,
 						dl_name_str(&domain), 1),
@@ -312,10 +325,10 @@
 END_TEST
 
 /*
- * A VM that does not answer some others owns nothing in their eyes; they name
- * the same successor, and the others still name it.
+ * A VM that does not answer some others owns nothing from their point of view.
+ * They agree on its successor, and the other VMs still see it as the owner.
  */
-START_TEST(unreachable_ones_own_nothing)
+START_TEST(unreachable_vm_owns_nothing)
 {
 	struct memb_net *net = started(SMALL, DOMAINS, 5);
 	struct dl_name name = memb_net_domain(0);
@@ -327,23 +340,23 @@
 	do {
 		owner = dl_memb_owner(one, domain, ++key);
 	} while (owner == net->vms[0].vm || owner == net->vms[DOMAINS].vm);
-	dl_memb_unreachable(one, owner, true);
-	dl_memb_unreachable(other, owner, true);
+	dl_memb_set_unreachable(one, owner, true);
+	dl_memb_set_unreachable(other, owner, true);
 	next = dl_memb_owner(one, domain, key);
 	ck_assert_uint_ne(next, owner);
 	ck_assert_uint_eq(dl_memb_owner(other, domain, key), next);
 	ck_assert_uint_eq(dl_memb_owner(third, domain, key), owner);
-	dl_memb_unreachable(one, owner, false);
+	dl_memb_set_unreachable(one, owner, false);
 	ck_assert_uint_eq(dl_memb_owner(one, domain, key), owner);
-	/* With all others out of reach a VM owns everything itself. */
+	/* If all other VMs are unreachable, a VM owns everything itself. */
 	for (uint32_t i = 0; i < SMALL; i++)
-		dl_memb_unreachable(one, net->vms[i].vm, true);
+		dl_memb_set_unreachable(one, net->vms[i].vm, true);
 	ck_assert_uint_eq(dl_memb_owner(one, domain, key), net->vms[0].vm);
 	memb_net_free(net);
 }
 END_TEST
 
-START_TEST(nonsense_is_refused)
+START_TEST(malformed_datagrams_are_rejected)
 {
 	struct memb_net *net = started(2, 1, 3);
 	struct dl_memb *memb = net->vms[0].memb;
@@ -351,33 +364,33 @@
 	uint64_t to;
 	size_t n = 0;
 
-	while (!dl_memb_out(net->vms[1].memb, net->now, &to, buf, &n))
+	while (!dl_memb_next_datagram(net->vms[1].memb, net->now, &to, buf, &n))
 		net->now += 100;
 	for (size_t i = 0; i < n; i++) {
-		ck_assert_int_eq(dl_memb_in(memb, net->vms[1].vm,
-					    (struct dl_str){ buf, i },
-					    net->now),
+		ck_assert_int_eq(dl_memb_receive(memb, net->vms[1].vm,
+						 (struct dl_str){ buf, i },
+						 net->now),
 				 -EBADMSG);
 		for (int bit = 0; bit < 8; bit++) {
 			memcpy(bad, buf, n);
 			bad[i] = (char)(bad[i] ^ 1 << bit);
-			dl_memb_in(memb, net->vms[1].vm,
-				   (struct dl_str){ bad, n }, net->now);
+			dl_memb_receive(memb, net->vms[1].vm,
+					(struct dl_str){ bad, n }, net->now);
 		}
 	}
-	ck_assert_int_eq(dl_memb_in(memb, net->vms[0].vm,
-				    (struct dl_str){ buf, n }, net->now),
+	ck_assert_int_eq(dl_memb_receive(memb, net->vms[0].vm,
+					 (struct dl_str){ buf, n }, net->now),
 			 -EBADMSG);
 	memset(bad, 0, sizeof(bad));
-	ck_assert_int_eq(dl_memb_in(memb, net->vms[1].vm,
-				    (struct dl_str){ bad, sizeof(bad) },
-				    net->now),
+	ck_assert_int_eq(dl_memb_receive(memb, net->vms[1].vm,
+					 (struct dl_str){ bad, sizeof(bad) },
+					 net->now),
 			 -EBADMSG);
 	memb_net_free(net);
 }
 END_TEST
 
-START_TEST(the_gone_are_forgotten)
+START_TEST(dead_members_expire)
 {
 	struct memb_net *net = started(3, 1, 4);
 	int64_t day = INT64_C(24) * 60 * 60 * 1000;
@@ -394,37 +407,38 @@
 END_TEST
 
 /*
- * The users' budget for control, 12,000 bytes a second and 64 MB a node, for
- * membership alone at the size they aim for; the busiest VM counts.
+ * Users allow 12,000 bytes a second and 64 MB per node for the control plane.
+ * Membership alone must stay within the bytes at the target size, on the
+ * busiest VM.
  */
-START_TEST(within_the_budget_at_the_target)
+START_TEST(traffic_within_budget)
 {
 	bool slow = getenv("DL_SANITIZED") != NULL;
 	struct memb_net_conf conf;
 	struct memb_net *net;
 
-	memb_net_defaults(&conf, slow ? TARGET_SLOW : TARGET, 5, 1);
+	memb_net_defaults(&conf, slow ? TARGET_VMS_SLOW : TARGET_VMS, 5, 1);
 	net = memb_net_new(&conf);
 	memb_net_start_all(net);
-	ck_assert_int_ge(memb_net_settle(net, LONG_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, LONG_MS), 0);
 	memb_net_run(net, LONG_MS);
 	memb_net_clear_counts(net);
 	memb_net_run(net, BUDGET_MS);
 	for (uint32_t i = 0; i < conf.vms; i++) {
 		const struct memb_net_vm *v = &net->vms[i];
 		uint64_t bytes = v->bytes_in + v->bytes_out +
-				 (v->msgs_in + v->msgs_out) * ENVELOPE;
+				 (v->msgs_in + v->msgs_out) * HEADER_BYTES;
 
-		ck_assert_uint_lt(bytes * 1000 / BUDGET_MS, BUDGET);
+		ck_assert_uint_lt(bytes * 1000 / BUDGET_MS, BUDGET_BYTES_PER_S);
 	}
 	memb_net_kill(net, 1);
-	ck_assert_int_ge(memb_net_settle(net, ALONE_MS), 0);
+	ck_assert_int_ge(memb_net_converge(net, ISOLATION_MS), 0);
 	memb_net_free(net);
 }
 END_TEST
 
-/* All that the addresses and news of VMs may take is bounded. */
-START_TEST(members_are_bounded)
+/* Memory for the addresses and updates of VMs is bounded. */
+START_TEST(member_table_is_bounded)
 {
 	struct memb_net *net = started(2, 1, 3);
 	struct dl_memb_conf conf = net->conf.memb;
@@ -434,16 +448,16 @@
 	uint64_t to;
 	size_t n;
 
-	for (uint32_t i = 0; i < FLOOD; i++) {
+	for (uint32_t i = 0; i < FLOOD_VMS; i++) {
 		struct dl_memb *other;
 
 		conf.self = (UINT64_C(0x0b000000) + i) << 16 | 1;
 		conf.domain = memb_net_domain(i % 30);
 		other = dl_memb_new(&conf, 1, net->now);
-		dl_memb_seed(other, net->vms[0].vm, net->now);
-		while (dl_memb_out(other, net->now, &to, buf, &n))
-			dl_memb_in(memb, conf.self, (struct dl_str){ buf, n },
-				   net->now);
+		dl_memb_add_seed(other, net->vms[0].vm, net->now);
+		while (dl_memb_next_datagram(other, net->now, &to, buf, &n))
+			dl_memb_receive(memb, conf.self,
+					(struct dl_str){ buf, n }, net->now);
 		dl_memb_free(other);
 	}
 	while (dl_memb_at(memb, count))
@@ -461,22 +475,23 @@
 
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 60);
-	tcase_add_loop_test(t, a_dead_vm_is_out_and_back_at_once, 0, 20);
-	tcase_add_loop_test(t, a_restart_replaces_its_old_self, 0, 5);
-	tcase_add_test(t, a_planned_stop_raises_no_suspicion);
-	tcase_add_loop_test(t, a_cut_off_domain_is_out_and_back, 0, 10);
-	tcase_add_loop_test(t, back_from_alone_without_harm, 0, 10);
-	tcase_add_loop_test(t, a_pause_is_noticed_first, 0, 10);
-	tcase_add_loop_test(t, a_one_way_cut_is_a_cut, 0, 5);
-	tcase_add_loop_test(t, one_broken_link_is_no_suspicion, 0, 5);
-	tcase_add_loop_test(t, a_split_heals_without_seeds, 0, 5);
-	tcase_add_loop_test(t, domains_find_each_other_again, 0, 5);
-	tcase_add_test(t, draining_is_known_at_once);
-	tcase_add_test(t, versions_and_draining_spread);
-	tcase_add_test(t, unreachable_ones_own_nothing);
-	tcase_add_test(t, nonsense_is_refused);
-	tcase_add_test(t, the_gone_are_forgotten);
-	tcase_add_test(t, within_the_budget_at_the_target);
-	tcase_add_test(t, members_are_bounded);
+	tcase_add_loop_test(t, dead_vm_is_removed_and_readmitted, 0, 20);
+	tcase_add_loop_test(t, restart_raises_incarnation, 0, 5);
+	tcase_add_test(t, planned_stop_is_not_suspected);
+	tcase_add_loop_test(t, unreachable_domain_is_removed_and_readmitted, 0,
+			    10);
+	tcase_add_loop_test(t, isolated_vm_rejoins_without_false_deaths, 0, 10);
+	tcase_add_loop_test(t, paused_vm_does_not_own_until_refreshed, 0, 10);
+	tcase_add_loop_test(t, one_way_partition_is_detected, 0, 5);
+	tcase_add_loop_test(t, single_link_failure_is_not_suspected, 0, 5);
+	tcase_add_loop_test(t, partition_heals_without_seeds, 0, 5);
+	tcase_add_loop_test(t, domains_reconnect_after_gateway_loss, 0, 5);
+	tcase_add_test(t, draining_is_sent_immediately);
+	tcase_add_test(t, versions_and_draining_propagate);
+	tcase_add_test(t, unreachable_vm_owns_nothing);
+	tcase_add_test(t, malformed_datagrams_are_rejected);
+	tcase_add_test(t, dead_members_expire);
+	tcase_add_test(t, traffic_within_budget);
+	tcase_add_test(t, member_table_is_bounded);
 	return suite_run(s);
 }
--- a/test/test_memb_random.c
+++ b/test/test_memb_random.c
@@ -1,8 +1,8 @@
 /*
- * Membership under seeded random faults, alone, together and twice: loss,
- * doubling, overtaking, one-way and silent partitions, pauses, kills and
- * restarts.  What must hold always is asserted after each datagram; what must
- * hold again is asserted once the faults have stopped.
+ * Tests of membership under seeded random faults, single and overlapping: loss,
+ * duplication, reordering, one-way and silent partitions, pauses, kills and
+ * restarts. Invariants are checked after each datagram, convergence once the
+ * faults have stopped.
  */
 #include <check.h>
 #include <stdio.h>
@@ -23,12 +23,12 @@
 #define DUP_PERMILLE  100
 #define DELAY_MS      40
 #define CONVERGE_MS   15000
-#define AFTER_MS      8000
+#define SETTLE_MS     8000
 #define OWNER_KEYS    20
 
-/* What each VM showed of each other, which may never go back. */
+/* The latest values that a VM showed of another; they must not decrease. */
 struct seen {
-	uint64_t boot; /* of the VM that shows it */
+	uint64_t boot; /* incarnation of the VM that shows it */
 	uint64_t incarnation;
 	uint64_t version;
 };
@@ -50,7 +50,7 @@
 	return (z ^ (z >> 31)) % n;
 }
 
-/* An owner is live and takes work, whatever was remembered. */
+/* An owner, cached or not, is live and not draining. */
 static void check_owner(const struct dl_memb *memb)
 {
 	struct dl_name name = memb_net_domain(0);
@@ -59,18 +59,20 @@
 
 	if (owner != DL_VM_NONE &&
 	    (m->draining || (m->state != DL_ALIVE && m->state != DL_SUSPECT)))
-		ck_abort_msg("an owner that is gone");
+		ck_abort_msg("the owner is dead or draining");
 }
 
-/* Never back: incarnations, versions; and nobody buries itself. */
-static void always(struct memb_net *net, uint32_t vm)
+/*
+ * Incarnations and versions never decrease, and a VM always shows itself alive.
+ */
+static void check_invariants(struct memb_net *net, uint32_t vm)
 {
 	const struct memb_net_vm *v = &net->vms[vm];
 	struct run *run = net->arg;
 	const struct dl_member *m;
 
 	if (dl_memb_at(v->memb, 0)->state != DL_ALIVE)
-		ck_abort_msg("VM %u buries itself", vm);
+		ck_abort_msg("VM %u does not show itself alive", vm);
 	check_owner(v->memb);
 	for (uint32_t i = 0; i < net->conf.vms; i++) {
 		struct seen *s = &run->seen[vm][i];
@@ -83,7 +85,9 @@
 			continue;
 		if (m->incarnation < s->incarnation ||
 		    m->config_version < s->version)
-			ck_abort_msg("VM %u takes VM %u back", vm, i);
+			ck_abort_msg(
+				"VM %u shows older values of VM %u than before",
+				vm, i);
 		s->incarnation = m->incarnation;
 		s->version = m->config_version;
 	}
@@ -95,17 +99,18 @@
 		return;
 	run->draining[vm] = false;
 	memb_net_start(net, vm);
-	dl_memb_self(net->vms[vm].memb, false, run->versions[vm], net->now);
+	dl_memb_update_self(net->vms[vm].memb, false, run->versions[vm],
+			    net->now);
 }
 
 static void heal(struct memb_net *net)
 {
 	fake_link_heal(net->link);
 	for (uint32_t i = 0; i < net->conf.vms; i++)
-		net->vms[i].side = 0;
+		net->vms[i].partition = 0;
 }
 
-/* End every pause now. */
+/* Ends all pauses now. */
 static void resume(struct memb_net *net)
 {
 	for (uint32_t i = 0; i < net->conf.vms; i++) {
@@ -120,8 +125,8 @@
 		return;
 	run->draining[vm] = pick(run, 3) == 0;
 	run->versions[vm] = ++run->version;
-	dl_memb_self(net->vms[vm].memb, run->draining[vm], run->version,
-		     net->now);
+	dl_memb_update_self(net->vms[vm].memb, run->draining[vm], run->version,
+			    net->now);
 }
 
 static void fault(struct memb_net *net, struct run *run)
@@ -150,11 +155,11 @@
 	case 5:
 		for (uint32_t i = b % net->conf.domains; i < n;
 		     i += net->conf.domains)
-			net->vms[i].side = 1;
+			net->vms[i].partition = 1;
 		break;
 	case 6:
 		for (uint32_t i = 0; i < n; i++)
-			net->vms[i].side = (uint32_t)pick(run, 2);
+			net->vms[i].partition = (uint32_t)pick(run, 2);
 		break;
 	case 7:
 		heal(net);
@@ -172,8 +177,10 @@
 	}
 }
 
-/* All is whole again: each VM knows of each what that says of itself. */
-static void check_same(struct memb_net *net)
+/*
+ * After recovery each VM knows of each other VM what that VM reports of itself.
+ */
+static void check_members_agree(struct memb_net *net)
 {
 	for (uint32_t i = 0; i < net->conf.vms; i++) {
 		const struct dl_member *own = dl_memb_at(net->vms[i].memb, 0);
@@ -191,7 +198,7 @@
 	}
 }
 
-static void check_owners(struct memb_net *net)
+static void check_owners_agree(struct memb_net *net)
 {
 	for (uint32_t d = 0; d < net->conf.domains; d++) {
 		struct dl_name name = memb_net_domain(d);
@@ -222,7 +229,7 @@
 			  VMS_MIN + (uint32_t)pick(run, VMS_MAX - VMS_MIN + 1),
 			  1 + (uint32_t)pick(run, 3), seed);
 	net = memb_net_new(&conf);
-	net->check = always;
+	net->check = check_invariants;
 	net->arg = run;
 	memb_net_start_all(net);
 	memb_net_run(net, (int64_t)pick(run, FAULT_GAP_MS));
@@ -235,11 +242,11 @@
 	for (uint32_t i = 0; i < conf.vms; i++)
 		start(net, run, i);
 	resume(net);
-	ck_assert_msg(memb_net_settle(net, CONVERGE_MS) >= 0,
+	ck_assert_msg(memb_net_converge(net, CONVERGE_MS) >= 0,
 		      "seed %u does not converge", seed);
-	memb_net_run(net, AFTER_MS);
-	check_same(net);
-	check_owners(net);
+	memb_net_run(net, SETTLE_MS);
+	check_members_agree(net);
+	check_owners_agree(net);
 	steps = net->steps;
 	memb_net_free(net);
 	free(run);
--- a/test/test_quarantine.c
+++ b/test/test_quarantine.c
@@ -1,4 +1,4 @@
-/* Requests under which endpoints crash: when they are held back, how long. */
+/* Tests of which requests are quarantined, and for how long. */
 #include <check.h>
 #include <stdlib.h>
 #include <string.h>
@@ -28,15 +28,16 @@
 {
 	struct dl_crash c = { .request = request,
 			      .start = start,
-			      .cleared = dl_quarantine_cleared(at, request) };
+			      .cleared =
+				      dl_quarantine_clear_count(at, request) };
 
 	c.cleared += start == 0;
-	return dl_quarantine_note(at, &c, now);
+	return dl_quarantine_merge(at, &c, now);
 }
 
 static bool is_held(const struct dl_quarantine *at, int64_t now)
 {
-	return dl_quarantine_left_ms(at, REQUEST, now) > 0;
+	return dl_quarantine_remaining_ms(at, REQUEST, now) > 0;
 }
 
 static void crash_thrice(struct dl_quarantine *at, int64_t now)
@@ -45,19 +46,19 @@
 		ck_assert(crash(at, REQUEST, start, now));
 }
 
-START_TEST(the_third_crash_holds_a_request_back)
+START_TEST(third_crash_quarantines_request)
 {
 	crash(q, REQUEST, 1, 10);
 	crash(q, REQUEST, 2, 20);
 	ck_assert(!is_held(q, 30));
 	crash(q, REQUEST, 3, 30);
 	ck_assert(is_held(q, 30));
-	ck_assert_uint_eq(dl_quarantine_left_ms(q, REQUEST + 1, 30), 0);
+	ck_assert_uint_eq(dl_quarantine_remaining_ms(q, REQUEST + 1, 30), 0);
 	ck_assert_uint_eq(dl_quarantine_count(q, 30), 1);
 }
 END_TEST
 
-START_TEST(a_crash_that_many_saw_counts_once)
+START_TEST(duplicate_crash_reports_count_once)
 {
 	ck_assert(crash(q, REQUEST, 1, 10));
 	for (int i = 0; i < 5; i++)
@@ -66,16 +67,19 @@
 }
 END_TEST
 
-START_TEST(a_request_that_is_answered_is_not_held_back)
+START_TEST(answered_request_is_cleared)
 {
 	crash(q, REQUEST, 1, 10);
 	crash(q, REQUEST, 2, 20);
-	ck_assert(dl_quarantine_suspects(q, REQUEST));
+	ck_assert(dl_quarantine_is_suspect(q, REQUEST));
 	ck_assert(crash(q, REQUEST, 0, 25));
-	ck_assert(!dl_quarantine_suspects(q, REQUEST));
+	ck_assert(!dl_quarantine_is_suspect(q, REQUEST));
 	crash(q, REQUEST, 3, 30);
 	ck_assert(!is_held(q, 30));
-	/* Also one that was held back, and was on its way then. */
+	/*
+	 * The same for a quarantined request that was still running and is
+	 * answered.
+	 */
 	crash(q, REQUEST, 4, 40);
 	crash(q, REQUEST, 5, 50);
 	ck_assert(is_held(q, 50));
@@ -84,12 +88,12 @@
 }
 END_TEST
 
-static void pass(void *arg, const struct dl_crash *c)
+static void merge_into(void *arg, const struct dl_crash *c)
 {
-	dl_quarantine_note(arg, c, 1000);
+	dl_quarantine_merge(arg, c, 1000);
 }
 
-START_TEST(crashes_on_both_sides_of_a_cut_are_counted_together)
+START_TEST(partitioned_counts_merge)
 {
 	struct dl_quarantine *there = dl_quarantine_new();
 
@@ -98,46 +102,46 @@
 	crash(there, REQUEST, 2, 20);
 	crash(there, REQUEST, 3, 30);
 	ck_assert(!is_held(q, 1000) && !is_held(there, 1000));
-	dl_quarantine_each(q, 1000, pass, there);
-	dl_quarantine_each(there, 1000, pass, q);
+	dl_quarantine_foreach(q, 1000, merge_into, there);
+	dl_quarantine_foreach(there, 1000, merge_into, q);
 	ck_assert(is_held(q, 1000) && is_held(there, 1000));
 	dl_quarantine_free(there);
 }
 END_TEST
 
-/* VMs that each pass on what is news to them, in any order. */
-#define VMS	  4
-#define WORDS_MAX 4096
+/* VMs forward each report that is new to them, delivered in any order. */
+#define VMS	    4
+#define REPORTS_MAX 4096
 
-struct word {
+struct report {
 	int to;
 	struct dl_crash crash;
 };
 
 static struct {
 	struct dl_quarantine *at[VMS];
-	struct word word[WORDS_MAX];
-	uint32_t words, passed;
+	struct report report[REPORTS_MAX];
+	uint32_t reports, delivered;
 } net;
 
-static void tell_others(int from, const struct dl_crash *c)
+static void send_to_others(int from, const struct dl_crash *c)
 {
 	for (int to = 0; to < VMS; to++) {
 		if (to == from)
 			continue;
-		ck_assert_uint_lt(net.words, WORDS_MAX);
-		net.word[net.words++] = (struct word){ to, *c };
+		ck_assert_uint_lt(net.reports, REPORTS_MAX);
+		net.report[net.reports++] = (struct report){ to, *c };
 	}
 }
 
-static void happens(int vm, struct dl_crash c)
+static void observe(int vm, struct dl_crash c)
 {
-	c.cleared = dl_quarantine_cleared(net.at[vm], c.request) + !c.start;
-	if (dl_quarantine_note(net.at[vm], &c, 100))
-		tell_others(vm, &c);
+	c.cleared = dl_quarantine_clear_count(net.at[vm], c.request) + !c.start;
+	if (dl_quarantine_merge(net.at[vm], &c, 100))
+		send_to_others(vm, &c);
 }
 
-START_TEST(words_that_cross_come_to_rest)
+START_TEST(crash_reports_converge_in_any_order)
 {
 	srand((unsigned)_i);
 	memset(&net, 0, sizeof(net));
@@ -146,64 +150,64 @@
 	for (uint64_t n = 0; n < 12; n++) {
 		uint64_t start = rand() % 3 ? n / 2 + 1 : 0;
 
-		happens(rand() % VMS, (struct dl_crash){ .request = REQUEST,
+		observe(rand() % VMS, (struct dl_crash){ .request = REQUEST,
 							 .start = start });
 	}
-	while (net.words) {
-		uint32_t i = (uint32_t)rand() % net.words;
-		struct word w = net.word[i];
-
-		net.word[i] = net.word[--net.words];
-		ck_assert_uint_lt(net.passed++, WORDS_MAX);
-		if (dl_quarantine_note(net.at[w.to], &w.crash, 100))
-			tell_others(w.to, &w.crash);
+	while (net.reports) {
+		uint32_t i = (uint32_t)rand() % net.reports;
+		struct report w = net.report[i];
+
+		net.report[i] = net.report[--net.reports];
+		ck_assert_uint_lt(net.delivered++, REPORTS_MAX);
+		if (dl_quarantine_merge(net.at[w.to], &w.crash, 100))
+			send_to_others(w.to, &w.crash);
 	}
 	for (int vm = 1; vm < VMS; vm++)
 		ck_assert_uint_eq(
-			dl_quarantine_left_ms(net.at[vm], REQUEST, 100),
-			dl_quarantine_left_ms(net.at[0], REQUEST, 100));
+			dl_quarantine_remaining_ms(net.at[vm], REQUEST, 100),
+			dl_quarantine_remaining_ms(net.at[0], REQUEST, 100));
 	for (int vm = 0; vm < VMS; vm++)
 		dl_quarantine_free(net.at[vm]);
 }
 END_TEST
 
-START_TEST(a_vm_that_starts_holds_it_back_no_longer_than_the_others)
+START_TEST(new_vm_keeps_remaining_time)
 {
 	struct dl_quarantine *started = dl_quarantine_new();
 
 	crash_thrice(q, 0);
-	dl_quarantine_each(q, 1000, pass, started);
-	ck_assert_uint_eq(dl_quarantine_left_ms(started, REQUEST, 1000),
-			  dl_quarantine_left_ms(q, REQUEST, 1000));
+	dl_quarantine_foreach(q, 1000, merge_into, started);
+	ck_assert_uint_eq(dl_quarantine_remaining_ms(started, REQUEST, 1000),
+			  dl_quarantine_remaining_ms(q, REQUEST, 1000));
 	dl_quarantine_free(started);
 }
 END_TEST
 
-START_TEST(after_an_hour_one_more_crash_holds_it_back_again)
+START_TEST(crash_after_hold_requarantines)
 {
 	crash_thrice(q, 0);
 	ck_assert(is_held(q, HOUR_MS - 1));
 	ck_assert(!is_held(q, HOUR_MS));
-	dl_quarantine_forget(q, HOUR_MS);
+	dl_quarantine_expire(q, HOUR_MS);
 	ck_assert(crash(q, REQUEST, 9, HOUR_MS + 5));
 	ck_assert(is_held(q, HOUR_MS + 5));
-	/* Known long enough for that, not for ever. */
-	dl_quarantine_forget(q, 3 * DAY_MS);
-	ck_assert(!dl_quarantine_suspects(q, REQUEST));
+	/* It is remembered long enough for that, but not forever. */
+	dl_quarantine_expire(q, 3 * DAY_MS);
+	ck_assert(!dl_quarantine_is_suspect(q, REQUEST));
 }
 END_TEST
 
-START_TEST(crashes_that_are_long_apart_do_not_add_up)
+START_TEST(old_crashes_are_not_counted)
 {
 	crash(q, REQUEST, 1, 0);
 	crash(q, REQUEST, 2, 1000);
-	dl_quarantine_forget(q, HOUR_MS);
+	dl_quarantine_expire(q, HOUR_MS);
 	crash(q, REQUEST, 3, HOUR_MS);
 	ck_assert(!is_held(q, HOUR_MS));
 }
 END_TEST
 
-START_TEST(many_that_were_beside_it_do_not_push_it_out)
+START_TEST(quarantined_request_is_not_evicted)
 {
 	crash_thrice(q, 0);
 	for (uint64_t i = 0; i < 20000; i++)
@@ -212,35 +216,35 @@
 }
 END_TEST
 
-START_TEST(only_what_broke_off_at_a_start_is_blamed_for_its_crash)
+START_TEST(only_interrupted_requests_are_blamed)
 {
 	struct dl_crash out;
 
-	dl_quarantine_broke(q, REQUEST, 1, 100);
-	dl_quarantine_broke(q, REQUEST + 1, 2, 110);
-	dl_quarantine_broke(q, REQUEST + 2, 1, 120);
-	ck_assert(dl_quarantine_crashed(q, 1, 150, &out));
+	dl_quarantine_attempt_interrupted(q, REQUEST, 1, 100);
+	dl_quarantine_attempt_interrupted(q, REQUEST + 1, 2, 110);
+	dl_quarantine_attempt_interrupted(q, REQUEST + 2, 1, 120);
+	ck_assert(dl_quarantine_next_crash(q, 1, 150, &out));
 	ck_assert_uint_eq(out.request, REQUEST);
 	ck_assert_uint_eq(out.start, 1);
 	ck_assert_uint_eq(out.age_ms, 50);
-	ck_assert(dl_quarantine_crashed(q, 1, 150, &out));
+	ck_assert(dl_quarantine_next_crash(q, 1, 150, &out));
 	ck_assert_uint_eq(out.request, REQUEST + 2);
-	ck_assert(!dl_quarantine_crashed(q, 1, 150, &out));
-	/* What broke off long before had another cause. */
-	ck_assert(!dl_quarantine_crashed(q, 2, 60000, &out));
+	ck_assert(!dl_quarantine_next_crash(q, 1, 150, &out));
+	/* An interruption long before the crash had another cause. */
+	ck_assert(!dl_quarantine_next_crash(q, 2, 60000, &out));
 }
 END_TEST
 
-START_TEST(a_break_without_a_crash_blames_nobody)
+START_TEST(interruption_without_crash_is_ignored)
 {
 	for (uint64_t start = 1; start <= 10; start++)
-		dl_quarantine_broke(q, REQUEST, start, 10);
-	ck_assert(!dl_quarantine_suspects(q, REQUEST));
+		dl_quarantine_attempt_interrupted(q, REQUEST, start, 10);
+	ck_assert(!dl_quarantine_is_suspect(q, REQUEST));
 	ck_assert(!is_held(q, 10));
 }
 END_TEST
 
-START_TEST(crashes_survive_the_wire)
+START_TEST(crashes_round_trip)
 {
 	struct dl_crash in[3] = { { 1, 2, 3, 4 },
 				  { UINT64_MAX, 0, 1, UINT32_MAX },
@@ -267,7 +271,7 @@
 }
 END_TEST
 
-START_TEST(a_body_of_too_many_crashes_is_refused)
+START_TEST(oversized_crash_list_is_rejected)
 {
 	static struct dl_crash many[DL_CRASHES_MAX + 1];
 	struct dl_crash out[DL_CRASHES_MAX];
@@ -286,21 +290,19 @@
 	TCase *tc = tcase_create("quarantine");
 
 	tcase_add_checked_fixture(tc, begin, end);
-	tcase_add_test(tc, the_third_crash_holds_a_request_back);
-	tcase_add_test(tc, a_crash_that_many_saw_counts_once);
-	tcase_add_test(tc, a_request_that_is_answered_is_not_held_back);
-	tcase_add_loop_test(tc, words_that_cross_come_to_rest, 0, 200);
-	tcase_add_test(tc, crashes_on_both_sides_of_a_cut_are_counted_together);
-	tcase_add_test(
-		tc, a_vm_that_starts_holds_it_back_no_longer_than_the_others);
-	tcase_add_test(tc, after_an_hour_one_more_crash_holds_it_back_again);
-	tcase_add_test(tc, crashes_that_are_long_apart_do_not_add_up);
-	tcase_add_test(tc, many_that_were_beside_it_do_not_push_it_out);
-	tcase_add_test(tc,
-		       only_what_broke_off_at_a_start_is_blamed_for_its_crash);
-	tcase_add_test(tc, a_break_without_a_crash_blames_nobody);
-	tcase_add_test(tc, crashes_survive_the_wire);
-	tcase_add_test(tc, a_body_of_too_many_crashes_is_refused);
+	tcase_add_test(tc, third_crash_quarantines_request);
+	tcase_add_test(tc, duplicate_crash_reports_count_once);
+	tcase_add_test(tc, answered_request_is_cleared);
+	tcase_add_loop_test(tc, crash_reports_converge_in_any_order, 0, 200);
+	tcase_add_test(tc, partitioned_counts_merge);
+	tcase_add_test(tc, new_vm_keeps_remaining_time);
+	tcase_add_test(tc, crash_after_hold_requarantines);
+	tcase_add_test(tc, old_crashes_are_not_counted);
+	tcase_add_test(tc, quarantined_request_is_not_evicted);
+	tcase_add_test(tc, only_interrupted_requests_are_blamed);
+	tcase_add_test(tc, interruption_without_crash_is_ignored);
+	tcase_add_test(tc, crashes_round_trip);
+	tcase_add_test(tc, oversized_crash_list_is_rejected);
 	suite_add_tcase(suite, tc);
 	return suite_run(suite);
 }
