--- a/src/coordination/engine.c
+++ b/src/coordination/engine.c
@@ -8,8 +8,8 @@
 #define TOKEN_PAIRS    1e6
 #define CONTEXT_TOKENS 1000.0
 /*
- * A gap of this many times the tolerated one makes callers give up; they do at
- * eight times, so half of that is left as a margin.
+ * Callers give up at a gap of eight times the tolerated one.  The model assumes
+ * it at this many times already, as a margin.
  */
 #define ABANDON_GAPS	  4.0
 #define ABANDONED_PENALTY 1000.0
