--- a/test/test_pool.c
+++ b/test/test_pool.c
@@ -66,7 +66,7 @@
 }
 
 /* All reports arrive by one path. */
-static void hear_together(void)
+static void share_report_path(void)
 {
 	struct dl_pool_conf together = conf;
 
@@ -155,7 +155,7 @@
 }
 END_TEST
 
-START_TEST(dead_entry_gives_all_back)
+START_TEST(dead_entry_releases_its_grants)
 {
 	struct dl_answer a;
 	struct dl_ask other = ask_of(500, 0, FAR);
@@ -200,12 +200,12 @@
 END_TEST
 
 /* A silent endpoint among reporting ones gets no new requests. */
-START_TEST(silent_one_gets_nothing_new)
+START_TEST(single_silent_endpoint_gets_no_new_requests)
 {
 	struct dl_answer a, b;
 	const char *other;
 
-	hear_together();
+	share_report_path();
 	report("a:1");
 	report("b:1");
 	a = ask(1000, 0, FAR);
@@ -225,7 +225,7 @@
 }
 END_TEST
 
-START_TEST(ask_twice_is_one_request)
+START_TEST(duplicate_ask_gets_the_same_grant)
 {
 	struct dl_ask a = ask_of(1000, 0, FAR);
 	struct dl_answer first, again;
@@ -279,7 +279,7 @@
 END_TEST
 
 /* Capacity that another dispatcher granted is not granted again. */
-START_TEST(reported_excess_is_left_alone)
+START_TEST(load_of_other_dispatchers_is_not_granted_again)
 {
 	struct dl_endpoint_report r = report_of("a:1");
 
@@ -291,7 +291,7 @@
 }
 END_TEST
 
-START_TEST(one_high_report_proves_nothing)
+START_TEST(single_high_report_is_ignored)
 {
 	struct dl_endpoint_report r = report_of("a:1");
 
@@ -310,7 +310,7 @@
 	uint64_t output;
 	int64_t within;
 	enum dl_reason reason;
-	bool comes_back;
+	bool may_retry;
 };
 
 static const struct refusal refusals[] = {
@@ -331,11 +331,11 @@
 	a = ask(c->prompt, c->output, c->within);
 	ck_assert_int_eq(a.verdict, DL_REFUSED);
 	ck_assert_int_eq(a.reason, c->reason);
-	ck_assert_int_eq(a.retry_after_ms > 0, c->comes_back);
+	ck_assert_int_eq(a.retry_after_ms > 0, c->may_retry);
 }
 END_TEST
 
-START_TEST(absurd_numbers_are_cut)
+START_TEST(excessive_token_counts_are_clamped)
 {
 	struct dl_endpoint_report r = report_of("a:1");
 
@@ -354,7 +354,7 @@
 END_TEST
 
 /* Made-up workspace names do not accumulate. */
-START_TEST(idle_names_are_forgotten)
+START_TEST(idle_workspaces_are_removed)
 {
 	char name[24];
 
@@ -400,7 +400,7 @@
 }
 END_TEST
 
-START_TEST(no_endpoint_says_when)
+START_TEST(refusal_without_endpoints_has_retry_time)
 {
 	struct dl_answer a = ask(1000, 0, FAR);
 
@@ -415,7 +415,7 @@
 }
 END_TEST
 
-START_TEST(leaving_takes_nothing_new)
+START_TEST(leaving_endpoint_gets_no_new_requests)
 {
 	struct dl_endpoint_report r = report_of("a:1");
 
@@ -432,7 +432,7 @@
 END_TEST
 
 /* A report that an endpoint is leaving may contain no figures. */
-START_TEST(leaving_needs_no_figures)
+START_TEST(leaving_report_needs_no_figures)
 {
 	struct dl_endpoint_report r = { .incarnation = 1, .leaving = true };
 
@@ -454,7 +454,7 @@
 END_TEST
 
 /* An ejected endpoint is readmitted if it is the only one left. */
-START_TEST(outlier_serves_where_it_is_the_last)
+START_TEST(last_endpoint_serves_though_ejected)
 {
 	struct dl_usage failed = { .ran = true, .failed = true };
 	struct dl_endpoint_report r = report_of("b:1");
@@ -518,7 +518,7 @@
 /*
  * A queued request is refused when it becomes infeasible, not at its deadline.
  */
-START_TEST(hopeless_is_told_at_once)
+START_TEST(infeasible_request_is_refused_at_once)
 {
 	struct dl_answer a, late;
 
@@ -534,7 +534,7 @@
 }
 END_TEST
 
-START_TEST(full_queue_sheds_what_can_least_make_it)
+START_TEST(full_queue_sheds_least_feasible_request)
 {
 	struct dl_ask ping = ask_of(500, 0, 20000);
 	struct dl_answer a, late;
@@ -570,7 +570,7 @@
 END_TEST
 
 /* A prompt longer than twice the memory of an engine gets a group of three. */
-START_TEST(group_is_whole_or_not_at_all)
+START_TEST(group_is_granted_completely_or_not)
 {
 	struct dl_answer a, b, late;
 
@@ -608,7 +608,7 @@
 }
 END_TEST
 
-START_TEST(prefix_goes_where_it_was)
+START_TEST(prompt_goes_to_endpoint_with_its_prefix)
 {
 	struct dl_ask a = ask_of(3000, 0, FAR);
 	struct dl_answer first, out;
@@ -714,7 +714,7 @@
  * The long gap before that first release must not be taken as the release rate
  * of the whole wave, which would refuse requests that are still in time.
  */
-START_TEST(the_first_to_end_of_a_wave_refuses_nobody)
+START_TEST(first_release_of_a_wave_refuses_no_request)
 {
 	enum {
 		AT_ONCE = 64,
@@ -767,7 +767,7 @@
 {
 	struct dl_pool_summary s;
 
-	hear_together();
+	share_report_path();
 	report("a:1");
 	report("b:1");
 	report("c:1");
@@ -790,9 +790,9 @@
 END_TEST
 
 /* Silent endpoints are not kept forever. */
-START_TEST(silence_ends)
+START_TEST(long_silence_closes_endpoints)
 {
-	hear_together();
+	share_report_path();
 	report("a:1");
 	for (int i = 0; i < 200; i++) {
 		ask(1000, 100, FAR);
@@ -803,7 +803,7 @@
 END_TEST
 
 /* A request abandoned by its caller says nothing about the endpoint. */
-START_TEST(given_up_requests_teach_nothing)
+START_TEST(abandoned_requests_are_not_learned_from)
 {
 	struct dl_pool_conf plain = conf;
 	struct dl_usage gone = { .ran = true, .total_ms = 400 };
@@ -826,7 +826,7 @@
 }
 END_TEST
 
-START_TEST(bad_reports_are_turned_away)
+START_TEST(invalid_reports_are_rejected)
 {
 	struct dl_endpoint_report r = report_of("");
 
@@ -878,40 +878,40 @@
 	tcase_add_checked_fixture(t, begin, end);
 	tcase_add_test(t, grant_holds_memory_until_release);
 	tcase_add_test(t, lease_ends_unless_renewed);
-	tcase_add_test(t, dead_entry_gives_all_back);
+	tcase_add_test(t, dead_entry_releases_its_grants);
 	tcase_add_test(t, new_incarnation_holds_nothing);
 	tcase_add_test(t, silent_endpoint_keeps_its_grants);
-	tcase_add_test(t, silent_one_gets_nothing_new);
-	tcase_add_test(t, ask_twice_is_one_request);
+	tcase_add_test(t, single_silent_endpoint_gets_no_new_requests);
+	tcase_add_test(t, duplicate_ask_gets_the_same_grant);
 	tcase_add_test(t, incarnations_give_other_ids);
 	tcase_add_test(t, adopted_grant_is_counted_before_its_endpoint);
-	tcase_add_test(t, reported_excess_is_left_alone);
-	tcase_add_test(t, one_high_report_proves_nothing);
+	tcase_add_test(t, load_of_other_dispatchers_is_not_granted_again);
+	tcase_add_test(t, single_high_report_is_ignored);
 	tcase_add_loop_test(t, refused_at_once, 0,
 			    sizeof(refusals) / sizeof(refusals[0]));
-	tcase_add_test(t, absurd_numbers_are_cut);
-	tcase_add_test(t, idle_names_are_forgotten);
+	tcase_add_test(t, excessive_token_counts_are_clamped);
+	tcase_add_test(t, idle_workspaces_are_removed);
 	tcase_add_loop_test(t, baselines_place_at_once, 0,
 			    sizeof(baselines) / sizeof(baselines[0]));
-	tcase_add_test(t, no_endpoint_says_when);
-	tcase_add_test(t, leaving_takes_nothing_new);
-	tcase_add_test(t, leaving_needs_no_figures);
-	tcase_add_test(t, outlier_serves_where_it_is_the_last);
+	tcase_add_test(t, refusal_without_endpoints_has_retry_time);
+	tcase_add_test(t, leaving_endpoint_gets_no_new_requests);
+	tcase_add_test(t, leaving_report_needs_no_figures);
+	tcase_add_test(t, last_endpoint_serves_though_ejected);
 	tcase_add_test(t, tried_endpoints_are_not_tried_again);
 	tcase_add_test(t, limits_of_a_workspace);
-	tcase_add_test(t, hopeless_is_told_at_once);
-	tcase_add_test(t, full_queue_sheds_what_can_least_make_it);
+	tcase_add_test(t, infeasible_request_is_refused_at_once);
+	tcase_add_test(t, full_queue_sheds_least_feasible_request);
 	tcase_add_test(t, retry_times_are_spread);
-	tcase_add_test(t, group_is_whole_or_not_at_all);
+	tcase_add_test(t, group_is_granted_completely_or_not);
 	tcase_add_test(t, long_prompts_leave_an_endpoint_free);
-	tcase_add_test(t, prefix_goes_where_it_was);
+	tcase_add_test(t, prompt_goes_to_endpoint_with_its_prefix);
 	tcase_add_test(t, plain_services_hold_slots);
 	tcase_add_test(t, plain_calls_stay_in_their_domain);
-	tcase_add_test(t, the_first_to_end_of_a_wave_refuses_nobody);
+	tcase_add_test(t, first_release_of_a_wave_refuses_no_request);
 	tcase_add_test(t, silence_of_all_closes_none);
-	tcase_add_test(t, silence_ends);
-	tcase_add_test(t, given_up_requests_teach_nothing);
-	tcase_add_test(t, bad_reports_are_turned_away);
+	tcase_add_test(t, long_silence_closes_endpoints);
+	tcase_add_test(t, abandoned_requests_are_not_learned_from);
+	tcase_add_test(t, invalid_reports_are_rejected);
 	tcase_add_test(t, spill_moves_slowly);
 	return suite_run(s);
 }
