--- a/test/test_pool_load.c
+++ b/test/test_pool_load.c
@@ -53,7 +53,7 @@
 	g_rand_free(rnd);
 }
 
-static void again(void)
+static void restart_load(void)
 {
 	end();
 	begin();
@@ -124,7 +124,7 @@
 END_TEST
 
 /* Callers refused in a burst that retry when told to are served. */
-START_TEST(retry_after_is_honest)
+START_TEST(retry_after_is_long_enough)
 {
 	uint64_t n, done = 0;
 
@@ -156,7 +156,7 @@
 	load_run(&load, 80000);
 	check_clean();
 	even = load_ttft(&load, LOAD_SHORT, P95);
-	again();
+	restart_load();
 	add_shorts(60000, 0.8, 900);
 	load_run(&load, 80000);
 	check_clean();
@@ -174,7 +174,7 @@
 	add_shorts(60000, 0.6, 0);
 	load_run(&load, 80000);
 	healthy = load_ttft(&load, LOAD_SHORT, P95);
-	again();
+	restart_load();
 	load.engine[3].slow = 8;
 	add_shorts(60000, 0.6, 0);
 	load_run(&load, 40000);
@@ -196,7 +196,7 @@
 END_TEST
 
 /* An endpoint that reports a tenth of its load gets no more than the others. */
-START_TEST(lying_endpoint)
+START_TEST(endpoint_underreports_its_load)
 {
 	uint32_t given = 0;
 
@@ -220,7 +220,7 @@
 	load_run(&load, 150000);
 	check_clean();
 	alone = load_ttft(&load, LOAD_SHORT, P95);
-	again();
+	restart_load();
 	add_mix(120000, 0.8, true);
 	load_run(&load, 600000);
 	check_clean();
@@ -253,7 +253,7 @@
 {
 	uint64_t good = 0;
 
-	again();
+	restart_load();
 	add_shorts(60000, part, 0);
 	load_run(&load, 80000);
 	check_clean();
@@ -293,7 +293,7 @@
 	add_shorts(40000, 0.7, 0);
 	load_run(&load, 60000);
 	before = load_ttft(&load, LOAD_SHORT, P95);
-	again();
+	restart_load();
 	/* five times the capacity, and 0.63 for the others */
 	add_shorts(40000, 5.63, 888);
 	load_run(&load, 60000);
@@ -359,7 +359,7 @@
  * Each needs three of four engines: they run one after the other, and neither
  * blocks the other by holding a part of the engines.
  */
-START_TEST(two_giants)
+START_TEST(two_oversized_prompts)
 {
 	load.engines = 4;
 	load.cut = 4;
@@ -377,7 +377,7 @@
 END_TEST
 
 /* Short prompts must not take every piece of memory as it becomes free. */
-START_TEST(giant_gets_its_memory)
+START_TEST(oversized_prompt_gets_its_memory)
 {
 	load.engines = 4;
 	load.cut = 4;
@@ -399,7 +399,7 @@
 END_TEST
 
 /* Short prompts overtake a long one only as far as its deadline allows. */
-START_TEST(long_keeps_its_promise)
+START_TEST(long_prompt_meets_its_deadline)
 {
 	load.engines = 2;
 	load.cut = 2;
@@ -503,18 +503,18 @@
 	tcase_set_timeout(t, 120);
 	tcase_add_checked_fixture(t, begin, end);
 	tcase_add_test(t, burst);
-	tcase_add_test(t, retry_after_is_honest);
+	tcase_add_test(t, retry_after_is_long_enough);
 	tcase_add_test(t, skewed_demand);
 	tcase_add_test(t, one_slow_endpoint);
-	tcase_add_test(t, lying_endpoint);
+	tcase_add_test(t, endpoint_underreports_its_load);
 	tcase_add_test(t, long_beside_short);
 	tcase_add_test(t, no_collapse_at_twice_the_load);
 	tcase_add_test(t, one_workspace_floods);
 	tcase_add_test(t, failure_domain_lost_and_back);
 	tcase_add_test(t, dispatcher_killed_with_a_full_queue);
-	tcase_add_test(t, two_giants);
-	tcase_add_test(t, giant_gets_its_memory);
-	tcase_add_test(t, long_keeps_its_promise);
+	tcase_add_test(t, two_oversized_prompts);
+	tcase_add_test(t, oversized_prompt_gets_its_memory);
+	tcase_add_test(t, long_prompt_meets_its_deadline);
 	tcase_add_test(t, unsteady_engines);
 	tcase_add_test(t, engines_without_priority);
 	tcase_add_test(t, plain_service_at_twice_the_load);
