--- a/test/test_pool_reach.c
+++ b/test/test_pool_reach.c
@@ -79,7 +79,7 @@
 	return refused;
 }
 
-START_TEST(a_killed_endpoint_is_offered_once)
+START_TEST(unreachable_endpoint_is_granted_once)
 {
 	struct dl_pool *pool = dl_pool_new(&conf, &dl_policy_late_binding, 7);
 	struct dl_endpoint_report r;
@@ -106,6 +106,6 @@
 	TCase *t = tcase_create("pool_reach");
 
 	suite_add_tcase(s, t);
-	tcase_add_test(t, a_killed_endpoint_is_offered_once);
+	tcase_add_test(t, unreachable_endpoint_is_granted_once);
 	return suite_run(s);
 }
