--- a/test/test_throttle.c
+++ b/test/test_throttle.c
@@ -85,7 +85,7 @@
 	dl_pool_free(pool);
 }
 
-static void take(const struct dl_answer *a)
+static void record_answer(const struct dl_answer *a)
 {
 	refused += a->verdict == DL_REFUSED;
 	if (a->verdict != DL_GRANTED)
@@ -111,20 +111,20 @@
 	struct dl_answer out;
 
 	dl_pool_ask(pool, &a, now, &out);
-	take(&out);
+	record_answer(&out);
 }
 
 /*
  * Requests per second that three endpoints can just handle and four are used
  * for.
  */
-static int busy(bool model)
+static int load_per_s(bool model)
 {
 	return model ? 100 : 40;
 }
 
 /* Apply a load of this many requests per second. */
-static void play(int64_t ms, int per_s)
+static void run_load(int64_t ms, int per_s)
 {
 	struct dl_usage usage = { .ran = true, .ttft_ms = 100 };
 	struct dl_answer out;
@@ -137,12 +137,12 @@
 		for (due += per_s * STEP_MS; due >= 1000; due -= 1000)
 			ask();
 		while (dl_pool_next(pool, now, &out))
-			take(&out);
+			record_answer(&out);
 		ck_assert_ptr_null(dl_pool_check_invariants(pool));
 	}
 }
 
-static bool name_limit(uint32_t limit)
+static bool set_limit(uint32_t limit)
 {
 	return dl_pool_set_endpoint_limit(pool, DL_STR(LIMITED), limit, now);
 }
@@ -179,18 +179,18 @@
 	return most;
 }
 
-START_TEST(an_endpoint_gets_what_it_named_and_others_the_rest)
+START_TEST(endpoint_gets_its_limit_and_others_the_rest)
 {
-	int per_s = busy(_i);
+	int per_s = load_per_s(_i);
 	uint32_t before;
 	int64_t since;
 
 	open_pool(_i);
-	play(4000, per_s);
+	run_load(4000, per_s);
 	since = now;
-	ck_assert(name_limit(2000));
+	ck_assert(set_limit(2000));
 	before = grants_n;
-	play(12000, per_s);
+	run_load(12000, per_s);
 	ck_assert_uint_le(most_at(LIMITED, since), 2 * WINDOW_MS / 1000 + 1);
 	ck_assert_uint_ge(granted_at(LIMITED, since, now), 12);
 	/* Requests to other endpoints are not delayed. */
@@ -198,7 +198,7 @@
 }
 END_TEST
 
-START_TEST(where_all_named_a_limit_what_is_beyond_is_refused)
+START_TEST(requests_beyond_all_limits_are_refused)
 {
 	static const char *const id[ENDPOINTS] = { "10.0.0.1:80", "10.0.0.2:80",
 						   "10.0.0.3:80",
@@ -209,7 +209,7 @@
 	for (int i = 0; i < ENDPOINTS; i++)
 		dl_pool_set_endpoint_limit(pool, dl_str_of(id[i]), 2000, now);
 	since = now;
-	play(12000, 20);
+	run_load(12000, 20);
 	for (int i = 0; i < ENDPOINTS; i++) {
 		ck_assert_uint_le(most_at(id[i], since),
 				  2 * WINDOW_MS / 1000 + 1);
@@ -220,66 +220,66 @@
 }
 END_TEST
 
-START_TEST(a_limit_that_is_named_no_more_is_over)
+START_TEST(limit_ends_when_answers_omit_it)
 {
 	open_pool(_i);
-	name_limit(1000);
-	play(2000, 40);
+	set_limit(1000);
+	run_load(2000, 40);
 	/* An answer older than the limit does not lift it. */
-	name_limit(1000);
+	set_limit(1000);
 	now += 100;
-	ck_assert(!name_limit(DL_UNLIMITED));
+	ck_assert(!set_limit(DL_UNLIMITED));
 	now += 1000;
-	ck_assert(name_limit(DL_UNLIMITED));
-	play(4000, 80);
+	ck_assert(set_limit(DL_UNLIMITED));
+	run_load(4000, 80);
 	ck_assert_uint_ge(granted_at(LIMITED, now - 4000, now), 30);
 }
 END_TEST
 
-START_TEST(a_new_start_has_no_limit)
+START_TEST(new_incarnation_has_no_limit)
 {
 	open_pool(_i);
-	name_limit(0);
+	set_limit(0);
 	report(0, 2);
-	play(4000, 80);
+	run_load(4000, 80);
 	ck_assert_uint_ge(granted_at(LIMITED, 0, now), 30);
 }
 END_TEST
 
-START_TEST(one_that_takes_none_is_asked_now_and_then)
+START_TEST(zero_limit_still_gets_occasional_requests)
 {
 	open_pool(_i);
-	name_limit(0);
-	play(20000, busy(_i));
+	set_limit(0);
+	run_load(20000, load_per_s(_i));
 	ck_assert_uint_ge(granted_at(LIMITED, 0, now), 3);
 	ck_assert_uint_le(granted_at(LIMITED, 0, now), 4);
 }
 END_TEST
 
-START_TEST(an_entry_alone_leaves_limited_endpoints_out)
+START_TEST(self_placing_entry_avoids_limited_endpoints)
 {
 	open_pool(_i);
-	name_limit(5000);
+	set_limit(5000);
 	self_placed = true;
-	play(6000, 40);
+	run_load(6000, 40);
 	ck_assert_uint_eq(granted_at(LIMITED, 0, now), 0);
 	ck_assert_uint_ge(grants_n, 6 * 40 * 95 / 100);
 }
 END_TEST
 
 /*
- * The dispatcher grants at the full rate; the endpoint can take half as much
- * more.
+ * The dispatcher grants at the full rate; the endpoint can record_answer half
+ * as much more.
  */
-START_TEST(a_standby_gives_half_of_what_an_endpoint_named)
+START_TEST(standby_uses_half_of_a_limit)
 {
 	int64_t since;
 
 	open_pool(_i);
-	name_limit(4000);
+	set_limit(4000);
 	standby = true;
 	since = now;
-	play(12000, busy(_i));
+	run_load(12000, load_per_s(_i));
 	ck_assert_uint_le(most_at(LIMITED, since), 2 * WINDOW_MS / 1000 + 1);
 	ck_assert_uint_ge(granted_at(LIMITED, since, now), 16);
 }
@@ -291,18 +291,18 @@
 
 	open_pool(true);
 	prompt = 100000;
-	name_limit(1000);
+	set_limit(1000);
 	since = now;
-	play(12000, 5);
+	run_load(12000, 5);
 	ck_assert_uint_le(most_at(LIMITED, since), WINDOW_MS / 1000 + 1);
 }
 END_TEST
 
-START_TEST(grants_say_that_an_endpoint_has_a_limit)
+START_TEST(grants_tell_whether_endpoint_is_limited)
 {
 	open_pool(true);
-	name_limit(5000);
-	play(3000, 40);
+	set_limit(5000);
+	run_load(3000, 40);
 	for (uint32_t i = 0; i < grants_n; i++)
 		ck_assert_int_eq(grants[i].answer.limited,
 				 dl_name_eq(&grants[i].answer.endpoint[0],
@@ -310,13 +310,13 @@
 }
 END_TEST
 
-START_TEST(a_successor_is_told_recent_limits_only)
+START_TEST(iteration_returns_recent_limits_only)
 {
 	struct dl_name id;
 	uint32_t at = 0, limit;
 
 	open_pool(true);
-	name_limit(2500);
+	set_limit(2500);
 	ck_assert(dl_pool_endpoint_limit_next(pool, &at, now, &id, &limit));
 	ck_assert(dl_name_eq(&id, DL_STR(LIMITED)));
 	ck_assert_uint_eq(limit, 2500);
@@ -327,7 +327,7 @@
 }
 END_TEST
 
-START_TEST(limits_survive_the_wire)
+START_TEST(limit_frame_round_trip)
 {
 	struct dl_limit_frame in = { .start = UINT64_MAX,
 				     .limit = DL_UNLIMITED };
@@ -356,25 +356,23 @@
 	TCase *tc = tcase_create("throttle");
 
 	/* For plain services and for engines. */
-	tcase_add_loop_test(
-		tc, an_endpoint_gets_what_it_named_and_others_the_rest, 0, 2);
-	tcase_add_loop_test(
-		tc, where_all_named_a_limit_what_is_beyond_is_refused, 0, 2);
-	tcase_add_loop_test(tc, a_limit_that_is_named_no_more_is_over, 0, 2);
-	tcase_add_loop_test(tc, a_new_start_has_no_limit, 0, 2);
-	tcase_add_loop_test(tc, one_that_takes_none_is_asked_now_and_then, 0,
+	tcase_add_loop_test(tc, endpoint_gets_its_limit_and_others_the_rest, 0,
 			    2);
-	tcase_add_loop_test(tc, an_entry_alone_leaves_limited_endpoints_out, 0,
+	tcase_add_loop_test(tc, requests_beyond_all_limits_are_refused, 0, 2);
+	tcase_add_loop_test(tc, limit_ends_when_answers_omit_it, 0, 2);
+	tcase_add_loop_test(tc, new_incarnation_has_no_limit, 0, 2);
+	tcase_add_loop_test(tc, zero_limit_still_gets_occasional_requests, 0,
 			    2);
-	tcase_add_loop_test(tc, a_standby_gives_half_of_what_an_endpoint_named,
-			    0, 2);
+	tcase_add_loop_test(tc, self_placing_entry_avoids_limited_endpoints, 0,
+			    2);
+	tcase_add_loop_test(tc, standby_uses_half_of_a_limit, 0, 2);
 	tcase_add_test(tc, parts_of_prompts_count_as_requests);
-	tcase_add_test(tc, grants_say_that_an_endpoint_has_a_limit);
-	tcase_add_test(tc, a_successor_is_told_recent_limits_only);
+	tcase_add_test(tc, grants_tell_whether_endpoint_is_limited);
+	tcase_add_test(tc, iteration_returns_recent_limits_only);
 	tcase_add_checked_fixture(tc, NULL, end);
 	suite_add_tcase(suite, tc);
 	tc = tcase_create("wire");
-	tcase_add_test(tc, limits_survive_the_wire);
+	tcase_add_test(tc, limit_frame_round_trip);
 	suite_add_tcase(suite, tc);
 	return suite_run(suite);
 }
