--- a/src/main/entry_http.c
+++ b/src/main/entry_http.c
@@ -176,7 +176,7 @@
 			  dl_node_wall_ms()) == 0)
 		return true;
 	dl_err_set(&err, -EACCES, DL_STEP_CHECK, NULL,
-		   "the signature is missing, expired or of an unknown key");
+		   "the signature is missing, stale or of another key");
 	entry_http_error(req, 401, "not-allowed", &err);
 	return false;
 }
