--- a/include/daisyledge/lease.h
+++ b/include/daisyledge/lease.h
@@ -37,12 +37,13 @@
 			  int64_t now);
 /*
  * How long a request may wait for a confirmation if there is none, given the
- * left_ms until its deadline; 0 if it must be refused. started and heard are
- * the times, by the same clock, at which this process started and last heard
- * from a replica; heard is 0 for never.
+ * left_ms until its deadline; 0 if it must be refused. started and last_heard
+ * are the times, by the same clock, at which this process started and last
+ * heard from a replica; last_heard is 0 for never.
  */
 uint32_t dl_lease_max_wait_ms(const struct dl_lease *l, int64_t started,
-			      int64_t heard, uint32_t left_ms, int64_t now);
+			      int64_t last_heard, uint32_t left_ms,
+			      int64_t now);
 /*
  * Whether the replica failed to answer in time, so that another must be asked.
  */
--- a/include/daisyledge/reports.h
+++ b/include/daisyledge/reports.h
@@ -18,7 +18,7 @@
  * the text was new.
  */
 bool dl_reports_add(struct dl_reports *reports, struct dl_str instance,
-		    struct dl_str words, int64_t now, uint64_t *key);
+		    struct dl_str text, int64_t now, uint64_t *key);
 /* The report text of a key; n is 0 if it is not cached. */
 struct dl_str dl_reports_find(const struct dl_reports *reports, uint64_t key);
 /* Whether the report of a key was received at or after a given time. */
--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -53,10 +53,11 @@
 
 /* Returns how long a request may wait for a confirmation. */
 uint32_t dl_lease_max_wait_ms(const struct dl_lease *l, int64_t started,
-			      int64_t heard, uint32_t left_ms, int64_t now)
+			      int64_t last_heard, uint32_t left_ms, int64_t now)
 {
 	bool starting = !l->valid_from && now - started < WAIT_MAX_MS;
-	bool replica_reachable = heard && now - heard < REPLICA_CONTACT_MS;
+	bool replica_reachable = last_heard &&
+				 now - last_heard < REPLICA_CONTACT_MS;
 
 	if (!starting && !replica_reachable)
 		return 0;
--- a/src/coordination/memb.c
+++ b/src/coordination/memb.c
@@ -45,11 +45,11 @@
 static void refute(struct dl_memb *memb, const struct memb_update *u,
 		   int64_t now);
 static void set_gossip_state(struct dl_memb *memb, struct memb_peer *peer,
-			     enum dl_memb_state said, int64_t now);
+			     enum dl_memb_state state, int64_t now);
 static void publish_state(struct dl_memb *memb, struct memb_peer *peer,
 			  int64_t now);
 static void queue_gossip(struct dl_memb *memb, struct memb_peer *peer,
-			 uint32_t tells);
+			 uint32_t count);
 static void toggle_hash(struct dl_memb *memb, struct memb_peer *peer,
 			int64_t now);
 
@@ -286,21 +286,21 @@
 
 /* Queues a member for so many gossip retransmissions. */
 static void queue_gossip(struct dl_memb *memb, struct memb_peer *peer,
-			 uint32_t tells)
+			 uint32_t count)
 {
 	/*
 	 * Send a digest soon, so that other domains need not wait for the next
 	 * round.
 	 */
-	if (peer->domain == 0 && tells > MEMB_VERSION_RETRANSMITS &&
+	if (peer->domain == 0 && count > MEMB_VERSION_RETRANSMITS &&
 	    memb->next_digest > memb->last_now + memb->conf.ack_ms)
 		memb->next_digest = memb->last_now + memb->conf.ack_ms;
-	if (tells > RETRANSMITS_MAX)
-		tells = RETRANSMITS_MAX;
-	if (peer->retransmits == 0 && tells)
+	if (count > RETRANSMITS_MAX)
+		count = RETRANSMITS_MAX;
+	if (peer->retransmits == 0 && count)
 		memb->gossip_pending++;
-	if (peer->retransmits < tells)
-		peer->retransmits = (uint8_t)tells;
+	if (peer->retransmits < count)
+		peer->retransmits = (uint8_t)count;
 }
 
 /*
@@ -334,7 +334,7 @@
 
 /* Sets a member's gossip state. */
 static void set_gossip_state(struct dl_memb *memb, struct memb_peer *peer,
-			     enum dl_memb_state said, int64_t now)
+			     enum dl_memb_state state, int64_t now)
 {
 	uint32_t scale = memb_log2(memb->domains[0].live + 1);
 
@@ -344,12 +344,12 @@
 		memb->suspects--;
 	memb->domains[peer->domain].live -= memb_gossip_live(peer);
 	toggle_hash(memb, peer, now);
-	peer->gossip_state = said;
+	peer->gossip_state = state;
 	memb->domains[peer->domain].live += memb_gossip_live(peer);
 	toggle_hash(memb, peer, now);
-	if (said != DL_SUSPECT)
+	if (state != DL_SUSPECT)
 		peer->verify = false;
-	if (said == DL_SUSPECT) {
+	if (state == DL_SUSPECT) {
 		memb->suspects++;
 		peer->suspect_deadline = now + (int64_t)memb->conf.suspect_ms *
 						       scale / SUSPECT_LOG2_MIN;
@@ -468,11 +468,11 @@
  * undoes it.
  */
 void memb_domain_set_unreachable(struct dl_memb *memb, uint32_t domain,
-				 bool cut, int64_t now)
+				 bool unreachable, int64_t now)
 {
-	if (memb->domains[domain].unreachable == cut)
+	if (memb->domains[domain].unreachable == unreachable)
 		return;
-	memb->domains[domain].unreachable = cut;
+	memb->domains[domain].unreachable = unreachable;
 	for (uint32_t i = 1; i < memb->npeers; i++) {
 		if (memb->peers[i].domain == domain)
 			publish_state(memb, &memb->peers[i], now);
@@ -642,13 +642,13 @@
 {
 	uint32_t start = (uint32_t)(memb_random(memb) % memb->npeers);
 
-	for (uint32_t i = 0, told = 0; i < memb->npeers; i++) {
+	for (uint32_t i = 0, sent = 0; i < memb->npeers; i++) {
 		struct memb_peer *peer =
 			&memb->peers[(start + i) % memb->npeers];
 
 		if (peer->m.vm == memb->conf.self || !memb_peer_live(peer))
 			continue;
-		if (told++ == MEMB_NOTIFY_MAX)
+		if (sent++ == MEMB_NOTIFY_MAX)
 			break;
 		memb_queue(memb, kind, peer->m.vm,
 			   kind == MEMB_PING ? ++memb->seq : 0, 0);
--- a/src/coordination/memb_int.h
+++ b/src/coordination/memb_int.h
@@ -200,7 +200,7 @@
 		       int64_t now);
 void memb_expire_dead(struct dl_memb *memb, int64_t now);
 void memb_domain_set_unreachable(struct dl_memb *memb, uint32_t domain,
-				 bool cut, int64_t now);
+				 bool unreachable, int64_t now);
 struct memb_domain *memb_domain_of_tag(struct dl_memb *memb, uint32_t tag);
 void memb_queue(struct dl_memb *memb, enum memb_kind kind, uint64_t to,
 		uint32_t seq, uint64_t target);
--- a/src/coordination/quarantine.c
+++ b/src/coordination/quarantine.c
@@ -52,7 +52,7 @@
 
 struct dl_quarantine {
 	GHashTable *records;
-	struct interrupted broken[INTERRUPTED_MAX]; /* ring buffer */
+	struct interrupted interrupted[INTERRUPTED_MAX]; /* ring buffer */
 	uint32_t interrupted_next;
 };
 
@@ -81,7 +81,7 @@
 				       int64_t now)
 {
 	struct interrupted *b =
-		&q->broken[q->interrupted_next++ % INTERRUPTED_MAX];
+		&q->interrupted[q->interrupted_next++ % INTERRUPTED_MAX];
 
 	*b = (struct interrupted){ request, start, now };
 }
@@ -91,7 +91,7 @@
 			      int64_t now, struct dl_crash *out)
 {
 	for (uint32_t i = 0; i < INTERRUPTED_MAX; i++) {
-		struct interrupted *b = &q->broken[i];
+		struct interrupted *b = &q->interrupted[i];
 
 		if (!b->request || b->start != start ||
 		    now - b->at >= INTERRUPTED_MS)
--- a/src/coordination/reports.c
+++ b/src/coordination/reports.c
@@ -73,11 +73,11 @@
 
 /* Stores a report. Only the latest one of each instance is kept. */
 bool dl_reports_add(struct dl_reports *reports, struct dl_str instance,
-		    struct dl_str words, int64_t now, uint64_t *key)
+		    struct dl_str text, int64_t now, uint64_t *key)
 {
 	struct report *report;
 
-	*key = dl_hash(words, 0);
+	*key = dl_hash(text, 0);
 	report = g_hash_table_lookup(reports->by_key, key);
 	if (report) {
 		report->last_received = now;
@@ -90,7 +90,7 @@
 	report->key = *key;
 	report->last_received = now;
 	report->last_relayed = now;
-	report->body = g_bytes_new(words.s, words.n);
+	report->body = g_bytes_new(text.s, text.n);
 	report->instance = g_strndup(instance.s, instance.n);
 	g_hash_table_insert(reports->by_key, &report->key, report);
 	g_hash_table_insert(reports->by_instance, report->instance, report);
@@ -102,11 +102,11 @@
 {
 	const struct report *report =
 		g_hash_table_lookup(reports->by_key, &key);
-	struct dl_str words = { "", 0 };
+	struct dl_str text = { "", 0 };
 
 	if (report)
-		words.s = g_bytes_get_data(report->body, &words.n);
-	return words;
+		text.s = g_bytes_get_data(report->body, &text.n);
+	return text;
 }
 
 /* Whether a report was received at or after a given time. */
--- a/test/test_directory.c
+++ b/test/test_directory.c
@@ -28,7 +28,7 @@
 					      bool leaving, int64_t now)
 {
 	const struct dl_directory_entry *entry;
-	struct dl_directory_update word = {
+	struct dl_directory_update update = {
 		.address = dl_str_of(address),
 		.instance = dl_str_of(instance),
 		.service = DL_STR("writer"),
@@ -37,7 +37,7 @@
 		.leaving = leaving,
 	};
 
-	return dl_directory_apply(dir, &word, now, &entry, &superseded);
+	return dl_directory_apply(dir, &update, now, &entry, &superseded);
 }
 
 static enum dl_directory_result announce(const char *address,
--- a/test/test_lease.c
+++ b/test/test_lease.c
@@ -17,16 +17,17 @@
 	lease = (struct dl_lease){ 0 };
 }
 
-static uint64_t answer(int64_t asked_at, uint64_t from, bool sure,
-		       uint64_t says, uint64_t have, int64_t now)
+static uint64_t answer(int64_t asked_at, uint64_t from, bool confirmed,
+		       uint64_t confirmed_version, uint64_t applied,
+		       int64_t now)
 {
 	struct dl_lease_answer a = { .requested_at = asked_at,
 				     .from = from,
-				     .confirmed = sure,
-				     .version = says,
+				     .confirmed = confirmed,
+				     .version = confirmed_version,
 				     .leader = LEADER };
 
-	return dl_lease_handle_answer(&lease, &a, have, now);
+	return dl_lease_handle_answer(&lease, &a, applied, now);
 }
 
 START_TEST(no_lease_without_confirmation)
@@ -163,7 +164,7 @@
 
 /* When a request waits for a confirmation, and how long. */
 static const struct {
-	int64_t held_from, started, heard;
+	int64_t valid_from, started, last_heard;
 	uint32_t left_ms;
 	int64_t now;
 	uint32_t patience;
@@ -182,11 +183,12 @@
 
 START_TEST(max_wait_of_each_case)
 {
-	lease.valid_from = waits[_i].held_from;
-	ck_assert_uint_eq(
-		dl_lease_max_wait_ms(&lease, waits[_i].started, waits[_i].heard,
-				     waits[_i].left_ms, waits[_i].now),
-		waits[_i].patience);
+	lease.valid_from = waits[_i].valid_from;
+	ck_assert_uint_eq(dl_lease_max_wait_ms(&lease, waits[_i].started,
+					       waits[_i].last_heard,
+					       waits[_i].left_ms,
+					       waits[_i].now),
+			  waits[_i].patience);
 }
 END_TEST
 
--- a/test/test_reports.c
+++ b/test/test_reports.c
@@ -22,10 +22,10 @@
 	dl_reports_free(reports);
 }
 
-static bool add_report(const char *instance, const char *words, int64_t now,
+static bool add_report(const char *instance, const char *text, int64_t now,
 		       uint64_t *key)
 {
-	return dl_reports_add(reports, dl_str_of(instance), dl_str_of(words),
+	return dl_reports_add(reports, dl_str_of(instance), dl_str_of(text),
 			      now, key);
 }
 
