--- a/src/state/rlog.c
+++ b/src/state/rlog.c
@@ -67,7 +67,7 @@
 	[DL_RLOG_STARTUP_REPLY] = rlog_on_startup_reply,
 };
 
-/* Defaults for failure domains with round trips of a few milliseconds. */
+/* Defaults for failure domains that are a few milliseconds apart. */
 void dl_rlog_defaults(struct dl_rlog_conf *conf)
 {
 	memset(conf, 0, sizeof(*conf));
@@ -89,7 +89,7 @@
  * Creates a replica from what its disk holds.  It starts as a follower, or
  * uninitialized if it has an identity only.  It grants no vote for a whole
  * election timeout, since it does not remember what it promised to a leader
- * before the restart.
+ * before the restart; rlog_startup.c ends this wait early where it can.
  */
 struct dl_rlog *dl_rlog_new(const struct dl_rlog_conf *conf,
 			    struct dl_rlog_image *image, uint32_t seed,
--- a/src/state/rlog_startup.c
+++ b/src/state/rlog_startup.c
@@ -12,7 +12,7 @@
  * other voter has said so, no promise stands.
  *
  * This matters when all replicas stop at once, by a power failure or an update:
- * without it the first candidate stood 1.0 to 1.5 s after the start, and until
+ * without it the first election began 1.0 to 1.5 s after the start, and until
  * then no caller's key could be accepted; with it this takes a few round trips.
  *
  * A voter that does not answer (frozen, partitioned, not started) may still be
