--- a/src/state/rlog_bootstrap.c
+++ b/src/state/rlog_bootstrap.c
@@ -30,7 +30,8 @@
 static bool collect_initial_members(const struct dl_rlog *r, int64_t now,
 				    struct dl_rlog_members *out);
 static int compare_vm(const void *a, const void *b);
-static void begin_log(struct dl_rlog *r, const struct dl_rlog_members *members);
+static void create_log(struct dl_rlog *r,
+		       const struct dl_rlog_members *members);
 
 static int compare_vm(const void *a, const void *b)
 {
@@ -117,7 +118,7 @@
 	if (r->role != DL_RLOG_UNINITIALIZED ||
 	    !collect_initial_members(r, now, &members))
 		return;
-	begin_log(r, &members);
+	create_log(r, &members);
 	rlog_reset_election(r, now);
 }
 
@@ -152,7 +153,7 @@
 }
 
 /* Takes these members as the state before the first entry. */
-static void begin_log(struct dl_rlog *r, const struct dl_rlog_members *members)
+static void create_log(struct dl_rlog *r, const struct dl_rlog_members *members)
 {
 	r->cluster = rlog_cluster_of(members);
 	r->role = DL_RLOG_FOLLOWER;
@@ -199,6 +200,6 @@
 	    !rlog_member_find(&m->snapshot.members, r->id) ||
 	    rlog_cluster_of(&m->snapshot.members) != m->cluster)
 		return;
-	begin_log(r, &m->snapshot.members);
+	create_log(r, &m->snapshot.members);
 	rlog_reset_election(r, now);
 }
