--- a/src/coordination/pool_queue.c
+++ b/src/coordination/pool_queue.c
@@ -11,7 +11,7 @@
 
 #include <stdlib.h>
 
-/* Units of virtual time per token: the resolution for weights. */
+/* Units of virtual time per token, so that weights up to this value count. */
 #define VIRTUAL_TICKS_PER_TOKEN 1024
 
 /*
