--- a/include/daisyledge/pool.h
+++ b/include/daisyledge/pool.h
@@ -256,7 +256,7 @@
 /* Iterate over the endpoints by index, for status; false at the end. */
 bool dl_pool_endpoint_at(const struct dl_pool *pool, uint32_t index,
 			 struct dl_endpoint_report *out, uint64_t *held_tokens,
-			 bool *put_out);
+			 bool *ejected);
 /*
  * Check the invariants: all counted memory belongs to live grants, queues are
  * within their bounds, and sums match their parts.  Returns NULL, or a
--- a/src/coordination/pool_endpoint.c
+++ b/src/coordination/pool_endpoint.c
@@ -305,7 +305,7 @@
 /* Iterate over the endpoints by index, for status; false at the end. */
 bool dl_pool_endpoint_at(const struct dl_pool *pool, uint32_t index,
 			 struct dl_endpoint_report *out, uint64_t *held_tokens,
-			 bool *put_out)
+			 bool *ejected)
 {
 	const struct pool_endpoint *e;
 
@@ -314,6 +314,6 @@
 	e = pool->endpoints[index];
 	*out = e->last;
 	*held_tokens = e->held;
-	*put_out = e->ejection == POOL_EJECTED;
+	*ejected = e->ejection == POOL_EJECTED;
 	return true;
 }
--- a/src/coordination/pool_int.h
+++ b/src/coordination/pool_int.h
@@ -202,7 +202,7 @@
 
 	/* requests per 1,000 s, set by the endpoint; or DL_UNLIMITED */
 	uint32_t limit;
-	int64_t limit_named;	 /* time of the last answer that set it */
+	int64_t limit_set_at;	 /* time of the last answer that set it */
 	double limit_credit;	 /* requests that may be sent */
 	int64_t limit_credit_at; /* time of that credit */
 
--- a/src/coordination/pool_throttle.c
+++ b/src/coordination/pool_throttle.c
@@ -97,10 +97,11 @@
 	pool->now = now;
 	if (!e)
 		return false;
-	if (limit == DL_UNLIMITED && now - e->limit_named < LIMIT_LIFT_DELAY_MS)
+	if (limit == DL_UNLIMITED &&
+	    now - e->limit_set_at < LIMIT_LIFT_DELAY_MS)
 		return false;
 	if (limit != DL_UNLIMITED)
-		e->limit_named = now;
+		e->limit_set_at = now;
 	if (e->limit == limit)
 		return false;
 	/* Start without credit: what went there before is unknown. */
@@ -120,7 +121,7 @@
 	while (*index < pool->endpoints_n) {
 		const struct pool_endpoint *e = pool->endpoints[(*index)++];
 
-		if (e->limit == DL_UNLIMITED || e->limit_named < since)
+		if (e->limit == DL_UNLIMITED || e->limit_set_at < since)
 			continue;
 		*id = e->last.id;
 		*limit = e->limit;
