--- a/src/coordination/lease.c
+++ b/src/coordination/lease.c
@@ -13,8 +13,7 @@
  * trips.
  */
 #define RETRY_INTERVAL_MS 100
-/* The leader answers at once; after this time another one is assumed to lead.
- */
+/* The leader answers at once; after this time another one may lead. */
 #define ANSWER_TIMEOUT_MS 400
 /*
  * A request that is admitted at the end of the lease takes some milliseconds to
--- a/src/coordination/memb_digest.c
+++ b/src/coordination/memb_digest.c
@@ -7,8 +7,8 @@
  */
 #include "coordination/memb_int.h"
 
-#define RANDOM_TARGET_EVERY   4	   /* one in so many digests */
-#define PULL_QUIET_MS	      2000 /* gossip converges within it */
+#define RANDOM_TARGET_EVERY   4	   /* digests for one random target */
+#define PULL_QUIET_MS	      2000 /* time for gossip before a pull */
 #define PULL_EVERY_MS	      5000
 #define PULL_MAX_MS	      30000
 #define DIGEST_PULL_MS	      1000
--- a/src/coordination/memb_int.h
+++ b/src/coordination/memb_int.h
@@ -57,23 +57,20 @@
 
 /* Summary of what the sender knows of a domain. */
 struct memb_sync {
-	uint32_t tag;  /* hash of the domain name */
-	uint32_t hash; /* over its live members */
-	uint32_t
-		age_ms; /* since it last answered a VM of the sender's domain */
+	uint32_t tag;	 /* hash of the domain name */
+	uint32_t hash;	 /* over its live members */
+	uint32_t age_ms; /* since its last answer to the sender's domain */
 };
 
 /* A decoded datagram; strings point into it. */
 struct memb_msg {
 	enum memb_kind kind;
 	uint32_t seq;
-	uint64_t
-		target; /* member of a relay or its ack; domain tag of a pull */
+	uint64_t target; /* relay, ack: member; pull: domain tag */
 	struct memb_update self;
 	uint64_t newest_vm;
 	uint64_t newest_version;
-	uint32_t
-		live; /* live members in the sender's domain, as it sees them */
+	uint32_t live; /* in its domain, as it sees them */
 	uint32_t nsync;
 	uint32_t nupdates;
 	struct memb_sync sync[MEMB_DOMAINS_MAX];
@@ -153,8 +150,7 @@
 	uint64_t epoch;		   /* incremented at each change of members */
 	struct memb_owner *owners; /* MEMB_OWNERS entries, indexed by key */
 
-	struct memb_domain
-		domains[MEMB_DOMAINS_MAX]; /* [0] is our own domain */
+	struct memb_domain domains[MEMB_DOMAINS_MAX]; /* [0] is ours */
 	uint32_t ndomains;
 
 	struct memb_intent queue[MEMB_QUEUE_MAX];
