--- a/test/test_call.c
+++ b/test/test_call.c
@@ -74,7 +74,7 @@
 			     a.failure++)
 				ck_assert_msg(dl_call_outcome(&a) ==
 						      expect(&a, c),
-					      "sent %d received %d broke %d "
+					      "sent %d received %d failure %d "
 					      "status %d",
 					      a.sent, a.received, a.failure,
 					      a.status);
