--- a/src/coordination/reports.c
+++ b/src/coordination/reports.c
@@ -7,10 +7,10 @@
 #define REPORTS_MAX 8192
 
 /*
- * Rate of keys, in bytes per second, that a VM receives from the one that
- * relays them, and the longest time that an endpoint goes unreported to keep to
- * it. An endpoint that is not reported for 6 s is taken for gone, and its own
- * reports may be late by seconds.
+ * Limit on the rate of keys that a VM receives from the one that relays them,
+ * in bytes per second, and the longest interval between relays of an endpoint
+ * that this limit may cause. An endpoint that is not reported for 6 s is taken
+ * for gone, and its own reports may be late by seconds.
  */
 #define KEY_BYTES_PER_S	   1500
 #define KEY_BYTES	   9
