--- a/include/daisyledge/cstore.h
+++ b/include/daisyledge/cstore.h
@@ -119,7 +119,7 @@
 struct dl_conf;
 struct dl_conf_diff;
 /* Whether the text in force was put there unread; it lists no replicas then. */
-bool dl_cstore_unread(const struct dl_cstore *store);
+bool dl_cstore_conf_unparsed(const struct dl_cstore *store);
 /* The parsed configuration in force, read now; NULL before the first. */
 const struct dl_conf *dl_cstore_conf(struct dl_cstore *store);
 /* The operators' own number of the text in force; 0 where it has none. */
--- a/src/main/replica_conf.c
+++ b/src/main/replica_conf.c
@@ -144,7 +144,7 @@
 	uint64_t vms[DL_REPLICAS_MAX];
 
 	/* Its leader has found that it lists none: it need not be read. */
-	if (dl_cstore_unread(r->cstore)) {
+	if (dl_cstore_conf_unparsed(r->cstore)) {
 		dl_rlog_set_replicas(r->rlog, NULL, 0);
 		return;
 	}
--- a/src/state/cstore.c
+++ b/src/state/cstore.c
@@ -391,7 +391,7 @@
 	cstore_add_change(store, &c, cmd->text);
 	dl_conf_free(store->conf);
 	store->conf = next;
-	store->conf_unread = !next;
+	store->conf_unparsed = !next;
 	store->number = next ? next->number : cmd->checked_number;
 	store->version = c.version;
 }
@@ -422,7 +422,7 @@
 {
 	return cmd->checked_number && cmd->confirm &&
 	       cmd->expect == UINT64_MAX &&
-	       (store->conf_unread || !store->conf ||
+	       (store->conf_unparsed || !store->conf ||
 		store->conf->replicas_count == 0);
 }
 
@@ -549,15 +549,15 @@
 }
 
 /* Whether the text in force was put there unread. */
-bool dl_cstore_unread(const struct dl_cstore *store)
+bool dl_cstore_conf_unparsed(const struct dl_cstore *store)
 {
-	return store->conf_unread;
+	return store->conf_unparsed;
 }
 
 /* The parsed configuration in force; NULL before the first. */
 const struct dl_conf *dl_cstore_conf(struct dl_cstore *store)
 {
-	if (store->conf_unread)
+	if (store->conf_unparsed)
 		cstore_parse_in_force(store);
 	return store->conf;
 }
--- a/src/state/cstore_int.h
+++ b/src/state/cstore_int.h
@@ -93,7 +93,7 @@
 	size_t history_bytes; /* of texts, but for the one in force */
 	struct claims claims;
 	struct dl_conf *conf; /* NULL before the first version, and while */
-	bool conf_unread;     /* this says that the text is yet to be parsed */
+	bool conf_unparsed;   /* this says that the text is yet to be parsed */
 	uint64_t number;      /* the operators' own of the text in force */
 	struct dl_faults faults;
 	struct told_diff told;
--- a/src/state/cstore_snap.c
+++ b/src/state/cstore_snap.c
@@ -288,7 +288,7 @@
 	struct dl_str text;
 
 	store->conf = NULL;
-	store->conf_unread = false;
+	store->conf_unparsed = false;
 	if (dl_cstore_text(store, 0, &text) &&
 	    dl_conf_parse(text, &store->conf, &store->faults) != 0)
 		store->conf = NULL;
--- a/test/test_cstore.c
+++ b/test/test_cstore.c
@@ -157,14 +157,14 @@
 /* Whoever carries out many needs to read the last one only. */
 START_TEST(checked_texts_are_read_when_asked_for)
 {
-	ck_assert(!dl_cstore_unread(store));
+	ck_assert(!dl_cstore_conf_unparsed(store));
 	ck_assert_int_eq(apply_checked(5, true), 0);
 	ck_assert_int_eq(apply_checked(6, true), 0);
-	ck_assert(dl_cstore_unread(store));
+	ck_assert(dl_cstore_conf_unparsed(store));
 	ck_assert_uint_eq(dl_cstore_conf(store)->number, 6);
-	ck_assert(!dl_cstore_unread(store));
+	ck_assert(!dl_cstore_conf_unparsed(store));
 	ck_assert_int_eq(apply_checked(7, false), 0);
-	ck_assert(!dl_cstore_unread(store));
+	ck_assert(!dl_cstore_conf_unparsed(store));
 }
 END_TEST
 
