--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -253,8 +253,8 @@
 	struct dl_conf *conf = NULL;
 
 	if (dl_conf_parse(text, &conf, &faults)) {
-		fprintf(stderr, "capacity: %s: %s\n", faults.at[0].path,
-			faults.at[0].text);
+		fprintf(stderr, "capacity: %s: %s\n", faults.items[0].path,
+			faults.items[0].text);
 		exit(1);
 	}
 	return conf;
--- a/include/daisyledge/conf.h
+++ b/include/daisyledge/conf.h
@@ -143,7 +143,7 @@
 
 struct dl_faults {
 	uint32_t count; /* faults found; only the first ones are kept */
-	struct dl_fault at[DL_FAULTS_MAX];
+	struct dl_fault items[DL_FAULTS_MAX];
 };
 
 uint64_t dl_conf_digest(struct dl_str text);
--- a/src/main/cli_print.c
+++ b/src/main/cli_print.c
@@ -53,7 +53,7 @@
 	uint32_t kept = MIN(faults->count, DL_FAULTS_MAX);
 
 	for (uint32_t i = 0; i < kept; i++) {
-		const struct dl_fault *f = &faults->at[i];
+		const struct dl_fault *f = &faults->items[i];
 
 		fprintf(to, "%s:%u: %s%s%s\n", file, f->line, f->path,
 			f->path[0] ? ": " : "", f->text);
@@ -69,7 +69,7 @@
 	json_t *list = json_array();
 
 	for (uint32_t i = 0; i < MIN(faults->count, DL_FAULTS_MAX); i++) {
-		const struct dl_fault *f = &faults->at[i];
+		const struct dl_fault *f = &faults->items[i];
 
 		json_array_append_new(
 			list, json_pack("{s:s, s:i, s:s}", "path", f->path,
--- a/src/main/entry_conf.c
+++ b/src/main/entry_conf.c
@@ -140,8 +140,8 @@
 		       (unsigned long)r->version);
 	} else if (!r->conf) {
 		dl_msg(DL_MSG_CONF_BAD, "version=%lu reason=\"%s: %s\"",
-		       (unsigned long)r->version, r->faults.at[0].path,
-		       r->faults.at[0].text);
+		       (unsigned long)r->version, r->faults.items[0].path,
+		       r->faults.items[0].text);
 	} else if (r->version > e->version) {
 		g_free(e->conf_pushed);
 		e->conf_pushed = r->pushed;
--- a/src/main/entry_ops.c
+++ b/src/main/entry_ops.c
@@ -74,7 +74,7 @@
 	json_t *list = json_array();
 
 	for (uint32_t i = 0; i < MIN(faults->count, DL_FAULTS_MAX); i++) {
-		const struct dl_fault *f = &faults->at[i];
+		const struct dl_fault *f = &faults->items[i];
 		json_t *o = json_object();
 
 		json_object_set_new(o, "path", json_string(f->path));
--- a/src/main/replica_door.c
+++ b/src/main/replica_door.c
@@ -179,8 +179,8 @@
 	if (ok)
 		*number = conf->number;
 	else
-		g_snprintf(why, 200, "%s: %s", faults->at[0].path,
-			   faults->at[0].text);
+		g_snprintf(why, 200, "%s: %s", faults->items[0].path,
+			   faults->items[0].text);
 	dl_conf_free(conf);
 	g_free(faults);
 	return ok;
--- a/src/state/conf.c
+++ b/src/state/conf.c
@@ -582,8 +582,8 @@
 	json = json_loadb(text.s ? text.s : "", text.n, 0, &error);
 	if (!json) {
 		conf_fault(r, &root, "%.*s", SYNTAX_TEXT, error.text);
-		r->faults->at[0].line = error.line > 0 ? (uint32_t)error.line :
-							 1;
+		r->faults->items[0].line =
+			error.line > 0 ? (uint32_t)error.line : 1;
 		return json_error_code(&error) == json_error_out_of_memory ?
 			       -ENOMEM :
 			       -EINVAL;
@@ -641,7 +641,7 @@
 		return 0;
 	}
 	kept = faults->count < DL_FAULTS_MAX ? faults->count : DL_FAULTS_MAX;
-	qsort(faults->at, kept, sizeof(faults->at[0]), by_line);
+	qsort(faults->items, kept, sizeof(faults->items[0]), by_line);
 	dl_conf_free(conf);
 	return rc;
 }
--- a/src/state/conf_read.c
+++ b/src/state/conf_read.c
@@ -53,7 +53,7 @@
 
 	if (r->faults->count++ >= DL_FAULTS_MAX)
 		return;
-	f = &r->faults->at[r->faults->count - 1];
+	f = &r->faults->items[r->faults->count - 1];
 	snprintf(f->path, sizeof(f->path), "%s", at->path);
 	f->line = conf_lines_find(&r->lines, at->hash);
 	va_start(ap, fmt);
--- a/src/state/cstore.c
+++ b/src/state/cstore.c
@@ -297,7 +297,7 @@
 static void tell_faults(const struct dl_faults *faults,
 			struct dl_cstore_reply *reply)
 {
-	const struct dl_fault *f = &faults->at[0];
+	const struct dl_fault *f = &faults->items[0];
 
 	reply->code = -EINVAL;
 	snprintf(reply->text, sizeof(reply->text),
--- a/test/test_conf.c
+++ b/test/test_conf.c
@@ -179,8 +179,8 @@
 	struct dl_str model;
 	int rc = parse(text, &conf);
 
-	ck_assert_msg(rc == 0, "line %u %s: %s", faults.at[0].line,
-		      faults.at[0].path, faults.at[0].text);
+	ck_assert_msg(rc == 0, "line %u %s: %s", faults.items[0].line,
+		      faults.items[0].path, faults.items[0].text);
 	ck_assert_uint_eq(conf->workspaces_count, 10);
 	ck_assert_uint_eq(conf->replicas_count, 3);
 	ck_assert_uint_eq(dl_conf_workspace(conf, DL_STR("training"))
@@ -226,7 +226,7 @@
 	ck_assert_int_eq(parse(text, &conf), -EINVAL);
 	ck_assert_ptr_null(conf);
 	for (uint32_t i = 0; i < faults.count; i++) {
-		const struct dl_fault *f = &faults.at[i];
+		const struct dl_fault *f = &faults.items[i];
 
 		if (f->line == c->line && strstr(f->text, c->says) &&
 		    strncmp(f->path, c->path, strlen(c->path)) == 0 &&
@@ -235,8 +235,8 @@
 			found = true;
 	}
 	ck_assert_msg(found, "case %d: %u faults, the first on line %u %s: %s",
-		      _i, faults.count, faults.at[0].line, faults.at[0].path,
-		      faults.at[0].text);
+		      _i, faults.count, faults.items[0].line,
+		      faults.items[0].path, faults.items[0].text);
 	g_string_free(text, TRUE);
 }
 END_TEST
@@ -256,7 +256,7 @@
 	ck_assert_int_eq(parse(text, &conf), -EINVAL);
 	ck_assert_uint_eq(faults.count, MANY_FAULTS);
 	for (uint32_t i = 0; i < DL_FAULTS_MAX; i++)
-		ck_assert_uint_eq(faults.at[i].line, i + 2);
+		ck_assert_uint_eq(faults.items[i].line, i + 2);
 	g_string_free(text, TRUE);
 }
 END_TEST
@@ -269,7 +269,7 @@
 	while (text->len <= DL_CONF_TEXT_MAX)
 		g_string_append_printf(text, "%*s", 65536, "");
 	ck_assert_int_eq(parse(text, &conf), -EINVAL);
-	ck_assert_ptr_nonnull(strstr(faults.at[0].text, "at most"));
+	ck_assert_ptr_nonnull(strstr(faults.items[0].text, "at most"));
 	g_string_truncate(text, DL_CONF_TEXT_MAX);
 	ck_assert_int_eq(parse(text, &conf), 0);
 	dl_conf_free(conf);
@@ -334,11 +334,12 @@
 	ck_assert_int_eq(rc, -EINVAL);
 	ck_assert_uint_gt(faults.count, 0);
 	for (uint32_t i = 0; i < MIN(faults.count, DL_FAULTS_MAX); i++) {
-		ck_assert_msg(
-			faults.at[i].line >= 1 && faults.at[i].line <= lines,
-			"line %u of %u: %s: %s\n%s", faults.at[i].line, lines,
-			faults.at[i].path, faults.at[i].text, text->str);
-		ck_assert_uint_gt(strlen(faults.at[i].text), 0);
+		ck_assert_msg(faults.items[i].line >= 1 &&
+				      faults.items[i].line <= lines,
+			      "line %u of %u: %s: %s\n%s", faults.items[i].line,
+			      lines, faults.items[i].path, faults.items[i].text,
+			      text->str);
+		ck_assert_uint_gt(strlen(faults.items[i].text), 0);
 	}
 }
 
--- a/test/test_orders.c
+++ b/test/test_orders.c
@@ -58,7 +58,7 @@
 		STORE_MB_S, version, endpoints, version);
 
 	dl_conf_parse(dl_str_of(text), &conf, &faults);
-	ck_assert_msg(conf != NULL, "%s", faults.at[0].text);
+	ck_assert_msg(conf != NULL, "%s", faults.items[0].text);
 	g_free(text);
 	return conf;
 }
