--- a/include/daisyledge/conf.h
+++ b/include/daisyledge/conf.h
@@ -183,8 +183,8 @@
 					  struct dl_str host,
 					  struct dl_str path);
 /* The workspace that holds a key. */
-const struct dl_conf_workspace *dl_conf_key(const struct dl_conf *conf,
-					    struct dl_str key);
+const struct dl_conf_workspace *
+dl_conf_workspace_of_key(const struct dl_conf *conf, struct dl_str key);
 const struct dl_class_conf *dl_conf_class(const struct dl_conf *conf,
 					  struct dl_str name);
 
--- a/src/main/entry_route.c
+++ b/src/main/entry_route.c
@@ -175,7 +175,7 @@
 		return false;
 	}
 	if (!(*route)->public && conf->workspaces_count) {
-		ws = dl_conf_key(conf, in->key);
+		ws = dl_conf_workspace_of_key(conf, in->key);
 		if (!ws) {
 			reject(c, STATUS_UNAUTHORIZED,
 			       "the key is missing or unknown");
--- a/src/state/conf_route.c
+++ b/src/state/conf_route.c
@@ -241,8 +241,8 @@
 }
 
 /* The workspace that holds a key, or NULL. */
-const struct dl_conf_workspace *dl_conf_key(const struct dl_conf *conf,
-					    struct dl_str key)
+const struct dl_conf_workspace *
+dl_conf_workspace_of_key(const struct dl_conf *conf, struct dl_str key)
 {
 	struct dl_name name;
 
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -443,8 +443,10 @@
 		ck_assert_uint_eq(r->gap_ms, 250);
 		ck_assert_ptr_null(dl_conf_route(conf, DL_STR("h.example"),
 						 DL_STR("/q/")));
-		ck_assert_ptr_nonnull(dl_conf_key(conf, DL_STR("k2")));
-		ck_assert_ptr_null(dl_conf_key(conf, DL_STR("k3")));
+		ck_assert_ptr_nonnull(
+			dl_conf_workspace_of_key(conf, DL_STR("k2")));
+		ck_assert_ptr_null(
+			dl_conf_workspace_of_key(conf, DL_STR("k3")));
 		ck_assert_uint_eq(conf->number, 7);
 		ck_assert_double_eq_tol(
 			conf->services[0].pool.engine.read_per_ms, 177, 0.001);
