--- a/src/state/conf.c
+++ b/src/state/conf.c
@@ -31,26 +31,27 @@
 static const struct conf_field top_fields[] = {
 	{ "format", CONF_U32, true, FORMAT, FORMAT, FORMAT,
 	  .offset = offsetof(struct top, format) },
-	{ "classes", CONF_OTHER, .json = JSON_OBJECT },
-	{ "services", CONF_OTHER, true, .json = JSON_OBJECT },
-	{ "workspaces", CONF_OTHER, .json = JSON_OBJECT },
-	{ "replicas", CONF_OTHER, .json = JSON_ARRAY },
-	{ "routes", CONF_OTHER, .json = JSON_ARRAY },
-	{ "caller_limits", CONF_OTHER, .json = JSON_OBJECT },
+	{ "classes", CONF_JSON, .json = JSON_OBJECT },
+	{ "services", CONF_JSON, true, .json = JSON_OBJECT },
+	{ "workspaces", CONF_JSON, .json = JSON_OBJECT },
+	{ "replicas", CONF_JSON, .json = JSON_ARRAY },
+	{ "routes", CONF_JSON, .json = JSON_ARRAY },
+	{ "caller_limits", CONF_JSON, .json = JSON_OBJECT },
 	{ "number", CONF_U64, false, 0, INT64_MAX, 0,
 	  .offset = offsetof(struct top, number) },
-	{ "source", CONF_OTHER, .json = JSON_STRING },
-	{ "orders", CONF_OTHER, .json = JSON_ARRAY },
-	{ "drain", CONF_OTHER, .json = JSON_OBJECT },
+	{ "source", CONF_JSON, .json = JSON_STRING },
+	{ "orders", CONF_JSON, .json = JSON_ARRAY },
+	{ "drain", CONF_JSON, .json = JSON_OBJECT },
 	{ "weight_store_mb_per_s", CONF_U32, false, 1, 1000000, 1000,
 	  .offset = offsetof(struct top, weight_store_mb_per_s) },
-	{ "log_level", CONF_WORD, false, .initial = DL_INFO,
-	  .words = level_words, .offset = offsetof(struct top, log_level) },
+	{ "log_level", CONF_ENUM, false, .default_value = DL_INFO,
+	  .enum_names = level_words,
+	  .offset = offsetof(struct top, log_level) },
 };
 
 static const struct conf_field class_fields[] = {
-	{ "class", CONF_WORD, true, .initial = DL_CLASS_INTERACTIVE,
-	  .words = class_words,
+	{ "class", CONF_ENUM, true, .default_value = DL_CLASS_INTERACTIVE,
+	  .enum_names = class_words,
 	  .offset = offsetof(struct dl_class_conf, class) },
 	{ "deadline_ms", CONF_U32, true, 1, DAY_MS, 10000,
 	  .offset = offsetof(struct dl_class_conf, deadline_ms) },
@@ -58,13 +59,13 @@
 
 #define SERVICE(field) .offset = offsetof(struct dl_service_conf, field)
 static const struct conf_field service_fields[] = {
-	{ "kind", CONF_WORD, true, .initial = DL_POOL_MODEL,
-	  .words = kind_words, SERVICE(kind) },
-	{ "models", CONF_OTHER, .json = JSON_ARRAY },
-	{ "depends_on", CONF_OTHER, .json = JSON_ARRAY },
-	{ "default_class", CONF_OTHER, .json = JSON_STRING },
-	{ "idempotent_paths", CONF_OTHER, .json = JSON_ARRAY },
-	{ "get_is_idempotent", CONF_BOOL, .initial = true,
+	{ "kind", CONF_ENUM, true, .default_value = DL_POOL_MODEL,
+	  .enum_names = kind_words, SERVICE(kind) },
+	{ "models", CONF_JSON, .json = JSON_ARRAY },
+	{ "depends_on", CONF_JSON, .json = JSON_ARRAY },
+	{ "default_class", CONF_JSON, .json = JSON_STRING },
+	{ "idempotent_paths", CONF_JSON, .json = JSON_ARRAY },
+	{ "get_is_idempotent", CONF_BOOL, .default_value = true,
 	  SERVICE(get_is_idempotent) },
 	{ "ignores_fencing", CONF_BOOL, SERVICE(ignores_fencing) },
 	{ "connect_timeout_ms", CONF_U32, false, 10, 60000, 1000,
@@ -75,8 +76,8 @@
 	  SERVICE(retry_budget_permille) },
 	{ "connections_max", CONF_U32, false, 0, 1000000, 0,
 	  SERVICE(connections_max) },
-	{ "pool", CONF_OTHER, .json = JSON_OBJECT },
-	{ "engine", CONF_OTHER, .json = JSON_OBJECT },
+	{ "pool", CONF_JSON, .json = JSON_OBJECT },
+	{ "engine", CONF_JSON, .json = JSON_OBJECT },
 };
 #undef SERVICE
 
@@ -138,17 +139,17 @@
 	  WORKSPACE(limits.concurrency_max) },
 	{ "requests_per_s", CONF_U32, false, 0, 1000000, 0,
 	  WORKSPACE(limits.requests_per_s) },
-	{ "default_class", CONF_OTHER, .json = JSON_STRING },
+	{ "default_class", CONF_JSON, .json = JSON_STRING },
 	{ "priority", CONF_U32, false, 0, 1000, DL_CONF_UNSET,
 	  WORKSPACE(priority) },
-	{ "keys", CONF_OTHER, .json = JSON_ARRAY },
+	{ "keys", CONF_JSON, .json = JSON_ARRAY },
 };
 #undef WORKSPACE
 
 static const struct conf_field replica_fields[] = {
 	{ "name", CONF_NAME, true, CONF_PLAIN_NAME,
 	  .offset = offsetof(struct dl_replica_conf, name) },
-	{ "address", CONF_OTHER, true, .json = JSON_STRING },
+	{ "address", CONF_JSON, true, .json = JSON_STRING },
 };
 
 #define ORDER(field) .offset = offsetof(struct dl_order_conf, field)
@@ -162,8 +163,8 @@
 #undef ORDER
 
 static const struct conf_field drain_fields[] = {
-	{ "vms", CONF_OTHER, .json = JSON_ARRAY },
-	{ "endpoints", CONF_OTHER, .json = JSON_ARRAY },
+	{ "vms", CONF_JSON, .json = JSON_ARRAY },
+	{ "endpoints", CONF_JSON, .json = JSON_ARRAY },
 };
 
 /* Classes of a text that names none: one for each degree of urgency. */
@@ -173,35 +174,35 @@
 	{ { 5, "batch" }, DL_CLASS_BATCH, 600000 },
 };
 
-static bool read_key(struct conf_reader *r, const struct conf_at *at,
+static bool read_key(struct conf_reader *r, const struct conf_path *path,
 		     const char *key, struct dl_name *out);
 static void read_top(struct conf_reader *r, json_t *root, struct dl_conf *conf);
-static void read_classes(struct conf_reader *r, const struct conf_at *at,
+static void read_classes(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, struct dl_conf *conf);
 static void default_classes(struct conf_reader *r, struct dl_conf *conf);
 static uint32_t find_class(const struct dl_conf *conf, struct dl_str name);
-static void read_default_class(struct conf_reader *r, const struct conf_at *at,
-			       json_t *json, const struct dl_conf *conf,
-			       uint32_t *out);
-static void read_services(struct conf_reader *r, const struct conf_at *at,
+static void read_default_class(struct conf_reader *r,
+			       const struct conf_path *path, json_t *json,
+			       const struct dl_conf *conf, uint32_t *out);
+static void read_services(struct conf_reader *r, const struct conf_path *path,
 			  json_t *json, struct dl_conf *conf);
-static void read_service(struct conf_reader *r, const struct conf_at *at,
+static void read_service(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, const struct dl_conf *conf,
 			 struct dl_service_conf *out);
-static void read_pool(struct conf_reader *r, const struct conf_at *at,
+static void read_pool(struct conf_reader *r, const struct conf_path *path,
 		      json_t *json, struct dl_service_conf *out);
-static void read_engine(struct conf_reader *r, const struct conf_at *at,
+static void read_engine(struct conf_reader *r, const struct conf_path *path,
 			json_t *json, struct dl_engine_model *out);
-static void read_list(struct conf_reader *r, const struct conf_at *at,
+static void read_list(struct conf_reader *r, const struct conf_path *path,
 		      json_t *json, const char *key, enum conf_name_kind kind,
 		      struct dl_name **out, uint32_t *count);
-static void read_limits(struct conf_reader *r, const struct conf_at *at,
+static void read_limits(struct conf_reader *r, const struct conf_path *path,
 			json_t *root, struct dl_conf *conf);
-static void read_workspaces(struct conf_reader *r, const struct conf_at *at,
+static void read_workspaces(struct conf_reader *r, const struct conf_path *path,
 			    json_t *json, struct dl_conf *conf);
-static void read_replicas(struct conf_reader *r, const struct conf_at *at,
+static void read_replicas(struct conf_reader *r, const struct conf_path *path,
 			  json_t *json, struct dl_conf *conf);
-static void read_orders(struct conf_reader *r, const struct conf_at *at,
+static void read_orders(struct conf_reader *r, const struct conf_path *path,
 			json_t *json, struct dl_conf *conf);
 static int by_name(const void *a, const void *b);
 static int by_line(const void *a, const void *b);
@@ -209,29 +210,29 @@
 		     struct dl_conf *conf);
 
 /* Make room for the elements of a list within its bound. */
-void *conf_make_list(struct conf_reader *r, const struct conf_at *at, size_t n,
-		     size_t max, size_t size)
+void *conf_alloc_list(struct conf_reader *r, const struct conf_path *path,
+		      size_t n, size_t max, size_t size)
 {
 	void *list;
 
 	if (n > max) {
-		conf_fault(r, at, "must have at most %zu elements, not %zu",
+		conf_fault(r, path, "must have at most %zu elements, not %zu",
 			   max, n);
 		return NULL;
 	}
 	list = calloc(n ? n : 1, size);
 	if (!list)
-		r->no_memory = true;
+		r->out_of_memory = true;
 	return list;
 }
 
 /* Read a key that is a name of the operators' choice. */
-static bool read_key(struct conf_reader *r, const struct conf_at *at,
+static bool read_key(struct conf_reader *r, const struct conf_path *path,
 		     const char *key, struct dl_name *out)
 {
 	struct dl_str s = dl_str_of(key);
 
-	return conf_check_name(r, at, s, CONF_PLAIN_NAME) &&
+	return conf_check_name(r, path, s, CONF_PLAIN_NAME) &&
 	       dl_name_set(out, s);
 }
 
@@ -240,7 +241,7 @@
 {
 	conf->classes = malloc(sizeof(class_defaults));
 	if (!conf->classes) {
-		r->no_memory = true;
+		r->out_of_memory = true;
 		return;
 	}
 	memcpy(conf->classes, class_defaults, sizeof(class_defaults));
@@ -249,24 +250,24 @@
 }
 
 /* Read the classes of requests. */
-static void read_classes(struct conf_reader *r, const struct conf_at *at,
+static void read_classes(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, struct dl_conf *conf)
 {
 	const char *key;
 	json_t *value;
 
 	if (json_object_size(json) == 0) {
-		conf_fault(r, at, "must name at least one class");
+		conf_fault(r, path, "must name at least one class");
 		return;
 	}
-	conf->classes = conf_make_list(r, at, json_object_size(json),
-				       CONF_CLASSES_MAX,
-				       sizeof(*conf->classes));
+	conf->classes = conf_alloc_list(r, path, json_object_size(json),
+					CONF_CLASSES_MAX,
+					sizeof(*conf->classes));
 	if (!conf->classes)
 		return;
 	json_object_foreach(json, key, value)
 	{
-		struct conf_at child = conf_at_key(at, dl_str_of(key));
+		struct conf_path child = conf_path_key(path, dl_str_of(key));
 		struct dl_class_conf *c = &conf->classes[conf->classes_count];
 
 		conf_read_object(r, &child, value, CONF_FIELDS(class_fields),
@@ -287,12 +288,12 @@
 }
 
 /* Read a reference to a class; *out stays where there is none. */
-static void read_default_class(struct conf_reader *r, const struct conf_at *at,
-			       json_t *json, const struct dl_conf *conf,
-			       uint32_t *out)
+static void read_default_class(struct conf_reader *r,
+			       const struct conf_path *path, json_t *json,
+			       const struct dl_conf *conf, uint32_t *out)
 {
 	json_t *value = conf_child(json, "default_class", JSON_STRING);
-	struct conf_at child = conf_at_key(at, DL_STR("default_class"));
+	struct conf_path child = conf_path_key(path, DL_STR("default_class"));
 	struct conf_nearest near = { 0 };
 	uint32_t found;
 	char hint[96];
@@ -312,40 +313,40 @@
 }
 
 /* Read a list of names that is a member of an object, where it is there. */
-static void read_list(struct conf_reader *r, const struct conf_at *at,
+static void read_list(struct conf_reader *r, const struct conf_path *path,
 		      json_t *json, const char *key, enum conf_name_kind kind,
 		      struct dl_name **out, uint32_t *count)
 {
 	json_t *array = conf_child(json, key, JSON_ARRAY);
-	struct conf_at child = conf_at_key(at, dl_str_of(key));
+	struct conf_path child = conf_path_key(path, dl_str_of(key));
 
 	if (array)
 		conf_read_names(r, &child, array, kind, out, count);
 }
 
 /* Read the limits of a service's pools. */
-static void read_pool(struct conf_reader *r, const struct conf_at *at,
+static void read_pool(struct conf_reader *r, const struct conf_path *path,
 		      json_t *json, struct dl_service_conf *out)
 {
 	json_t *pool = conf_child(json, "pool", JSON_OBJECT);
-	struct conf_at child = conf_at_key(at, DL_STR("pool"));
+	struct conf_path child = conf_path_key(path, DL_STR("pool"));
 	json_t *none = pool ? NULL : json_object();
 
 	if (pool || none)
 		conf_read_object(r, &child, pool ? pool : none,
 				 CONF_FIELDS(pool_fields), &out->pool);
 	else
-		r->no_memory = true;
+		r->out_of_memory = true;
 	json_decref(none);
 	out->pool.kind = out->kind;
 }
 
 /* Read how a service's engines work, where it is published. */
-static void read_engine(struct conf_reader *r, const struct conf_at *at,
+static void read_engine(struct conf_reader *r, const struct conf_path *path,
 			json_t *json, struct dl_engine_model *out)
 {
 	json_t *engine = conf_child(json, "engine", JSON_OBJECT);
-	struct conf_at child = conf_at_key(at, DL_STR("engine"));
+	struct conf_path child = conf_path_key(path, DL_STR("engine"));
 
 	if (!engine)
 		return;
@@ -353,44 +354,44 @@
 }
 
 /* Read one service. */
-static void read_service(struct conf_reader *r, const struct conf_at *at,
+static void read_service(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, const struct dl_conf *conf,
 			 struct dl_service_conf *out)
 {
-	if (!conf_read_object(r, at, json, CONF_FIELDS(service_fields), out))
+	if (!conf_read_object(r, path, json, CONF_FIELDS(service_fields), out))
 		return;
-	read_list(r, at, json, "models", CONF_MODEL_NAME, &out->models,
+	read_list(r, path, json, "models", CONF_MODEL_NAME, &out->models,
 		  &out->models_count);
-	read_list(r, at, json, "depends_on", CONF_PLAIN_NAME, &out->depends_on,
-		  &out->depends_on_count);
-	read_list(r, at, json, "idempotent_paths", CONF_URL_PATH,
+	read_list(r, path, json, "depends_on", CONF_PLAIN_NAME,
+		  &out->depends_on, &out->depends_on_count);
+	read_list(r, path, json, "idempotent_paths", CONF_URL_PATH,
 		  &out->idempotent_paths, &out->idempotent_paths_count);
-	read_pool(r, at, json, out);
-	read_engine(r, at, json, &out->pool.engine);
+	read_pool(r, path, json, out);
+	read_engine(r, path, json, &out->pool.engine);
 	for (uint32_t i = conf->classes_count; i-- > 0;) {
 		if (conf->classes[i].class == DL_CLASS_INTERACTIVE)
 			out->default_class = i;
 	}
-	read_default_class(r, at, json, conf, &out->default_class);
+	read_default_class(r, path, json, conf, &out->default_class);
 }
 
 /* Read the services; a model service without models is named like its own. */
-static void read_services(struct conf_reader *r, const struct conf_at *at,
+static void read_services(struct conf_reader *r, const struct conf_path *path,
 			  json_t *json, struct dl_conf *conf)
 {
 	const char *key;
 	json_t *value;
 
 	if (json_object_size(json) == 0)
-		conf_fault(r, at, "must name at least one service");
-	conf->services = conf_make_list(r, at, json_object_size(json),
-					CONF_SERVICES_MAX,
-					sizeof(*conf->services));
+		conf_fault(r, path, "must name at least one service");
+	conf->services = conf_alloc_list(r, path, json_object_size(json),
+					 CONF_SERVICES_MAX,
+					 sizeof(*conf->services));
 	if (!conf->services)
 		return;
 	json_object_foreach(json, key, value)
 	{
-		struct conf_at child = conf_at_key(at, dl_str_of(key));
+		struct conf_path child = conf_path_key(path, dl_str_of(key));
 		struct dl_service_conf *s;
 
 		s = &conf->services[conf->services_count++];
@@ -400,7 +401,7 @@
 			continue;
 		s->models = calloc(1, sizeof(*s->models));
 		if (!s->models) {
-			r->no_memory = true;
+			r->out_of_memory = true;
 			continue;
 		}
 		s->models[0] = s->name;
@@ -417,21 +418,21 @@
 }
 
 /* Read the workspaces. */
-static void read_workspaces(struct conf_reader *r, const struct conf_at *at,
+static void read_workspaces(struct conf_reader *r, const struct conf_path *path,
 			    json_t *json, struct dl_conf *conf)
 {
 	struct dl_conf_workspace *w;
 	const char *key;
 	json_t *value;
 
-	w = conf_make_list(r, at, json_object_size(json), CONF_WORKSPACES_MAX,
-			   sizeof(*w));
+	w = conf_alloc_list(r, path, json_object_size(json),
+			    CONF_WORKSPACES_MAX, sizeof(*w));
 	conf->workspaces = w;
 	if (!w)
 		return;
 	json_object_foreach(json, key, value)
 	{
-		struct conf_at child = conf_at_key(at, dl_str_of(key));
+		struct conf_path child = conf_path_key(path, dl_str_of(key));
 
 		w = &conf->workspaces[conf->workspaces_count];
 		w->default_class = CLASS_UNKNOWN;
@@ -449,19 +450,19 @@
 }
 
 /* Read the list of replicas; its length and doubles are checked later. */
-static void read_replicas(struct conf_reader *r, const struct conf_at *at,
+static void read_replicas(struct conf_reader *r, const struct conf_path *path,
 			  json_t *json, struct dl_conf *conf)
 {
 	size_t n = json_array_size(json);
 
 	if (n > DL_REPLICAS_MAX) {
-		conf_fault(r, at, "must have at most %d replicas, not %zu",
+		conf_fault(r, path, "must have at most %d replicas, not %zu",
 			   DL_REPLICAS_MAX, n);
 		return;
 	}
 	for (size_t i = 0; i < n; i++) {
 		struct dl_replica_conf *p = &conf->replicas[i];
-		struct conf_at child = conf_at_index(at, i);
+		struct conf_path child = conf_path_index(path, i);
 		json_t *value = json_array_get(json, i), *address;
 		struct dl_name text = { 0 };
 
@@ -470,7 +471,7 @@
 				      CONF_FIELDS(replica_fields), p))
 			continue;
 		address = conf_child(value, "address", JSON_STRING);
-		child = conf_at_key(&child, DL_STR("address"));
+		child = conf_path_key(&child, DL_STR("address"));
 		if (address &&
 		    conf_read_name(r, &child, address, CONF_ADDRESS, &text))
 			dl_vm_parse(dl_name_str(&text), &p->vm);
@@ -478,15 +479,15 @@
 }
 
 /* Read the orders that the leader keeps true. */
-static void read_orders(struct conf_reader *r, const struct conf_at *at,
+static void read_orders(struct conf_reader *r, const struct conf_path *path,
 			json_t *json, struct dl_conf *conf)
 {
 	size_t n = json_array_size(json);
 
-	conf->orders =
-		conf_make_list(r, at, n, CONF_LIST_MAX, sizeof(*conf->orders));
+	conf->orders = conf_alloc_list(r, path, n, CONF_LIST_MAX,
+				       sizeof(*conf->orders));
 	for (size_t i = 0; conf->orders && i < n; i++) {
-		struct conf_at child = conf_at_index(at, i);
+		struct conf_path child = conf_path_index(path, i);
 		struct dl_order_conf *o = &conf->orders[i];
 
 		dl_name_set(&o->role, DL_STR("both"));
@@ -497,10 +498,10 @@
 }
 
 /* Read what callers may send; the defaults where the text says nothing. */
-static void read_limits(struct conf_reader *r, const struct conf_at *at,
+static void read_limits(struct conf_reader *r, const struct conf_path *path,
 			json_t *root, struct dl_conf *conf)
 {
-	struct conf_at child = conf_at_key(at, DL_STR("caller_limits"));
+	struct conf_path child = conf_path_key(path, DL_STR("caller_limits"));
 	json_t *limits = conf_child(root, "caller_limits", JSON_OBJECT);
 	json_t *none = limits ? NULL : json_object();
 
@@ -509,52 +510,52 @@
 				 CONF_FIELDS(caller_limit_fields),
 				 &conf->caller_limits);
 	else
-		r->no_memory = true;
+		r->out_of_memory = true;
 	json_decref(none);
 }
 
 /* Read the whole text, one part after the other. */
 static void read_top(struct conf_reader *r, json_t *root, struct dl_conf *conf)
 {
-	struct conf_at at = conf_at_root(), child;
+	struct conf_path path = conf_path_root(), child;
 	struct top top;
 	json_t *json;
 
-	if (!conf_read_object(r, &at, root, CONF_FIELDS(top_fields), &top))
+	if (!conf_read_object(r, &path, root, CONF_FIELDS(top_fields), &top))
 		return;
 	conf->weight_store_mb_per_s = top.weight_store_mb_per_s;
 	conf->log_level = (enum dl_level)top.log_level;
 	conf->number = top.number;
-	read_limits(r, &at, root, conf);
-	child = conf_at_key(&at, DL_STR("classes"));
+	read_limits(r, &path, root, conf);
+	child = conf_path_key(&path, DL_STR("classes"));
 	json = conf_child(root, "classes", JSON_OBJECT);
 	if (json)
 		read_classes(r, &child, json, conf);
 	else
 		default_classes(r, conf);
-	child = conf_at_key(&at, DL_STR("services"));
+	child = conf_path_key(&path, DL_STR("services"));
 	json = conf_child(root, "services", JSON_OBJECT);
 	if (json)
 		read_services(r, &child, json, conf);
-	child = conf_at_key(&at, DL_STR("routes"));
+	child = conf_path_key(&path, DL_STR("routes"));
 	json = conf_child(root, "routes", JSON_ARRAY);
 	if (json)
 		conf_read_routes(r, &child, json, conf);
-	child = conf_at_key(&at, DL_STR("workspaces"));
+	child = conf_path_key(&path, DL_STR("workspaces"));
 	json = conf_child(root, "workspaces", JSON_OBJECT);
 	if (json)
 		read_workspaces(r, &child, json, conf);
-	child = conf_at_key(&at, DL_STR("replicas"));
+	child = conf_path_key(&path, DL_STR("replicas"));
 	json = conf_child(root, "replicas", JSON_ARRAY);
 	if (json)
 		read_replicas(r, &child, json, conf);
 	else if (!top.number && !json_object_get(root, "replicas"))
-		conf_fault(r, &at, "the key \"replicas\" is missing");
-	child = conf_at_key(&at, DL_STR("orders"));
+		conf_fault(r, &path, "the key \"replicas\" is missing");
+	child = conf_path_key(&path, DL_STR("orders"));
 	json = conf_child(root, "orders", JSON_ARRAY);
 	if (json)
 		read_orders(r, &child, json, conf);
-	child = conf_at_key(&at, DL_STR("drain"));
+	child = conf_path_key(&path, DL_STR("drain"));
 	json = conf_child(root, "drain", JSON_OBJECT);
 	if (!json)
 		return;
@@ -569,7 +570,7 @@
 static int read_text(struct conf_reader *r, struct dl_str text,
 		     struct dl_conf *conf)
 {
-	struct conf_at root = conf_at_root();
+	struct conf_path root = conf_path_root();
 	json_error_t error;
 	json_t *json;
 	int rc;
@@ -632,7 +633,7 @@
 		return -ENOMEM;
 	rc = read_text(&r, text, conf);
 	conf_lines_free(&r.lines);
-	if (rc == 0 && r.no_memory)
+	if (rc == 0 && r.out_of_memory)
 		rc = -ENOMEM;
 	if (rc == 0 && faults->count)
 		rc = -EINVAL;
--- a/src/state/conf_check.c
+++ b/src/state/conf_check.c
@@ -19,11 +19,11 @@
 	enum visit visit[CONF_SERVICES_MAX];
 };
 
-static struct conf_at at_service(const struct dl_service_conf *s);
-static struct conf_at at_member(struct conf_at parent, const char *key);
-static struct conf_at at_element(const char *key, uint32_t index);
+static struct conf_path at_service(const struct dl_service_conf *s);
+static struct conf_path at_member(struct conf_path parent, const char *key);
+static struct conf_path at_element(const char *key, uint32_t index);
 static void no_such_service(struct conf_reader *r, const struct dl_conf *conf,
-			    const struct conf_at *at, struct dl_str name);
+			    const struct conf_path *path, struct dl_str name);
 static void check_dependencies(struct conf_reader *r,
 			       const struct dl_conf *conf,
 			       const struct dl_service_conf *s);
@@ -39,38 +39,38 @@
 			      uint32_t index);
 
 /* Where a service stands in the text. */
-static struct conf_at at_service(const struct dl_service_conf *s)
+static struct conf_path at_service(const struct dl_service_conf *s)
 {
-	struct conf_at root = conf_at_root();
-	struct conf_at services = conf_at_key(&root, DL_STR("services"));
+	struct conf_path root = conf_path_root();
+	struct conf_path services = conf_path_key(&root, DL_STR("services"));
 
-	return conf_at_key(&services, dl_name_str(&s->name));
+	return conf_path_key(&services, dl_name_str(&s->name));
 }
 
 /* A member of a place, by value, so that places can be nested in one line. */
-static struct conf_at at_member(struct conf_at parent, const char *key)
+static struct conf_path at_member(struct conf_path parent, const char *key)
 {
-	return conf_at_key(&parent, dl_str_of(key));
+	return conf_path_key(&parent, dl_str_of(key));
 }
 
 /* An element of a list at the top of the text. */
-static struct conf_at at_element(const char *key, uint32_t index)
+static struct conf_path at_element(const char *key, uint32_t index)
 {
-	struct conf_at list = at_member(conf_at_root(), key);
+	struct conf_path list = at_member(conf_path_root(), key);
 
-	return conf_at_index(&list, index);
+	return conf_path_index(&list, index);
 }
 
 /* A reference to a service that is not there, and the nearest that is. */
 static void no_such_service(struct conf_reader *r, const struct dl_conf *conf,
-			    const struct conf_at *at, struct dl_str name)
+			    const struct conf_path *path, struct dl_str name)
 {
 	struct conf_nearest near = { .wanted = name };
 	char hint[96];
 
 	for (uint32_t i = 0; i < conf->services_count; i++)
 		conf_nearest_try(&near, dl_name_str(&conf->services[i].name));
-	conf_fault(r, at, "no service \"%.*s\"%s", (int)name.n, name.s,
+	conf_fault(r, path, "no service \"%.*s\"%s", (int)name.n, name.s,
 		   conf_nearest_hint(&near, hint));
 }
 
@@ -79,7 +79,7 @@
 			       const struct dl_conf *conf,
 			       const struct dl_service_conf *s)
 {
-	struct conf_at list = at_member(at_service(s), "depends_on");
+	struct conf_path list = at_member(at_service(s), "depends_on");
 
 	for (uint32_t i = 0; i < s->depends_on_count; i++) {
 		struct dl_str name = dl_name_str(&s->depends_on[i]);
@@ -92,8 +92,8 @@
 /* Keys that only one kind of service has a use for. */
 static void check_kind(struct conf_reader *r, const struct dl_service_conf *s)
 {
-	struct conf_at models = at_member(at_service(s), "models");
-	struct conf_at paths = at_member(at_service(s), "idempotent_paths");
+	struct conf_path models = at_member(at_service(s), "models");
+	struct conf_path paths = at_member(at_service(s), "idempotent_paths");
 
 	if (s->kind == DL_POOL_PLAIN && s->models_count)
 		conf_fault(r, &models, "a plain service has no models");
@@ -108,7 +108,7 @@
 
 	c->visit[index] = VISIT_OPEN;
 	for (uint32_t i = 0; i < s->depends_on_count; i++) {
-		struct conf_at at = at_member(at_service(s), "depends_on");
+		struct conf_path path = at_member(at_service(s), "depends_on");
 		const struct dl_service_conf *next;
 		uint32_t n;
 
@@ -117,7 +117,7 @@
 			continue;
 		n = (uint32_t)(next - c->conf->services);
 		if (c->visit[n] == VISIT_OPEN)
-			conf_fault(c->r, &at,
+			conf_fault(c->r, &path,
 				   "\"%s\" depends on \"%s\" in a cycle",
 				   s->name.s, next->name.s);
 		else if (c->visit[n] == VISIT_NEW)
@@ -147,11 +147,11 @@
 
 		for (uint32_t j = 0; j < s->models_count; j++) {
 			const struct dl_service_conf *other;
-			struct conf_at at = at_service(s);
+			struct conf_path path = at_service(s);
 
 			other = g_hash_table_lookup(seen, s->models[j].s);
 			if (other && other != s)
-				conf_fault(r, &at,
+				conf_fault(r, &path,
 					   "model \"%s\" is also one of \"%s\"",
 					   s->models[j].s, other->name.s);
 			g_hash_table_insert(seen, s->models[j].s, (gpointer)s);
@@ -166,7 +166,7 @@
  */
 static void check_replicas(struct conf_reader *r, const struct dl_conf *conf)
 {
-	struct conf_at list = at_member(conf_at_root(), "replicas");
+	struct conf_path list = at_member(conf_path_root(), "replicas");
 	uint32_t n = conf->replicas_count;
 
 	if (conf_lines_find(&r->lines, list.hash) && n < REPLICAS_MIN)
@@ -179,19 +179,19 @@
 			   n);
 	for (uint32_t i = 1; i < n; i++) {
 		const struct dl_replica_conf *a = &conf->replicas[i];
-		struct conf_at at = at_element("replicas", i);
+		struct conf_path path = at_element("replicas", i);
 
 		for (uint32_t j = 0; j < i; j++) {
 			const struct dl_replica_conf *b = &conf->replicas[j];
 
 			if (a->name.n &&
 			    dl_name_eq(&a->name, dl_name_str(&b->name)))
-				conf_fault(r, &at,
+				conf_fault(r, &path,
 					   "the name \"%s\" is taken by "
 					   "another replica",
 					   a->name.s);
 			if (a->vm != DL_VM_NONE && a->vm == b->vm)
-				conf_fault(r, &at,
+				conf_fault(r, &path,
 					   "replica \"%s\" has the same "
 					   "address",
 					   b->name.s);
@@ -205,10 +205,10 @@
 {
 	static const char *const roles[] = { "prefill", "decode", "both" };
 	const struct dl_order_conf *o = &conf->orders[index];
-	struct conf_at at = at_element("orders", index);
-	struct conf_at service = at_member(at, "service");
-	struct conf_at model = at_member(at, "model");
-	struct conf_at role = at_member(at, "role");
+	struct conf_path path = at_element("orders", index);
+	struct conf_path service = at_member(path, "service");
+	struct conf_path model = at_member(path, "model");
+	struct conf_path role = at_member(path, "role");
 	const struct dl_service_conf *s;
 	size_t i = 0;
 
@@ -236,7 +236,7 @@
 			      uint32_t index)
 {
 	const struct dl_order_conf *a = &conf->orders[index];
-	struct conf_at at = at_element("orders", index);
+	struct conf_path path = at_element("orders", index);
 
 	for (uint32_t i = 0; i < index; i++) {
 		const struct dl_order_conf *b = &conf->orders[i];
@@ -246,10 +246,10 @@
 		if (strcmp(a->model.s, b->model.s) == 0 &&
 		    strcmp(a->version.s, b->version.s) == 0 &&
 		    strcmp(a->role.s, b->role.s) == 0)
-			conf_fault(r, &at, "is the same order as orders[%u]",
+			conf_fault(r, &path, "is the same order as orders[%u]",
 				   i);
 		else if (a->endpoints == 0 || b->endpoints == 0)
-			conf_fault(r, &at,
+			conf_fault(r, &path,
 				   "orders[%u] is for the same service, so "
 				   "both need a number of endpoints",
 				   i);
--- a/src/state/conf_int.h
+++ b/src/state/conf_int.h
@@ -19,22 +19,23 @@
 #define CONF_PATH_MAX sizeof(((struct dl_fault *)0)->path)
 
 /* A place in the text: the path as people read it, and its hash. */
-struct conf_at {
+struct conf_path {
 	uint64_t hash;
 	size_t n;
-	char path[CONF_PATH_MAX];
+	char text[CONF_PATH_MAX];
 };
 
-struct conf_at conf_at_root(void);
-struct conf_at conf_at_key(const struct conf_at *parent, struct dl_str key);
-struct conf_at conf_at_index(const struct conf_at *parent, size_t index);
+struct conf_path conf_path_root(void);
+struct conf_path conf_path_key(const struct conf_path *parent,
+			       struct dl_str key);
+struct conf_path conf_path_index(const struct conf_path *parent, size_t index);
 
 /* The line of each key and element, found by the hash of its path. */
 struct conf_lines {
 	uint64_t *hash;
 	uint32_t *line;
-	uint32_t *owner; /* the object or list that it was found in */
-	size_t size;	 /* a power of two */
+	uint32_t *container; /* the object or list that it was found in */
+	size_t size;	     /* a power of two */
 	size_t used;
 };
 
@@ -42,14 +43,14 @@
 struct conf_reader {
 	struct conf_lines lines;
 	struct dl_faults *faults;
-	bool no_memory;
+	bool out_of_memory;
 };
 
 int conf_lines_scan(struct conf_reader *r, struct dl_str text);
 uint32_t conf_lines_find(const struct conf_lines *lines, uint64_t hash);
 void conf_lines_free(struct conf_lines *lines);
 
-void conf_fault(struct conf_reader *r, const struct conf_at *at,
+void conf_fault(struct conf_reader *r, const struct conf_path *path,
 		const char *fmt, ...) __attribute__((format(printf, 3, 4)));
 
 /* What a field holds; CONF_OTHER is read by the caller. */
@@ -59,8 +60,8 @@
 	CONF_BOOL,
 	CONF_NAME,
 	CONF_DOUBLE, /* not negative */
-	CONF_WORD,   /* one of words, stored as its index in an enum */
-	CONF_OTHER,
+	CONF_ENUM,   /* one of words, stored as its index in an enum */
+	CONF_JSON,
 	CONF_TYPE_COUNT,
 };
 
@@ -68,14 +69,14 @@
 	const char *key;
 	enum conf_type type;
 	bool required;
-	uint64_t min, max, initial;
-	const char *const *words; /* CONF_WORD: ended by NULL */
-	json_type json;		  /* CONF_OTHER */
+	uint64_t min, max, default_value;
+	const char *const *enum_names; /* CONF_WORD: ended by NULL */
+	json_type json;		       /* CONF_OTHER */
 	size_t offset;
 };
 
 struct conf_fields {
-	const struct conf_field *at;
+	const struct conf_field *items;
 	size_t count;
 };
 
@@ -88,16 +89,16 @@
 	CONF_SECRET,  /* any visible character */
 };
 
-bool conf_read_object(struct conf_reader *r, const struct conf_at *at,
+bool conf_read_object(struct conf_reader *r, const struct conf_path *path,
 		      json_t *json, struct conf_fields fields, void *out);
 json_t *conf_child(json_t *json, const char *key, json_type type);
-bool conf_read_name(struct conf_reader *r, const struct conf_at *at,
+bool conf_read_name(struct conf_reader *r, const struct conf_path *path,
 		    json_t *json, enum conf_name_kind kind,
 		    struct dl_name *out);
-void conf_read_names(struct conf_reader *r, const struct conf_at *at,
+void conf_read_names(struct conf_reader *r, const struct conf_path *path,
 		     json_t *array, enum conf_name_kind kind,
 		     struct dl_name **out, uint32_t *count);
-bool conf_check_name(struct conf_reader *r, const struct conf_at *at,
+bool conf_check_name(struct conf_reader *r, const struct conf_path *path,
 		     struct dl_str name, enum conf_name_kind kind);
 
 /* The nearest of some words to one that is not among them, or NULL. */
@@ -111,16 +112,16 @@
 const char *conf_nearest_hint(const struct conf_nearest *n, char out[96]);
 
 /* conf_route.c */
-void conf_read_routes(struct conf_reader *r, const struct conf_at *at,
+void conf_read_routes(struct conf_reader *r, const struct conf_path *path,
 		      json_t *json, struct dl_conf *conf);
-void conf_read_keys(struct conf_reader *r, const struct conf_at *at,
+void conf_read_keys(struct conf_reader *r, const struct conf_path *path,
 		    json_t *json, struct dl_conf_workspace *out);
 void conf_index_keys(struct conf_reader *r, struct dl_conf *conf);
 void conf_routes_free(struct dl_conf *conf);
 
 /* conf.c */
-void *conf_make_list(struct conf_reader *r, const struct conf_at *at, size_t n,
-		     size_t max, size_t size);
+void *conf_alloc_list(struct conf_reader *r, const struct conf_path *path,
+		      size_t n, size_t max, size_t size);
 
 #define CONF_FIELDS(table)                                                     \
 	(struct conf_fields)                                                   \
--- a/src/state/conf_read.c
+++ b/src/state/conf_read.c
@@ -11,7 +11,7 @@
 /* A misspelt word may differ by a third of its letters, at most by three. */
 #define NEAR_MAX 3
 
-typedef void field_fn(struct conf_reader *r, const struct conf_at *at,
+typedef void field_fn(struct conf_reader *r, const struct conf_path *path,
 		      const struct conf_field *f, json_t *json, char *out);
 
 static field_fn read_u32, read_u64, read_bool, read_name, read_double,
@@ -20,7 +20,7 @@
 static field_fn *const readers[CONF_TYPE_COUNT] = {
 	[CONF_U32] = read_u32,	     [CONF_U64] = read_u64,
 	[CONF_BOOL] = read_bool,     [CONF_NAME] = read_name,
-	[CONF_WORD] = read_word,     [CONF_OTHER] = read_other,
+	[CONF_ENUM] = read_word,     [CONF_JSON] = read_other,
 	[CONF_DOUBLE] = read_double,
 };
 
@@ -32,12 +32,12 @@
 };
 
 static void set_default(const struct conf_field *f, char *out);
-static bool read_number(struct conf_reader *r, const struct conf_at *at,
+static bool read_number(struct conf_reader *r, const struct conf_path *path,
 			const struct conf_field *f, json_t *json,
 			uint64_t *out);
-static void wrong_type(struct conf_reader *r, const struct conf_at *at,
+static void wrong_type(struct conf_reader *r, const struct conf_path *path,
 		       json_type want, json_t *json);
-static void unknown_key(struct conf_reader *r, const struct conf_at *at,
+static void unknown_key(struct conf_reader *r, const struct conf_path *path,
 			struct conf_fields fields, const char *key);
 static const struct conf_field *find_field(struct conf_fields fields,
 					   const char *key);
@@ -45,7 +45,7 @@
 static unsigned distance(struct dl_str a, struct dl_str b);
 
 /* Note a fault at a place; only the first ones keep their words. */
-void conf_fault(struct conf_reader *r, const struct conf_at *at,
+void conf_fault(struct conf_reader *r, const struct conf_path *path,
 		const char *fmt, ...)
 {
 	struct dl_fault *f;
@@ -54,8 +54,8 @@
 	if (r->faults->count++ >= DL_FAULTS_MAX)
 		return;
 	f = &r->faults->items[r->faults->count - 1];
-	snprintf(f->path, sizeof(f->path), "%s", at->path);
-	f->line = conf_lines_find(&r->lines, at->hash);
+	snprintf(f->path, sizeof(f->path), "%s", path->text);
+	f->line = conf_lines_find(&r->lines, path->hash);
 	va_start(ap, fmt);
 	vsnprintf(f->text, sizeof(f->text), fmt, ap);
 	va_end(ap);
@@ -114,26 +114,26 @@
 }
 
 /* Say which type was found in place of the one wanted. */
-static void wrong_type(struct conf_reader *r, const struct conf_at *at,
+static void wrong_type(struct conf_reader *r, const struct conf_path *path,
 		       json_type want, json_t *json)
 {
-	conf_fault(r, at, "must be %s, not %s", type_names[want],
+	conf_fault(r, path, "must be %s, not %s", type_names[want],
 		   type_names[json_typeof(json)]);
 }
 
 /* Read a whole number within its range. */
-static bool read_number(struct conf_reader *r, const struct conf_at *at,
+static bool read_number(struct conf_reader *r, const struct conf_path *path,
 			const struct conf_field *f, json_t *json, uint64_t *out)
 {
 	json_int_t v;
 
 	if (!json_is_integer(json)) {
-		wrong_type(r, at, JSON_INTEGER, json);
+		wrong_type(r, path, JSON_INTEGER, json);
 		return false;
 	}
 	v = json_integer_value(json);
 	if (v < 0 || (uint64_t)v < f->min || (uint64_t)v > f->max) {
-		conf_fault(r, at, "must be from %llu to %llu, not %lld",
+		conf_fault(r, path, "must be from %llu to %llu, not %lld",
 			   (unsigned long long)f->min,
 			   (unsigned long long)f->max, (long long)v);
 		return false;
@@ -142,28 +142,28 @@
 	return true;
 }
 
-static void read_u32(struct conf_reader *r, const struct conf_at *at,
+static void read_u32(struct conf_reader *r, const struct conf_path *path,
 		     const struct conf_field *f, json_t *json, char *out)
 {
 	uint64_t v;
 	uint32_t narrow;
 
-	if (!read_number(r, at, f, json, &v))
+	if (!read_number(r, path, f, json, &v))
 		return;
 	narrow = (uint32_t)v;
 	memcpy(out, &narrow, sizeof(narrow));
 }
 
-static void read_u64(struct conf_reader *r, const struct conf_at *at,
+static void read_u64(struct conf_reader *r, const struct conf_path *path,
 		     const struct conf_field *f, json_t *json, char *out)
 {
 	uint64_t v;
 
-	if (read_number(r, at, f, json, &v))
+	if (read_number(r, path, f, json, &v))
 		memcpy(out, &v, sizeof(v));
 }
 
-static void read_bool(struct conf_reader *r, const struct conf_at *at,
+static void read_bool(struct conf_reader *r, const struct conf_path *path,
 		      const struct conf_field *f, json_t *json, char *out)
 {
 	bool v = json_is_true(json);
@@ -171,31 +171,31 @@
 	if (json_is_boolean(json))
 		memcpy(out, &v, sizeof(v));
 	else
-		wrong_type(r, at, JSON_TRUE, json);
+		wrong_type(r, path, JSON_TRUE, json);
 }
 
-static void read_name(struct conf_reader *r, const struct conf_at *at,
+static void read_name(struct conf_reader *r, const struct conf_path *path,
 		      const struct conf_field *f, json_t *json, char *out)
 {
-	conf_read_name(r, at, json, (enum conf_name_kind)f->min,
+	conf_read_name(r, path, json, (enum conf_name_kind)f->min,
 		       (struct dl_name *)(void *)out);
 }
 
-static void read_double(struct conf_reader *r, const struct conf_at *at,
+static void read_double(struct conf_reader *r, const struct conf_path *path,
 			const struct conf_field *f, json_t *json, char *out)
 {
 	double v = json_number_value(json);
 
 	if (!json_is_number(json))
-		wrong_type(r, at, JSON_REAL, json);
+		wrong_type(r, path, JSON_REAL, json);
 	else if (!(v >= 0))
-		conf_fault(r, at, "must not be negative");
+		conf_fault(r, path, "must not be negative");
 	else
 		memcpy(out, &v, sizeof(v));
 }
 
 /* Read one word of a list and store its index. */
-static void read_word(struct conf_reader *r, const struct conf_at *at,
+static void read_word(struct conf_reader *r, const struct conf_path *path,
 		      const struct conf_field *f, json_t *json, char *out)
 {
 	struct conf_nearest near = { 0 };
@@ -203,12 +203,12 @@
 	size_t n = 0;
 
 	if (!json_is_string(json)) {
-		wrong_type(r, at, JSON_STRING, json);
+		wrong_type(r, path, JSON_STRING, json);
 		return;
 	}
 	near.wanted = dl_str_of(json_string_value(json));
-	for (int i = 0; f->words[i]; i++) {
-		struct dl_str word = dl_str_of(f->words[i]);
+	for (int i = 0; f->enum_names[i]; i++) {
+		struct dl_str word = dl_str_of(f->enum_names[i]);
 
 		if (dl_str_eq(word, near.wanted)) {
 			memcpy(out, &i, sizeof(i));
@@ -216,30 +216,30 @@
 		}
 		conf_nearest_try(&near, word);
 		n += (size_t)snprintf(all + n, sizeof(all) - n, "%s\"%s\"",
-				      i ? ", " : "", f->words[i]);
+				      i ? ", " : "", f->enum_names[i]);
 	}
-	conf_fault(r, at, "must be one of %s%s", all,
+	conf_fault(r, path, "must be one of %s%s", all,
 		   conf_nearest_hint(&near, hint));
 }
 
 /* Only the type is checked; the caller reads what is in it. */
-static void read_other(struct conf_reader *r, const struct conf_at *at,
+static void read_other(struct conf_reader *r, const struct conf_path *path,
 		       const struct conf_field *f, json_t *json, char *out)
 {
 	if (json_typeof(json) != f->json)
-		wrong_type(r, at, f->json, json);
+		wrong_type(r, path, f->json, json);
 }
 
 /* Store what holds where the text says nothing. */
 static void set_default(const struct conf_field *f, char *out)
 {
-	uint32_t narrow = (uint32_t)f->initial;
-	bool flag = f->initial != 0;
+	uint32_t narrow = (uint32_t)f->default_value;
+	bool flag = f->default_value != 0;
 
-	if (f->type == CONF_U32 || f->type == CONF_WORD)
+	if (f->type == CONF_U32 || f->type == CONF_ENUM)
 		memcpy(out, &narrow, sizeof(narrow));
 	else if (f->type == CONF_U64)
-		memcpy(out, &f->initial, sizeof(f->initial));
+		memcpy(out, &f->default_value, sizeof(f->default_value));
 	else if (f->type == CONF_BOOL)
 		memcpy(out, &flag, sizeof(flag));
 }
@@ -249,22 +249,22 @@
 					   const char *key)
 {
 	for (size_t i = 0; i < fields.count; i++) {
-		if (strcmp(fields.at[i].key, key) == 0)
-			return fields.at + i;
+		if (strcmp(fields.items[i].key, key) == 0)
+			return fields.items + i;
 	}
 	return NULL;
 }
 
 /* Name a key that no field has, and the one that was probably meant. */
-static void unknown_key(struct conf_reader *r, const struct conf_at *at,
+static void unknown_key(struct conf_reader *r, const struct conf_path *path,
 			struct conf_fields fields, const char *key)
 {
 	struct conf_nearest near = { .wanted = dl_str_of(key) };
 	char hint[96];
 
 	for (size_t i = 0; i < fields.count; i++)
-		conf_nearest_try(&near, dl_str_of(fields.at[i].key));
-	conf_fault(r, at, "unknown key%s", conf_nearest_hint(&near, hint));
+		conf_nearest_try(&near, dl_str_of(fields.items[i].key));
+	conf_fault(r, path, "unknown key%s", conf_nearest_hint(&near, hint));
 }
 
 /*
@@ -272,22 +272,23 @@
  * each key.  Unknown and missing keys, wrong types and ranges are faults.
  * False where the value is no object at all.
  */
-bool conf_read_object(struct conf_reader *r, const struct conf_at *at,
+bool conf_read_object(struct conf_reader *r, const struct conf_path *path,
 		      json_t *json, struct conf_fields fields, void *out)
 {
 	const char *key;
 	json_t *value;
 
 	for (size_t i = 0; i < fields.count; i++)
-		set_default(&fields.at[i], (char *)out + fields.at[i].offset);
+		set_default(&fields.items[i],
+			    (char *)out + fields.items[i].offset);
 	if (!json_is_object(json)) {
-		wrong_type(r, at, JSON_OBJECT, json);
+		wrong_type(r, path, JSON_OBJECT, json);
 		return false;
 	}
 	json_object_foreach(json, key, value)
 	{
 		const struct conf_field *f = find_field(fields, key);
-		struct conf_at child = conf_at_key(at, dl_str_of(key));
+		struct conf_path child = conf_path_key(path, dl_str_of(key));
 
 		if (f)
 			readers[f->type](r, &child, f, value,
@@ -296,10 +297,10 @@
 			unknown_key(r, &child, fields, key);
 	}
 	for (size_t i = 0; i < fields.count; i++) {
-		if (fields.at[i].required &&
-		    !json_object_get(json, fields.at[i].key))
-			conf_fault(r, at, "the key \"%s\" is missing",
-				   fields.at[i].key);
+		if (fields.items[i].required &&
+		    !json_object_get(json, fields.items[i].key))
+			conf_fault(r, path, "the key \"%s\" is missing",
+				   fields.items[i].key);
 	}
 	return true;
 }
@@ -323,68 +324,68 @@
 }
 
 /* Check how a name is written. */
-bool conf_check_name(struct conf_reader *r, const struct conf_at *at,
+bool conf_check_name(struct conf_reader *r, const struct conf_path *path,
 		     struct dl_str name, enum conf_name_kind kind)
 {
 	uint64_t vm;
 
 	if (name.n == 0 || name.n > DL_NAME_MAX) {
-		conf_fault(r, at, "must have 1 to %d characters, not %zu",
+		conf_fault(r, path, "must have 1 to %d characters, not %zu",
 			   DL_NAME_MAX, name.n);
 		return false;
 	}
 	for (size_t i = 0; i < name.n; i++) {
 		if (name_byte((unsigned char)name.s[i], kind))
 			continue;
-		conf_fault(r, at, "character %zu must not stand in a name",
+		conf_fault(r, path, "character %zu must not stand in a name",
 			   i + 1);
 		return false;
 	}
 	if (kind == CONF_URL_PATH && name.s[0] != '/') {
-		conf_fault(r, at, "must begin with \"/\"");
+		conf_fault(r, path, "must begin with \"/\"");
 		return false;
 	}
 	if (kind == CONF_ADDRESS && !dl_vm_parse(name, &vm)) {
-		conf_fault(r, at, "must be an address like 10.0.0.1:7200");
+		conf_fault(r, path, "must be an address like 10.0.0.1:7200");
 		return false;
 	}
 	return true;
 }
 
 /* Read one name. */
-bool conf_read_name(struct conf_reader *r, const struct conf_at *at,
+bool conf_read_name(struct conf_reader *r, const struct conf_path *path,
 		    json_t *json, enum conf_name_kind kind, struct dl_name *out)
 {
 	struct dl_str s;
 
 	if (!json_is_string(json)) {
-		wrong_type(r, at, JSON_STRING, json);
+		wrong_type(r, path, JSON_STRING, json);
 		return false;
 	}
 	s = (struct dl_str){ json_string_value(json),
 			     json_string_length(json) };
-	return conf_check_name(r, at, s, kind) && dl_name_set(out, s);
+	return conf_check_name(r, path, s, kind) && dl_name_set(out, s);
 }
 
 /* Read a list of names, each of which may stand in it once. */
-void conf_read_names(struct conf_reader *r, const struct conf_at *at,
+void conf_read_names(struct conf_reader *r, const struct conf_path *path,
 		     json_t *array, enum conf_name_kind kind,
 		     struct dl_name **out, uint32_t *count)
 {
 	size_t n = json_array_size(array);
 
 	if (n > CONF_LIST_MAX) {
-		conf_fault(r, at, "must have at most %d elements, not %zu",
+		conf_fault(r, path, "must have at most %d elements, not %zu",
 			   CONF_LIST_MAX, n);
 		return;
 	}
 	*out = calloc(n ? n : 1, sizeof(**out));
 	if (!*out) {
-		r->no_memory = true;
+		r->out_of_memory = true;
 		return;
 	}
 	for (size_t i = 0; i < n; i++) {
-		struct conf_at child = conf_at_index(at, i);
+		struct conf_path child = conf_path_index(path, i);
 		struct dl_name *name = &(*out)[*count];
 		uint32_t j = 0;
 
--- a/src/state/conf_route.c
+++ b/src/state/conf_route.c
@@ -19,10 +19,10 @@
 #define ROUTE(field) .offset = offsetof(struct dl_route_conf, field)
 static const struct conf_field route_fields[] = {
 	{ "name", CONF_NAME, true, CONF_PLAIN_NAME, ROUTE(name) },
-	{ "host", CONF_OTHER, true, .json = JSON_STRING },
-	{ "path_prefix", CONF_OTHER, true, .json = JSON_STRING },
-	{ "kind", CONF_WORD, true, .initial = DL_ROUTE_NON_IDEMPOTENT,
-	  .words = route_kind_words, ROUTE(kind) },
+	{ "host", CONF_JSON, true, .json = JSON_STRING },
+	{ "path_prefix", CONF_JSON, true, .json = JSON_STRING },
+	{ "kind", CONF_ENUM, true, .default_value = DL_ROUTE_NON_IDEMPOTENT,
+	  .enum_names = route_kind_words, ROUTE(kind) },
 	{ "timeout_ms", CONF_U32, true, 1, DAY_MS, 10000, ROUTE(timeout_ms) },
 	{ "target_ms", CONF_U32, false, 0, DAY_MS, 0, ROUTE(target_ms) },
 	{ "gap_ms", CONF_U32, false, 0, DAY_MS, 0, ROUTE(gap_ms) },
@@ -30,7 +30,7 @@
 	{ "attempts", CONF_U32, false, 1, 100, ATTEMPTS, ROUTE(attempts) },
 	{ "public", CONF_BOOL, ROUTE(public) },
 	{ "resumable", CONF_BOOL, ROUTE(resumable) },
-	{ "targets", CONF_OTHER, true, .json = JSON_ARRAY },
+	{ "targets", CONF_JSON, true, .json = JSON_ARRAY },
 };
 #undef ROUTE
 
@@ -47,20 +47,20 @@
 	  .offset = offsetof(struct target, weight) },
 };
 
-static char *read_pattern(struct conf_reader *r, const struct conf_at *at,
+static char *read_pattern(struct conf_reader *r, const struct conf_path *path,
 			  json_t *json, const char *key);
-static void read_targets(struct conf_reader *r, const struct conf_at *at,
+static void read_targets(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, const struct dl_conf *conf,
 			 struct dl_route_conf *out);
-static void check_prefix(struct conf_reader *r, const struct conf_at *at,
+static void check_prefix(struct conf_reader *r, const struct conf_path *path,
 			 const struct dl_route_conf *route);
 
 /* A host or path as text of our own; NULL where it is none. */
-static char *read_pattern(struct conf_reader *r, const struct conf_at *at,
+static char *read_pattern(struct conf_reader *r, const struct conf_path *path,
 			  json_t *json, const char *key)
 {
 	json_t *value = conf_child(json, key, JSON_STRING);
-	struct conf_at child = conf_at_key(at, dl_str_of(key));
+	struct conf_path child = conf_path_key(path, dl_str_of(key));
 	size_t n = json_string_length(value);
 	char *copy;
 
@@ -74,17 +74,17 @@
 	}
 	copy = strdup(json_string_value(value));
 	if (!copy)
-		r->no_memory = true;
+		r->out_of_memory = true;
 	return copy;
 }
 
 /* Where a route leads: services that are there, with some weight in all. */
-static void read_targets(struct conf_reader *r, const struct conf_at *at,
+static void read_targets(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, const struct dl_conf *conf,
 			 struct dl_route_conf *out)
 {
 	json_t *list = conf_child(json, "targets", JSON_ARRAY);
-	struct conf_at place = conf_at_key(at, DL_STR("targets"));
+	struct conf_path place = conf_path_key(path, DL_STR("targets"));
 	uint64_t sum = 0;
 
 	if (!list)
@@ -95,7 +95,7 @@
 		return;
 	}
 	for (size_t i = 0; i < json_array_size(list); i++) {
-		struct conf_at child = conf_at_index(&place, i);
+		struct conf_path child = conf_path_index(&place, i);
 		const struct dl_service_conf *s;
 		struct target t = { 0 };
 
@@ -117,10 +117,10 @@
 }
 
 /* A prefix stands for whole parts of a path. */
-static void check_prefix(struct conf_reader *r, const struct conf_at *at,
+static void check_prefix(struct conf_reader *r, const struct conf_path *path,
 			 const struct dl_route_conf *route)
 {
-	struct conf_at child = conf_at_key(at, DL_STR("path_prefix"));
+	struct conf_path child = conf_path_key(path, DL_STR("path_prefix"));
 	size_t n;
 
 	if (!route->path_prefix)
@@ -131,19 +131,19 @@
 }
 
 /* Read the routes; the services must have been read before. */
-void conf_read_routes(struct conf_reader *r, const struct conf_at *at,
+void conf_read_routes(struct conf_reader *r, const struct conf_path *path,
 		      json_t *json, struct dl_conf *conf)
 {
 	size_t n = json_array_size(json);
 	GHashTable *seen;
 
-	conf->routes = conf_make_list(r, at, n, CONF_ROUTES_MAX,
-				      sizeof(*conf->routes));
+	conf->routes = conf_alloc_list(r, path, n, CONF_ROUTES_MAX,
+				       sizeof(*conf->routes));
 	if (!conf->routes)
 		return;
 	seen = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	for (size_t i = 0; i < n; i++) {
-		struct conf_at child = conf_at_index(at, i);
+		struct conf_path child = conf_path_index(path, i);
 		struct dl_route_conf *route = &conf->routes[i];
 		json_t *value = json_array_get(json, i);
 
@@ -167,11 +167,11 @@
 }
 
 /* Read the keys of a workspace. */
-void conf_read_keys(struct conf_reader *r, const struct conf_at *at,
+void conf_read_keys(struct conf_reader *r, const struct conf_path *path,
 		    json_t *json, struct dl_conf_workspace *out)
 {
 	json_t *list = conf_child(json, "keys", JSON_ARRAY);
-	struct conf_at child = conf_at_key(at, DL_STR("keys"));
+	struct conf_path child = conf_path_key(path, DL_STR("keys"));
 
 	if (list)
 		conf_read_names(r, &child, list, CONF_SECRET, &out->keys,
@@ -181,8 +181,8 @@
 /* Make every key lead to its workspace; no two workspaces may share one. */
 void conf_index_keys(struct conf_reader *r, struct dl_conf *conf)
 {
-	struct conf_at root = conf_at_root();
-	struct conf_at at = conf_at_key(&root, DL_STR("workspaces"));
+	struct conf_path root = conf_path_root();
+	struct conf_path path = conf_path_key(&root, DL_STR("workspaces"));
 	GHashTable *keys = g_hash_table_new(g_str_hash, g_str_equal);
 
 	conf->keys = keys;
@@ -191,7 +191,7 @@
 
 		for (uint32_t k = 0; k < w->keys_count; k++) {
 			if (!g_hash_table_insert(keys, w->keys[k].s, w))
-				conf_fault(r, &at,
+				conf_fault(r, &path,
 					   "a key of \"%s\" is also another "
 					   "workspace's",
 					   w->limits.name.s);
--- a/src/state/conf_scan.c
+++ b/src/state/conf_scan.c
@@ -19,61 +19,64 @@
 	const char *p;
 	const char *end;
 	uint32_t line;
-	uint32_t owners; /* objects and lists so far */
+	uint32_t containers; /* objects and lists so far */
 	struct conf_reader *r;
 };
 
-static struct conf_at at_child(const struct conf_at *parent, struct dl_str word,
-			       const char *before);
+static struct conf_path at_child(const struct conf_path *parent,
+				 struct dl_str word, const char *before);
 static size_t lines_slot(const struct conf_lines *lines, uint64_t hash);
 static void lines_put(struct conf_lines *lines, size_t slot, uint64_t hash,
-		      uint32_t line, uint32_t owner);
+		      uint32_t line, uint32_t container);
 static bool lines_grow(struct conf_lines *lines);
-static bool note(struct scan *s, const struct conf_at *at, uint32_t owner);
-static bool key_at(struct scan *s, const struct conf_at *parent,
-		   struct dl_str raw, struct conf_at *out);
+static bool note(struct scan *s, const struct conf_path *path,
+		 uint32_t container);
+static bool key_at(struct scan *s, const struct conf_path *parent,
+		   struct dl_str raw, struct conf_path *out);
 static void skip_space(struct scan *s);
 static struct dl_str scan_string(struct scan *s);
-static bool scan_value(struct scan *s, const struct conf_at *at, int depth);
-static bool scan_object(struct scan *s, const struct conf_at *at, int depth);
-static bool scan_array(struct scan *s, const struct conf_at *at, int depth);
+static bool scan_value(struct scan *s, const struct conf_path *path, int depth);
+static bool scan_object(struct scan *s, const struct conf_path *path,
+			int depth);
+static bool scan_array(struct scan *s, const struct conf_path *path, int depth);
 
 /* The text as a whole. */
-struct conf_at conf_at_root(void)
+struct conf_path conf_path_root(void)
 {
-	return (struct conf_at){ .hash = ROOT_HASH };
+	return (struct conf_path){ .hash = ROOT_HASH };
 }
 
 /* Append a word to a path, cut where it grows too long, and to its hash. */
-static struct conf_at at_child(const struct conf_at *parent, struct dl_str word,
-			       const char *before)
+static struct conf_path at_child(const struct conf_path *parent,
+				 struct dl_str word, const char *before)
 {
-	struct conf_at at;
+	struct conf_path path;
 	size_t lead = parent->n ? strlen(before) : 0;
-	size_t room = sizeof(at.path) - 1 - parent->n;
+	size_t room = sizeof(path.text) - 1 - parent->n;
 
-	memcpy(at.path, parent->path, parent->n);
-	at.n = parent->n;
+	memcpy(path.text, parent->text, parent->n);
+	path.n = parent->n;
 	if (lead + word.n <= room) {
-		memcpy(at.path + at.n, before, lead);
-		memcpy(at.path + at.n + lead, word.s, word.n);
-		at.n += lead + word.n;
+		memcpy(path.text + path.n, before, lead);
+		memcpy(path.text + path.n + lead, word.s, word.n);
+		path.n += lead + word.n;
 	}
-	at.path[at.n] = '\0';
-	at.hash = XXH3_64bits_withSeed(word.s, word.n, parent->hash);
-	if (at.hash == 0)
-		at.hash = ROOT_HASH;
-	return at;
+	path.text[path.n] = '\0';
+	path.hash = XXH3_64bits_withSeed(word.s, word.n, parent->hash);
+	if (path.hash == 0)
+		path.hash = ROOT_HASH;
+	return path;
 }
 
 /* The place of a key within an object. */
-struct conf_at conf_at_key(const struct conf_at *parent, struct dl_str key)
+struct conf_path conf_path_key(const struct conf_path *parent,
+			       struct dl_str key)
 {
 	return at_child(parent, key, ".");
 }
 
 /* The place of an element within an array. */
-struct conf_at conf_at_index(const struct conf_at *parent, size_t index)
+struct conf_path conf_path_index(const struct conf_path *parent, size_t index)
 {
 	char word[32];
 
@@ -89,8 +92,8 @@
 
 	next.hash = calloc(next.size, sizeof(*next.hash));
 	next.line = calloc(next.size, sizeof(*next.line));
-	next.owner = calloc(next.size, sizeof(*next.owner));
-	if (!next.hash || !next.line || !next.owner) {
+	next.container = calloc(next.size, sizeof(*next.container));
+	if (!next.hash || !next.line || !next.container) {
 		conf_lines_free(&next);
 		return false;
 	}
@@ -99,7 +102,7 @@
 
 		if (hash)
 			lines_put(&next, lines_slot(&next, hash), hash,
-				  lines->line[i], lines->owner[i]);
+				  lines->line[i], lines->container[i]);
 	}
 	conf_lines_free(lines);
 	*lines = next;
@@ -118,13 +121,13 @@
 
 /* Note where a path stands; the last of several counts, as for jansson. */
 static void lines_put(struct conf_lines *lines, size_t slot, uint64_t hash,
-		      uint32_t line, uint32_t owner)
+		      uint32_t line, uint32_t container)
 {
 	if (!lines->hash[slot])
 		lines->used++;
 	lines->hash[slot] = hash;
 	lines->line[slot] = line;
-	lines->owner[slot] = owner;
+	lines->container[slot] = container;
 }
 
 /* The line of a path; 0 where the text does not have it. */
@@ -140,7 +143,7 @@
 {
 	free(lines->hash);
 	free(lines->line);
-	free(lines->owner);
+	free(lines->container);
 	memset(lines, 0, sizeof(*lines));
 }
 
@@ -149,41 +152,42 @@
  * is a fault; one of an earlier object under the same path is not, as that
  * object stands twice itself.
  */
-static bool note(struct scan *s, const struct conf_at *at, uint32_t owner)
+static bool note(struct scan *s, const struct conf_path *path,
+		 uint32_t container)
 {
 	struct conf_lines *lines = &s->r->lines;
 	uint32_t before;
 	size_t slot;
 
 	if (lines->used * 2 >= lines->size && !lines_grow(lines)) {
-		s->r->no_memory = true;
+		s->r->out_of_memory = true;
 		return false;
 	}
-	slot = lines_slot(lines, at->hash);
-	before = lines->owner[slot] == owner ? lines->line[slot] : 0;
-	lines_put(lines, slot, at->hash, s->line, owner);
+	slot = lines_slot(lines, path->hash);
+	before = lines->container[slot] == container ? lines->line[slot] : 0;
+	lines_put(lines, slot, path->hash, s->line, container);
 	if (before)
-		conf_fault(s->r, at, "this key stands twice, also on line %u",
+		conf_fault(s->r, path, "this key stands twice, also on line %u",
 			   before);
 	return true;
 }
 
 /* The place of a key as it stands in the text, with or without escapes. */
-static bool key_at(struct scan *s, const struct conf_at *parent,
-		   struct dl_str raw, struct conf_at *out)
+static bool key_at(struct scan *s, const struct conf_path *parent,
+		   struct dl_str raw, struct conf_path *out)
 {
 	json_t *key;
 
 	if (!memchr(raw.s, '\\', raw.n)) {
-		*out = conf_at_key(parent, raw);
+		*out = conf_path_key(parent, raw);
 		return true;
 	}
 	key = json_loadb(raw.s - 1, raw.n + 2, JSON_DECODE_ANY, NULL);
 	if (!key) {
-		s->r->no_memory = true;
+		s->r->out_of_memory = true;
 		return false;
 	}
-	*out = conf_at_key(parent, dl_str_of(json_string_value(key)));
+	*out = conf_path_key(parent, dl_str_of(json_string_value(key)));
 	json_decref(key);
 	return true;
 }
@@ -210,13 +214,13 @@
 }
 
 /* Pass the members of an object and note each key. */
-static bool scan_object(struct scan *s, const struct conf_at *at, int depth)
+static bool scan_object(struct scan *s, const struct conf_path *path, int depth)
 {
-	uint32_t owner = ++s->owners;
+	uint32_t container = ++s->containers;
 
 	s->p++;
 	for (;;) {
-		struct conf_at child;
+		struct conf_path child;
 		struct dl_str key;
 
 		skip_space(s);
@@ -227,7 +231,8 @@
 			continue;
 		}
 		key = scan_string(s);
-		if (!key_at(s, at, key, &child) || !note(s, &child, owner))
+		if (!key_at(s, path, key, &child) ||
+		    !note(s, &child, container))
 			return false;
 		skip_space(s);
 		s->p++;
@@ -239,14 +244,14 @@
 }
 
 /* Pass the elements of an array and note each. */
-static bool scan_array(struct scan *s, const struct conf_at *at, int depth)
+static bool scan_array(struct scan *s, const struct conf_path *path, int depth)
 {
-	uint32_t owner = ++s->owners;
+	uint32_t container = ++s->containers;
 	size_t index = 0;
 
 	s->p++;
 	for (;;) {
-		struct conf_at child;
+		struct conf_path child;
 
 		skip_space(s);
 		if (s->p >= s->end || *s->p == ']')
@@ -255,8 +260,8 @@
 			s->p++;
 			continue;
 		}
-		child = conf_at_index(at, index++);
-		if (!note(s, &child, owner) ||
+		child = conf_path_index(path, index++);
+		if (!note(s, &child, container) ||
 		    !scan_value(s, &child, depth + 1))
 			return false;
 	}
@@ -265,19 +270,19 @@
 }
 
 /* Pass one value with all that is in it. */
-static bool scan_value(struct scan *s, const struct conf_at *at, int depth)
+static bool scan_value(struct scan *s, const struct conf_path *path, int depth)
 {
 	skip_space(s);
 	if (s->p >= s->end)
 		return true;
 	if (depth > DEPTH_MAX) {
-		conf_fault(s->r, at, "nested too deeply");
+		conf_fault(s->r, path, "nested too deeply");
 		return false;
 	}
 	if (*s->p == '{')
-		return scan_object(s, at, depth);
+		return scan_object(s, path, depth);
 	if (*s->p == '[')
-		return scan_array(s, at, depth);
+		return scan_array(s, path, depth);
 	if (*s->p == '"') {
 		scan_string(s);
 		return true;
@@ -294,9 +299,9 @@
 int conf_lines_scan(struct conf_reader *r, struct dl_str text)
 {
 	struct scan s = { text.s, text.s + text.n, 1, 0, r };
-	struct conf_at root = conf_at_root();
+	struct conf_path root = conf_path_root();
 
 	if (note(&s, &root, 0) && scan_value(&s, &root, 0))
 		return 0;
-	return r->no_memory ? -ENOMEM : -EINVAL;
+	return r->out_of_memory ? -ENOMEM : -EINVAL;
 }
