--- a/include/daisyledge/conf.h
+++ b/include/daisyledge/conf.h
@@ -128,8 +128,8 @@
 	uint32_t drain_endpoints_count;
 	uint32_t weight_store_mb_per_s;
 	enum dl_level log_level;
-	uint64_t digest; /* of the text */
-	void *keys;	 /* from a key to its workspace; inside */
+	uint64_t digest;	/* of the text */
+	void *workspace_by_key; /* from a key to its workspace; inside */
 };
 
 /* One fault of a text. */
--- a/src/state/conf_route.c
+++ b/src/state/conf_route.c
@@ -8,12 +8,12 @@
 
 #include "state/conf_int.h"
 
-#define DAY_MS	    86400000
-#define WEIGHT_MAX  1000000
-#define ATTEMPTS    2
-#define PATTERN_MAX 1024
+#define DAY_MS		 86400000
+#define WEIGHT_MAX	 1000000
+#define ATTEMPTS_DEFAULT 2
+#define ROUTE_STRING_MAX 1024
 
-static const char *const route_kind_words[] = { "idempotent", "non_idempotent",
+static const char *const route_kind_names[] = { "idempotent", "non_idempotent",
 						"stream", NULL };
 
 #define ROUTE(field) .offset = offsetof(struct dl_route_conf, field)
@@ -22,12 +22,13 @@
 	{ "host", CONF_JSON, true, .json = JSON_STRING },
 	{ "path_prefix", CONF_JSON, true, .json = JSON_STRING },
 	{ "kind", CONF_ENUM, true, .default_value = DL_ROUTE_NON_IDEMPOTENT,
-	  .enum_names = route_kind_words, ROUTE(kind) },
+	  .enum_names = route_kind_names, ROUTE(kind) },
 	{ "timeout_ms", CONF_U32, true, 1, DAY_MS, 10000, ROUTE(timeout_ms) },
 	{ "target_ms", CONF_U32, false, 0, DAY_MS, 0, ROUTE(target_ms) },
 	{ "gap_ms", CONF_U32, false, 0, DAY_MS, 0, ROUTE(gap_ms) },
 	{ "priority", CONF_U32, false, 0, 1000, 1, ROUTE(priority) },
-	{ "attempts", CONF_U32, false, 1, 100, ATTEMPTS, ROUTE(attempts) },
+	{ "attempts", CONF_U32, false, 1, 100, ATTEMPTS_DEFAULT,
+	  ROUTE(attempts) },
 	{ "public", CONF_BOOL, ROUTE(public) },
 	{ "resumable", CONF_BOOL, ROUTE(resumable) },
 	{ "targets", CONF_JSON, true, .json = JSON_ARRAY },
@@ -47,17 +48,18 @@
 	  .offset = offsetof(struct target, weight) },
 };
 
-static char *read_pattern(struct conf_reader *r, const struct conf_path *path,
-			  json_t *json, const char *key);
+static char *read_string(struct conf_reader *r, const struct conf_path *path,
+			 json_t *json, const char *key);
 static void read_targets(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, const struct dl_conf *conf,
 			 struct dl_route_conf *out);
-static void check_prefix(struct conf_reader *r, const struct conf_path *path,
-			 const struct dl_route_conf *route);
+static void check_path_prefix(struct conf_reader *r,
+			      const struct conf_path *path,
+			      const struct dl_route_conf *route);
 
 /* A host or path as text of our own; NULL where it is none. */
-static char *read_pattern(struct conf_reader *r, const struct conf_path *path,
-			  json_t *json, const char *key)
+static char *read_string(struct conf_reader *r, const struct conf_path *path,
+			 json_t *json, const char *key)
 {
 	json_t *value = conf_child(json, key, JSON_STRING);
 	struct conf_path child = conf_path_key(path, dl_str_of(key));
@@ -66,10 +68,10 @@
 
 	if (!value)
 		return NULL;
-	if (n == 0 || n > PATTERN_MAX ||
+	if (n == 0 || n > ROUTE_STRING_MAX ||
 	    memchr(json_string_value(value), 0, n)) {
 		conf_fault(r, &child, "must have 1 to %d characters",
-			   PATTERN_MAX);
+			   ROUTE_STRING_MAX);
 		return NULL;
 	}
 	copy = strdup(json_string_value(value));
@@ -84,18 +86,18 @@
 			 struct dl_route_conf *out)
 {
 	json_t *list = conf_child(json, "targets", JSON_ARRAY);
-	struct conf_path place = conf_path_key(path, DL_STR("targets"));
+	struct conf_path targets_path = conf_path_key(path, DL_STR("targets"));
 	uint64_t sum = 0;
 
 	if (!list)
 		return;
 	if (json_array_size(list) > DL_ROUTE_TARGETS_MAX) {
-		conf_fault(r, &place, "must have at most %d elements",
+		conf_fault(r, &targets_path, "must have at most %d elements",
 			   DL_ROUTE_TARGETS_MAX);
 		return;
 	}
 	for (size_t i = 0; i < json_array_size(list); i++) {
-		struct conf_path child = conf_path_index(&place, i);
+		struct conf_path child = conf_path_index(&targets_path, i);
 		const struct dl_service_conf *s;
 		struct target t = { 0 };
 
@@ -113,12 +115,13 @@
 		};
 	}
 	if (sum == 0)
-		conf_fault(r, &place, "the weights add up to nothing");
+		conf_fault(r, &targets_path, "the weights add up to nothing");
 }
 
 /* A prefix stands for whole parts of a path. */
-static void check_prefix(struct conf_reader *r, const struct conf_path *path,
-			 const struct dl_route_conf *route)
+static void check_path_prefix(struct conf_reader *r,
+			      const struct conf_path *path,
+			      const struct dl_route_conf *route)
 {
 	struct conf_path child = conf_path_key(path, DL_STR("path_prefix"));
 	size_t n;
@@ -151,10 +154,10 @@
 		if (!conf_read_object(r, &child, value,
 				      CONF_FIELDS(route_fields), route))
 			continue;
-		route->host = read_pattern(r, &child, value, "host");
+		route->host = read_string(r, &child, value, "host");
 		route->path_prefix =
-			read_pattern(r, &child, value, "path_prefix");
-		check_prefix(r, &child, route);
+			read_string(r, &child, value, "path_prefix");
+		check_path_prefix(r, &child, route);
 		read_targets(r, &child, value, conf, route);
 		if (route->host && route->path_prefix &&
 		    !g_hash_table_add(seen,
@@ -183,14 +186,14 @@
 {
 	struct conf_path root = conf_path_root();
 	struct conf_path path = conf_path_key(&root, DL_STR("workspaces"));
-	GHashTable *keys = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *by_key = g_hash_table_new(g_str_hash, g_str_equal);
 
-	conf->keys = keys;
+	conf->workspace_by_key = by_key;
 	for (uint32_t i = 0; i < conf->workspaces_count; i++) {
 		struct dl_conf_workspace *w = &conf->workspaces[i];
 
 		for (uint32_t k = 0; k < w->keys_count; k++) {
-			if (!g_hash_table_insert(keys, w->keys[k].s, w))
+			if (!g_hash_table_insert(by_key, w->keys[k].s, w))
 				conf_fault(r, &path,
 					   "a key of \"%s\" is also another "
 					   "workspace's",
@@ -209,11 +212,11 @@
 	free(conf->routes);
 	for (uint32_t i = 0; i < conf->workspaces_count; i++)
 		free(conf->workspaces[i].keys);
-	if (conf->keys)
-		g_hash_table_destroy(conf->keys);
+	if (conf->workspace_by_key)
+		g_hash_table_destroy(conf->workspace_by_key);
 }
 
-static bool begins(struct dl_str s, const char *prefix, size_t n)
+static bool has_prefix(struct dl_str s, const char *prefix, size_t n)
 {
 	return s.n >= n && memcmp(s.s, prefix, n) == 0;
 }
@@ -231,7 +234,7 @@
 		size_t n = strlen(route->path_prefix);
 
 		if (n <= best_n || strlen(route->host) != host.n ||
-		    !begins(path, route->path_prefix, n) ||
+		    !has_prefix(path, route->path_prefix, n) ||
 		    g_ascii_strncasecmp(route->host, host.s, host.n) != 0)
 			continue;
 		best = route;
@@ -246,8 +249,8 @@
 {
 	struct dl_name name;
 
-	if (!conf->keys || key.n == 0 || memchr(key.s, 0, key.n) ||
+	if (!conf->workspace_by_key || key.n == 0 || memchr(key.s, 0, key.n) ||
 	    !dl_name_set(&name, key))
 		return NULL;
-	return g_hash_table_lookup(conf->keys, name.s);
+	return g_hash_table_lookup(conf->workspace_by_key, name.s);
 }
