--- a/src/state/conf_scan.c
+++ b/src/state/conf_scan.c
@@ -23,16 +23,16 @@
 	struct conf_reader *r;
 };
 
-static struct conf_path at_child(const struct conf_path *parent,
-				 struct dl_str word, const char *before);
+static struct conf_path append_path(const struct conf_path *parent,
+				    struct dl_str word, const char *separator);
 static size_t lines_slot(const struct conf_lines *lines, uint64_t hash);
-static void lines_put(struct conf_lines *lines, size_t slot, uint64_t hash,
+static void lines_set(struct conf_lines *lines, size_t slot, uint64_t hash,
 		      uint32_t line, uint32_t container);
 static bool lines_grow(struct conf_lines *lines);
-static bool note(struct scan *s, const struct conf_path *path,
-		 uint32_t container);
-static bool key_at(struct scan *s, const struct conf_path *parent,
-		   struct dl_str raw, struct conf_path *out);
+static bool record_line(struct scan *s, const struct conf_path *path,
+			uint32_t container);
+static bool key_path(struct scan *s, const struct conf_path *parent,
+		     struct dl_str raw, struct conf_path *out);
 static void skip_space(struct scan *s);
 static struct dl_str scan_string(struct scan *s);
 static bool scan_value(struct scan *s, const struct conf_path *path, int depth);
@@ -47,19 +47,19 @@
 }
 
 /* Append a word to a path, cut where it grows too long, and to its hash. */
-static struct conf_path at_child(const struct conf_path *parent,
-				 struct dl_str word, const char *before)
+static struct conf_path append_path(const struct conf_path *parent,
+				    struct dl_str word, const char *separator)
 {
 	struct conf_path path;
-	size_t lead = parent->n ? strlen(before) : 0;
+	size_t separator_n = parent->n ? strlen(separator) : 0;
 	size_t room = sizeof(path.text) - 1 - parent->n;
 
 	memcpy(path.text, parent->text, parent->n);
 	path.n = parent->n;
-	if (lead + word.n <= room) {
-		memcpy(path.text + path.n, before, lead);
-		memcpy(path.text + path.n + lead, word.s, word.n);
-		path.n += lead + word.n;
+	if (separator_n + word.n <= room) {
+		memcpy(path.text + path.n, separator, separator_n);
+		memcpy(path.text + path.n + separator_n, word.s, word.n);
+		path.n += separator_n + word.n;
 	}
 	path.text[path.n] = '\0';
 	path.hash = XXH3_64bits_withSeed(word.s, word.n, parent->hash);
@@ -72,7 +72,7 @@
 struct conf_path conf_path_key(const struct conf_path *parent,
 			       struct dl_str key)
 {
-	return at_child(parent, key, ".");
+	return append_path(parent, key, ".");
 }
 
 /* The place of an element within an array. */
@@ -81,7 +81,7 @@
 	char word[32];
 
 	snprintf(word, sizeof(word), "[%zu]", index);
-	return at_child(parent, dl_str_of(word), "");
+	return append_path(parent, dl_str_of(word), "");
 }
 
 /* Double the table of lines. */
@@ -101,7 +101,7 @@
 		uint64_t hash = lines->hash[i];
 
 		if (hash)
-			lines_put(&next, lines_slot(&next, hash), hash,
+			lines_set(&next, lines_slot(&next, hash), hash,
 				  lines->line[i], lines->container[i]);
 	}
 	conf_lines_free(lines);
@@ -120,7 +120,7 @@
 }
 
 /* Note where a path stands; the last of several counts, as for jansson. */
-static void lines_put(struct conf_lines *lines, size_t slot, uint64_t hash,
+static void lines_set(struct conf_lines *lines, size_t slot, uint64_t hash,
 		      uint32_t line, uint32_t container)
 {
 	if (!lines->hash[slot])
@@ -152,11 +152,11 @@
  * is a fault; one of an earlier object under the same path is not, as that
  * object stands twice itself.
  */
-static bool note(struct scan *s, const struct conf_path *path,
-		 uint32_t container)
+static bool record_line(struct scan *s, const struct conf_path *path,
+			uint32_t container)
 {
 	struct conf_lines *lines = &s->r->lines;
-	uint32_t before;
+	uint32_t previous_line;
 	size_t slot;
 
 	if (lines->used * 2 >= lines->size && !lines_grow(lines)) {
@@ -164,17 +164,18 @@
 		return false;
 	}
 	slot = lines_slot(lines, path->hash);
-	before = lines->container[slot] == container ? lines->line[slot] : 0;
-	lines_put(lines, slot, path->hash, s->line, container);
-	if (before)
+	previous_line =
+		lines->container[slot] == container ? lines->line[slot] : 0;
+	lines_set(lines, slot, path->hash, s->line, container);
+	if (previous_line)
 		conf_fault(s->r, path, "this key stands twice, also on line %u",
-			   before);
+			   previous_line);
 	return true;
 }
 
 /* The place of a key as it stands in the text, with or without escapes. */
-static bool key_at(struct scan *s, const struct conf_path *parent,
-		   struct dl_str raw, struct conf_path *out)
+static bool key_path(struct scan *s, const struct conf_path *parent,
+		     struct dl_str raw, struct conf_path *out)
 {
 	json_t *key;
 
@@ -231,8 +232,8 @@
 			continue;
 		}
 		key = scan_string(s);
-		if (!key_at(s, path, key, &child) ||
-		    !note(s, &child, container))
+		if (!key_path(s, path, key, &child) ||
+		    !record_line(s, &child, container))
 			return false;
 		skip_space(s);
 		s->p++;
@@ -261,7 +262,7 @@
 			continue;
 		}
 		child = conf_path_index(path, index++);
-		if (!note(s, &child, container) ||
+		if (!record_line(s, &child, container) ||
 		    !scan_value(s, &child, depth + 1))
 			return false;
 	}
@@ -301,7 +302,7 @@
 	struct scan s = { text.s, text.s + text.n, 1, 0, r };
 	struct conf_path root = conf_path_root();
 
-	if (note(&s, &root, 0) && scan_value(&s, &root, 0))
+	if (record_line(&s, &root, 0) && scan_value(&s, &root, 0))
 		return 0;
 	return r->out_of_memory ? -ENOMEM : -EINVAL;
 }
