--- a/src/state/conf_int.h
+++ b/src/state/conf_int.h
@@ -105,7 +105,7 @@
 struct conf_nearest {
 	struct dl_str wanted;
 	struct dl_str best;
-	unsigned distance;
+	unsigned edit_distance;
 };
 
 void conf_nearest_try(struct conf_nearest *n, struct dl_str word);
--- a/src/state/conf_read.c
+++ b/src/state/conf_read.c
@@ -9,18 +9,18 @@
 #include "state/conf_int.h"
 
 /* A misspelt word may differ by a third of its letters, at most by three. */
-#define NEAR_MAX 3
+#define EDIT_DISTANCE_MAX 3
 
 typedef void field_fn(struct conf_reader *r, const struct conf_path *path,
 		      const struct conf_field *f, json_t *json, char *out);
 
 static field_fn read_u32, read_u64, read_bool, read_name, read_double,
-	read_word, read_other;
+	read_enum, check_json_type;
 
 static field_fn *const readers[CONF_TYPE_COUNT] = {
 	[CONF_U32] = read_u32,	     [CONF_U64] = read_u64,
 	[CONF_BOOL] = read_bool,     [CONF_NAME] = read_name,
-	[CONF_ENUM] = read_word,     [CONF_JSON] = read_other,
+	[CONF_ENUM] = read_enum,     [CONF_JSON] = check_json_type,
 	[CONF_DOUBLE] = read_double,
 };
 
@@ -35,14 +35,16 @@
 static bool read_number(struct conf_reader *r, const struct conf_path *path,
 			const struct conf_field *f, json_t *json,
 			uint64_t *out);
-static void wrong_type(struct conf_reader *r, const struct conf_path *path,
-		       json_type want, json_t *json);
-static void unknown_key(struct conf_reader *r, const struct conf_path *path,
-			struct conf_fields fields, const char *key);
+static void fault_wrong_type(struct conf_reader *r,
+			     const struct conf_path *path, json_type want,
+			     json_t *json);
+static void fault_unknown_key(struct conf_reader *r,
+			      const struct conf_path *path,
+			      struct conf_fields fields, const char *key);
 static const struct conf_field *find_field(struct conf_fields fields,
 					   const char *key);
-static bool name_byte(unsigned char c, enum conf_name_kind kind);
-static unsigned distance(struct dl_str a, struct dl_str b);
+static bool is_name_byte(unsigned char c, enum conf_name_kind kind);
+static unsigned edit_distance(struct dl_str a, struct dl_str b);
 
 /* Note a fault at a place; only the first ones keep their words. */
 void conf_fault(struct conf_reader *r, const struct conf_path *path,
@@ -62,7 +64,7 @@
 }
 
 /* How many letters must change to make one word of the other. */
-static unsigned distance(struct dl_str a, struct dl_str b)
+static unsigned edit_distance(struct dl_str a, struct dl_str b)
 {
 	unsigned row[DL_NAME_MAX + 2];
 
@@ -93,14 +95,14 @@
 void conf_nearest_try(struct conf_nearest *n, struct dl_str word)
 {
 	size_t limit = (n->wanted.n + 1) / 3;
-	unsigned d = distance(n->wanted, word);
+	unsigned d = edit_distance(n->wanted, word);
 
-	if (limit > NEAR_MAX)
-		limit = NEAR_MAX;
-	if (d > limit || (n->best.s && d >= n->distance))
+	if (limit > EDIT_DISTANCE_MAX)
+		limit = EDIT_DISTANCE_MAX;
+	if (d > limit || (n->best.s && d >= n->edit_distance))
 		return;
 	n->best = word;
-	n->distance = d;
+	n->edit_distance = d;
 }
 
 /* The hint for people; empty where no word is near. */
@@ -114,8 +116,9 @@
 }
 
 /* Say which type was found in place of the one wanted. */
-static void wrong_type(struct conf_reader *r, const struct conf_path *path,
-		       json_type want, json_t *json)
+static void fault_wrong_type(struct conf_reader *r,
+			     const struct conf_path *path, json_type want,
+			     json_t *json)
 {
 	conf_fault(r, path, "must be %s, not %s", type_names[want],
 		   type_names[json_typeof(json)]);
@@ -128,7 +131,7 @@
 	json_int_t v;
 
 	if (!json_is_integer(json)) {
-		wrong_type(r, path, JSON_INTEGER, json);
+		fault_wrong_type(r, path, JSON_INTEGER, json);
 		return false;
 	}
 	v = json_integer_value(json);
@@ -146,12 +149,12 @@
 		     const struct conf_field *f, json_t *json, char *out)
 {
 	uint64_t v;
-	uint32_t narrow;
+	uint32_t v32;
 
 	if (!read_number(r, path, f, json, &v))
 		return;
-	narrow = (uint32_t)v;
-	memcpy(out, &narrow, sizeof(narrow));
+	v32 = (uint32_t)v;
+	memcpy(out, &v32, sizeof(v32));
 }
 
 static void read_u64(struct conf_reader *r, const struct conf_path *path,
@@ -171,7 +174,7 @@
 	if (json_is_boolean(json))
 		memcpy(out, &v, sizeof(v));
 	else
-		wrong_type(r, path, JSON_TRUE, json);
+		fault_wrong_type(r, path, JSON_TRUE, json);
 }
 
 static void read_name(struct conf_reader *r, const struct conf_path *path,
@@ -187,7 +190,7 @@
 	double v = json_number_value(json);
 
 	if (!json_is_number(json))
-		wrong_type(r, path, JSON_REAL, json);
+		fault_wrong_type(r, path, JSON_REAL, json);
 	else if (!(v >= 0))
 		conf_fault(r, path, "must not be negative");
 	else
@@ -195,7 +198,7 @@
 }
 
 /* Read one word of a list and store its index. */
-static void read_word(struct conf_reader *r, const struct conf_path *path,
+static void read_enum(struct conf_reader *r, const struct conf_path *path,
 		      const struct conf_field *f, json_t *json, char *out)
 {
 	struct conf_nearest near = { 0 };
@@ -203,7 +206,7 @@
 	size_t n = 0;
 
 	if (!json_is_string(json)) {
-		wrong_type(r, path, JSON_STRING, json);
+		fault_wrong_type(r, path, JSON_STRING, json);
 		return;
 	}
 	near.wanted = dl_str_of(json_string_value(json));
@@ -223,21 +226,21 @@
 }
 
 /* Only the type is checked; the caller reads what is in it. */
-static void read_other(struct conf_reader *r, const struct conf_path *path,
-		       const struct conf_field *f, json_t *json, char *out)
+static void check_json_type(struct conf_reader *r, const struct conf_path *path,
+			    const struct conf_field *f, json_t *json, char *out)
 {
 	if (json_typeof(json) != f->json)
-		wrong_type(r, path, f->json, json);
+		fault_wrong_type(r, path, f->json, json);
 }
 
 /* Store what holds where the text says nothing. */
 static void set_default(const struct conf_field *f, char *out)
 {
-	uint32_t narrow = (uint32_t)f->default_value;
+	uint32_t v32 = (uint32_t)f->default_value;
 	bool flag = f->default_value != 0;
 
 	if (f->type == CONF_U32 || f->type == CONF_ENUM)
-		memcpy(out, &narrow, sizeof(narrow));
+		memcpy(out, &v32, sizeof(v32));
 	else if (f->type == CONF_U64)
 		memcpy(out, &f->default_value, sizeof(f->default_value));
 	else if (f->type == CONF_BOOL)
@@ -256,8 +259,9 @@
 }
 
 /* Name a key that no field has, and the one that was probably meant. */
-static void unknown_key(struct conf_reader *r, const struct conf_path *path,
-			struct conf_fields fields, const char *key)
+static void fault_unknown_key(struct conf_reader *r,
+			      const struct conf_path *path,
+			      struct conf_fields fields, const char *key)
 {
 	struct conf_nearest near = { .wanted = dl_str_of(key) };
 	char hint[96];
@@ -282,7 +286,7 @@
 		set_default(&fields.items[i],
 			    (char *)out + fields.items[i].offset);
 	if (!json_is_object(json)) {
-		wrong_type(r, path, JSON_OBJECT, json);
+		fault_wrong_type(r, path, JSON_OBJECT, json);
 		return false;
 	}
 	json_object_foreach(json, key, value)
@@ -294,7 +298,7 @@
 			readers[f->type](r, &child, f, value,
 					 (char *)out + f->offset);
 		else
-			unknown_key(r, &child, fields, key);
+			fault_unknown_key(r, &child, fields, key);
 	}
 	for (size_t i = 0; i < fields.count; i++) {
 		if (fields.items[i].required &&
@@ -314,7 +318,7 @@
 }
 
 /* Whether a byte may stand in a name. */
-static bool name_byte(unsigned char c, enum conf_name_kind kind)
+static bool is_name_byte(unsigned char c, enum conf_name_kind kind)
 {
 	if (kind == CONF_URL_PATH || kind == CONF_SECRET)
 		return c > ' ' && c < 0x7f;
@@ -335,7 +339,7 @@
 		return false;
 	}
 	for (size_t i = 0; i < name.n; i++) {
-		if (name_byte((unsigned char)name.s[i], kind))
+		if (is_name_byte((unsigned char)name.s[i], kind))
 			continue;
 		conf_fault(r, path, "character %zu must not stand in a name",
 			   i + 1);
@@ -359,7 +363,7 @@
 	struct dl_str s;
 
 	if (!json_is_string(json)) {
-		wrong_type(r, path, JSON_STRING, json);
+		fault_wrong_type(r, path, JSON_STRING, json);
 		return false;
 	}
 	s = (struct dl_str){ json_string_value(json),
