--- a/src/state/conf_check.c
+++ b/src/state/conf_check.c
@@ -9,7 +9,7 @@
 /* How far the search for cycles has come with a service. */
 enum visit {
 	VISIT_NEW,
-	VISIT_OPEN, /* on the path that is being followed */
+	VISIT_ACTIVE, /* on the path that is being followed */
 	VISIT_DONE,
 };
 
@@ -19,27 +19,29 @@
 	enum visit visit[CONF_SERVICES_MAX];
 };
 
-static struct conf_path at_service(const struct dl_service_conf *s);
-static struct conf_path at_member(struct conf_path parent, const char *key);
-static struct conf_path at_element(const char *key, uint32_t index);
-static void no_such_service(struct conf_reader *r, const struct dl_conf *conf,
-			    const struct conf_path *path, struct dl_str name);
+static struct conf_path service_path(const struct dl_service_conf *s);
+static struct conf_path member_path(struct conf_path parent, const char *key);
+static struct conf_path element_path(const char *key, uint32_t index);
+static void fault_unknown_service(struct conf_reader *r,
+				  const struct dl_conf *conf,
+				  const struct conf_path *path,
+				  struct dl_str name);
 static void check_dependencies(struct conf_reader *r,
 			       const struct dl_conf *conf,
 			       const struct dl_service_conf *s);
 static void check_kind(struct conf_reader *r, const struct dl_service_conf *s);
 static void check_cycles(struct conf_reader *r, const struct dl_conf *conf);
-static void follow(struct cycle_search *c, uint32_t index);
+static void visit_dependencies(struct cycle_search *c, uint32_t index);
 static void check_models(struct conf_reader *r, const struct dl_conf *conf);
 static void check_replicas(struct conf_reader *r, const struct dl_conf *conf);
 static void check_orders(struct conf_reader *r, const struct dl_conf *conf);
 static void check_order(struct conf_reader *r, const struct dl_conf *conf,
 			uint32_t index);
-static void check_order_twice(struct conf_reader *r, const struct dl_conf *conf,
-			      uint32_t index);
+static void check_duplicate_order(struct conf_reader *r,
+				  const struct dl_conf *conf, uint32_t index);
 
 /* Where a service stands in the text. */
-static struct conf_path at_service(const struct dl_service_conf *s)
+static struct conf_path service_path(const struct dl_service_conf *s)
 {
 	struct conf_path root = conf_path_root();
 	struct conf_path services = conf_path_key(&root, DL_STR("services"));
@@ -48,22 +50,24 @@
 }
 
 /* A member of a place, by value, so that places can be nested in one line. */
-static struct conf_path at_member(struct conf_path parent, const char *key)
+static struct conf_path member_path(struct conf_path parent, const char *key)
 {
 	return conf_path_key(&parent, dl_str_of(key));
 }
 
 /* An element of a list at the top of the text. */
-static struct conf_path at_element(const char *key, uint32_t index)
+static struct conf_path element_path(const char *key, uint32_t index)
 {
-	struct conf_path list = at_member(conf_path_root(), key);
+	struct conf_path list = member_path(conf_path_root(), key);
 
 	return conf_path_index(&list, index);
 }
 
 /* A reference to a service that is not there, and the nearest that is. */
-static void no_such_service(struct conf_reader *r, const struct dl_conf *conf,
-			    const struct conf_path *path, struct dl_str name)
+static void fault_unknown_service(struct conf_reader *r,
+				  const struct dl_conf *conf,
+				  const struct conf_path *path,
+				  struct dl_str name)
 {
 	struct conf_nearest near = { .wanted = name };
 	char hint[96];
@@ -79,21 +83,22 @@
 			       const struct dl_conf *conf,
 			       const struct dl_service_conf *s)
 {
-	struct conf_path list = at_member(at_service(s), "depends_on");
+	struct conf_path list = member_path(service_path(s), "depends_on");
 
 	for (uint32_t i = 0; i < s->depends_on_count; i++) {
 		struct dl_str name = dl_name_str(&s->depends_on[i]);
 
 		if (!dl_conf_service(conf, name))
-			no_such_service(r, conf, &list, name);
+			fault_unknown_service(r, conf, &list, name);
 	}
 }
 
 /* Keys that only one kind of service has a use for. */
 static void check_kind(struct conf_reader *r, const struct dl_service_conf *s)
 {
-	struct conf_path models = at_member(at_service(s), "models");
-	struct conf_path paths = at_member(at_service(s), "idempotent_paths");
+	struct conf_path models = member_path(service_path(s), "models");
+	struct conf_path paths =
+		member_path(service_path(s), "idempotent_paths");
 
 	if (s->kind == DL_POOL_PLAIN && s->models_count)
 		conf_fault(r, &models, "a plain service has no models");
@@ -102,13 +107,14 @@
 }
 
 /* Follow what a service depends on; meeting an open one closes a cycle. */
-static void follow(struct cycle_search *c, uint32_t index)
+static void visit_dependencies(struct cycle_search *c, uint32_t index)
 {
 	const struct dl_service_conf *s = &c->conf->services[index];
 
-	c->visit[index] = VISIT_OPEN;
+	c->visit[index] = VISIT_ACTIVE;
 	for (uint32_t i = 0; i < s->depends_on_count; i++) {
-		struct conf_path path = at_member(at_service(s), "depends_on");
+		struct conf_path path =
+			member_path(service_path(s), "depends_on");
 		const struct dl_service_conf *next;
 		uint32_t n;
 
@@ -116,12 +122,12 @@
 		if (!next)
 			continue;
 		n = (uint32_t)(next - c->conf->services);
-		if (c->visit[n] == VISIT_OPEN)
+		if (c->visit[n] == VISIT_ACTIVE)
 			conf_fault(c->r, &path,
 				   "\"%s\" depends on \"%s\" in a cycle",
 				   s->name.s, next->name.s);
 		else if (c->visit[n] == VISIT_NEW)
-			follow(c, n);
+			visit_dependencies(c, n);
 	}
 	c->visit[index] = VISIT_DONE;
 }
@@ -133,7 +139,7 @@
 
 	for (uint32_t i = 0; i < conf->services_count; i++) {
 		if (c.visit[i] == VISIT_NEW)
-			follow(&c, i);
+			visit_dependencies(&c, i);
 	}
 }
 
@@ -147,7 +153,7 @@
 
 		for (uint32_t j = 0; j < s->models_count; j++) {
 			const struct dl_service_conf *other;
-			struct conf_path path = at_service(s);
+			struct conf_path path = service_path(s);
 
 			other = g_hash_table_lookup(seen, s->models[j].s);
 			if (other && other != s)
@@ -166,7 +172,7 @@
  */
 static void check_replicas(struct conf_reader *r, const struct dl_conf *conf)
 {
-	struct conf_path list = at_member(conf_path_root(), "replicas");
+	struct conf_path list = member_path(conf_path_root(), "replicas");
 	uint32_t n = conf->replicas_count;
 
 	if (conf_lines_find(&r->lines, list.hash) && n < REPLICAS_MIN)
@@ -179,7 +185,7 @@
 			   n);
 	for (uint32_t i = 1; i < n; i++) {
 		const struct dl_replica_conf *a = &conf->replicas[i];
-		struct conf_path path = at_element("replicas", i);
+		struct conf_path path = element_path("replicas", i);
 
 		for (uint32_t j = 0; j < i; j++) {
 			const struct dl_replica_conf *b = &conf->replicas[j];
@@ -205,10 +211,10 @@
 {
 	static const char *const roles[] = { "prefill", "decode", "both" };
 	const struct dl_order_conf *o = &conf->orders[index];
-	struct conf_path path = at_element("orders", index);
-	struct conf_path service = at_member(path, "service");
-	struct conf_path model = at_member(path, "model");
-	struct conf_path role = at_member(path, "role");
+	struct conf_path path = element_path("orders", index);
+	struct conf_path service = member_path(path, "service");
+	struct conf_path model = member_path(path, "model");
+	struct conf_path role = member_path(path, "role");
 	const struct dl_service_conf *s;
 	size_t i = 0;
 
@@ -221,7 +227,8 @@
 		return;
 	s = dl_conf_service(conf, dl_name_str(&o->service));
 	if (!s)
-		no_such_service(r, conf, &service, dl_name_str(&o->service));
+		fault_unknown_service(r, conf, &service,
+				      dl_name_str(&o->service));
 	else if (s->kind != DL_POOL_MODEL)
 		conf_fault(r, &service, "\"%s\" is not a model service",
 			   s->name.s);
@@ -232,11 +239,11 @@
 }
 
 /* Orders that ask for the same twice, or for two things of all endpoints. */
-static void check_order_twice(struct conf_reader *r, const struct dl_conf *conf,
-			      uint32_t index)
+static void check_duplicate_order(struct conf_reader *r,
+				  const struct dl_conf *conf, uint32_t index)
 {
 	const struct dl_order_conf *a = &conf->orders[index];
-	struct conf_path path = at_element("orders", index);
+	struct conf_path path = element_path("orders", index);
 
 	for (uint32_t i = 0; i < index; i++) {
 		const struct dl_order_conf *b = &conf->orders[i];
@@ -264,7 +271,7 @@
 {
 	for (uint32_t i = 0; i < conf->orders_count; i++) {
 		check_order(r, conf, i);
-		check_order_twice(r, conf, i);
+		check_duplicate_order(r, conf, i);
 	}
 }
 
