--- a/src/state/conf_diff.c
+++ b/src/state/conf_diff.c
@@ -13,8 +13,8 @@
  * fleets have six VMs and fourteen endpoints: draining more than these needs
  * the operator's word, also where it is done a few at a time.
  */
-#define DRAIN_VMS_FREE	     2
-#define DRAIN_ENDPOINTS_FREE 4
+#define DRAIN_VMS_UNCONFIRMED_MAX	2
+#define DRAIN_ENDPOINTS_UNCONFIRMED_MAX 4
 
 struct diff {
 	GString *text;
@@ -74,15 +74,15 @@
 
 #define COUNT(table) (sizeof(table) / sizeof((table)[0]))
 
-static const char *const class_words[] = { "urgent", "interactive", "batch" };
-static const char *const level_words[] = { "debug", "info", "warn", "error" };
+static const char *const class_names[] = { "urgent", "interactive", "batch" };
+static const char *const level_names[] = { "debug", "info", "warn", "error" };
 
-static void line(struct diff *d, bool confirm, const char *fmt, ...)
+static void add_line(struct diff *d, bool confirm, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 static uint64_t field_value(const struct diff_field *f, const void *from);
-static void compare_fields(struct diff *d, const char *what, const char *name,
-			   const struct diff_field *fields, size_t count,
-			   const void *old, const void *new);
+static void compare_fields(struct diff *d, const char *section,
+			   const char *name, const struct diff_field *fields,
+			   size_t count, const void *old, const void *new);
 static bool has_name(const struct dl_name *names, uint32_t count,
 		     const struct dl_name *name);
 static uint32_t compare_names(struct diff *d, const char *path,
@@ -112,7 +112,7 @@
 			  const struct dl_conf *new);
 
 /* Add one line; the first of those that need confirming marks the whole. */
-static void line(struct diff *d, bool confirm, const char *fmt, ...)
+static void add_line(struct diff *d, bool confirm, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -128,28 +128,29 @@
 /* The number that a field holds. */
 static uint64_t field_value(const struct diff_field *f, const void *from)
 {
-	const char *at = (const char *)from + f->offset;
+	const char *value = (const char *)from + f->offset;
 
 	if (f->type == CONF_BOOL)
-		return *(const bool *)at;
+		return *(const bool *)value;
 	if (f->type == CONF_U32)
-		return *(const uint32_t *)(const void *)at;
-	return *(const uint64_t *)(const void *)at;
+		return *(const uint32_t *)(const void *)value;
+	return *(const uint64_t *)(const void *)value;
 }
 
 /* A line for each number that changed. */
-static void compare_fields(struct diff *d, const char *what, const char *name,
-			   const struct diff_field *fields, size_t count,
-			   const void *old, const void *new)
+static void compare_fields(struct diff *d, const char *section,
+			   const char *name, const struct diff_field *fields,
+			   size_t count, const void *old, const void *new)
 {
 	for (size_t i = 0; i < count; i++) {
 		uint64_t a = field_value(&fields[i], old);
 		uint64_t b = field_value(&fields[i], new);
 
 		if (a != b)
-			line(d, false,
-			     "~ %s.%s.%s: %" PRIu64 " -> %" PRIu64 "; %s", what,
-			     name, fields[i].key, a, b, fields[i].impact);
+			add_line(d, false,
+				 "~ %s.%s.%s: %" PRIu64 " -> %" PRIu64 "; %s",
+				 section, name, fields[i].key, a, b,
+				 fields[i].impact);
 	}
 }
 
@@ -170,19 +171,19 @@
 			      const struct dl_name *new, uint32_t new_count,
 			      const char *impact)
 {
-	uint32_t came = 0;
+	uint32_t added = 0;
 
 	for (uint32_t i = 0; i < old_count; i++) {
 		if (!has_name(new, new_count, &old[i]))
-			line(d, false, "- %s: %s", path, old[i].s);
+			add_line(d, false, "- %s: %s", path, old[i].s);
 	}
 	for (uint32_t i = 0; i < new_count; i++) {
 		if (has_name(old, old_count, &new[i]))
 			continue;
-		line(d, false, "+ %s: %s; %s", path, new[i].s, impact);
-		came++;
+		add_line(d, false, "+ %s: %s; %s", path, new[i].s, impact);
+		added++;
 	}
-	return came;
+	return added;
 }
 
 /* The name of a class by its index; that of none is left to the service. */
@@ -201,24 +202,26 @@
 
 		b = dl_conf_class(new, dl_name_str(&a->name));
 		if (!b)
-			line(d, false,
-			     "- classes.%s: removed; requests naming it get "
-			     "the default",
-			     a->name.s);
+			add_line(
+				d, false,
+				"- classes.%s: removed; requests naming it get "
+				"the default",
+				a->name.s);
 		else if (a->class != b->class ||
 			 a->deadline_ms != b->deadline_ms)
-			line(d, false,
-			     "~ classes.%s: %s, %u ms -> %s, %u ms; for "
-			     "requests from now on",
-			     a->name.s, class_words[a->class], a->deadline_ms,
-			     class_words[b->class], b->deadline_ms);
+			add_line(d, false,
+				 "~ classes.%s: %s, %u ms -> %s, %u ms; for "
+				 "requests from now on",
+				 a->name.s, class_names[a->class],
+				 a->deadline_ms, class_names[b->class],
+				 b->deadline_ms);
 	}
 	for (uint32_t i = 0; i < new->classes_count; i++) {
 		const struct dl_class_conf *b = &new->classes[i];
 
 		if (!dl_conf_class(old, dl_name_str(&b->name)))
-			line(d, false, "+ classes.%s: %u ms", b->name.s,
-			     b->deadline_ms);
+			add_line(d, false, "+ classes.%s: %u ms", b->name.s,
+				 b->deadline_ms);
 	}
 }
 
@@ -237,27 +240,28 @@
 	char path[128];
 
 	if (a->kind != b->kind)
-		line(d, true, "~ services.%s.kind: %s; its pools begin anew",
-		     a->name.s,
-		     b->kind == DL_POOL_MODEL ? "plain -> model" :
-						"model -> plain");
+		add_line(d, true,
+			 "~ services.%s.kind: %s; its pools begin anew",
+			 a->name.s,
+			 b->kind == DL_POOL_MODEL ? "plain -> model" :
+						    "model -> plain");
 	for (uint32_t i = 0; i < a->models_count; i++) {
 		if (!has_name(b->models, b->models_count, &a->models[i]))
-			line(d, true,
-			     "- services.%s.models: %s; requests naming it "
-			     "are refused",
-			     a->name.s, a->models[i].s);
+			add_line(d, true,
+				 "- services.%s.models: %s; requests naming it "
+				 "are refused",
+				 a->name.s, a->models[i].s);
 	}
 	for (uint32_t i = 0; i < b->models_count; i++) {
 		if (!has_name(a->models, a->models_count, &b->models[i]))
-			line(d, false, "+ services.%s.models: %s", a->name.s,
-			     b->models[i].s);
+			add_line(d, false, "+ services.%s.models: %s",
+				 a->name.s, b->models[i].s);
 	}
 	if (strcmp(class_a, class_b) != 0)
-		line(d, false,
-		     "~ services.%s.default_class: %s -> %s; for requests "
-		     "from now on",
-		     a->name.s, class_a, class_b);
+		add_line(d, false,
+			 "~ services.%s.default_class: %s -> %s; for requests "
+			 "from now on",
+			 a->name.s, class_a, class_b);
 	g_snprintf(path, sizeof(path), "services.%s.depends_on", a->name.s);
 	compare_names(d, path, a->depends_on, a->depends_on_count,
 		      b->depends_on, b->depends_on_count,
@@ -271,10 +275,11 @@
 		       COUNT(service_fields), a, b);
 	if (b->pool.queue_entries_max < a->pool.queue_entries_max / 2 ||
 	    b->pool.queue_tokens_max < a->pool.queue_tokens_max / 2)
-		line(d, true,
-		     "! services.%s.pool: the queue loses more than half of "
-		     "its room",
-		     a->name.s);
+		add_line(
+			d, true,
+			"! services.%s.pool: the queue loses more than half of "
+			"its room",
+			a->name.s);
 }
 
 /* Services by their names. */
@@ -288,19 +293,20 @@
 		if (b)
 			compare_service(d, old, a, new, b);
 		else
-			line(d, true,
-			     "- services.%s: removed; new requests for it are "
-			     "refused, those in flight end",
-			     a->name.s);
+			add_line(
+				d, true,
+				"- services.%s: removed; new requests for it are "
+				"refused, those in flight end",
+				a->name.s);
 	}
 	for (uint32_t i = 0; i < new->services_count; i++) {
 		const struct dl_service_conf *b = &new->services[i];
 
 		if (!dl_conf_service(old, dl_name_str(&b->name)))
-			line(d, false,
-			     "+ services.%s: added; served once endpoints "
-			     "announce it",
-			     b->name.s);
+			add_line(d, false,
+				 "+ services.%s: added; served once endpoints "
+				 "announce it",
+				 b->name.s);
 	}
 }
 
@@ -308,8 +314,8 @@
 static void compare_workspaces(struct diff *d, const struct dl_conf *old,
 			       const struct dl_conf *new)
 {
-	uint64_t weight = 0, weight_gone = 0;
-	uint32_t i = 0, j = 0, gone = 0;
+	uint64_t weight = 0, weight_removed = 0;
+	uint32_t i = 0, j = 0, removed = 0;
 
 	while (i < old->workspaces_count || j < new->workspaces_count) {
 		const struct dl_conf_workspace *a = &old->workspaces[i];
@@ -325,15 +331,16 @@
 		if (order <= 0)
 			weight += a->limits.weight;
 		if (order < 0) {
-			line(d, false,
-			     "- workspaces.%s: removed; it gets the default "
-			     "weight and no limits",
-			     a->limits.name.s);
-			weight_gone += a->limits.weight;
-			gone++;
+			add_line(
+				d, false,
+				"- workspaces.%s: removed; it gets the default "
+				"weight and no limits",
+				a->limits.name.s);
+			weight_removed += a->limits.weight;
+			removed++;
 		} else if (order > 0) {
-			line(d, false, "+ workspaces.%s: weight %u",
-			     b->limits.name.s, b->limits.weight);
+			add_line(d, false, "+ workspaces.%s: weight %u",
+				 b->limits.name.s, b->limits.weight);
 		} else {
 			const char *ca = class_name(old, a->default_class);
 			const char *cb = class_name(new, b->default_class);
@@ -342,18 +349,20 @@
 				       workspace_fields,
 				       COUNT(workspace_fields), a, b);
 			if (strcmp(ca, cb) != 0)
-				line(d, false,
-				     "~ workspaces.%s.default_class: %s -> %s",
-				     a->limits.name.s, ca, cb);
+				add_line(
+					d, false,
+					"~ workspaces.%s.default_class: %s -> %s",
+					a->limits.name.s, ca, cb);
 		}
 		i += order <= 0;
 		j += order >= 0;
 	}
-	if (gone * 2 > old->workspaces_count || weight_gone * 2 > weight)
-		line(d, true,
-		     "! workspaces: %u of %u go, with %" PRIu64 " of %" PRIu64
-		     " of the weight",
-		     gone, old->workspaces_count, weight_gone, weight);
+	if (removed * 2 > old->workspaces_count || weight_removed * 2 > weight)
+		add_line(d, true,
+			 "! workspaces: %u of %u go, with %" PRIu64
+			 " of %" PRIu64 " of the weight",
+			 removed, old->workspaces_count, weight_removed,
+			 weight);
 }
 
 /* Whether a configuration has a replica of this name at this address. */
@@ -385,7 +394,7 @@
 static void compare_replicas(struct diff *d, const struct dl_conf *old,
 			     const struct dl_conf *new)
 {
-	uint32_t moves = 0;
+	uint32_t changes = 0;
 	char text[24];
 
 	for (uint32_t i = 0; i < old->replicas_count; i++) {
@@ -393,24 +402,26 @@
 
 		if (has_replica(new, r))
 			continue;
-		line(d, false, "- replicas: %s at %s", r->name.s,
-		     dl_vm_text(r->vm, text));
-		moves++;
+		add_line(d, false, "- replicas: %s at %s", r->name.s,
+			 dl_vm_text(r->vm, text));
+		changes++;
 	}
 	for (uint32_t i = 0; i < new->replicas_count; i++) {
 		const struct dl_replica_conf *r = &new->replicas[i];
 
 		if (has_replica(old, r))
 			continue;
-		line(d, false,
-		     "+ replicas: %s at %s; counts once it holds everything",
-		     r->name.s, dl_vm_text(r->vm, text));
-		moves++;
+		add_line(
+			d, false,
+			"+ replicas: %s at %s; counts once it holds everything",
+			r->name.s, dl_vm_text(r->vm, text));
+		changes++;
 	}
-	if (moves > 1)
-		line(d, false, "! replicas: carried out one at a time");
+	if (changes > 1)
+		add_line(d, false, "! replicas: carried out one at a time");
 	if (!dl_conf_keeps_majority(old, new))
-		line(d, true, "! replicas: no majority of the old ones stays");
+		add_line(d, true,
+			 "! replicas: no majority of the old ones stays");
 }
 
 /* Whether a configuration has just this order. */
@@ -438,20 +449,21 @@
 		const struct dl_order_conf *o = &old->orders[i];
 
 		if (!has_order(new, o))
-			line(d, false,
-			     "- orders: %s %s %s as %s on %u endpoints",
-			     o->service.s, o->model.s, o->version.s, o->role.s,
-			     o->endpoints);
+			add_line(d, false,
+				 "- orders: %s %s %s as %s on %u endpoints",
+				 o->service.s, o->model.s, o->version.s,
+				 o->role.s, o->endpoints);
 	}
 	for (uint32_t i = 0; i < new->orders_count; i++) {
 		const struct dl_order_conf *o = &new->orders[i];
 
 		if (!has_order(old, o))
-			line(d, false,
-			     "+ orders: %s %s %s as %s on %u endpoints; loads "
-			     "begin at once",
-			     o->service.s, o->model.s, o->version.s, o->role.s,
-			     o->endpoints);
+			add_line(
+				d, false,
+				"+ orders: %s %s %s as %s on %u endpoints; loads "
+				"begin at once",
+				o->service.s, o->model.s, o->version.s,
+				o->role.s, o->endpoints);
 	}
 }
 
@@ -470,11 +482,13 @@
 				  new->drain_endpoints,
 				  new->drain_endpoints_count,
 				  "takes nothing new, ends what it has");
-	if (vms && new->drain_vms_count > DRAIN_VMS_FREE)
-		line(d, true, "! drain.vms: %u in all", new->drain_vms_count);
-	if (endpoints && new->drain_endpoints_count > DRAIN_ENDPOINTS_FREE)
-		line(d, true, "! drain.endpoints: %u in all",
-		     new->drain_endpoints_count);
+	if (vms && new->drain_vms_count > DRAIN_VMS_UNCONFIRMED_MAX)
+		add_line(d, true, "! drain.vms: %u in all",
+			 new->drain_vms_count);
+	if (endpoints &&
+	    new->drain_endpoints_count > DRAIN_ENDPOINTS_UNCONFIRMED_MAX)
+		add_line(d, true, "! drain.endpoints: %u in all",
+			 new->drain_endpoints_count);
 }
 
 /*
@@ -485,24 +499,24 @@
 int dl_conf_compare(const struct dl_conf *old, const struct dl_conf *new,
 		    struct dl_conf_diff *out)
 {
-	static const struct dl_conf none = { .weight_store_mb_per_s = 0 };
+	static const struct dl_conf empty = { .weight_store_mb_per_s = 0 };
 	struct diff d = { .text = g_string_new(NULL) };
 
 	if (!old) {
 		g_string_append(d.text, "+ the first configuration\n");
-		old = &none;
+		old = &empty;
 	} else {
 		compare_replicas(&d, old, new);
 		if (old->weight_store_mb_per_s != new->weight_store_mb_per_s)
-			line(&d, false,
-			     "~ weight_store_mb_per_s: %u -> %u; for loads "
-			     "from now on",
-			     old->weight_store_mb_per_s,
-			     new->weight_store_mb_per_s);
+			add_line(&d, false,
+				 "~ weight_store_mb_per_s: %u -> %u; for loads "
+				 "from now on",
+				 old->weight_store_mb_per_s,
+				 new->weight_store_mb_per_s);
 		if (old->log_level != new->log_level)
-			line(&d, false, "~ log_level: %s -> %s",
-			     level_words[old->log_level],
-			     level_words[new->log_level]);
+			add_line(&d, false, "~ log_level: %s -> %s",
+				 level_names[old->log_level],
+				 level_names[new->log_level]);
 	}
 	compare_classes(&d, old, new);
 	compare_services(&d, old, new);
