--- a/src/state/conf.c
+++ b/src/state/conf.c
@@ -12,16 +12,16 @@
 #define TOKENS_MAX    1000000000000ull
 #define CLASS_UNKNOWN UINT32_MAX
 /* Every JSON fault of jansson's names its line; the text is cut to fit. */
-#define SYNTAX_TEXT 120
+#define SYNTAX_TEXT_MAX 120
 
-static const char *const class_words[] = { "urgent", "interactive", "batch",
+static const char *const class_names[] = { "urgent", "interactive", "batch",
 					   NULL };
-static const char *const kind_words[] = { "model", "plain", NULL };
-static const char *const level_words[] = { "debug", "info", "warn", "error",
+static const char *const kind_names[] = { "model", "plain", NULL };
+static const char *const level_names[] = { "debug", "info", "warn", "error",
 					   NULL };
 
 /* What stands at the top of the text beside its lists. */
-struct top {
+struct top_level {
 	uint32_t format;
 	uint32_t weight_store_mb_per_s;
 	uint32_t log_level;
@@ -30,7 +30,7 @@
 
 static const struct conf_field top_fields[] = {
 	{ "format", CONF_U32, true, FORMAT, FORMAT, FORMAT,
-	  .offset = offsetof(struct top, format) },
+	  .offset = offsetof(struct top_level, format) },
 	{ "classes", CONF_JSON, .json = JSON_OBJECT },
 	{ "services", CONF_JSON, true, .json = JSON_OBJECT },
 	{ "workspaces", CONF_JSON, .json = JSON_OBJECT },
@@ -38,20 +38,20 @@
 	{ "routes", CONF_JSON, .json = JSON_ARRAY },
 	{ "caller_limits", CONF_JSON, .json = JSON_OBJECT },
 	{ "number", CONF_U64, false, 0, INT64_MAX, 0,
-	  .offset = offsetof(struct top, number) },
+	  .offset = offsetof(struct top_level, number) },
 	{ "source", CONF_JSON, .json = JSON_STRING },
 	{ "orders", CONF_JSON, .json = JSON_ARRAY },
 	{ "drain", CONF_JSON, .json = JSON_OBJECT },
 	{ "weight_store_mb_per_s", CONF_U32, false, 1, 1000000, 1000,
-	  .offset = offsetof(struct top, weight_store_mb_per_s) },
+	  .offset = offsetof(struct top_level, weight_store_mb_per_s) },
 	{ "log_level", CONF_ENUM, false, .default_value = DL_INFO,
-	  .enum_names = level_words,
-	  .offset = offsetof(struct top, log_level) },
+	  .enum_names = level_names,
+	  .offset = offsetof(struct top_level, log_level) },
 };
 
 static const struct conf_field class_fields[] = {
 	{ "class", CONF_ENUM, true, .default_value = DL_CLASS_INTERACTIVE,
-	  .enum_names = class_words,
+	  .enum_names = class_names,
 	  .offset = offsetof(struct dl_class_conf, class) },
 	{ "deadline_ms", CONF_U32, true, 1, DAY_MS, 10000,
 	  .offset = offsetof(struct dl_class_conf, deadline_ms) },
@@ -60,7 +60,7 @@
 #define SERVICE(field) .offset = offsetof(struct dl_service_conf, field)
 static const struct conf_field service_fields[] = {
 	{ "kind", CONF_ENUM, true, .default_value = DL_POOL_MODEL,
-	  .enum_names = kind_words, SERVICE(kind) },
+	  .enum_names = kind_names, SERVICE(kind) },
 	{ "models", CONF_JSON, .json = JSON_ARRAY },
 	{ "depends_on", CONF_JSON, .json = JSON_ARRAY },
 	{ "default_class", CONF_JSON, .json = JSON_STRING },
@@ -176,10 +176,11 @@
 
 static bool read_key(struct conf_reader *r, const struct conf_path *path,
 		     const char *key, struct dl_name *out);
-static void read_top(struct conf_reader *r, json_t *root, struct dl_conf *conf);
+static void read_top_level(struct conf_reader *r, json_t *root,
+			   struct dl_conf *conf);
 static void read_classes(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, struct dl_conf *conf);
-static void default_classes(struct conf_reader *r, struct dl_conf *conf);
+static void set_default_classes(struct conf_reader *r, struct dl_conf *conf);
 static uint32_t find_class(const struct dl_conf *conf, struct dl_str name);
 static void read_default_class(struct conf_reader *r,
 			       const struct conf_path *path, json_t *json,
@@ -193,19 +194,21 @@
 		      json_t *json, struct dl_service_conf *out);
 static void read_engine(struct conf_reader *r, const struct conf_path *path,
 			json_t *json, struct dl_engine_model *out);
-static void read_list(struct conf_reader *r, const struct conf_path *path,
-		      json_t *json, const char *key, enum conf_name_kind kind,
-		      struct dl_name **out, uint32_t *count);
-static void read_limits(struct conf_reader *r, const struct conf_path *path,
-			json_t *root, struct dl_conf *conf);
+static void read_name_list(struct conf_reader *r, const struct conf_path *path,
+			   json_t *json, const char *key,
+			   enum conf_name_kind kind, struct dl_name **out,
+			   uint32_t *count);
+static void read_caller_limits(struct conf_reader *r,
+			       const struct conf_path *path, json_t *root,
+			       struct dl_conf *conf);
 static void read_workspaces(struct conf_reader *r, const struct conf_path *path,
 			    json_t *json, struct dl_conf *conf);
 static void read_replicas(struct conf_reader *r, const struct conf_path *path,
 			  json_t *json, struct dl_conf *conf);
 static void read_orders(struct conf_reader *r, const struct conf_path *path,
 			json_t *json, struct dl_conf *conf);
-static int by_name(const void *a, const void *b);
-static int by_line(const void *a, const void *b);
+static int compare_workspaces(const void *a, const void *b);
+static int compare_faults(const void *a, const void *b);
 static int read_text(struct conf_reader *r, struct dl_str text,
 		     struct dl_conf *conf);
 
@@ -237,7 +240,7 @@
 }
 
 /* Give a text without classes one for each degree of urgency. */
-static void default_classes(struct conf_reader *r, struct dl_conf *conf)
+static void set_default_classes(struct conf_reader *r, struct dl_conf *conf)
 {
 	conf->classes = malloc(sizeof(class_defaults));
 	if (!conf->classes) {
@@ -313,9 +316,10 @@
 }
 
 /* Read a list of names that is a member of an object, where it is there. */
-static void read_list(struct conf_reader *r, const struct conf_path *path,
-		      json_t *json, const char *key, enum conf_name_kind kind,
-		      struct dl_name **out, uint32_t *count)
+static void read_name_list(struct conf_reader *r, const struct conf_path *path,
+			   json_t *json, const char *key,
+			   enum conf_name_kind kind, struct dl_name **out,
+			   uint32_t *count)
 {
 	json_t *array = conf_child(json, key, JSON_ARRAY);
 	struct conf_path child = conf_path_key(path, dl_str_of(key));
@@ -330,14 +334,14 @@
 {
 	json_t *pool = conf_child(json, "pool", JSON_OBJECT);
 	struct conf_path child = conf_path_key(path, DL_STR("pool"));
-	json_t *none = pool ? NULL : json_object();
+	json_t *empty = pool ? NULL : json_object();
 
-	if (pool || none)
-		conf_read_object(r, &child, pool ? pool : none,
+	if (pool || empty)
+		conf_read_object(r, &child, pool ? pool : empty,
 				 CONF_FIELDS(pool_fields), &out->pool);
 	else
 		r->out_of_memory = true;
-	json_decref(none);
+	json_decref(empty);
 	out->pool.kind = out->kind;
 }
 
@@ -360,12 +364,12 @@
 {
 	if (!conf_read_object(r, path, json, CONF_FIELDS(service_fields), out))
 		return;
-	read_list(r, path, json, "models", CONF_MODEL_NAME, &out->models,
-		  &out->models_count);
-	read_list(r, path, json, "depends_on", CONF_PLAIN_NAME,
-		  &out->depends_on, &out->depends_on_count);
-	read_list(r, path, json, "idempotent_paths", CONF_URL_PATH,
-		  &out->idempotent_paths, &out->idempotent_paths_count);
+	read_name_list(r, path, json, "models", CONF_MODEL_NAME, &out->models,
+		       &out->models_count);
+	read_name_list(r, path, json, "depends_on", CONF_PLAIN_NAME,
+		       &out->depends_on, &out->depends_on_count);
+	read_name_list(r, path, json, "idempotent_paths", CONF_URL_PATH,
+		       &out->idempotent_paths, &out->idempotent_paths_count);
 	read_pool(r, path, json, out);
 	read_engine(r, path, json, &out->pool.engine);
 	for (uint32_t i = conf->classes_count; i-- > 0;) {
@@ -410,7 +414,7 @@
 }
 
 /* Order workspaces by name, so that one is found by bisection. */
-static int by_name(const void *a, const void *b)
+static int compare_workspaces(const void *a, const void *b)
 {
 	const struct dl_conf_workspace *wa = a, *wb = b;
 
@@ -445,7 +449,8 @@
 		if (read_key(r, &child, key, &w->limits.name))
 			conf->workspaces_count++;
 	}
-	qsort(conf->workspaces, conf->workspaces_count, sizeof(*w), by_name);
+	qsort(conf->workspaces, conf->workspaces_count, sizeof(*w),
+	      compare_workspaces);
 	conf_index_keys(r, conf);
 }
 
@@ -498,27 +503,29 @@
 }
 
 /* Read what callers may send; the defaults where the text says nothing. */
-static void read_limits(struct conf_reader *r, const struct conf_path *path,
-			json_t *root, struct dl_conf *conf)
+static void read_caller_limits(struct conf_reader *r,
+			       const struct conf_path *path, json_t *root,
+			       struct dl_conf *conf)
 {
 	struct conf_path child = conf_path_key(path, DL_STR("caller_limits"));
 	json_t *limits = conf_child(root, "caller_limits", JSON_OBJECT);
-	json_t *none = limits ? NULL : json_object();
+	json_t *empty = limits ? NULL : json_object();
 
-	if (limits || none)
-		conf_read_object(r, &child, limits ? limits : none,
+	if (limits || empty)
+		conf_read_object(r, &child, limits ? limits : empty,
 				 CONF_FIELDS(caller_limit_fields),
 				 &conf->caller_limits);
 	else
 		r->out_of_memory = true;
-	json_decref(none);
+	json_decref(empty);
 }
 
 /* Read the whole text, one part after the other. */
-static void read_top(struct conf_reader *r, json_t *root, struct dl_conf *conf)
+static void read_top_level(struct conf_reader *r, json_t *root,
+			   struct dl_conf *conf)
 {
 	struct conf_path path = conf_path_root(), child;
-	struct top top;
+	struct top_level top;
 	json_t *json;
 
 	if (!conf_read_object(r, &path, root, CONF_FIELDS(top_fields), &top))
@@ -526,13 +533,13 @@
 	conf->weight_store_mb_per_s = top.weight_store_mb_per_s;
 	conf->log_level = (enum dl_level)top.log_level;
 	conf->number = top.number;
-	read_limits(r, &path, root, conf);
+	read_caller_limits(r, &path, root, conf);
 	child = conf_path_key(&path, DL_STR("classes"));
 	json = conf_child(root, "classes", JSON_OBJECT);
 	if (json)
 		read_classes(r, &child, json, conf);
 	else
-		default_classes(r, conf);
+		set_default_classes(r, conf);
 	child = conf_path_key(&path, DL_STR("services"));
 	json = conf_child(root, "services", JSON_OBJECT);
 	if (json)
@@ -560,10 +567,10 @@
 	if (!json)
 		return;
 	conf_read_object(r, &child, json, CONF_FIELDS(drain_fields), NULL);
-	read_list(r, &child, json, "vms", CONF_ADDRESS, &conf->drain_vms,
-		  &conf->drain_vms_count);
-	read_list(r, &child, json, "endpoints", CONF_ADDRESS,
-		  &conf->drain_endpoints, &conf->drain_endpoints_count);
+	read_name_list(r, &child, json, "vms", CONF_ADDRESS, &conf->drain_vms,
+		       &conf->drain_vms_count);
+	read_name_list(r, &child, json, "endpoints", CONF_ADDRESS,
+		       &conf->drain_endpoints, &conf->drain_endpoints_count);
 }
 
 /* Read and check a text; what is wrong stands in the reader's faults. */
@@ -582,7 +589,7 @@
 	}
 	json = json_loadb(text.s ? text.s : "", text.n, 0, &error);
 	if (!json) {
-		conf_fault(r, &root, "%.*s", SYNTAX_TEXT, error.text);
+		conf_fault(r, &root, "%.*s", SYNTAX_TEXT_MAX, error.text);
 		r->faults->items[0].line =
 			error.line > 0 ? (uint32_t)error.line : 1;
 		return json_error_code(&error) == json_error_out_of_memory ?
@@ -591,7 +598,7 @@
 	}
 	rc = conf_lines_scan(r, text);
 	if (rc == 0) {
-		read_top(r, json, conf);
+		read_top_level(r, json, conf);
 		conf_check(r, conf);
 		conf->digest = dl_conf_digest(text);
 	}
@@ -606,7 +613,7 @@
 }
 
 /* Order faults by where they stand. */
-static int by_line(const void *a, const void *b)
+static int compare_faults(const void *a, const void *b)
 {
 	const struct dl_fault *fa = a, *fb = b;
 
@@ -642,7 +649,7 @@
 		return 0;
 	}
 	kept = faults->count < DL_FAULTS_MAX ? faults->count : DL_FAULTS_MAX;
-	qsort(faults->items, kept, sizeof(faults->items[0]), by_line);
+	qsort(faults->items, kept, sizeof(faults->items[0]), compare_faults);
 	dl_conf_free(conf);
 	return rc;
 }
@@ -703,7 +710,7 @@
 	    !dl_name_set(&key.limits.name, name))
 		return NULL;
 	return bsearch(&key, conf->workspaces, conf->workspaces_count,
-		       sizeof(key), by_name);
+		       sizeof(key), compare_workspaces);
 }
 
 /* The class of a name, or NULL. */
