--- a/src/state/crash_store.c
+++ b/src/state/crash_store.c
@@ -63,7 +63,7 @@
 		  struct dl_crash *out, uint32_t *count)
 {
 	struct file_header h;
-	int64_t passed;
+	int64_t elapsed_ms;
 
 	if (n < sizeof(h))
 		return DL_EDAMAGED;
@@ -74,9 +74,9 @@
 		return DL_EDAMAGED;
 	memcpy(out, file + sizeof(h), h.count * sizeof(*out));
 	/* The clock may have been set back meanwhile. */
-	passed = MAX(wall_ms - h.wall_ms, 0);
+	elapsed_ms = MAX(wall_ms - h.wall_ms, 0);
 	for (uint32_t i = 0; i < h.count; i++)
-		out[i].age_ms = (uint32_t)MIN(out[i].age_ms + passed,
+		out[i].age_ms = (uint32_t)MIN(out[i].age_ms + elapsed_ms,
 					      (int64_t)UINT32_MAX);
 	*count = (uint32_t)h.count;
 	return 0;
@@ -99,8 +99,8 @@
 	return code;
 }
 
-static struct dl_disk_done then(struct dl_crash_store *store,
-				void (*fn)(void *arg, int code))
+static struct dl_disk_done callback(struct dl_crash_store *store,
+				    void (*fn)(void *arg, int code))
 {
 	return (struct dl_disk_done){ fn, store };
 }
@@ -119,7 +119,7 @@
 		end_save(store, code);
 	else
 		store->disk.ops->sync(store->disk.disk, TMP_NAME,
-				      then(store, on_synced));
+				      callback(store, on_synced));
 }
 
 static void on_synced(void *arg, int code)
@@ -130,7 +130,7 @@
 		end_save(store, code);
 	else
 		store->disk.ops->rename(store->disk.disk, TMP_NAME, FILE_NAME,
-					then(store, on_renamed));
+					callback(store, on_renamed));
 }
 
 static void on_renamed(void *arg, int code)
@@ -141,7 +141,7 @@
 		end_save(store, code);
 	else
 		store->disk.ops->sync_dir(store->disk.disk,
-					  then(store, on_saved));
+					  callback(store, on_saved));
 }
 
 static void on_saved(void *arg, int code)
@@ -169,7 +169,7 @@
 	store->disk.ops->write(store->disk.disk, TMP_NAME, 0,
 			       (struct dl_str){ (const char *)file->data,
 						file->len },
-			       then(store, on_written));
+			       callback(store, on_written));
 }
 
 /* Whether a save is under way. */
