--- a/test/test_cstore.c
+++ b/test/test_cstore.c
@@ -15,13 +15,13 @@
 #include "fake/suite.h"
 #include "protocol/cmd.h"
 
-#define WALL	   1700000000000
-#define DAY_MS	   ((int64_t)86400000)
-#define RACE_RUNS  10
-#define RACES_EACH 30
-#define SEED	   20261202
-#define ANY	   UINT64_MAX
-#define SNAP_SEED  0x64616973 /* of a snapshot's checksum */
+#define WALL_MS	    1700000000000
+#define DAY_MS	    ((int64_t)86400000)
+#define RACE_RUNS   10
+#define RACES_EACH  30
+#define SEED	    20261202
+#define ANY_VERSION UINT64_MAX
+#define SNAP_SEED   0x64616973 /* of a snapshot's checksum */
 
 /* A small text; its digits tell one from the other. */
 #define TEXT                                                                   \
@@ -33,14 +33,14 @@
 
 static struct dl_cstore *store;
 static struct dl_cstore_reply reply;
-static uint64_t index_now;
-static int64_t wall;
+static uint64_t last_index;
+static int64_t wall_ms;
 
 static void setup(void)
 {
 	store = dl_cstore_new();
-	index_now = 0;
-	wall = WALL;
+	last_index = 0;
+	wall_ms = WALL_MS;
 }
 
 static void teardown(void)
@@ -56,7 +56,7 @@
 	size_t n;
 
 	ck_assert_int_eq(dl_cstore_encode(cmd, &bytes, &n), 0);
-	ck_assert_int_eq(dl_cstore_stamp(bytes, n, wall), 0);
+	ck_assert_int_eq(dl_cstore_stamp(bytes, n, wall_ms), 0);
 	ck_assert_int_eq(dl_cstore_exec(to, index, (struct dl_str){ bytes, n },
 					&reply),
 			 0);
@@ -66,7 +66,7 @@
 
 static int run(const struct dl_cstore_cmd *cmd)
 {
-	return run_on(store, cmd, ++index_now);
+	return run_on(store, cmd, ++last_index);
 }
 
 static int apply(const char *text, const char *id, uint64_t expect)
@@ -82,11 +82,11 @@
 	return run(&cmd);
 }
 
-static int apply_number(int number, const char *id, uint64_t expect)
+static int apply_variant(int variant, const char *id, uint64_t expect)
 {
 	char text[512];
 
-	g_snprintf(text, sizeof(text), TEXT, "", number, 1, 2);
+	g_snprintf(text, sizeof(text), TEXT, "", variant, 1, 2);
 	return apply(text, id, expect);
 }
 
@@ -114,10 +114,10 @@
 }
 
 /* Let time pass within the term, with a command each half minute. */
-static void pass(int64_t ms)
+static void pass_time(int64_t ms)
 {
 	for (; ms > 0; ms -= 30000) {
-		wall += MIN(ms, 30000);
+		wall_ms += MIN(ms, 30000);
 		fence(dl_cstore_fence(store));
 	}
 }
@@ -141,7 +141,7 @@
 	return run(&cmd);
 }
 
-static void drive_numbers(bool checked, char **snapshot, size_t *n)
+static void apply_numbered_texts(bool checked, char **snapshot, size_t *n)
 {
 	static const uint64_t numbers[] = { 5, 9, 7, 9, 12, 3 };
 
@@ -155,7 +155,7 @@
 }
 
 /* Whoever carries out many needs to read the last one only. */
-START_TEST(checked_texts_are_read_when_asked_for)
+START_TEST(checked_texts_are_parsed_on_demand)
 {
 	ck_assert(!dl_cstore_conf_unparsed(store));
 	ck_assert_int_eq(apply_checked(5, true), 0);
@@ -172,62 +172,63 @@
  * Replicas of one group may carry out a text read or unread: what was checked
  * by the leader comes to the same state, number by number.
  */
-START_TEST(checked_texts_come_to_the_same)
+START_TEST(checked_and_parsed_texts_give_the_same_state)
 {
-	char *read, *unread;
-	size_t read_n, unread_n;
+	char *parsed, *unparsed;
+	size_t parsed_n, unparsed_n;
 
-	drive_numbers(false, &read, &read_n);
+	apply_numbered_texts(false, &parsed, &parsed_n);
 	dl_cstore_free(store);
 	store = dl_cstore_new();
-	index_now = 0;
-	drive_numbers(true, &unread, &unread_n);
-	ck_assert_uint_eq(read_n, unread_n);
-	ck_assert_mem_eq(read, unread, read_n);
+	last_index = 0;
+	apply_numbered_texts(true, &unparsed, &unparsed_n);
+	ck_assert_uint_eq(parsed_n, unparsed_n);
+	ck_assert_mem_eq(parsed, unparsed, parsed_n);
 	/* A text without the mark after some with it is compared with them. */
 	ck_assert_int_eq(apply_checked(11, false), 0);
 	ck_assert_uint_eq(dl_cstore_number(store), 12);
-	free(read);
-	free(unread);
+	free(parsed);
+	free(unparsed);
 }
 END_TEST
 
-START_TEST(equal_numbers_one_wins)
+START_TEST(one_of_two_changes_to_a_version_wins)
 {
-	ck_assert_int_eq(apply_number(1, "one", 0), 0);
+	ck_assert_int_eq(apply_variant(1, "one", 0), 0);
 	ck_assert_uint_eq(reply.version, 1);
-	ck_assert_int_eq(apply_number(2, "two", 1), 0);
-	ck_assert_int_eq(apply_number(3, "three", 1), DL_ECONFLICT);
+	ck_assert_int_eq(apply_variant(2, "two", 1), 0);
+	ck_assert_int_eq(apply_variant(3, "three", 1), DL_ECONFLICT);
 	ck_assert_uint_eq(reply.version, 2);
 	ck_assert_ptr_nonnull(strstr(reply.text, "by anna"));
 	ck_assert_ptr_nonnull(
 		strstr(reply.text, "weight_store_mb_per_s: 1 -> 2"));
 	ck_assert_uint_eq(dl_cstore_version(store), 2);
-	ck_assert_int_eq(apply_number(3, "four", ANY), 0);
+	ck_assert_int_eq(apply_variant(3, "four", ANY_VERSION), 0);
 }
 END_TEST
 
-START_TEST(resend_gets_the_first_answer)
+START_TEST(resent_change_gets_the_first_answer)
 {
-	ck_assert_int_eq(apply_number(1, "one", 0), 0);
-	ck_assert_int_eq(apply_number(2, "lost", 0), DL_ECONFLICT);
-	ck_assert_int_eq(apply_number(2, "two", ANY), 0);
-	ck_assert_int_eq(apply_number(1, "one", 0), 0);
+	ck_assert_int_eq(apply_variant(1, "one", 0), 0);
+	ck_assert_int_eq(apply_variant(2, "lost", 0), DL_ECONFLICT);
+	ck_assert_int_eq(apply_variant(2, "two", ANY_VERSION), 0);
+	ck_assert_int_eq(apply_variant(1, "one", 0), 0);
 	ck_assert(reply.repeated);
 	ck_assert_uint_eq(reply.version, 1);
-	ck_assert_int_eq(apply_number(2, "lost", 0), DL_ECONFLICT);
+	ck_assert_int_eq(apply_variant(2, "lost", 0), DL_ECONFLICT);
 	ck_assert_uint_eq(reply.version, 1);
-	ck_assert_int_eq(apply_number(9, "one", 0), DL_EREUSED);
-	ck_assert_int_eq(apply_number(9, "lost", ANY), DL_EREUSED);
+	ck_assert_int_eq(apply_variant(9, "one", 0), DL_EREUSED);
+	ck_assert_int_eq(apply_variant(9, "lost", ANY_VERSION), DL_EREUSED);
 	ck_assert_uint_eq(dl_cstore_version(store), 2);
 }
 END_TEST
 
 /* Nothing faulty, unconfirmed or without a majority is put in force. */
-START_TEST(refused_and_mended_under_one_id)
+START_TEST(refused_change_may_be_corrected_under_its_id)
 {
 	char with[512], moved[512];
-	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_APPLY, .expect = ANY };
+	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_APPLY,
+				     .expect = ANY_VERSION };
 
 	g_snprintf(with, sizeof(with), TEXT, "\"b\": {\"kind\": \"plain\"},", 1,
 		   1, 2);
@@ -238,7 +239,7 @@
 	ck_assert_int_eq(apply(with, "one", 0), 0);
 	ck_assert_int_eq(apply(moved, "moved", 1), -EINVAL);
 	ck_assert_ptr_nonnull(strstr(reply.text, "majority"));
-	ck_assert_int_eq(apply_number(1, "two", 1), DL_ECONFIRM);
+	ck_assert_int_eq(apply_variant(1, "two", 1), DL_ECONFIRM);
 	ck_assert_ptr_nonnull(strstr(reply.text, "services.b"));
 	ck_assert_uint_eq(dl_cstore_version(store), 1);
 	g_snprintf(with, sizeof(with), TEXT, "", 1, 1, 2);
@@ -258,19 +259,19 @@
 	struct dl_cstore_counts n;
 	char id[16];
 
-	ck_assert_int_eq(apply_number(1, "first", 0), 0);
+	ck_assert_int_eq(apply_variant(1, "first", 0), 0);
 	for (int i = 0; i < DL_CSTORE_CHANGES_MAX - 1; i++) {
 		g_snprintf(id, sizeof(id), "c%d", i);
-		ck_assert_int_eq(apply_number(2, id, 0), DL_ECONFLICT);
+		ck_assert_int_eq(apply_variant(2, id, 0), DL_ECONFLICT);
 	}
-	ck_assert_int_eq(apply_number(1, "first", 0), 0);
+	ck_assert_int_eq(apply_variant(1, "first", 0), 0);
 	ck_assert(reply.repeated);
-	ck_assert_int_eq(apply_number(2, "last", 0), DL_ECONFLICT);
+	ck_assert_int_eq(apply_variant(2, "last", 0), DL_ECONFLICT);
 	dl_cstore_count(store, &n);
 	ck_assert_uint_eq(n.changes, DL_CSTORE_CHANGES_MAX);
-	ck_assert_int_eq(apply_number(2, "c0", 0), DL_ECONFLICT);
+	ck_assert_int_eq(apply_variant(2, "c0", 0), DL_ECONFLICT);
 	ck_assert(reply.repeated);
-	ck_assert_int_eq(apply_number(1, "first", 0), DL_ECONFLICT);
+	ck_assert_int_eq(apply_variant(1, "first", 0), DL_ECONFLICT);
 	ck_assert(!reply.repeated);
 }
 END_TEST
@@ -298,7 +299,7 @@
 	ck_assert(!dl_cstore_text(store, 6, &text));
 	for (; i < DL_CSTORE_HISTORY_MAX + 3; i++) {
 		g_snprintf(id, sizeof(id), "s%u", i);
-		ck_assert_int_eq(apply_number((int)i, id, ANY), 0);
+		ck_assert_int_eq(apply_variant((int)i, id, ANY_VERSION), 0);
 	}
 	for (i = 0; dl_cstore_history(store, i, &c); i++)
 		ck_assert_uint_eq(c.version, DL_CSTORE_HISTORY_MAX + 3 - i);
@@ -309,7 +310,7 @@
 }
 END_TEST
 
-START_TEST(claims_live_and_end)
+START_TEST(claims_expire)
 {
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "k", 1, 60), 0);
 	ck_assert_int_eq(reply.claim, DL_CLAIM_NEW);
@@ -330,10 +331,10 @@
 	ck_assert_int_eq(reply.claim, DL_CLAIM_DONE);
 	ck_assert_uint_eq(reply.status, 200);
 	ck_assert(dl_str_eq(reply.outcome, DL_STR("booked")));
-	pass(59000);
+	pass_time(59000);
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "k", 4, 60), 0);
 	ck_assert_int_eq(reply.claim, DL_CLAIM_DONE);
-	pass(64000);
+	pass_time(64000);
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "k", 4, 60), 0);
 	ck_assert_int_eq(reply.claim, DL_CLAIM_NEW);
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "k2", 4, 0), -EINVAL);
@@ -359,13 +360,13 @@
 {
 	ck_assert_int_eq(fence(1), 0);
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "k", 1, 60), 0);
-	wall += DAY_MS;
+	wall_ms += DAY_MS;
 	ck_assert_int_eq(fence(2), 0);
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "k", 2, 60), 0);
 	ck_assert_int_eq(reply.claim, DL_CLAIM_RUNNING);
-	wall -= 2 * DAY_MS;
+	wall_ms -= 2 * DAY_MS;
 	ck_assert_int_eq(fence(3), 0);
-	pass(65000);
+	pass_time(65000);
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "k", 2, 60), 0);
 	ck_assert_int_eq(reply.claim, DL_CLAIM_NEW);
 }
@@ -375,16 +376,16 @@
 START_TEST(clock_jump_within_a_term)
 {
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "k", 1, 600), 0);
-	wall += DAY_MS;
+	wall_ms += DAY_MS;
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "k", 2, 600), 0);
 	ck_assert_int_eq(reply.claim, DL_CLAIM_RUNNING);
-	pass(1024000);
+	pass_time(1024000);
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "k", 2, 600), 0);
 	ck_assert_int_eq(reply.claim, DL_CLAIM_NEW);
 }
 END_TEST
 
-START_TEST(fence_never_falls)
+START_TEST(fence_never_decreases)
 {
 	ck_assert_int_eq(fence(5), 0);
 	ck_assert_int_eq(fence(4), DL_ECONFLICT);
@@ -421,7 +422,7 @@
 	ck_assert_uint_eq(reply.outcome.n, 0);
 	dl_cstore_count(store, &n);
 	ck_assert_uint_le(n.claim_bytes, DL_CSTORE_CLAIM_BYTES);
-	pass(65000);
+	pass_time(65000);
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "more", 1, 60), 0);
 	dl_cstore_count(store, &n);
 	ck_assert_uint_eq(n.claims, 1);
@@ -429,7 +430,7 @@
 }
 END_TEST
 
-START_TEST(index_is_carried_out_once)
+START_TEST(index_is_executed_once)
 {
 	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_FENCE, .term = 1 };
 	char *bytes;
@@ -464,7 +465,7 @@
 		g_snprintf(id, 16, "c%d", g_rand_int_range(rand, 0, 200));
 		cmd->text = dl_str_of(text);
 		cmd->change_id = dl_str_of(id);
-		cmd->expect = g_rand_boolean(rand) ? ANY :
+		cmd->expect = g_rand_boolean(rand) ? ANY_VERSION :
 						     dl_cstore_version(store);
 	}
 	g_snprintf(key, 16, "k%d", g_rand_int_range(rand, 0, 50));
@@ -500,11 +501,11 @@
 		struct dl_cstore_cmd cmd;
 		struct dl_cstore_reply first;
 
-		wall += g_rand_int_range(rand, -2000, 5000);
+		wall_ms += g_rand_int_range(rand, -2000, 5000);
 		random_command(rand, &cmd, text, id, key);
 		run(&cmd);
 		first = reply;
-		run_on(other, &cmd, index_now);
+		run_on(other, &cmd, last_index);
 		ck_assert_int_eq(first.code, reply.code);
 		ck_assert_uint_eq(first.version, reply.version);
 		ck_assert_int_eq(first.claim, reply.claim);
@@ -537,7 +538,7 @@
 	char *snap;
 	size_t n;
 
-	ck_assert_int_eq(apply_number(1, "one", 0), 0);
+	ck_assert_int_eq(apply_variant(1, "one", 0), 0);
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "k", 1, 60), 0);
 	dl_cstore_snapshot(store, &snap, &n);
 	ck_assert_int_eq(dl_cstore_restore(other, (struct dl_str){ snap, n }),
@@ -563,7 +564,7 @@
 END_TEST
 
 /* Write the checksum anew, as if the damage had been there before it. */
-static void reseal(char *snap, size_t n)
+static void rewrite_checksum(char *snap, size_t n)
 {
 	uint64_t sum = dl_hash((struct dl_str){ snap, n - 8 }, SNAP_SEED);
 
@@ -574,7 +575,7 @@
 }
 
 /* Bytes that make no sense are refused, or give a state that works. */
-START_TEST(mutated_bytes)
+START_TEST(mutated_snapshots_and_commands)
 {
 	GRand *rand = g_rand_new_with_seed(SEED + (guint32)_i);
 	struct dl_cstore_cmd cmd, big = { .op = DL_CSTORE_CLAIM,
@@ -585,8 +586,8 @@
 	uint64_t leader;
 	size_t n, m;
 
-	ck_assert_int_eq(apply_number(1, "one", 0), 0);
-	ck_assert_int_eq(apply_number(2, "two", 0), DL_ECONFLICT);
+	ck_assert_int_eq(apply_variant(1, "one", 0), 0);
+	ck_assert_int_eq(apply_variant(2, "two", 0), DL_ECONFLICT);
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "k", 1, 60), 0);
 	ck_assert_int_eq(claim_op(DL_CSTORE_OUTCOME, "k", 1, 0), 0);
 	dl_cstore_snapshot(store, &snap, &n);
@@ -598,14 +599,14 @@
 
 		copy = g_memdup2(snap, n);
 		copy[at] = (char)g_rand_int_range(rand, 0, 256);
-		reseal(copy, n);
+		rewrite_checksum(copy, n);
 		if (dl_cstore_restore(other, (struct dl_str){ copy, n }) == 0)
 			run_on(other, &big, UINT64_MAX);
 		dl_cstore_free(other);
 		g_free(copy);
 		bytes[at % m] = (char)g_rand_int_range(rand, 0, 256);
 		if (dl_cstore_decode((struct dl_str){ bytes, m }, &cmd) == 0)
-			dl_cstore_exec(store, ++index_now,
+			dl_cstore_exec(store, ++last_index,
 				       (struct dl_str){ bytes, m }, &reply);
 		dl_reply_decode((struct dl_str){ bytes, m }, &reply, &leader);
 		bytes[at % m] = was;
@@ -620,58 +621,58 @@
 struct operator
 {
 	char id[16];
-	int number;
+	int variant;
 	uint64_t expect;
-	bool open;
-	uint64_t answer; /* version that the id was first answered with */
+	bool pending;
+	uint64_t first_version; /* in the first answer to this id */
 	int code;
 };
 
 /* One race of five operators, of whose answers half are lost. */
-static void race(guint32 seed)
+static void run_race(guint32 seed)
 {
 	GRand *rand = g_rand_new_with_seed(seed);
 	struct operator op[5] = { 0 };
-	uint64_t wins = 0, ids = 0;
+	uint64_t applied = 0, ids = 0;
 
 	for (int step = 0; step < 400; step++) {
 		struct operator* o = & op[g_rand_int_range(rand, 0, 5)];
 		uint64_t before = dl_cstore_version(store);
 
-		if (!o->open) {
+		if (!o->pending) {
 			g_snprintf(o->id, sizeof(o->id), "id%" PRIu64, ids++);
-			o->number = g_rand_int_range(rand, 1, 100000);
+			o->variant = g_rand_int_range(rand, 1, 100000);
 			o->expect = before;
-			o->open = true;
+			o->pending = true;
 			o->code = 1;
 			continue;
 		}
-		apply_number(o->number, o->id, o->expect);
+		apply_variant(o->variant, o->id, o->expect);
 		if (o->code != 1) {
 			ck_assert(reply.repeated);
 			ck_assert_int_eq(reply.code, o->code);
-			ck_assert_uint_eq(reply.version, o->answer);
+			ck_assert_uint_eq(reply.version, o->first_version);
 			ck_assert_uint_eq(dl_cstore_version(store), before);
 		} else {
 			ck_assert_int_eq(reply.code, o->expect == before ?
 							     0 :
 							     DL_ECONFLICT);
-			wins += reply.code == 0;
+			applied += reply.code == 0;
 		}
 		o->code = reply.code;
-		o->answer = reply.version;
-		o->open = g_rand_boolean(rand); /* or the answer was lost */
-		ck_assert_uint_eq(dl_cstore_version(store), wins);
+		o->first_version = reply.version;
+		o->pending = g_rand_boolean(rand); /* or the answer was lost */
+		ck_assert_uint_eq(dl_cstore_version(store), applied);
 	}
-	ck_assert_uint_gt(wins, 10);
+	ck_assert_uint_gt(applied, 10);
 	g_rand_free(rand);
 }
 
 /* Operators race under equal numbers while answers are lost. */
-START_TEST(operators_race)
+START_TEST(concurrent_operators_with_lost_answers)
 {
 	for (guint32 i = 0; i < RACES_EACH; i++) {
-		race(SEED + (guint32)_i * RACES_EACH + i);
+		run_race(SEED + (guint32)_i * RACES_EACH + i);
 		teardown();
 		setup();
 	}
@@ -721,24 +722,25 @@
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 0);
 	tcase_add_checked_fixture(t, setup, teardown);
-	tcase_add_test(t, checked_texts_come_to_the_same);
-	tcase_add_test(t, checked_texts_are_read_when_asked_for);
-	tcase_add_test(t, equal_numbers_one_wins);
-	tcase_add_test(t, resend_gets_the_first_answer);
-	tcase_add_test(t, refused_and_mended_under_one_id);
+	tcase_add_test(t, checked_and_parsed_texts_give_the_same_state);
+	tcase_add_test(t, checked_texts_are_parsed_on_demand);
+	tcase_add_test(t, one_of_two_changes_to_a_version_wins);
+	tcase_add_test(t, resent_change_gets_the_first_answer);
+	tcase_add_test(t, refused_change_may_be_corrected_under_its_id);
 	tcase_add_test(t, change_ids_are_bounded);
 	tcase_add_test(t, history_is_bounded);
-	tcase_add_test(t, claims_live_and_end);
+	tcase_add_test(t, claims_expire);
 	tcase_add_test(t, claim_with_another_body);
 	tcase_add_test(t, clock_jump_between_terms);
 	tcase_add_test(t, clock_jump_within_a_term);
-	tcase_add_test(t, fence_never_falls);
+	tcase_add_test(t, fence_never_decreases);
 	tcase_add_test(t, claims_are_bounded);
-	tcase_add_test(t, index_is_carried_out_once);
+	tcase_add_test(t, index_is_executed_once);
 	tcase_add_loop_test(t, restore_is_exact, 0, 5);
 	tcase_add_test(t, damaged_snapshot_is_refused);
-	tcase_add_loop_test(t, mutated_bytes, 0, 4);
-	tcase_add_loop_test(t, operators_race, 0, RACE_RUNS);
+	tcase_add_loop_test(t, mutated_snapshots_and_commands, 0, 4);
+	tcase_add_loop_test(t, concurrent_operators_with_lost_answers, 0,
+			    RACE_RUNS);
 	tcase_add_test(t, reply_round_trip);
 	return suite_run(s);
 }
