--- a/test/test_crash_store.c
+++ b/test/test_crash_store.c
@@ -7,16 +7,16 @@
 #include "fake/disk.h"
 #include "fake/suite.h"
 
-#define WALL_MS 1000000
-#define STEPS	4 /* of the disk, in a save */
+#define WALL_MS	   1000000
+#define SAVE_STEPS 4 /* of the disk, in a save */
 
 static struct fake_disk *disk;
 static struct dl_crash_store *store;
-static int ended; /* of the last save; 1: not yet */
+static int save_code; /* of the last save; 1: not yet */
 
 static void on_saved(void *arg, int code)
 {
-	ended = code;
+	save_code = code;
 }
 
 static void open_store(void)
@@ -25,14 +25,14 @@
 				   (struct dl_disk_done){ on_saved, NULL });
 }
 
-static void begin(void)
+static void setup(void)
 {
 	disk = fake_disk_new(5);
 	fake_disk_run(disk, 0);
 	open_store();
 }
 
-static void end(void)
+static void teardown(void)
 {
 	dl_crash_store_free(store);
 	fake_disk_free(disk);
@@ -48,14 +48,14 @@
 						.start = i + 1,
 						.cleared = 2,
 						.age_ms = 500 };
-	ended = 1;
+	save_code = 1;
 	dl_crash_store_save(store, crashes, count, WALL_MS);
 	for (int64_t now = 1; now < 1000 && dl_crash_store_busy(store); now++)
 		fake_disk_run(disk, now);
 }
 
 /* The request that a new process finds, 0 for none; -1 for a damaged file. */
-static int64_t found(uint32_t *count)
+static int64_t read_request(uint32_t *count)
 {
 	static struct dl_crash out[DL_CRASH_STORE_MAX];
 	int code = dl_crash_store_read(store, WALL_MS + 250, out, count);
@@ -72,28 +72,28 @@
 	return (int64_t)out[0].request;
 }
 
-START_TEST(what_was_saved_is_read_with_its_age)
+START_TEST(read_returns_the_saved_crashes_and_their_age)
 {
 	uint32_t count;
 
-	ck_assert_int_eq(found(&count), 0);
+	ck_assert_int_eq(read_request(&count), 0);
 	save(7, 6);
-	ck_assert_int_eq(ended, 0);
+	ck_assert_int_eq(save_code, 0);
 	fake_disk_crash(disk);
-	ck_assert_int_eq(found(&count), 7);
+	ck_assert_int_eq(read_request(&count), 7);
 	ck_assert_uint_eq(count, 6);
 	/* A shorter file over a longer one. */
 	save(8, 3);
 	fake_disk_crash(disk);
-	ck_assert_int_eq(found(&count), 8);
+	ck_assert_int_eq(read_request(&count), 8);
 	ck_assert_uint_eq(count, 3);
 	save(9, 0);
 	fake_disk_crash(disk);
-	ck_assert_int_eq(found(&count), 0);
+	ck_assert_int_eq(read_request(&count), 0);
 }
 END_TEST
 
-START_TEST(a_crash_at_any_step_leaves_the_old_or_the_new)
+START_TEST(disk_crash_keeps_the_old_or_the_new_file)
 {
 	uint32_t count;
 	int64_t request;
@@ -104,18 +104,18 @@
 	fake_disk_crash(disk);
 	dl_crash_store_free(store);
 	open_store();
-	request = found(&count);
+	request = read_request(&count);
 	ck_assert(request == 7 || request == 8);
 	ck_assert_uint_eq(count, request == 7 ? 6 : 50);
-	if (ended == 0)
+	if (save_code == 0)
 		ck_assert_int_eq(request, 8);
 	save(9, 3);
 	fake_disk_crash(disk);
-	ck_assert_int_eq(found(&count), 9);
+	ck_assert_int_eq(read_request(&count), 9);
 }
 END_TEST
 
-START_TEST(a_disk_that_fails_leaves_the_old)
+START_TEST(disk_error_keeps_a_valid_file)
 {
 	uint32_t count;
 	int64_t request;
@@ -123,26 +123,26 @@
 	save(7, 6);
 	fake_disk_fail_after(disk, (uint32_t)_i, -ENOSPC);
 	save(8, 50);
-	ck_assert_int_eq(ended, -ENOSPC);
+	ck_assert_int_eq(save_code, -ENOSPC);
 	ck_assert(!dl_crash_store_busy(store));
-	request = found(&count);
+	request = read_request(&count);
 	ck_assert(request == 7 || request == 8);
 	save(9, 3);
-	ck_assert_int_eq(ended, 0);
-	ck_assert_int_eq(found(&count), 9);
+	ck_assert_int_eq(save_code, 0);
+	ck_assert_int_eq(read_request(&count), 9);
 }
 END_TEST
 
-START_TEST(a_damaged_file_is_none)
+START_TEST(damaged_file_is_rejected)
 {
 	uint32_t count;
 
 	save(7, 6);
 	ck_assert(fake_disk_flip_bit(disk, (uint64_t)_i * 16 + 3));
-	ck_assert_int_eq(found(&count), -1);
+	ck_assert_int_eq(read_request(&count), -1);
 	ck_assert_uint_eq(count, 0);
 	save(9, 3);
-	ck_assert_int_eq(found(&count), 9);
+	ck_assert_int_eq(read_request(&count), 9);
 }
 END_TEST
 
@@ -151,12 +151,12 @@
 	Suite *suite = suite_create("crash_store");
 	TCase *tc = tcase_create("crash_store");
 
-	tcase_add_checked_fixture(tc, begin, end);
-	tcase_add_test(tc, what_was_saved_is_read_with_its_age);
-	tcase_add_loop_test(tc, a_crash_at_any_step_leaves_the_old_or_the_new,
-			    0, STEPS + 1);
-	tcase_add_loop_test(tc, a_disk_that_fails_leaves_the_old, 0, STEPS);
-	tcase_add_loop_test(tc, a_damaged_file_is_none, 0, 10);
+	tcase_add_checked_fixture(tc, setup, teardown);
+	tcase_add_test(tc, read_returns_the_saved_crashes_and_their_age);
+	tcase_add_loop_test(tc, disk_crash_keeps_the_old_or_the_new_file, 0,
+			    SAVE_STEPS + 1);
+	tcase_add_loop_test(tc, disk_error_keeps_a_valid_file, 0, SAVE_STEPS);
+	tcase_add_loop_test(tc, damaged_file_is_rejected, 0, 10);
 	suite_add_tcase(suite, tc);
 	return suite_run(suite);
 }
