--- a/test/test_conf.c
+++ b/test/test_conf.c
@@ -31,7 +31,7 @@
 	const char *text;
 	const char *path;
 	uint32_t line;
-	const char *says;
+	const char *expected;
 };
 
 static const struct fault_case fault_cases[] = {
@@ -119,7 +119,7 @@
 struct diff_case {
 	const char *from;
 	const char *to;
-	const char *says;
+	const char *expected;
 	bool needs_confirm;
 };
 
@@ -196,7 +196,7 @@
 }
 END_TEST
 
-START_TEST(defaults)
+START_TEST(default_values)
 {
 	struct dl_conf *conf;
 	GString *text = g_string_new(TOP("\"workspaces\": {\"w\": {}}"));
@@ -216,7 +216,7 @@
 }
 END_TEST
 
-START_TEST(fault_is_named)
+START_TEST(fault_has_path_and_line)
 {
 	const struct fault_case *c = &fault_cases[_i];
 	GString *text = g_string_new(c->text);
@@ -228,7 +228,7 @@
 	for (uint32_t i = 0; i < faults.count; i++) {
 		const struct dl_fault *f = &faults.items[i];
 
-		if (f->line == c->line && strstr(f->text, c->says) &&
+		if (f->line == c->line && strstr(f->text, c->expected) &&
 		    strncmp(f->path, c->path, strlen(c->path)) == 0 &&
 		    (f->path[strlen(c->path)] == '\0' ||
 		     f->path[strlen(c->path)] == '['))
@@ -242,7 +242,7 @@
 END_TEST
 
 /* All faults at once: more than are kept, and in the order of their lines. */
-START_TEST(faults_all_at_once)
+START_TEST(all_faults_are_reported)
 {
 	GString *text = g_string_new(
 		"{\"format\": 1, \"services\": {\"a\": {\"kind\": \"plain\"}},"
@@ -367,7 +367,7 @@
 }
 END_TEST
 
-START_TEST(difference)
+START_TEST(diff_of_an_edit)
 {
 	const struct diff_case *c = &diff_cases[_i];
 	GString *before = read_example(0), *after = read_example(0);
@@ -379,7 +379,7 @@
 	ck_assert_int_eq(parse(before, &old), 0);
 	ck_assert_int_eq(parse(after, &new), 0);
 	ck_assert_int_eq(dl_conf_compare(old, new, &diff), 0);
-	ck_assert_msg(strstr(diff.text, c->says) != NULL, "%s", diff.text);
+	ck_assert_msg(strstr(diff.text, c->expected) != NULL, "%s", diff.text);
 	ck_assert_msg(diff.needs_confirm == c->needs_confirm, "%s", diff.text);
 	dl_conf_diff_free(&diff);
 	ck_assert_int_eq(dl_conf_compare(old, old, &diff), 0);
@@ -417,12 +417,12 @@
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 0);
 	tcase_add_loop_test(t, examples_parse, 0, 2);
-	tcase_add_test(t, defaults);
-	tcase_add_loop_test(t, fault_is_named, 0, FAULT_CASES);
-	tcase_add_test(t, faults_all_at_once);
+	tcase_add_test(t, default_values);
+	tcase_add_loop_test(t, fault_has_path_and_line, 0, FAULT_CASES);
+	tcase_add_test(t, all_faults_are_reported);
 	tcase_add_test(t, text_too_long);
 	tcase_add_loop_test(t, fuzz, 0, 2);
-	tcase_add_loop_test(t, difference, 0, DIFF_CASES);
+	tcase_add_loop_test(t, diff_of_an_edit, 0, DIFF_CASES);
 	tcase_add_test(t, majority_of_replicas);
 	return suite_run(s);
 }
