--- a/src/state/cstore.c
+++ b/src/state/cstore.c
@@ -12,7 +12,7 @@
 
 #define TEXT_SEED 0x636f6e66
 /* The most that the clock moves at one command; more is a clock that jumped. */
-#define ADVANCE_MAX_MS 60000
+#define CLOCK_STEP_MAX_MS 60000
 
 typedef void exec_fn(struct dl_cstore *store, const struct dl_cstore_cmd *cmd,
 		     struct dl_cstore_reply *reply);
@@ -25,25 +25,27 @@
 	[DL_CSTORE_FENCE] = do_fence,
 };
 
-static void pass_time(struct dl_cstore *store, const struct dl_cstore_cmd *cmd);
-static void drop_texts(struct dl_cstore *store);
-static bool answer_again(struct dl_cstore *store,
-			 const struct dl_cstore_cmd *cmd,
-			 struct dl_cstore_reply *reply);
-static void record(struct dl_cstore *store, const struct dl_cstore_cmd *cmd,
-		   const struct dl_cstore_reply *reply);
-static const char *winners_diff(struct dl_cstore *store, uint64_t from,
-				uint64_t to);
-static void tell_winner(struct dl_cstore *store, uint64_t expect,
-			uint64_t version, struct dl_cstore_reply *reply);
-static void tell_faults(const struct dl_faults *faults,
-			struct dl_cstore_reply *reply);
-static int refuse(struct dl_cstore *store, const struct dl_conf *next,
-		  bool confirm, struct dl_cstore_reply *reply);
-static void put_in_force(struct dl_cstore *store,
-			 const struct dl_cstore_cmd *cmd, struct dl_conf *next);
-static bool parse_kept(const struct dl_cstore *store, uint64_t version,
-		       struct dl_conf **out);
+static void advance_clock(struct dl_cstore *store,
+			  const struct dl_cstore_cmd *cmd);
+static void evict_texts(struct dl_cstore *store);
+static bool repeat_answer(struct dl_cstore *store,
+			  const struct dl_cstore_cmd *cmd,
+			  struct dl_cstore_reply *reply);
+static void record_answer(struct dl_cstore *store,
+			  const struct dl_cstore_cmd *cmd,
+			  const struct dl_cstore_reply *reply);
+static const char *conflict_diff_text(struct dl_cstore *store, uint64_t from,
+				      uint64_t to);
+static void report_conflict(struct dl_cstore *store, uint64_t expect,
+			    uint64_t version, struct dl_cstore_reply *reply);
+static void report_faults(const struct dl_faults *faults,
+			  struct dl_cstore_reply *reply);
+static int check_impact(struct dl_cstore *store, const struct dl_conf *next,
+			bool confirm, struct dl_cstore_reply *reply);
+static void activate(struct dl_cstore *store, const struct dl_cstore_cmd *cmd,
+		     struct dl_conf *next);
+static bool parse_version(const struct dl_cstore *store, uint64_t version,
+			  struct dl_conf **out);
 
 /* The hash of a length-counted string, for GLib's tables. */
 guint cstore_str_hash(gconstpointer key)
@@ -69,12 +71,12 @@
 }
 
 /* Release all that a store holds, but not the store. */
-void cstore_drop(struct dl_cstore *store)
+void cstore_clear(struct dl_cstore *store)
 {
 	for (uint32_t i = 0; i < DL_CSTORE_HISTORY_MAX; i++)
 		g_free(store->history[i].text);
 	g_hash_table_destroy(store->by_id);
-	claims_drop(&store->claims);
+	claims_clear(&store->claims);
 	dl_conf_free(store->conf);
 }
 
@@ -93,7 +95,7 @@
 {
 	if (!store)
 		return;
-	cstore_drop(store);
+	cstore_clear(store);
 	free(store);
 }
 
@@ -123,15 +125,15 @@
 /* Keep an answer; the oldest one makes room. */
 void cstore_add_answer(struct dl_cstore *store, const struct answer *answer)
 {
-	struct answer *kept = g_malloc(sizeof(*kept) + answer->id.n);
-	char *id = (char *)(kept + 1);
+	struct answer *copy = g_malloc(sizeof(*copy) + answer->id.n);
+	char *id = (char *)(copy + 1);
 	uint32_t at = (store->answers_head + store->answers_count) %
 		      DL_CSTORE_CHANGES_MAX;
 
-	*kept = *answer;
+	*copy = *answer;
 	if (answer->id.n)
 		memcpy(id, answer->id.s, answer->id.n);
-	kept->id.s = id;
+	copy->id.s = id;
 	if (store->answers_count == DL_CSTORE_CHANGES_MAX) {
 		g_hash_table_remove(store->by_id, &store->answers[at]->id);
 		store->answers_head =
@@ -139,12 +141,12 @@
 	} else {
 		store->answers_count++;
 	}
-	store->answers[at] = kept;
-	g_hash_table_insert(store->by_id, &kept->id, kept);
+	store->answers[at] = copy;
+	g_hash_table_insert(store->by_id, &copy->id, copy);
 }
 
 /* Drop the oldest texts until the others fit; the one in force stays. */
-static void drop_texts(struct dl_cstore *store)
+static void evict_texts(struct dl_cstore *store)
 {
 	for (uint32_t i = 0; i + 1 < store->history_count; i++) {
 		struct change *c = &store->history[(store->history_head + i) %
@@ -188,7 +190,7 @@
 		memcpy(c->text, text.s, text.n);
 		c->text[text.n] = '\0';
 	}
-	drop_texts(store);
+	evict_texts(store);
 }
 
 /*
@@ -199,7 +201,8 @@
  * missed only keeps claims longer, and the store has room for them where
  * commands come that seldom.
  */
-static void pass_time(struct dl_cstore *store, const struct dl_cstore_cmd *cmd)
+static void advance_clock(struct dl_cstore *store,
+			  const struct dl_cstore_cmd *cmd)
 {
 	bool new_term = cmd->op == DL_CSTORE_FENCE && cmd->term > store->fence;
 
@@ -207,15 +210,15 @@
 		store->wall_ms = cmd->wall_ms;
 	} else if (cmd->wall_ms > store->wall_ms) {
 		store->clock_ms +=
-			MIN(cmd->wall_ms - store->wall_ms, ADVANCE_MAX_MS);
+			MIN(cmd->wall_ms - store->wall_ms, CLOCK_STEP_MAX_MS);
 		store->wall_ms = cmd->wall_ms;
 	}
 	claims_expire(&store->claims, store->clock_ms);
 }
 
 /* Parse a version's text that is still kept. */
-static bool parse_kept(const struct dl_cstore *store, uint64_t version,
-		       struct dl_conf **out)
+static bool parse_version(const struct dl_cstore *store, uint64_t version,
+			  struct dl_conf **out)
 {
 	struct dl_faults *faults;
 	struct dl_str text;
@@ -242,7 +245,8 @@
 	struct dl_conf *old = NULL, *new = NULL;
 	int rc = -ENOENT;
 
-	if (to && parse_kept(store, from, &old) && parse_kept(store, to, &new))
+	if (to && parse_version(store, from, &old) &&
+	    parse_version(store, to, &new))
 		rc = dl_conf_compare(old, new, out);
 	dl_conf_free(old);
 	dl_conf_free(new);
@@ -254,30 +258,30 @@
  * takes two parses, and a leader busy with parses would miss its heartbeats.
  * Both texts must still be kept, so that every replica tells the same.
  */
-static const char *winners_diff(struct dl_cstore *store, uint64_t from,
-				uint64_t to)
+static const char *conflict_diff_text(struct dl_cstore *store, uint64_t from,
+				      uint64_t to)
 {
-	struct told_diff *told = &store->told;
+	struct conflict_diff *cached = &store->conflict_diff;
 	struct dl_conf_diff diff;
 	struct dl_str text;
 
 	if (from >= to || !dl_cstore_text(store, to, &text) ||
 	    (from && !dl_cstore_text(store, from, &text)))
 		return "";
-	if (told->from == from && told->to == to)
-		return told->text;
+	if (cached->from == from && cached->to == to)
+		return cached->text;
 	if (dl_cstore_diff(store, from, to, &diff) != 0)
 		return "";
-	told->from = from;
-	told->to = to;
-	snprintf(told->text, sizeof(told->text), ":\n%s", diff.text);
+	cached->from = from;
+	cached->to = to;
+	snprintf(cached->text, sizeof(cached->text), ":\n%s", diff.text);
 	dl_conf_diff_free(&diff);
-	return told->text;
+	return cached->text;
 }
 
 /* Tell the loser who won, and what the winner changed. */
-static void tell_winner(struct dl_cstore *store, uint64_t expect,
-			uint64_t version, struct dl_cstore_reply *reply)
+static void report_conflict(struct dl_cstore *store, uint64_t expect,
+			    uint64_t version, struct dl_cstore_reply *reply)
 {
 	const struct change *c = cstore_change_at(store, 0);
 	const char *author = "somebody";
@@ -290,12 +294,12 @@
 	reply->version = version;
 	g_snprintf(reply->text, sizeof(reply->text),
 		   "version %" PRIu64 " by %s is in force%s", version, author,
-		   winners_diff(store, expect, version));
+		   conflict_diff_text(store, expect, version));
 }
 
 /* Tell the first fault of a text, and how many there are. */
-static void tell_faults(const struct dl_faults *faults,
-			struct dl_cstore_reply *reply)
+static void report_faults(const struct dl_faults *faults,
+			  struct dl_cstore_reply *reply)
 {
 	const struct dl_fault *f = &faults->items[0];
 
@@ -306,9 +310,9 @@
 }
 
 /* Answer a change id that was answered before. */
-static bool answer_again(struct dl_cstore *store,
-			 const struct dl_cstore_cmd *cmd,
-			 struct dl_cstore_reply *reply)
+static bool repeat_answer(struct dl_cstore *store,
+			  const struct dl_cstore_cmd *cmd,
+			  struct dl_cstore_reply *reply)
 {
 	const struct answer *a;
 
@@ -324,14 +328,15 @@
 	} else if (a->code == 0) {
 		reply->version = a->version;
 	} else {
-		tell_winner(store, a->expect, a->version, reply);
+		report_conflict(store, a->expect, a->version, reply);
 	}
 	return true;
 }
 
 /* Keep the answer to a change id. */
-static void record(struct dl_cstore *store, const struct dl_cstore_cmd *cmd,
-		   const struct dl_cstore_reply *reply)
+static void record_answer(struct dl_cstore *store,
+			  const struct dl_cstore_cmd *cmd,
+			  const struct dl_cstore_reply *reply)
 {
 	struct answer a = {
 		.text_hash = dl_hash(cmd->text, TEXT_SEED),
@@ -345,11 +350,11 @@
 }
 
 /* Whether a text without faults must be refused for what it would do. */
-static int refuse(struct dl_cstore *store, const struct dl_conf *next,
-		  bool confirm, struct dl_cstore_reply *reply)
+static int check_impact(struct dl_cstore *store, const struct dl_conf *next,
+			bool confirm, struct dl_cstore_reply *reply)
 {
 	struct dl_conf_diff diff;
-	bool ask;
+	bool needs_confirm;
 
 	dl_cstore_conf(store);
 	if (!store->conf)
@@ -364,20 +369,20 @@
 	if (confirm)
 		return 0;
 	dl_conf_compare(store->conf, next, &diff);
-	ask = diff.needs_confirm;
-	if (ask)
+	needs_confirm = diff.needs_confirm;
+	if (needs_confirm)
 		snprintf(reply->text, sizeof(reply->text),
 			 "this takes a service in use or most of a capacity "
 			 "away and must be confirmed:\n%s",
 			 diff.text);
 	dl_conf_diff_free(&diff);
-	return ask ? DL_ECONFIRM : 0;
+	return needs_confirm ? DL_ECONFIRM : 0;
 }
 
 /* Make a text the version in force; next is NULL where it is yet to be parsed.
  */
-static void put_in_force(struct dl_cstore *store,
-			 const struct dl_cstore_cmd *cmd, struct dl_conf *next)
+static void activate(struct dl_cstore *store, const struct dl_cstore_cmd *cmd,
+		     struct dl_conf *next)
 {
 	struct change c = {
 		.version = store->version + 1,
@@ -401,8 +406,8 @@
  * reached.  Such a text is an old or repeated one: it changes nothing, and its
  * operator is told that the one in force holds.
  */
-static bool overtaken(const struct dl_cstore *store, uint64_t number,
-		      struct dl_cstore_reply *reply)
+static bool is_superseded(const struct dl_cstore *store, uint64_t number,
+			  struct dl_cstore_reply *reply)
 {
 	if (!number || !store->version || number > store->number)
 		return false;
@@ -417,8 +422,8 @@
  * needs the last one only (818 KB take 40 ms to parse, and 0.27 s on 0.15
  * cores).
  */
-static bool is_checked(const struct dl_cstore *store,
-		       const struct dl_cstore_cmd *cmd)
+static bool can_skip_parse(const struct dl_cstore *store,
+			   const struct dl_cstore_cmd *cmd)
 {
 	return cmd->checked_number && cmd->confirm &&
 	       cmd->expect == UINT64_MAX &&
@@ -447,40 +452,40 @@
 			 DL_NAME_MAX, DL_NAME_MAX);
 		return;
 	}
-	if (answer_again(store, cmd, reply))
+	if (repeat_answer(store, cmd, reply))
 		return;
 	if (cmd->expect != UINT64_MAX && cmd->expect != store->version) {
-		tell_winner(store, cmd->expect, store->version, reply);
-		record(store, cmd, reply);
+		report_conflict(store, cmd->expect, store->version, reply);
+		record_answer(store, cmd, reply);
 		return;
 	}
-	if (is_checked(store, cmd)) {
-		if (overtaken(store, cmd->checked_number, reply))
+	if (can_skip_parse(store, cmd)) {
+		if (is_superseded(store, cmd->checked_number, reply))
 			return;
-		put_in_force(store, cmd, NULL);
+		activate(store, cmd, NULL);
 		reply->version = store->version;
-		record(store, cmd, reply);
+		record_answer(store, cmd, reply);
 		return;
 	}
 	rc = dl_conf_parse(cmd->text, &next, &store->faults);
 	if (rc == -ENOMEM)
 		g_error("no memory to carry out a command");
 	if (rc) {
-		tell_faults(&store->faults, reply);
+		report_faults(&store->faults, reply);
 		return;
 	}
-	if (overtaken(store, next->number, reply)) {
+	if (is_superseded(store, next->number, reply)) {
 		dl_conf_free(next);
 		return;
 	}
-	reply->code = refuse(store, next, cmd->confirm, reply);
+	reply->code = check_impact(store, next, cmd->confirm, reply);
 	if (reply->code) {
 		dl_conf_free(next);
 		return;
 	}
-	put_in_force(store, cmd, next);
+	activate(store, cmd, next);
 	reply->version = store->version;
-	record(store, cmd, reply);
+	record_answer(store, cmd, reply);
 }
 
 static void do_claims(struct dl_cstore *store, const struct dl_cstore_cmd *cmd,
@@ -525,7 +530,7 @@
 		reply->code = -EBADMSG;
 		return -EBADMSG;
 	}
-	pass_time(store, &cmd);
+	advance_clock(store, &cmd);
 	ops[cmd.op](store, &cmd, reply);
 	return 0;
 }
@@ -558,7 +563,7 @@
 const struct dl_conf *dl_cstore_conf(struct dl_cstore *store)
 {
 	if (store->conf_unparsed)
-		cstore_parse_in_force(store);
+		cstore_parse_current(store);
 	return store->conf;
 }
 
--- a/src/state/cstore_claims.c
+++ b/src/state/cstore_claims.c
@@ -23,16 +23,18 @@
 	[DL_CSTORE_UNCLAIM] = do_unclaim,
 };
 
-static unsigned queue_of(uint32_t expires_s);
+static unsigned queue_for(uint32_t expires_s);
 static void enqueue(struct claims *claims, struct claim *claim);
 static void dequeue(struct claims *claims, struct claim *claim);
-static void tell(struct dl_cstore_reply *reply, const struct claim *claim);
+static void fill_reply(struct dl_cstore_reply *reply,
+		       const struct claim *claim);
 static void claim_free(gpointer claim);
-static bool owned(const struct dl_cstore_cmd *cmd, const struct claim *claim,
-		  struct dl_cstore_reply *reply);
+static bool check_owner(const struct dl_cstore_cmd *cmd,
+			const struct claim *claim,
+			struct dl_cstore_reply *reply);
 
 /* The queue of the shortest duration that is long enough. */
-static unsigned queue_of(uint32_t expires_s)
+static unsigned queue_for(uint32_t expires_s)
 {
 	unsigned queue = 0;
 
@@ -86,7 +88,7 @@
 }
 
 /* Release all claims. */
-void claims_drop(struct claims *claims)
+void claims_clear(struct claims *claims)
 {
 	g_hash_table_destroy(claims->by_key);
 }
@@ -161,7 +163,7 @@
 }
 
 /* Put what a claim says into a reply. */
-static void tell(struct dl_cstore_reply *reply, const struct claim *claim)
+static void fill_reply(struct dl_cstore_reply *reply, const struct claim *claim)
 {
 	reply->claim = claim->done ? DL_CLAIM_DONE : DL_CLAIM_RUNNING;
 	reply->owner = claim->owner;
@@ -181,11 +183,11 @@
 		     struct claim *claim, int64_t clock_ms,
 		     struct dl_cstore_reply *reply)
 {
-	unsigned queue = queue_of(cmd->expires_s);
-	int64_t lasts_ms = ((int64_t)1 << queue) * MS_PER_S;
+	unsigned queue = queue_for(cmd->expires_s);
+	int64_t duration_ms = ((int64_t)1 << queue) * MS_PER_S;
 
 	if (claim) {
-		tell(reply, claim);
+		fill_reply(reply, claim);
 		if (claim->body_hash != cmd->body_hash)
 			reply->code = DL_EREUSED;
 		else if (!claim->done && claim->owner == cmd->owner)
@@ -201,22 +203,23 @@
 		reply->code = -ENOSPC;
 		return;
 	}
-	claim = claims_add(claims, cmd->key, queue, clock_ms + lasts_ms);
+	claim = claims_add(claims, cmd->key, queue, clock_ms + duration_ms);
 	claim->owner = cmd->owner;
 	claim->body_hash = cmd->body_hash;
-	tell(reply, claim);
+	fill_reply(reply, claim);
 	reply->claim = DL_CLAIM_NEW;
 }
 
 /* Whether the claim is there and the command's own. */
-static bool owned(const struct dl_cstore_cmd *cmd, const struct claim *claim,
-		  struct dl_cstore_reply *reply)
+static bool check_owner(const struct dl_cstore_cmd *cmd,
+			const struct claim *claim,
+			struct dl_cstore_reply *reply)
 {
 	if (!claim) {
 		reply->code = -ENOENT;
 		return false;
 	}
-	tell(reply, claim);
+	fill_reply(reply, claim);
 	if (claim->owner == cmd->owner)
 		return true;
 	reply->code = -EPERM;
@@ -231,7 +234,7 @@
 		       struct claim *claim, int64_t clock_ms,
 		       struct dl_cstore_reply *reply)
 {
-	if (!owned(cmd, claim, reply))
+	if (!check_owner(cmd, claim, reply))
 		return;
 	if (claim->done) {
 		reply->repeated = true;
@@ -243,12 +246,12 @@
 		reply->code = -ENOSPC;
 	if (cmd->expires_s && cmd->expires_s <= DL_CSTORE_EXPIRES_MAX_S) {
 		dequeue(claims, claim);
-		claim->queue = (uint8_t)queue_of(cmd->expires_s);
+		claim->queue = (uint8_t)queue_for(cmd->expires_s);
 		claim->expires_ms =
 			clock_ms + ((int64_t)1 << claim->queue) * MS_PER_S;
 		enqueue(claims, claim);
 	}
-	tell(reply, claim);
+	fill_reply(reply, claim);
 }
 
 /* Give a key back, as the request provably did not run. */
@@ -256,7 +259,7 @@
 		       struct claim *claim, int64_t clock_ms,
 		       struct dl_cstore_reply *reply)
 {
-	if (!owned(cmd, claim, reply))
+	if (!check_owner(cmd, claim, reply))
 		return;
 	if (claim->done) {
 		reply->code = -EALREADY;
--- a/src/state/cstore_codec.c
+++ b/src/state/cstore_codec.c
@@ -12,11 +12,11 @@
  * The head of a command: array of 16 (3 bytes), format and op (1 byte each),
  * the mark of a 64-bit number and the wall clock in network order.
  */
-#define STAMP_MARK_AT 5
-#define STAMP_MARK    0xd3
-#define STAMP_AT      6
-#define STAMP_END     14
-#define TEXT_MAX      UINT32_MAX
+#define WALL_MARKER_AT 5
+#define MARKER_INT64   0xd3
+#define WALL_AT	       6
+#define WALL_END       14
+#define TEXT_MAX       UINT32_MAX
 
 /* Encode a command into *out, which the caller frees with free(). */
 int dl_cstore_encode(const struct dl_cstore_cmd *cmd, char **out, size_t *n)
@@ -94,9 +94,9 @@
 {
 	uint64_t v = (uint64_t)wall_ms;
 
-	if (n < STAMP_END || (uint8_t)command[STAMP_MARK_AT] != STAMP_MARK)
+	if (n < WALL_END || (uint8_t)command[WALL_MARKER_AT] != MARKER_INT64)
 		return -EBADMSG;
-	for (int i = STAMP_END - 1; i >= STAMP_AT; i--) {
+	for (int i = WALL_END - 1; i >= WALL_AT; i--) {
 		command[i] = (char)(v & UINT8_MAX);
 		v >>= 8;
 	}
--- a/src/state/cstore_int.h
+++ b/src/state/cstore_int.h
@@ -40,7 +40,7 @@
 };
 
 void claims_init(struct claims *claims);
-void claims_drop(struct claims *claims);
+void claims_clear(struct claims *claims);
 void claims_expire(struct claims *claims, int64_t clock_ms);
 uint32_t claims_count(const struct claims *claims);
 struct claim *claims_find(const struct claims *claims, struct dl_str key);
@@ -74,7 +74,7 @@
 
 /* The latest difference that a loser was told; racing operators come in rows.
  */
-struct told_diff {
+struct conflict_diff {
 	uint64_t from, to; /* to is 0 for none */
 	char text[256];
 };
@@ -96,14 +96,14 @@
 	bool conf_unparsed;   /* this says that the text is yet to be parsed */
 	uint64_t number;      /* the operators' own of the text in force */
 	struct dl_faults faults;
-	struct told_diff told;
+	struct conflict_diff conflict_diff;
 };
 
 guint cstore_str_hash(gconstpointer key);
 gboolean cstore_str_equal(gconstpointer a, gconstpointer b);
 void cstore_init(struct dl_cstore *store);
-void cstore_drop(struct dl_cstore *store);
-void cstore_parse_in_force(struct dl_cstore *store);
+void cstore_clear(struct dl_cstore *store);
+void cstore_parse_current(struct dl_cstore *store);
 void cstore_add_answer(struct dl_cstore *store, const struct answer *answer);
 void cstore_add_change(struct dl_cstore *store, const struct change *change,
 		       struct dl_str text);
--- a/src/state/cstore_snap.c
+++ b/src/state/cstore_snap.c
@@ -10,15 +10,15 @@
 #include "state/cstore_int.h"
 #include "state/cstore_pack.h"
 
-#define SNAP_FORMAT   1
-#define SNAP_MAGIC    DL_STR("dl-cstore")
-#define SNAP_SEED     0x64616973
-#define SUM_BYTES     8
-#define HEAD_FIELDS   10
-#define CHANGE_FIELDS 8
-#define ANSWER_FIELDS 5
-#define CLAIM_FIELDS  8
-#define TEXT_MAX      DL_CONF_TEXT_MAX
+#define SNAP_FORMAT    1
+#define SNAP_MAGIC     DL_STR("dl-cstore")
+#define CHECKSUM_SEED  0x64616973
+#define CHECKSUM_BYTES 8
+#define HEAD_FIELDS    10
+#define CHANGE_FIELDS  8
+#define ANSWER_FIELDS  5
+#define CLAIM_FIELDS   8
+#define TEXT_MAX       DL_CONF_TEXT_MAX
 
 /* Reads a snapshot item by item. */
 struct snap_reader {
@@ -35,8 +35,8 @@
 static void put_change(msgpack_packer *pk, const struct change *c);
 static void put_answer(msgpack_packer *pk, const struct answer *a);
 static void put_claims(msgpack_packer *pk, const struct claims *claims);
-static void put_sum(msgpack_sbuffer *buf);
-static bool sum_ok(struct dl_str snapshot);
+static void put_checksum(msgpack_sbuffer *buf);
+static bool checksum_ok(struct dl_str snapshot);
 static struct pack_fields next_item(struct snap_reader *r, uint32_t fields);
 static bool get_head(struct snap_reader *r, struct dl_cstore *store,
 		     struct snap_counts *counts);
@@ -44,7 +44,7 @@
 		       bool newest);
 static bool get_answer(struct snap_reader *r, struct dl_cstore *store);
 static bool get_claim(struct snap_reader *r, struct dl_cstore *store);
-static bool get_all(struct snap_reader *r, struct dl_cstore *store);
+static bool get_items(struct snap_reader *r, struct dl_cstore *store);
 
 /* What is one of a kind, and how many items follow. */
 static void put_head(msgpack_packer *pk, const struct dl_cstore *store)
@@ -111,13 +111,13 @@
 }
 
 /* Append the checksum of all that was written. */
-static void put_sum(msgpack_sbuffer *buf)
+static void put_checksum(msgpack_sbuffer *buf)
 {
 	struct dl_str all = { buf->data, buf->size };
-	uint64_t sum = dl_hash(all, SNAP_SEED);
-	char bytes[SUM_BYTES];
+	uint64_t sum = dl_hash(all, CHECKSUM_SEED);
+	char bytes[CHECKSUM_BYTES];
 
-	for (int i = SUM_BYTES - 1; i >= 0; i--) {
+	for (int i = CHECKSUM_BYTES - 1; i >= 0; i--) {
 		bytes[i] = (char)(sum & UINT8_MAX);
 		sum >>= 8;
 	}
@@ -125,16 +125,16 @@
 }
 
 /* Whether a snapshot ends with its own checksum. */
-static bool sum_ok(struct dl_str snapshot)
+static bool checksum_ok(struct dl_str snapshot)
 {
 	uint64_t sum = 0;
 
-	if (!snapshot.s || snapshot.n < SUM_BYTES)
+	if (!snapshot.s || snapshot.n < CHECKSUM_BYTES)
 		return false;
-	for (size_t i = snapshot.n - SUM_BYTES; i < snapshot.n; i++)
+	for (size_t i = snapshot.n - CHECKSUM_BYTES; i < snapshot.n; i++)
 		sum = sum << 8 | (uint8_t)snapshot.s[i];
-	snapshot.n -= SUM_BYTES;
-	return dl_hash(snapshot, SNAP_SEED) == sum;
+	snapshot.n -= CHECKSUM_BYTES;
+	return dl_hash(snapshot, CHECKSUM_SEED) == sum;
 }
 
 /* Write the whole state into *out, which the caller frees with free(). */
@@ -151,7 +151,7 @@
 	for (uint32_t i = 0; i < store->answers_count; i++)
 		put_answer(&pk, cstore_answer_at(store, i));
 	put_claims(&pk, &store->claims);
-	put_sum(&buf);
+	put_checksum(&buf);
 	*n = buf.size;
 	*out = msgpack_sbuffer_release(&buf);
 	return *out ? 0 : -ENOMEM;
@@ -197,7 +197,7 @@
 	const struct change *last = cstore_change_at(store, 0);
 	struct change c = { 0 };
 	struct dl_str text;
-	bool kept;
+	bool has_text;
 
 	c.version = pack_u64(&f, UINT64_MAX);
 	c.wall_ms = pack_i64(&f);
@@ -205,16 +205,17 @@
 	c.bytes = pack_u64(&f, TEXT_MAX);
 	dl_name_set(&c.author, pack_str(&f, DL_NAME_MAX));
 	dl_name_set(&c.id, pack_str(&f, DL_NAME_MAX));
-	kept = pack_bool(&f);
+	has_text = pack_bool(&f);
 	text = pack_str(&f, TEXT_MAX);
-	if (f.bad || (kept && text.n != c.bytes) ||
-	    (last && !kept && last->text))
+	if (f.bad || (has_text && text.n != c.bytes) ||
+	    (last && !has_text && last->text))
 		return false;
 	if (last && c.version != last->version + 1)
 		return false;
-	if (newest && (!kept || c.version != store->version))
+	if (newest && (!has_text || c.version != store->version))
 		return false;
-	cstore_add_change(store, &c, kept ? text : (struct dl_str){ NULL, 0 });
+	cstore_add_change(store, &c,
+			  has_text ? text : (struct dl_str){ NULL, 0 });
 	return true;
 }
 
@@ -257,7 +258,7 @@
 }
 
 /* Read all items into an empty store. */
-static bool get_all(struct snap_reader *r, struct dl_cstore *store)
+static bool get_items(struct snap_reader *r, struct dl_cstore *store)
 {
 	struct snap_counts n;
 
@@ -283,7 +284,7 @@
  * by an earlier one and stays in force; the next change is then compared with
  * nothing.
  */
-void cstore_parse_in_force(struct dl_cstore *store)
+void cstore_parse_current(struct dl_cstore *store)
 {
 	struct dl_str text;
 
@@ -304,20 +305,20 @@
 	struct dl_cstore *next;
 	bool ok;
 
-	if (!sum_ok(snapshot))
+	if (!checksum_ok(snapshot))
 		return -EINVAL;
-	r.data.n -= SUM_BYTES;
+	r.data.n -= CHECKSUM_BYTES;
 	next = dl_cstore_new();
 	msgpack_unpacked_init(&r.item);
-	ok = get_all(&r, next);
+	ok = get_items(&r, next);
 	msgpack_unpacked_destroy(&r.item);
 	if (!ok) {
 		dl_cstore_free(next);
 		return -EINVAL;
 	}
-	cstore_parse_in_force(next);
+	cstore_parse_current(next);
 	next->number = next->conf ? next->conf->number : 0;
-	cstore_drop(store);
+	cstore_clear(store);
 	memcpy(store, next, sizeof(*store));
 	free(next);
 	return 0;
