--- a/src/state/conf_int.h
+++ b/src/state/conf_int.h
@@ -1,6 +1,6 @@
 /*
- * Reading the operators' text: where each value stands, typed fields with
- * their ranges and defaults, and the checks between parts of the text.
+ * Internals of the configuration parser: the line of each value, typed fields
+ * with ranges and defaults, and checks that span several parts of the text.
  */
 #ifndef DL_STATE_CONF_INT_H
 #define DL_STATE_CONF_INT_H
@@ -9,7 +9,7 @@
 
 #include "daisyledge/conf.h"
 
-/* The most elements of each list; they bound the time that a check takes. */
+/* Limits on the length of each list; they bound the time of a check. */
 #define CONF_CLASSES_MAX    32
 #define CONF_SERVICES_MAX   256
 #define CONF_WORKSPACES_MAX 100000
@@ -18,7 +18,7 @@
 
 #define CONF_PATH_MAX sizeof(((struct dl_fault *)0)->path)
 
-/* A place in the text: the path as people read it, and its hash. */
+/* The path of a value in the text: as shown to people, and its hash. */
 struct conf_path {
 	uint64_t hash;
 	size_t n;
@@ -30,16 +30,16 @@
 			       struct dl_str key);
 struct conf_path conf_path_index(const struct conf_path *parent, size_t index);
 
-/* The line of each key and element, found by the hash of its path. */
+/* Line number of each key and element, in a hash table by path hash. */
 struct conf_lines {
 	uint64_t *hash;
 	uint32_t *line;
-	uint32_t *container; /* the object or list that it was found in */
+	uint32_t *container; /* the object or list that contains it */
 	size_t size;	     /* a power of two */
 	size_t used;
 };
 
-/* What a check carries along. */
+/* State of parsing one text. */
 struct conf_reader {
 	struct conf_lines lines;
 	struct dl_faults *faults;
@@ -53,14 +53,14 @@
 void conf_fault(struct conf_reader *r, const struct conf_path *path,
 		const char *fmt, ...) __attribute__((format(printf, 3, 4)));
 
-/* What a field holds; CONF_OTHER is read by the caller. */
+/* Type of a field. */
 enum conf_type {
 	CONF_U32,
 	CONF_U64,
 	CONF_BOOL,
 	CONF_NAME,
-	CONF_DOUBLE, /* not negative */
-	CONF_ENUM,   /* one of words, stored as its index in an enum */
+	CONF_DOUBLE, /* must not be negative */
+	CONF_ENUM,   /* one of enum_names, stored as an index */
 	CONF_JSON,
 	CONF_TYPE_COUNT,
 };
@@ -70,8 +70,8 @@
 	enum conf_type type;
 	bool required;
 	uint64_t min, max, default_value;
-	const char *const *enum_names; /* CONF_WORD: ended by NULL */
-	json_type json;		       /* CONF_OTHER */
+	const char *const *enum_names; /* CONF_ENUM: terminated by NULL */
+	json_type json; /* CONF_JSON: the type; the caller parses it */
 	size_t offset;
 };
 
@@ -80,13 +80,13 @@
 	size_t count;
 };
 
-/* How a name may be written. */
+/* Which characters and form a name may have. */
 enum conf_name_kind {
 	CONF_PLAIN_NAME, /* letters, digits and . _ - */
-	CONF_MODEL_NAME, /* / and : besides */
+	CONF_MODEL_NAME, /* also / and : */
 	CONF_URL_PATH,
 	CONF_ADDRESS, /* ip:port */
-	CONF_SECRET,  /* any visible character */
+	CONF_SECRET,  /* any visible ASCII character */
 };
 
 bool conf_read_object(struct conf_reader *r, const struct conf_path *path,
@@ -101,7 +101,7 @@
 bool conf_check_name(struct conf_reader *r, const struct conf_path *path,
 		     struct dl_str name, enum conf_name_kind kind);
 
-/* The nearest of some words to one that is not among them, or NULL. */
+/* The word nearest to an unknown one; best.s is NULL if none is near. */
 struct conf_nearest {
 	struct dl_str wanted;
 	struct dl_str best;
