--- a/src/state/conf.c
+++ b/src/state/conf.c
@@ -1,4 +1,6 @@
-/* From the operators' text to a struct dl_conf, and the look-ups in it. */
+/*
+ * Parses the configuration text into a struct dl_conf, and looks up its parts.
+ */
 #include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,7 +13,9 @@
 #define DAY_MS	      86400000
 #define TOKENS_MAX    1000000000000ull
 #define CLASS_UNKNOWN UINT32_MAX
-/* Every JSON fault of jansson's names its line; the text is cut to fit. */
+/*
+ * jansson gives the line of each syntax error; its text is truncated to this.
+ */
 #define SYNTAX_TEXT_MAX 120
 
 static const char *const class_names[] = { "urgent", "interactive", "batch",
@@ -20,7 +24,7 @@
 static const char *const level_names[] = { "debug", "info", "warn", "error",
 					   NULL };
 
-/* What stands at the top of the text beside its lists. */
+/* The scalar fields at the top level of the text. */
 struct top_level {
 	uint32_t format;
 	uint32_t weight_store_mb_per_s;
@@ -167,7 +171,7 @@
 	{ "endpoints", CONF_JSON, .json = JSON_ARRAY },
 };
 
-/* Classes of a text that names none: one for each degree of urgency. */
+/* Classes of a text without any: one for each degree of urgency. */
 static const struct dl_class_conf class_defaults[] = {
 	{ { 6, "urgent" }, DL_CLASS_URGENT, 2000 },
 	{ { 11, "interactive" }, DL_CLASS_INTERACTIVE, 10000 },
@@ -212,7 +216,7 @@
 static int read_text(struct conf_reader *r, struct dl_str text,
 		     struct dl_conf *conf);
 
-/* Make room for the elements of a list within its bound. */
+/* Allocate a list, unless it has more elements than allowed. */
 void *conf_alloc_list(struct conf_reader *r, const struct conf_path *path,
 		      size_t n, size_t max, size_t size)
 {
@@ -229,7 +233,7 @@
 	return list;
 }
 
-/* Read a key that is a name of the operators' choice. */
+/* Check and copy a key that is a name chosen by operators. */
 static bool read_key(struct conf_reader *r, const struct conf_path *path,
 		     const char *key, struct dl_name *out)
 {
@@ -239,7 +243,7 @@
 	       dl_name_set(out, s);
 }
 
-/* Give a text without classes one for each degree of urgency. */
+/* Define one class for each degree of urgency. */
 static void set_default_classes(struct conf_reader *r, struct dl_conf *conf)
 {
 	conf->classes = malloc(sizeof(class_defaults));
@@ -252,7 +256,6 @@
 		sizeof(class_defaults) / sizeof(class_defaults[0]);
 }
 
-/* Read the classes of requests. */
 static void read_classes(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, struct dl_conf *conf)
 {
@@ -280,7 +283,7 @@
 	}
 }
 
-/* The index of a class, or CLASS_UNKNOWN. */
+/* Return the index of a class, or CLASS_UNKNOWN. */
 static uint32_t find_class(const struct dl_conf *conf, struct dl_str name)
 {
 	for (uint32_t i = 0; i < conf->classes_count; i++) {
@@ -290,7 +293,7 @@
 	return CLASS_UNKNOWN;
 }
 
-/* Read a reference to a class; *out stays where there is none. */
+/* Read a reference to a class; *out is unchanged if there is none. */
 static void read_default_class(struct conf_reader *r,
 			       const struct conf_path *path, json_t *json,
 			       const struct dl_conf *conf, uint32_t *out)
@@ -315,7 +318,7 @@
 		   conf_nearest_hint(&near, hint));
 }
 
-/* Read a list of names that is a member of an object, where it is there. */
+/* Read a list of names that may be a member of an object. */
 static void read_name_list(struct conf_reader *r, const struct conf_path *path,
 			   json_t *json, const char *key,
 			   enum conf_name_kind kind, struct dl_name **out,
@@ -328,7 +331,6 @@
 		conf_read_names(r, &child, array, kind, out, count);
 }
 
-/* Read the limits of a service's pools. */
 static void read_pool(struct conf_reader *r, const struct conf_path *path,
 		      json_t *json, struct dl_service_conf *out)
 {
@@ -345,7 +347,7 @@
 	out->pool.kind = out->kind;
 }
 
-/* Read how a service's engines work, where it is published. */
+/* Read the cost model of a service's engines, if it is given. */
 static void read_engine(struct conf_reader *r, const struct conf_path *path,
 			json_t *json, struct dl_engine_model *out)
 {
@@ -357,7 +359,6 @@
 	conf_read_object(r, &child, engine, CONF_FIELDS(engine_fields), out);
 }
 
-/* Read one service. */
 static void read_service(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, const struct dl_conf *conf,
 			 struct dl_service_conf *out)
@@ -379,7 +380,7 @@
 	read_default_class(r, path, json, conf, &out->default_class);
 }
 
-/* Read the services; a model service without models is named like its own. */
+/* Read the services. A model service without models has one of its own name. */
 static void read_services(struct conf_reader *r, const struct conf_path *path,
 			  json_t *json, struct dl_conf *conf)
 {
@@ -413,7 +414,7 @@
 	}
 }
 
-/* Order workspaces by name, so that one is found by bisection. */
+/* Order workspaces by name, for the binary search of dl_conf_workspace(). */
 static int compare_workspaces(const void *a, const void *b)
 {
 	const struct dl_conf_workspace *wa = a, *wb = b;
@@ -421,7 +422,7 @@
 	return strcmp(wa->limits.name.s, wb->limits.name.s);
 }
 
-/* Read the workspaces. */
+/* Read the workspaces, and index them by name and by key. */
 static void read_workspaces(struct conf_reader *r, const struct conf_path *path,
 			    json_t *json, struct dl_conf *conf)
 {
@@ -454,7 +455,7 @@
 	conf_index_keys(r, conf);
 }
 
-/* Read the list of replicas; its length and doubles are checked later. */
+/* Read the list of replicas; conf_check() checks its length and duplicates. */
 static void read_replicas(struct conf_reader *r, const struct conf_path *path,
 			  json_t *json, struct dl_conf *conf)
 {
@@ -483,7 +484,7 @@
 	}
 }
 
-/* Read the orders that the leader keeps true. */
+/* Read the orders that the leader maintains. */
 static void read_orders(struct conf_reader *r, const struct conf_path *path,
 			json_t *json, struct dl_conf *conf)
 {
@@ -502,7 +503,7 @@
 	}
 }
 
-/* Read what callers may send; the defaults where the text says nothing. */
+/* Read the limits for callers, or set the defaults. */
 static void read_caller_limits(struct conf_reader *r,
 			       const struct conf_path *path, json_t *root,
 			       struct dl_conf *conf)
@@ -520,7 +521,7 @@
 	json_decref(empty);
 }
 
-/* Read the whole text, one part after the other. */
+/* Read the parts of the text. Parts that others refer to come first. */
 static void read_top_level(struct conf_reader *r, json_t *root,
 			   struct dl_conf *conf)
 {
@@ -573,7 +574,7 @@
 		       &conf->drain_endpoints, &conf->drain_endpoints_count);
 }
 
-/* Read and check a text; what is wrong stands in the reader's faults. */
+/* Parse and check a text; faults are added to the reader's. */
 static int read_text(struct conf_reader *r, struct dl_str text,
 		     struct dl_conf *conf)
 {
@@ -583,7 +584,8 @@
 	int rc;
 
 	if (text.n > DL_CONF_TEXT_MAX) {
-		conf_fault(r, &root, "the text has %zu bytes, at most %u fit",
+		conf_fault(r, &root,
+			   "the text has %zu bytes, at most %u are allowed",
 			   text.n, DL_CONF_TEXT_MAX);
 		return -EINVAL;
 	}
@@ -606,13 +608,13 @@
 	return rc;
 }
 
-/* The digest of a text, also of one that is not parsed. */
+/* Return the digest of a text, which need not be valid. */
 uint64_t dl_conf_digest(struct dl_str text)
 {
 	return dl_hash(text, DIGEST_SEED);
 }
 
-/* Order faults by where they stand. */
+/* Order faults by line, then by path. */
 static int compare_faults(const void *a, const void *b)
 {
 	const struct dl_fault *fa = a, *fb = b;
@@ -623,9 +625,9 @@
 }
 
 /*
- * Read and check an operators' text.  0 and *out, which the caller frees; or
- * -EINVAL and every fault at once, in the order of their lines; or -ENOMEM.
- * faults must not be NULL; its count may pass DL_FAULTS_MAX.
+ * Parse and check a configuration text. Returns 0 and *out, which the caller
+ * frees; -EINVAL and all faults, ordered by line; or -ENOMEM. faults must not
+ * be NULL; its count may exceed DL_FAULTS_MAX.
  */
 int dl_conf_parse(struct dl_str text, struct dl_conf **out,
 		  struct dl_faults *faults)
@@ -654,7 +656,7 @@
 	return rc;
 }
 
-/* Release a configuration; NULL is nothing to do. */
+/* Free a configuration, which may be NULL. */
 void dl_conf_free(struct dl_conf *conf)
 {
 	if (!conf)
@@ -674,7 +676,7 @@
 	free(conf);
 }
 
-/* The service of a name, or NULL. */
+/* Find a service by name, or NULL. */
 const struct dl_service_conf *dl_conf_service(const struct dl_conf *conf,
 					      struct dl_str name)
 {
@@ -685,7 +687,7 @@
 	return NULL;
 }
 
-/* The service that offers a model, or NULL; a model has one service. */
+/* Find the service that offers a model, or NULL; a model has one service. */
 const struct dl_service_conf *
 dl_conf_service_of_model(const struct dl_conf *conf, struct dl_str model)
 {
@@ -700,7 +702,10 @@
 	return NULL;
 }
 
-/* The workspace of a name, or NULL; by bisection, as each request asks. */
+/*
+ * Find a workspace by name, or NULL. A binary search, as it is done for each
+ * request.
+ */
 const struct dl_conf_workspace *dl_conf_workspace(const struct dl_conf *conf,
 						  struct dl_str name)
 {
@@ -713,7 +718,7 @@
 		       sizeof(key), compare_workspaces);
 }
 
-/* The class of a name, or NULL. */
+/* Find a class by name, or NULL. */
 const struct dl_class_conf *dl_conf_class(const struct dl_conf *conf,
 					  struct dl_str name)
 {
