--- a/src/state/conf_route.c
+++ b/src/state/conf_route.c
@@ -1,6 +1,6 @@
 /*
- * Routes and keys: which service a request goes to, and which workspace its
- * key belongs to.
+ * Routes and keys: the service that a request goes to, and the workspace of its
+ * key.
  */
 #include <glib.h>
 #include <stdlib.h>
@@ -35,7 +35,7 @@
 };
 #undef ROUTE
 
-/* One element of "targets", before its service is looked up. */
+/* An element of "targets" before its service is looked up. */
 struct target {
 	struct dl_name service;
 	uint32_t weight;
@@ -57,7 +57,7 @@
 			      const struct conf_path *path,
 			      const struct dl_route_conf *route);
 
-/* A host or path as text of our own; NULL where it is none. */
+/* Return a copy of a host or path prefix, or NULL. */
 static char *read_string(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, const char *key)
 {
@@ -80,7 +80,9 @@
 	return copy;
 }
 
-/* Where a route leads: services that are there, with some weight in all. */
+/*
+ * Read the targets of a route: existing services with a positive total weight.
+ */
 static void read_targets(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, const struct dl_conf *conf,
 			 struct dl_route_conf *out)
@@ -115,10 +117,10 @@
 		};
 	}
 	if (sum == 0)
-		conf_fault(r, &targets_path, "the weights add up to nothing");
+		conf_fault(r, &targets_path, "the sum of the weights is 0");
 }
 
-/* A prefix stands for whole parts of a path. */
+/* Check that a prefix consists of whole path segments. */
 static void check_path_prefix(struct conf_reader *r,
 			      const struct conf_path *path,
 			      const struct dl_route_conf *route)
@@ -133,7 +135,7 @@
 		conf_fault(r, &child, "must begin and end with \"/\"");
 }
 
-/* Read the routes; the services must have been read before. */
+/* Read the routes; the services must have been read. */
 void conf_read_routes(struct conf_reader *r, const struct conf_path *path,
 		      json_t *json, struct dl_conf *conf)
 {
@@ -169,7 +171,6 @@
 	g_hash_table_destroy(seen);
 }
 
-/* Read the keys of a workspace. */
 void conf_read_keys(struct conf_reader *r, const struct conf_path *path,
 		    json_t *json, struct dl_conf_workspace *out)
 {
@@ -181,7 +182,7 @@
 				&out->keys_count);
 }
 
-/* Make every key lead to its workspace; no two workspaces may share one. */
+/* Index workspaces by key; a key must not belong to two workspaces. */
 void conf_index_keys(struct conf_reader *r, struct dl_conf *conf)
 {
 	struct conf_path root = conf_path_root();
@@ -195,14 +196,14 @@
 		for (uint32_t k = 0; k < w->keys_count; k++) {
 			if (!g_hash_table_insert(by_key, w->keys[k].s, w))
 				conf_fault(r, &path,
-					   "a key of \"%s\" is also another "
-					   "workspace's",
+					   "a key of \"%s\" also belongs to "
+					   "another workspace",
 					   w->limits.name.s);
 		}
 	}
 }
 
-/* Release what this file made. */
+/* Free the routes, the keys and their index. */
 void conf_routes_free(struct dl_conf *conf)
 {
 	for (uint32_t i = 0; i < conf->routes_count; i++) {
@@ -221,7 +222,7 @@
 	return s.n >= n && memcmp(s.s, prefix, n) == 0;
 }
 
-/* The route of a request, or NULL; hosts are compared without their case. */
+/* Find the route of a request, or NULL; hosts are compared ignoring case. */
 const struct dl_route_conf *dl_conf_route(const struct dl_conf *conf,
 					  struct dl_str host,
 					  struct dl_str path)
@@ -243,7 +244,7 @@
 	return best;
 }
 
-/* The workspace that holds a key, or NULL. */
+/* Find the workspace that a key belongs to, or NULL. */
 const struct dl_conf_workspace *
 dl_conf_workspace_of_key(const struct dl_conf *conf, struct dl_str key)
 {
