--- a/src/state/conf_check.c
+++ b/src/state/conf_check.c
@@ -1,4 +1,7 @@
-/* The checks between parts of a text: references, cycles, doubles, replicas. */
+/*
+ * Checks that span several parts of a text: references, cycles, duplicates and
+ * replicas.
+ */
 #include <glib.h>
 #include <string.h>
 
@@ -6,10 +9,10 @@
 
 #define REPLICAS_MIN 3
 
-/* How far the search for cycles has come with a service. */
+/* State of a service in the depth-first search for cycles. */
 enum visit {
 	VISIT_NEW,
-	VISIT_ACTIVE, /* on the path that is being followed */
+	VISIT_ACTIVE, /* on the current path */
 	VISIT_DONE,
 };
 
@@ -40,7 +43,7 @@
 static void check_duplicate_order(struct conf_reader *r,
 				  const struct dl_conf *conf, uint32_t index);
 
-/* Where a service stands in the text. */
+/* Return the path of a service in the text. */
 static struct conf_path service_path(const struct dl_service_conf *s)
 {
 	struct conf_path root = conf_path_root();
@@ -49,13 +52,16 @@
 	return conf_path_key(&services, dl_name_str(&s->name));
 }
 
-/* A member of a place, by value, so that places can be nested in one line. */
+/*
+ * Return the path of a member. The parent is passed by value, so that calls can
+ * be nested.
+ */
 static struct conf_path member_path(struct conf_path parent, const char *key)
 {
 	return conf_path_key(&parent, dl_str_of(key));
 }
 
-/* An element of a list at the top of the text. */
+/* Return the path of an element of a top-level list. */
 static struct conf_path element_path(const char *key, uint32_t index)
 {
 	struct conf_path list = member_path(conf_path_root(), key);
@@ -63,7 +69,7 @@
 	return conf_path_index(&list, index);
 }
 
-/* A reference to a service that is not there, and the nearest that is. */
+/* Report a reference to an unknown service, and suggest the nearest name. */
 static void fault_unknown_service(struct conf_reader *r,
 				  const struct dl_conf *conf,
 				  const struct conf_path *path,
@@ -78,7 +84,10 @@
 		   conf_nearest_hint(&near, hint));
 }
 
-/* Each service that one depends on must be there, and not itself. */
+/*
+ * Check that each service that one depends on exists; check_cycles() finds
+ * dependencies on itself.
+ */
 static void check_dependencies(struct conf_reader *r,
 			       const struct dl_conf *conf,
 			       const struct dl_service_conf *s)
@@ -93,7 +102,7 @@
 	}
 }
 
-/* Keys that only one kind of service has a use for. */
+/* Report keys that do not apply to the kind of service. */
 static void check_kind(struct conf_reader *r, const struct dl_service_conf *s)
 {
 	struct conf_path models = member_path(service_path(s), "models");
@@ -106,7 +115,10 @@
 		conf_fault(r, &paths, "only a plain service has paths");
 }
 
-/* Follow what a service depends on; meeting an open one closes a cycle. */
+/*
+ * Visit the dependencies of a service; reaching one on the current path closes
+ * a cycle.
+ */
 static void visit_dependencies(struct cycle_search *c, uint32_t index)
 {
 	const struct dl_service_conf *s = &c->conf->services[index];
@@ -132,7 +144,7 @@
 	c->visit[index] = VISIT_DONE;
 }
 
-/* No service may depend on itself, however many others lie between. */
+/* Check that no service depends on itself, directly or through others. */
 static void check_cycles(struct conf_reader *r, const struct dl_conf *conf)
 {
 	struct cycle_search c = { .r = r, .conf = conf };
@@ -143,7 +155,9 @@
 	}
 }
 
-/* A model belongs to one service, as callers name the model alone. */
+/*
+ * Check that each model belongs to one service, as callers name only the model.
+ */
 static void check_models(struct conf_reader *r, const struct dl_conf *conf)
 {
 	GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
@@ -167,8 +181,10 @@
 }
 
 /*
- * The replicas form a majority: an even list adds a disk that can fail and
- * no failure that is survived, a list under three survives none.
+ * Check the number of replicas and that their names and addresses are unique.
+ * Decisions need a majority: an even number tolerates no more failures than one
+ * replica fewer and only adds a disk that can fail, and fewer than three
+ * tolerate none.
  */
 static void check_replicas(struct conf_reader *r, const struct dl_conf *conf)
 {
@@ -176,7 +192,7 @@
 	uint32_t n = conf->replicas_count;
 
 	if (conf_lines_find(&r->lines, list.hash) && n < REPLICAS_MIN)
-		conf_fault(r, &list, "must have %d replicas at least, not %u",
+		conf_fault(r, &list, "must have at least %d replicas, not %u",
 			   REPLICAS_MIN, n);
 	else if (n % 2 == 0 && n)
 		conf_fault(r, &list,
@@ -205,7 +221,10 @@
 	}
 }
 
-/* An order must name a model service, one of its models and a known role. */
+/*
+ * Check that an order names a model service, one of its models and a known
+ * role.
+ */
 static void check_order(struct conf_reader *r, const struct dl_conf *conf,
 			uint32_t index)
 {
@@ -238,7 +257,10 @@
 			   o->model.s, s->name.s);
 }
 
-/* Orders that ask for the same twice, or for two things of all endpoints. */
+/*
+ * Report an order that repeats another, or conflicts with one for all endpoints
+ * of the service.
+ */
 static void check_duplicate_order(struct conf_reader *r,
 				  const struct dl_conf *conf, uint32_t index)
 {
@@ -266,7 +288,6 @@
 	}
 }
 
-/* All orders. */
 static void check_orders(struct conf_reader *r, const struct dl_conf *conf)
 {
 	for (uint32_t i = 0; i < conf->orders_count; i++) {
@@ -275,7 +296,7 @@
 	}
 }
 
-/* Check what only the whole text can tell. */
+/* Run the checks that need the whole text. */
 void conf_check(struct conf_reader *r, const struct dl_conf *conf)
 {
 	for (uint32_t i = 0; i < conf->services_count; i++) {
--- a/src/state/conf_diff.c
+++ b/src/state/conf_diff.c
@@ -1,4 +1,4 @@
-/* What goes from one configuration to the next, and what it means. */
+/* Lists the changes between two configurations and their impact. */
 #include <errno.h>
 #include <glib.h>
 #include <inttypes.h>
@@ -6,12 +6,12 @@
 
 #include "state/conf_int.h"
 
-/* More lines than this are counted and not shown. */
+/* Further changes are counted but not listed, unless they need confirmation. */
 #define LINES_MAX 500
 /*
- * The text does not say how many VMs and endpoints live, and the smallest
- * fleets have six VMs and fourteen endpoints: draining more than these needs
- * the operator's word, also where it is done a few at a time.
+ * Draining more VMs or endpoints than this needs confirmation. The total
+ * counts, so that draining a few at a time needs it too. The text does not say
+ * how many are live; the smallest fleets have 6 VMs and 14 endpoints.
  */
 #define DRAIN_VMS_UNCONFIRMED_MAX	2
 #define DRAIN_ENDPOINTS_UNCONFIRMED_MAX 4
@@ -22,7 +22,7 @@
 	bool needs_confirm;
 };
 
-/* A number of a struct, its key, and what a change of it does. */
+/* A numeric field of a struct, its key, and the impact of a change. */
 struct diff_field {
 	const char *key;
 	enum conf_type type;
@@ -35,7 +35,7 @@
 	{ "get_is_idempotent", CONF_BOOL, SERVICE(get_is_idempotent),
 	  "decides whether a GET may be sent twice" },
 	{ "ignores_fencing", CONF_BOOL, SERVICE(ignores_fencing),
-	  "decides how long a new leader holds its orders back" },
+	  "decides how long a new leader delays its orders" },
 	{ "connect_timeout_ms", CONF_U32, SERVICE(connect_timeout_ms),
 	  "for attempts from now on" },
 	{ "gap_timeout_ms", CONF_U32, SERVICE(gap_timeout_ms),
@@ -43,32 +43,33 @@
 	{ "retry_budget_permille", CONF_U32, SERVICE(retry_budget_permille),
 	  "for retries from now on" },
 	{ "pool.queue_entries_max", CONF_U32, SERVICE(pool.queue_entries_max),
-	  "requests over it are refused" },
+	  "requests over the limit are refused" },
 	{ "pool.queue_tokens_max", CONF_U64, SERVICE(pool.queue_tokens_max),
-	  "requests over it are refused" },
+	  "requests over the limit are refused" },
 	{ "pool.long_tokens", CONF_U32, SERVICE(pool.long_tokens),
 	  "decides which prompts count as long" },
 	{ "pool.long_share_permille", CONF_U32,
-	  SERVICE(pool.long_share_permille), "what long prompts may hold" },
+	  SERVICE(pool.long_share_permille),
+	  "the share of a pool for long prompts" },
 	{ "pool.out_share_permille", CONF_U32, SERVICE(pool.out_share_permille),
-	  "how much of a pool may be put out" },
+	  "the share of a pool that may be ejected" },
 	{ "pool.grant_lease_ms", CONF_U32, SERVICE(pool.grant_lease_ms),
 	  "for grants from now on" },
 	{ "pool.report_gone_ms", CONF_U32, SERVICE(pool.report_gone_ms),
-	  "how soon a silent endpoint is gone" },
+	  "how soon an endpoint without reports is gone" },
 	{ "pool.weight_default", CONF_U32, SERVICE(pool.weight_default),
-	  "the share of workspaces that are not listed" },
+	  "the weight of workspaces that are not listed" },
 };
 #undef SERVICE
 
 #define WORKSPACE(field) offsetof(struct dl_conf_workspace, limits.field)
 static const struct diff_field workspace_fields[] = {
 	{ "weight", CONF_U32, WORKSPACE(weight),
-	  "its share where requests queue" },
+	  "its share when requests queue" },
 	{ "concurrency_max", CONF_U32, WORKSPACE(concurrency_max),
-	  "requests over it are refused; 0 is no limit" },
+	  "requests over the limit are refused; 0 is no limit" },
 	{ "requests_per_s", CONF_U32, WORKSPACE(requests_per_s),
-	  "requests over it are refused; 0 is no limit" },
+	  "requests over the limit are refused; 0 is no limit" },
 };
 #undef WORKSPACE
 
@@ -111,7 +112,7 @@
 static void compare_drain(struct diff *d, const struct dl_conf *old,
 			  const struct dl_conf *new);
 
-/* Add one line; the first of those that need confirming marks the whole. */
+/* Add a line; one line that needs confirmation makes the whole diff need it. */
 static void add_line(struct diff *d, bool confirm, const char *fmt, ...)
 {
 	va_list ap;
@@ -125,7 +126,7 @@
 	g_string_append(d->text, confirm ? " [needs confirm]\n" : "\n");
 }
 
-/* The number that a field holds. */
+/* Return the value of a numeric field. */
 static uint64_t field_value(const struct diff_field *f, const void *from)
 {
 	const char *value = (const char *)from + f->offset;
@@ -137,7 +138,7 @@
 	return *(const uint64_t *)(const void *)value;
 }
 
-/* A line for each number that changed. */
+/* Add a line for each field that changed. */
 static void compare_fields(struct diff *d, const char *section,
 			   const char *name, const struct diff_field *fields,
 			   size_t count, const void *old, const void *new)
@@ -154,7 +155,7 @@
 	}
 }
 
-/* Whether a list has a name. */
+/* Return whether a list contains a name. */
 static bool has_name(const struct dl_name *names, uint32_t count,
 		     const struct dl_name *name)
 {
@@ -165,7 +166,10 @@
 	return false;
 }
 
-/* A line for each name that came or went; how many came. */
+/*
+ * Add a line for each name that was removed or added; return how many were
+ * added.
+ */
 static uint32_t compare_names(struct diff *d, const char *path,
 			      const struct dl_name *old, uint32_t old_count,
 			      const struct dl_name *new, uint32_t new_count,
@@ -186,14 +190,13 @@
 	return added;
 }
 
-/* The name of a class by its index; that of none is left to the service. */
+/* Return the name of a class; without one the service's default applies. */
 static const char *class_name(const struct dl_conf *conf, uint32_t index)
 {
 	return index < conf->classes_count ? conf->classes[index].name.s :
-					     "(as the service says)";
+					     "(the default of the service)";
 }
 
-/* Classes by their names. */
 static void compare_classes(struct diff *d, const struct dl_conf *old,
 			    const struct dl_conf *new)
 {
@@ -226,9 +229,9 @@
 }
 
 /*
- * One service that is in both.  A model that goes is a service in use that
- * goes, for those who name it; a queue cut to less than half refuses most of
- * what it held.
+ * Compare a service that is in both. Removing a model needs confirmation like
+ * removing a service: callers that name it are refused. So does reducing a
+ * queue to less than half, as most of what it held is then refused.
  */
 static void compare_service(struct diff *d, const struct dl_conf *old,
 			    const struct dl_service_conf *a,
@@ -241,7 +244,7 @@
 
 	if (a->kind != b->kind)
 		add_line(d, true,
-			 "~ services.%s.kind: %s; its pools begin anew",
+			 "~ services.%s.kind: %s; its pools are recreated",
 			 a->name.s,
 			 b->kind == DL_POOL_MODEL ? "plain -> model" :
 						    "model -> plain");
@@ -265,12 +268,12 @@
 	g_snprintf(path, sizeof(path), "services.%s.depends_on", a->name.s);
 	compare_names(d, path, a->depends_on, a->depends_on_count,
 		      b->depends_on, b->depends_on_count,
-		      "it is ready only with that one");
+		      "it is ready only while that service is");
 	g_snprintf(path, sizeof(path), "services.%s.idempotent_paths",
 		   a->name.s);
 	compare_names(d, path, a->idempotent_paths, a->idempotent_paths_count,
 		      b->idempotent_paths, b->idempotent_paths_count,
-		      "calls of it may be repeated");
+		      "its calls may be repeated");
 	compare_fields(d, "services", a->name.s, service_fields,
 		       COUNT(service_fields), a, b);
 	if (b->pool.queue_entries_max < a->pool.queue_entries_max / 2 ||
@@ -278,11 +281,11 @@
 		add_line(
 			d, true,
 			"! services.%s.pool: the queue loses more than half of "
-			"its room",
+			"its capacity",
 			a->name.s);
 }
 
-/* Services by their names. */
+/* Compare services by name. */
 static void compare_services(struct diff *d, const struct dl_conf *old,
 			     const struct dl_conf *new)
 {
@@ -296,7 +299,7 @@
 			add_line(
 				d, true,
 				"- services.%s: removed; new requests for it are "
-				"refused, those in flight end",
+				"refused, those in flight finish",
 				a->name.s);
 	}
 	for (uint32_t i = 0; i < new->services_count; i++) {
@@ -310,7 +313,7 @@
 	}
 }
 
-/* Workspaces, which both configurations hold in the order of their names. */
+/* Merge the workspaces, which both configurations hold ordered by name. */
 static void compare_workspaces(struct diff *d, const struct dl_conf *old,
 			       const struct dl_conf *new)
 {
@@ -359,13 +362,13 @@
 	}
 	if (removed * 2 > old->workspaces_count || weight_removed * 2 > weight)
 		add_line(d, true,
-			 "! workspaces: %u of %u go, with %" PRIu64
+			 "! workspaces: %u of %u are removed, with %" PRIu64
 			 " of %" PRIu64 " of the weight",
 			 removed, old->workspaces_count, weight_removed,
 			 weight);
 }
 
-/* Whether a configuration has a replica of this name at this address. */
+/* Return whether a configuration has a replica of this name at this address. */
 static bool has_replica(const struct dl_conf *conf,
 			const struct dl_replica_conf *replica)
 {
@@ -379,7 +382,7 @@
 	return false;
 }
 
-/* Whether most of old's replicas stay as they are in new. */
+/* Return whether a majority of old's replicas is unchanged in new. */
 bool dl_conf_keeps_majority(const struct dl_conf *old,
 			    const struct dl_conf *new)
 {
@@ -390,7 +393,7 @@
 	return !old->replicas_count || kept * 2 > old->replicas_count;
 }
 
-/* Replicas by name and address. */
+/* Compare replicas by name and address. */
 static void compare_replicas(struct diff *d, const struct dl_conf *old,
 			     const struct dl_conf *new)
 {
@@ -411,20 +414,19 @@
 
 		if (has_replica(old, r))
 			continue;
-		add_line(
-			d, false,
-			"+ replicas: %s at %s; counts once it holds everything",
-			r->name.s, dl_vm_text(r->vm, text));
+		add_line(d, false,
+			 "+ replicas: %s at %s; votes once it has caught up",
+			 r->name.s, dl_vm_text(r->vm, text));
 		changes++;
 	}
 	if (changes > 1)
-		add_line(d, false, "! replicas: carried out one at a time");
+		add_line(d, false, "! replicas: changed one at a time");
 	if (!dl_conf_keeps_majority(old, new))
 		add_line(d, true,
-			 "! replicas: no majority of the old ones stays");
+			 "! replicas: no majority of the old ones is kept");
 }
 
-/* Whether a configuration has just this order. */
+/* Return whether a configuration has an order with the same fields. */
 static bool has_order(const struct dl_conf *conf,
 		      const struct dl_order_conf *order)
 {
@@ -441,7 +443,7 @@
 	return false;
 }
 
-/* Orders, each as a whole. */
+/* Compare orders; one with any changed field counts as removed and added. */
 static void compare_orders(struct diff *d, const struct dl_conf *old,
 			   const struct dl_conf *new)
 {
@@ -467,7 +469,7 @@
 	}
 }
 
-/* What is drained, and what no longer is. */
+/* Compare the drained VMs and endpoints. */
 static void compare_drain(struct diff *d, const struct dl_conf *old,
 			  const struct dl_conf *new)
 {
@@ -476,12 +478,12 @@
 	vms = compare_names(d, "drain.vms", old->drain_vms,
 			    old->drain_vms_count, new->drain_vms,
 			    new->drain_vms_count,
-			    "takes nothing new, ends what it has");
-	endpoints = compare_names(d, "drain.endpoints", old->drain_endpoints,
-				  old->drain_endpoints_count,
-				  new->drain_endpoints,
-				  new->drain_endpoints_count,
-				  "takes nothing new, ends what it has");
+			    "gets no new requests, finishes those it has");
+	endpoints =
+		compare_names(d, "drain.endpoints", old->drain_endpoints,
+			      old->drain_endpoints_count, new->drain_endpoints,
+			      new->drain_endpoints_count,
+			      "gets no new requests, finishes those it has");
 	if (vms && new->drain_vms_count > DRAIN_VMS_UNCONFIRMED_MAX)
 		add_line(d, true, "! drain.vms: %u in all",
 			 new->drain_vms_count);
@@ -493,8 +495,8 @@
 
 /*
  * Compare two configurations: a line for each change with its impact, and
- * whether one of them needs the operator's explicit word.  old may be NULL,
- * for the first configuration of all.
+ * whether one of them needs the operator's confirmation. old is NULL for the
+ * first configuration.
  */
 int dl_conf_compare(const struct dl_conf *old, const struct dl_conf *new,
 		    struct dl_conf_diff *out)
@@ -531,7 +533,6 @@
 	return 0;
 }
 
-/* Release a difference. */
 void dl_conf_diff_free(struct dl_conf_diff *diff)
 {
 	g_free(diff->text);
--- a/src/state/conf_read.c
+++ b/src/state/conf_read.c
@@ -1,4 +1,6 @@
-/* Typed fields of the operators' text, and the faults found in them. */
+/*
+ * Reads the typed fields of the configuration text and reports faults in them.
+ */
 #include <ctype.h>
 #include <errno.h>
 #include <stdarg.h>
@@ -8,7 +10,10 @@
 
 #include "state/conf_int.h"
 
-/* A misspelt word may differ by a third of its letters, at most by three. */
+/*
+ * A suggestion may differ from the misspelt word by a third of its letters, and
+ * by this many at most.
+ */
 #define EDIT_DISTANCE_MAX 3
 
 typedef void field_fn(struct conf_reader *r, const struct conf_path *path,
@@ -25,10 +30,10 @@
 };
 
 static const char *const type_names[] = {
-	[JSON_OBJECT] = "an object",	[JSON_ARRAY] = "a list",
-	[JSON_STRING] = "a string",	[JSON_INTEGER] = "a whole number",
-	[JSON_REAL] = "a fraction",	[JSON_TRUE] = "true or false",
-	[JSON_FALSE] = "true or false", [JSON_NULL] = "null",
+	[JSON_OBJECT] = "an object",	  [JSON_ARRAY] = "a list",
+	[JSON_STRING] = "a string",	  [JSON_INTEGER] = "a whole number",
+	[JSON_REAL] = "a decimal number", [JSON_TRUE] = "true or false",
+	[JSON_FALSE] = "true or false",	  [JSON_NULL] = "null",
 };
 
 static void set_default(const struct conf_field *f, char *out);
@@ -46,7 +51,7 @@
 static bool is_name_byte(unsigned char c, enum conf_name_kind kind);
 static unsigned edit_distance(struct dl_str a, struct dl_str b);
 
-/* Note a fault at a place; only the first ones keep their words. */
+/* Add a fault at a path; beyond DL_FAULTS_MAX faults are only counted. */
 void conf_fault(struct conf_reader *r, const struct conf_path *path,
 		const char *fmt, ...)
 {
@@ -63,7 +68,7 @@
 	va_end(ap);
 }
 
-/* How many letters must change to make one word of the other. */
+/* Return the Levenshtein distance of two words. */
 static unsigned edit_distance(struct dl_str a, struct dl_str b)
 {
 	unsigned row[DL_NAME_MAX + 2];
@@ -91,7 +96,7 @@
 	return row[b.n];
 }
 
-/* Offer one word as the one that was meant. */
+/* Consider a word as the one that was meant. */
 void conf_nearest_try(struct conf_nearest *n, struct dl_str word)
 {
 	size_t limit = (n->wanted.n + 1) / 3;
@@ -105,7 +110,7 @@
 	n->edit_distance = d;
 }
 
-/* The hint for people; empty where no word is near. */
+/* Format the suggestion; empty if no word is near. */
 const char *conf_nearest_hint(const struct conf_nearest *n, char out[96])
 {
 	out[0] = '\0';
@@ -115,7 +120,7 @@
 	return out;
 }
 
-/* Say which type was found in place of the one wanted. */
+/* Report the expected type and the one found. */
 static void fault_wrong_type(struct conf_reader *r,
 			     const struct conf_path *path, json_type want,
 			     json_t *json)
@@ -124,7 +129,7 @@
 		   type_names[json_typeof(json)]);
 }
 
-/* Read a whole number within its range. */
+/* Read an integer and check its range. */
 static bool read_number(struct conf_reader *r, const struct conf_path *path,
 			const struct conf_field *f, json_t *json, uint64_t *out)
 {
@@ -197,7 +202,7 @@
 		memcpy(out, &v, sizeof(v));
 }
 
-/* Read one word of a list and store its index. */
+/* Read the name of an enum value and store its index. */
 static void read_enum(struct conf_reader *r, const struct conf_path *path,
 		      const struct conf_field *f, json_t *json, char *out)
 {
@@ -225,7 +230,7 @@
 		   conf_nearest_hint(&near, hint));
 }
 
-/* Only the type is checked; the caller reads what is in it. */
+/* Check only the type; the caller reads the value. */
 static void check_json_type(struct conf_reader *r, const struct conf_path *path,
 			    const struct conf_field *f, json_t *json, char *out)
 {
@@ -233,7 +238,7 @@
 		fault_wrong_type(r, path, f->json, json);
 }
 
-/* Store what holds where the text says nothing. */
+/* Store the default of a field. */
 static void set_default(const struct conf_field *f, char *out)
 {
 	uint32_t v32 = (uint32_t)f->default_value;
@@ -247,7 +252,7 @@
 		memcpy(out, &flag, sizeof(flag));
 }
 
-/* The field of a key, or NULL. */
+/* Find the field of a key, or NULL. */
 static const struct conf_field *find_field(struct conf_fields fields,
 					   const char *key)
 {
@@ -258,7 +263,7 @@
 	return NULL;
 }
 
-/* Name a key that no field has, and the one that was probably meant. */
+/* Report an unknown key, and suggest the nearest one. */
 static void fault_unknown_key(struct conf_reader *r,
 			      const struct conf_path *path,
 			      struct conf_fields fields, const char *key)
@@ -272,9 +277,9 @@
 }
 
 /*
- * Read an object into a struct by its table of fields: defaults first, then
- * each key.  Unknown and missing keys, wrong types and ranges are faults.
- * False where the value is no object at all.
+ * Read an object into a struct described by a table of fields: first the
+ * defaults, then each key. Unknown and missing keys, wrong types and values out
+ * of range are faults. Returns false if the value is not an object.
  */
 bool conf_read_object(struct conf_reader *r, const struct conf_path *path,
 		      json_t *json, struct conf_fields fields, void *out)
@@ -309,7 +314,9 @@
 	return true;
 }
 
-/* A member of the given type, or NULL; a wrong type was a fault already. */
+/*
+ * Return a member of the given type, or NULL; another type was reported before.
+ */
 json_t *conf_child(json_t *json, const char *key, json_type type)
 {
 	json_t *child = json_object_get(json, key);
@@ -317,7 +324,7 @@
 	return child && json_typeof(child) == type ? child : NULL;
 }
 
-/* Whether a byte may stand in a name. */
+/* Return whether a byte is allowed in a name. */
 static bool is_name_byte(unsigned char c, enum conf_name_kind kind)
 {
 	if (kind == CONF_URL_PATH || kind == CONF_SECRET)
@@ -327,7 +334,7 @@
 	return kind != CONF_PLAIN_NAME && (c == '/' || c == ':');
 }
 
-/* Check how a name is written. */
+/* Check the length, characters and form of a name. */
 bool conf_check_name(struct conf_reader *r, const struct conf_path *path,
 		     struct dl_str name, enum conf_name_kind kind)
 {
@@ -341,7 +348,7 @@
 	for (size_t i = 0; i < name.n; i++) {
 		if (is_name_byte((unsigned char)name.s[i], kind))
 			continue;
-		conf_fault(r, path, "character %zu must not stand in a name",
+		conf_fault(r, path, "character %zu is not allowed in a name",
 			   i + 1);
 		return false;
 	}
@@ -356,7 +363,6 @@
 	return true;
 }
 
-/* Read one name. */
 bool conf_read_name(struct conf_reader *r, const struct conf_path *path,
 		    json_t *json, enum conf_name_kind kind, struct dl_name *out)
 {
@@ -371,7 +377,7 @@
 	return conf_check_name(r, path, s, kind) && dl_name_set(out, s);
 }
 
-/* Read a list of names, each of which may stand in it once. */
+/* Read a list of names without duplicates. */
 void conf_read_names(struct conf_reader *r, const struct conf_path *path,
 		     json_t *array, enum conf_name_kind kind,
 		     struct dl_name **out, uint32_t *count)
--- a/src/state/conf_scan.c
+++ b/src/state/conf_scan.c
@@ -1,6 +1,6 @@
 /*
- * The line of every key and element of a text whose syntax is known to be
- * good, and the keys that stand twice in one object: jansson tells neither.
+ * Finds the line of each key and element, and duplicate keys, in a text of
+ * valid syntax; jansson reports neither.
  */
 #include <errno.h>
 #include <stdio.h>
@@ -19,7 +19,7 @@
 	const char *p;
 	const char *end;
 	uint32_t line;
-	uint32_t containers; /* objects and lists so far */
+	uint32_t containers; /* objects and lists found so far */
 	struct conf_reader *r;
 };
 
@@ -40,13 +40,16 @@
 			int depth);
 static bool scan_array(struct scan *s, const struct conf_path *path, int depth);
 
-/* The text as a whole. */
+/* Return the path of the text as a whole. */
 struct conf_path conf_path_root(void)
 {
 	return (struct conf_path){ .hash = ROOT_HASH };
 }
 
-/* Append a word to a path, cut where it grows too long, and to its hash. */
+/*
+ * Append a word to a path and its hash. A word that does not fit is left out of
+ * the text, but not of the hash.
+ */
 static struct conf_path append_path(const struct conf_path *parent,
 				    struct dl_str word, const char *separator)
 {
@@ -68,14 +71,14 @@
 	return path;
 }
 
-/* The place of a key within an object. */
+/* Return the path of a key in an object. */
 struct conf_path conf_path_key(const struct conf_path *parent,
 			       struct dl_str key)
 {
 	return append_path(parent, key, ".");
 }
 
-/* The place of an element within an array. */
+/* Return the path of an element in an array. */
 struct conf_path conf_path_index(const struct conf_path *parent, size_t index)
 {
 	char word[32];
@@ -84,7 +87,6 @@
 	return append_path(parent, dl_str_of(word), "");
 }
 
-/* Double the table of lines. */
 static bool lines_grow(struct conf_lines *lines)
 {
 	struct conf_lines next = { .size = lines->size ? lines->size * 2 :
@@ -109,7 +111,7 @@
 	return true;
 }
 
-/* Where a path is in the table, or would be. */
+/* Return the slot of a path, or the free slot for it. */
 static size_t lines_slot(const struct conf_lines *lines, uint64_t hash)
 {
 	size_t i = hash & (lines->size - 1);
@@ -119,7 +121,7 @@
 	return i;
 }
 
-/* Note where a path stands; the last of several counts, as for jansson. */
+/* Set the line of a path. Of duplicate keys the last counts, as in jansson. */
 static void lines_set(struct conf_lines *lines, size_t slot, uint64_t hash,
 		      uint32_t line, uint32_t container)
 {
@@ -130,7 +132,7 @@
 	lines->container[slot] = container;
 }
 
-/* The line of a path; 0 where the text does not have it. */
+/* Return the line of a path, or 0 if the text does not contain it. */
 uint32_t conf_lines_find(const struct conf_lines *lines, uint64_t hash)
 {
 	if (lines->size == 0)
@@ -138,7 +140,6 @@
 	return lines->line[lines_slot(lines, hash)];
 }
 
-/* Release the table of lines. */
 void conf_lines_free(struct conf_lines *lines)
 {
 	free(lines->hash);
@@ -148,9 +149,9 @@
 }
 
 /*
- * Note the present line for a path.  A key that the same object has already
- * is a fault; one of an earlier object under the same path is not, as that
- * object stands twice itself.
+ * Record the current line for a path. A duplicate key in the same object is a
+ * fault. The same path in an earlier object is not: that object was a duplicate
+ * itself and has been reported.
  */
 static bool record_line(struct scan *s, const struct conf_path *path,
 			uint32_t container)
@@ -168,12 +169,12 @@
 		lines->container[slot] == container ? lines->line[slot] : 0;
 	lines_set(lines, slot, path->hash, s->line, container);
 	if (previous_line)
-		conf_fault(s->r, path, "this key stands twice, also on line %u",
+		conf_fault(s->r, path, "duplicate key, also on line %u",
 			   previous_line);
 	return true;
 }
 
-/* The place of a key as it stands in the text, with or without escapes. */
+/* Return the path of a key given as raw bytes, which may contain escapes. */
 static bool key_path(struct scan *s, const struct conf_path *parent,
 		     struct dl_str raw, struct conf_path *out)
 {
@@ -193,7 +194,7 @@
 	return true;
 }
 
-/* Go to the next byte that is no white space, and count the lines passed. */
+/* Skip white space and count lines. */
 static void skip_space(struct scan *s)
 {
 	while (s->p < s->end && (*s->p == ' ' || *s->p == '\t' ||
@@ -204,7 +205,7 @@
 	}
 }
 
-/* Pass a string; the bytes between its quotes, escapes as they stand. */
+/* Skip a string; return the raw bytes between its quotes. */
 static struct dl_str scan_string(struct scan *s)
 {
 	const char *begin = ++s->p;
@@ -214,7 +215,7 @@
 	return (struct dl_str){ begin, (size_t)(s->p++ - begin) };
 }
 
-/* Pass the members of an object and note each key. */
+/* Skip the members of an object and record the line of each key. */
 static bool scan_object(struct scan *s, const struct conf_path *path, int depth)
 {
 	uint32_t container = ++s->containers;
@@ -244,7 +245,7 @@
 	return true;
 }
 
-/* Pass the elements of an array and note each. */
+/* Skip the elements of an array and record the line of each. */
 static bool scan_array(struct scan *s, const struct conf_path *path, int depth)
 {
 	uint32_t container = ++s->containers;
@@ -270,7 +271,7 @@
 	return true;
 }
 
-/* Pass one value with all that is in it. */
+/* Skip a value, and record the lines of all that it contains. */
 static bool scan_value(struct scan *s, const struct conf_path *path, int depth)
 {
 	skip_space(s);
@@ -294,8 +295,8 @@
 }
 
 /*
- * Note the line of every path of a text that jansson has read without a
- * fault.  0, or -ENOMEM, or -EINVAL where it is nested too deeply.
+ * Record the line of each path in a text that jansson has parsed. Returns 0,
+ * -ENOMEM, or -EINVAL if it is nested too deeply.
  */
 int conf_lines_scan(struct conf_reader *r, struct dl_str text)
 {
--- a/test/test_conf.c
+++ b/test/test_conf.c
@@ -1,7 +1,7 @@
 /*
- * The operators' text: examples parse, every fault is named by its path and
- * line, mutated texts never get through unnoticed, and differences tell what
- * needs the operator's word.
+ * Configuration texts: the examples parse, each fault is reported with its path
+ * and line, mutated texts are either valid or reported, and a diff says which
+ * changes need confirmation.
  */
 #include <check.h>
 #include <errno.h>
@@ -17,7 +17,7 @@
 #define FUZZ_SEED   20261202
 #define MANY_FAULTS 100
 
-/* A whole text around the part that a case is about, which is on line 2. */
+/* A whole text around the part under test, which starts on line 2. */
 #define REPLICAS                                                               \
 	"\"replicas\": [{\"name\": \"r1\", \"address\": \"10.0.0.1:7\"},"      \
 	"{\"name\": \"r2\", \"address\": \"10.0.0.2:7\"},"                     \
@@ -41,8 +41,8 @@
 	{ "{\"format\": 1,\n\"services\": 1e999}", "", 2, "overflow" },
 	{ "{}", "", 1, "\"format\" is missing" },
 	{ "{}", "", 1, "\"replicas\" is missing" },
-	{ TOP("\"format\": 2"), "format", 2, "stands twice" },
-	{ TOP("\"f\\u006frmat\": 1"), "format", 2, "stands twice" },
+	{ TOP("\"format\": 2"), "format", 2, "duplicate key" },
+	{ TOP("\"f\\u006frmat\": 1"), "format", 2, "duplicate key" },
 	{ TOP("\"log_level\": \"loud\""), "log_level", 2, "\"debug\"" },
 	{ TOP("\"weight_store_mb_per_s\": 0"), "weight_store_mb_per_s", 2,
 	  "from 1 to" },
@@ -107,7 +107,7 @@
 	  "services.b", 3, "also one of \"a\"" },
 	{ "{\"format\": 1, \"services\": {\"a\": {\"kind\": \"plain\"}},\n"
 	  "\"replicas\": [{\"name\": \"r\", \"address\": \"10.0.0.1:7\"}]}",
-	  "replicas", 2, "must have 3 replicas at least" },
+	  "replicas", 2, "must have at least 3 replicas" },
 };
 
 #define FAULT_CASES (sizeof(fault_cases) / sizeof(fault_cases[0]))
@@ -115,7 +115,10 @@
 static const char *const examples[] = { "examples/dala-serik.json",
 					"examples/zveza.json" };
 
-/* An edit of the first example, what the difference says of it, and how. */
+/*
+ * An edit of the first example, a line expected in the diff, and whether it
+ * needs confirmation.
+ */
 struct diff_case {
 	const char *from;
 	const char *to;
@@ -133,7 +136,7 @@
 	{ "\"models\": [\"match-7b\"]", "\"models\": [\"match-7b\", \"x\"]",
 	  "+ services.match-writer.models: x", false },
 	{ "\"queue_entries_max\": 2000", "\"queue_entries_max\": 900",
-	  "more than half of its room", true },
+	  "more than half of its capacity", true },
 	{ "\"vms\": []", "\"vms\": [\"10.0.0.1:1\", \"10.0.0.2:1\"]",
 	  "+ drain.vms: 10.0.0.2:1", false },
 	{ "\"vms\": []",
@@ -241,7 +244,7 @@
 }
 END_TEST
 
-/* All faults at once: more than are kept, and in the order of their lines. */
+/* All faults are counted, also those that are not kept, and ordered by line. */
 START_TEST(all_faults_are_reported)
 {
 	GString *text = g_string_new(
@@ -277,7 +280,10 @@
 }
 END_TEST
 
-/* Change a text somewhere: bytes, cuts, doubles, and tokens of the format. */
+/*
+ * Mutate a text: replace a byte, delete or duplicate a range, or insert a
+ * token.
+ */
 static void mutate(GRand *rand, GString *text)
 {
 	static const char *const tokens[] = {
@@ -313,7 +319,9 @@
 		g_string_append_c(text, '{');
 }
 
-/* A refused text has faults with lines, an accepted one compares with any. */
+/*
+ * A rejected text has faults with valid lines; an accepted one can be compared.
+ */
 static void check_mutated(const GString *text, const struct dl_conf *base)
 {
 	struct dl_conf *conf = NULL;
