--- a/include/daisyledge/crash_store.h
+++ b/include/daisyledge/crash_store.h
@@ -1,7 +1,8 @@
 /*
- * The requests that are held back, on a disk, so that they are known after all
- * VMs were down at once.  One small file, replaced as a whole; without it, or
- * where it is damaged, nothing is known.  Input and output through dl_disk.
+ * Persistent store of the crash reports that quarantine requests, so that they
+ * are known after all VMs were down at once. One small file, which is replaced
+ * as a whole; if it is missing or damaged, nothing is restored. All I/O goes
+ * through dl_disk.
  */
 #ifndef DAISYLEDGE_CRASH_STORE_H
 #define DAISYLEDGE_CRASH_STORE_H
@@ -11,21 +12,22 @@
 
 struct dl_crash_store;
 
-/* More are not kept. */
+/* Further crashes are not saved. */
 #define DL_CRASH_STORE_MAX 4096
 
-/* saved is told how each save ended. */
+/* The callback saved gets the result of each save. */
 struct dl_crash_store *dl_crash_store_new(struct dl_disk disk,
 					  struct dl_disk_done saved);
-/* Only while no save is under way. */
+/* Must not be called while a save is in progress. */
 void dl_crash_store_free(struct dl_crash_store *store);
 /*
- * Read what was saved last, at the start: 0 and how many in count, which may be
- * none; DL_EDAMAGED, or a negative errno.  wall_ms: the time of day.
+ * Read the last save, at startup. Returns 0 and the number of crashes in
+ * *count, which may be 0; DL_EDAMAGED; or a negative errno. wall_ms is the time
+ * of day.
  */
 int dl_crash_store_read(const struct dl_crash_store *store, int64_t wall_ms,
 			struct dl_crash *out, uint32_t *count);
-/* Begin to save all of them; not while a save is under way. */
+/* Start to save all crashes; must not be called while a save is in progress. */
 void dl_crash_store_save(struct dl_crash_store *store,
 			 const struct dl_crash *crashes, uint32_t count,
 			 int64_t wall_ms);
--- a/src/state/crash_store.c
+++ b/src/state/crash_store.c
@@ -1,4 +1,3 @@
-/* The requests that are held back, on a disk; see the header. */
 #include "daisyledge/crash_store.h"
 
 #include <errno.h>
@@ -10,18 +9,21 @@
 #define TMP_NAME  "crashes.tmp"
 #define FORMAT	  1
 
-/* The file: this, and the crashes; hash is of all that follows it. */
+/*
+ * Header of the file, which is followed by the crashes. The hash covers all
+ * that follows it.
+ */
 struct file_header {
 	uint64_t hash;
 	uint64_t format;
-	int64_t wall_ms; /* when it was saved */
+	int64_t wall_ms; /* time of the save */
 	uint64_t count;
 };
 
 struct dl_crash_store {
 	struct dl_disk disk;
 	struct dl_disk_done saved;
-	GByteArray *file; /* stays until the save has ended */
+	GByteArray *file; /* kept until the save has ended */
 	bool busy;
 };
 
@@ -30,7 +32,7 @@
 static void on_renamed(void *arg, int code);
 static void on_saved(void *arg, int code);
 
-/* Nothing is read or saved yet. */
+/* Create a store; it reads and writes nothing yet. */
 struct dl_crash_store *dl_crash_store_new(struct dl_disk disk,
 					  struct dl_disk_done saved)
 {
@@ -42,7 +44,7 @@
 	return store;
 }
 
-/* Release it; NULL is nothing to do. */
+/* Free a store, which may be NULL. */
 void dl_crash_store_free(struct dl_crash_store *store)
 {
 	if (!store)
@@ -58,7 +60,10 @@
 	return dl_hash((struct dl_str){ file + from, n - from }, FORMAT);
 }
 
-/* Take the crashes out of a file; what is behind them is of an earlier one. */
+/*
+ * Decode a file. Bytes after the last crash may remain from a longer file that
+ * was overwritten.
+ */
 static int decode(const char *file, size_t n, int64_t wall_ms,
 		  struct dl_crash *out, uint32_t *count)
 {
@@ -73,7 +78,7 @@
 	    h.hash != hash_of(file, sizeof(h) + h.count * sizeof(*out)))
 		return DL_EDAMAGED;
 	memcpy(out, file + sizeof(h), h.count * sizeof(*out));
-	/* The clock may have been set back meanwhile. */
+	/* The wall clock may have been set back. */
 	elapsed_ms = MAX(wall_ms - h.wall_ms, 0);
 	for (uint32_t i = 0; i < h.count; i++)
 		out[i].age_ms = (uint32_t)MIN(out[i].age_ms + elapsed_ms,
@@ -82,7 +87,7 @@
 	return 0;
 }
 
-/* Read the file; that there is none is no error. */
+/* Read the file; a missing file is not an error. */
 int dl_crash_store_read(const struct dl_crash_store *store, int64_t wall_ms,
 			struct dl_crash *out, uint32_t *count)
 {
@@ -149,7 +154,10 @@
 	end_save(arg, code);
 }
 
-/* Write the new file beside the old one, which stays until it has lasted. */
+/*
+ * Write a temporary file and rename it over the old one, which stays in
+ * place until the new one is synced.
+ */
 void dl_crash_store_save(struct dl_crash_store *store,
 			 const struct dl_crash *crashes, uint32_t count,
 			 int64_t wall_ms)
@@ -172,7 +180,6 @@
 			       callback(store, on_written));
 }
 
-/* Whether a save is under way. */
 bool dl_crash_store_busy(const struct dl_crash_store *store)
 {
 	return store->busy;
