--- a/include/daisyledge/cstore.h
+++ b/include/daisyledge/cstore.h
@@ -1,10 +1,9 @@
 /*
- * What the replicated log decides about: versions of the configuration,
- * answers to change ids, idempotency claims, and the fencing term of orders.
- * A deterministic state machine: the same commands in the same order give the
- * same state and replies on every replica.  Commands and snapshots are opaque
- * bytes to the log.  Times inside commands are the leader's wall clock and are
- * used for expiry only.
+ * The state machine of the replicated log: versions of the configuration,
+ * answers to change ids, idempotency claims, and the fencing term of orders. It
+ * is deterministic: the same commands in the same order give the same state and
+ * replies on every replica. Commands and snapshots are opaque bytes to the log.
+ * Times in commands are the leader's wall clock and are used for expiry only.
  */
 #ifndef DAISYLEDGE_CSTORE_H
 #define DAISYLEDGE_CSTORE_H
@@ -13,122 +12,127 @@
 
 struct dl_cstore;
 
-/* How many answered change ids, and claims, are kept. */
+/* Limits on the number of answered change ids and of claims. */
 #define DL_CSTORE_CHANGES_MAX 10000
 #define DL_CSTORE_CLAIMS_MAX  100000
-/* How many old versions are listed by the history. */
+/* Limit on the number of versions in the history. */
 #define DL_CSTORE_HISTORY_MAX 200
-/* How many bytes of old versions' texts are kept for roll forward. */
+/* Limit on the size of old versions' texts, which are kept for roll-forward. */
 #define DL_CSTORE_HISTORY_BYTES (8u << 20)
-/* Bounds of claims: the bytes of one key, of one outcome, of all of them. */
+/* Limits on the size of a claim's key, of its outcome, and of all claims. */
 #define DL_CSTORE_KEY_MAX     512
 #define DL_CSTORE_OUTCOME_MAX 16384
 #define DL_CSTORE_CLAIM_BYTES (16u << 20)
-/* The longest that a claim may be kept; times are rounded up to 2^n s. */
+/* Longest lifetime of a claim; lifetimes are rounded up to 2^n s. */
 #define DL_CSTORE_EXPIRES_MAX_S (1u << 20)
 
-/* An APPLY whose impact needs cmd.confirm; nothing was changed. */
+/* An APPLY needs cmd.confirm because of its impact; nothing was changed. */
 #define DL_ECONFIRM (-1006)
 
-/* What a claim on an idempotency key says. */
+/* State of a claim on an idempotency key. */
 enum dl_claim_state {
-	DL_CLAIM_NEW,	  /* it is yours: run the request */
-	DL_CLAIM_RUNNING, /* another holds it: in progress or unknown */
+	DL_CLAIM_NEW,	  /* claimed by this command: run the request */
+	DL_CLAIM_RUNNING, /* claimed by another: in progress or unknown */
 	DL_CLAIM_DONE,	  /* its outcome is recorded */
 };
 
 enum dl_cstore_op {
-	DL_CSTORE_APPLY,   /* a new version of the configuration */
+	DL_CSTORE_APPLY,   /* create a version of the configuration */
 	DL_CSTORE_CLAIM,   /* claim a key */
 	DL_CSTORE_OUTCOME, /* record a claim's outcome */
 	DL_CSTORE_UNCLAIM, /* the request provably did not run */
-	DL_CSTORE_FENCE,   /* a new order-giver's first entry */
+	DL_CSTORE_FENCE,   /* a new leader's first entry: raise the term */
 	DL_CSTORE_OP_COUNT,
 };
 
-/* A command before it is encoded; unused fields are zero. */
+/* A decoded command; unused fields are zero. */
 struct dl_cstore_cmd {
 	enum dl_cstore_op op;
 	int64_t wall_ms; /* the leader's wall clock */
-	/* APPLY */
+	/* DL_CSTORE_APPLY */
 	struct dl_str text;
 	struct dl_str change_id; /* chosen by the operator's client */
 	struct dl_str author;
-	uint64_t expect; /* version replaced; UINT64_MAX: whichever */
+	uint64_t expect; /* version to replace; UINT64_MAX: any */
 	bool confirm;	 /* the operator accepted the impact */
 	/*
-	 * The operators' own number of a text that its leader has parsed and
-	 * found without faults, and that names no replicas; 0: not looked at.
+	 * Serial number of a text that the leader has parsed without faults and
+	 * that names no replicas; 0 if it was not checked.
 	 */
 	uint64_t checked_number;
-	/* CLAIM, OUTCOME, UNCLAIM */
+	/* DL_CSTORE_CLAIM, DL_CSTORE_OUTCOME and DL_CSTORE_UNCLAIM */
 	struct dl_str key;  /* service, workspace and key, joined */
-	uint64_t owner;	    /* the request that claims */
-	uint64_t body_hash; /* another body under the key is an error */
+	uint64_t owner;	    /* the request that claims the key */
+	uint64_t body_hash; /* reusing the key for another body is an error */
 	uint32_t expires_s;
-	uint16_t status;       /* OUTCOME: the answer's HTTP status */
-	struct dl_str outcome; /* OUTCOME: the answer's body, bounded */
-	/* FENCE */
+	uint16_t status;       /* OUTCOME: HTTP status of the answer */
+	struct dl_str outcome; /* OUTCOME: body of the answer, bounded */
+	/* DL_CSTORE_FENCE */
 	uint64_t term;
 };
 
 /*
- * What a command came to; strings point into the store until its next one.
- * Codes: 0; APPLY: DL_ECONFLICT, DL_EREUSED, DL_ECONFIRM, -EINVAL (faulty
- * text, or no majority of the replicas would stay); CLAIM: DL_EREUSED (another
- * body under the key), -ENOSPC; OUTCOME, UNCLAIM: -ENOENT (no such claim),
- * -EPERM (another's), -EALREADY (it has an outcome), -ENOSPC (recorded without
- * its body); FENCE: DL_ECONFLICT (a higher term is in force); any: -EINVAL,
- * -EALREADY (this index was carried out), -EBADMSG (no command).
+ * Reply to a command; its strings point into the store and are valid until the
+ * next command.
+ *
+ * Codes: 0. APPLY: DL_ECONFLICT; DL_EREUSED; DL_ECONFIRM; -EINVAL (the text has
+ * faults, or no majority of the replicas would remain). CLAIM: DL_EREUSED (the
+ * key was used with another body); -ENOSPC. OUTCOME, UNCLAIM: -ENOENT (no such
+ * claim); -EPERM (claimed by another request); -EALREADY (it has an outcome);
+ * -ENOSPC (recorded without its body). FENCE: DL_ECONFLICT (a higher term is in
+ * force). Any command: -EINVAL; -EALREADY (this index was executed before);
+ * -EBADMSG (not a command).
  */
 struct dl_cstore_reply {
 	int code;
-	uint64_t version; /* APPLY: made, or in force at a conflict */
-	bool repeated;	  /* APPLY: this change id was answered before */
+	uint64_t version; /* APPLY: created, or in force at a conflict */
+	bool repeated;	  /* APPLY: answered before, nothing changed */
 	enum dl_claim_state claim;
-	uint64_t owner; /* of the claim */
+	uint64_t owner; /* owner of the claim */
 	uint16_t status;
 	struct dl_str outcome;
-	char text[256]; /* why, for people */
+	char text[256]; /* the reason, for people */
 };
 
 /* Encode a command into *out, which the caller frees with free(). */
 int dl_cstore_encode(const struct dl_cstore_cmd *cmd, char **out, size_t *n);
-/* Decode one; its strings point into the command.  -EBADMSG for anything else.
- */
+/* Decode a command; strings point into its bytes. Returns 0 or -EBADMSG. */
 int dl_cstore_decode(struct dl_str command, struct dl_cstore_cmd *out);
 /*
- * Write the leader's wall clock into an encoded command, in place.  Within one
- * term it must not jump forward, so derive it from the monotonic clock; across
- * terms the store takes no notice of jumps.  -EBADMSG for anything else.
+ * Set the leader's wall clock in an encoded command. Within a term it must not
+ * jump forward, so derive it from the monotonic clock; the store ignores jumps
+ * between terms. Returns 0, or -EBADMSG if this is not a command.
  */
 int dl_cstore_stamp(char *command, size_t n, int64_t wall_ms);
 
 struct dl_cstore *dl_cstore_new(void);
 void dl_cstore_free(struct dl_cstore *store);
-/* Carry out the command at a log index; an index is carried out once. */
+/* Execute the command at a log index; each index is executed once. */
 int dl_cstore_exec(struct dl_cstore *store, uint64_t index,
 		   struct dl_str command, struct dl_cstore_reply *reply);
 uint64_t dl_cstore_index(const struct dl_cstore *store);
 uint64_t dl_cstore_version(const struct dl_cstore *store);
 uint64_t dl_cstore_fence(const struct dl_cstore *store);
-/* The text of a version, 0 for the one in force; false where it is not kept. */
+/*
+ * Look up the text of a version, 0 for the one in force. Returns false if it is
+ * not kept.
+ */
 bool dl_cstore_text(const struct dl_cstore *store, uint64_t version,
 		    struct dl_str *out);
 
 struct dl_conf;
 struct dl_conf_diff;
-/* Whether the text in force was put there unread; it lists no replicas then. */
+/* Whether the text in force has not been parsed; it lists no replicas then. */
 bool dl_cstore_conf_unparsed(const struct dl_cstore *store);
-/* The parsed configuration in force, read now; NULL before the first. */
+/* The configuration in force, parsed now if needed; NULL before the first. */
 const struct dl_conf *dl_cstore_conf(struct dl_cstore *store);
-/* The operators' own number of the text in force; 0 where it has none. */
+/* The serial number of the text in force, or 0. */
 uint64_t dl_cstore_number(const struct dl_cstore *store);
-/* The difference of two versions; -ENOENT where a text is not kept. */
+/* Compare two versions; -ENOENT if the text of one is not kept. */
 int dl_cstore_diff(const struct dl_cstore *store, uint64_t from, uint64_t to,
 		   struct dl_conf_diff *out);
 
-/* What is kept now. */
+/* Number and size of what is kept. */
 struct dl_cstore_counts {
 	uint32_t changes;
 	uint32_t claims;
@@ -140,7 +144,7 @@
 void dl_cstore_count(const struct dl_cstore *store,
 		     struct dl_cstore_counts *out);
 
-/* One line of the history, newest first by index. */
+/* An entry of the history; index 0 is the newest. */
 struct dl_cstore_change {
 	uint64_t version;
 	int64_t wall_ms;
@@ -154,7 +158,7 @@
 		       struct dl_cstore_change *out);
 
 int dl_cstore_snapshot(const struct dl_cstore *store, char **out, size_t *n);
-/* Replaces the whole state; -EINVAL leaves it as it was. */
+/* Replace the whole state; -EINVAL leaves it unchanged. */
 int dl_cstore_restore(struct dl_cstore *store, struct dl_str snapshot);
 
 #endif
--- a/src/state/cstore.c
+++ b/src/state/cstore.c
@@ -11,7 +11,10 @@
 #include "state/cstore_int.h"
 
 #define TEXT_SEED 0x636f6e66
-/* The most that the clock moves at one command; more is a clock that jumped. */
+/*
+ * The clock advances by at most this per command; a larger step is a clock that
+ * jumped.
+ */
 #define CLOCK_STEP_MAX_MS 60000
 
 typedef void exec_fn(struct dl_cstore *store, const struct dl_cstore_cmd *cmd,
@@ -47,7 +50,7 @@
 static bool parse_version(const struct dl_cstore *store, uint64_t version,
 			  struct dl_conf **out);
 
-/* The hash of a length-counted string, for GLib's tables. */
+/* Hash a struct dl_str, for GHashTable. */
 guint cstore_str_hash(gconstpointer key)
 {
 	const struct dl_str *s = key;
@@ -55,13 +58,13 @@
 	return (guint)dl_hash(*s, 0);
 }
 
-/* Whether two length-counted strings are equal, for GLib's tables. */
+/* Compare two struct dl_str, for GHashTable. */
 gboolean cstore_str_equal(gconstpointer a, gconstpointer b)
 {
 	return dl_str_eq(*(const struct dl_str *)a, *(const struct dl_str *)b);
 }
 
-/* Begin with version 0: nothing in force, nothing claimed. */
+/* Initialize an empty store at version 0. */
 void cstore_init(struct dl_cstore *store)
 {
 	memset(store, 0, sizeof(*store));
@@ -70,7 +73,7 @@
 	claims_init(&store->claims);
 }
 
-/* Release all that a store holds, but not the store. */
+/* Free the contents of a store, but not the store. */
 void cstore_clear(struct dl_cstore *store)
 {
 	for (uint32_t i = 0; i < DL_CSTORE_HISTORY_MAX; i++)
@@ -80,7 +83,7 @@
 	dl_conf_free(store->conf);
 }
 
-/* A store with nothing in it, or NULL where there is no memory. */
+/* Create an empty store, or return NULL if out of memory. */
 struct dl_cstore *dl_cstore_new(void)
 {
 	struct dl_cstore *store = malloc(sizeof(*store));
@@ -90,7 +93,7 @@
 	return store;
 }
 
-/* Release a store; NULL is nothing to do. */
+/* Free a store, which may be NULL. */
 void dl_cstore_free(struct dl_cstore *store)
 {
 	if (!store)
@@ -99,7 +102,7 @@
 	free(store);
 }
 
-/* An answer by age, the oldest first; NULL past the last. */
+/* Return the answer at an index, the oldest first; NULL beyond the last. */
 const struct answer *cstore_answer_at(const struct dl_cstore *store,
 				      uint32_t index)
 {
@@ -109,7 +112,7 @@
 			      DL_CSTORE_CHANGES_MAX];
 }
 
-/* A version by age, the newest first; NULL past the last. */
+/* Return the version at an index, the newest first; NULL beyond the last. */
 const struct change *cstore_change_at(const struct dl_cstore *store,
 				      uint32_t newest)
 {
@@ -122,7 +125,7 @@
 			       DL_CSTORE_HISTORY_MAX];
 }
 
-/* Keep an answer; the oldest one makes room. */
+/* Keep an answer; a full ring drops the oldest. */
 void cstore_add_answer(struct dl_cstore *store, const struct answer *answer)
 {
 	struct answer *copy = g_malloc(sizeof(*copy) + answer->id.n);
@@ -145,7 +148,7 @@
 	g_hash_table_insert(store->by_id, &copy->id, copy);
 }
 
-/* Drop the oldest texts until the others fit; the one in force stays. */
+/* Evict the oldest texts until the rest fit; the one in force is kept. */
 static void evict_texts(struct dl_cstore *store)
 {
 	for (uint32_t i = 0; i + 1 < store->history_count; i++) {
@@ -162,7 +165,7 @@
 	}
 }
 
-/* Keep a version as the newest; text.s is NULL where its text was dropped. */
+/* Add a version as the newest; text.s is NULL if its text was evicted. */
 void cstore_add_change(struct dl_cstore *store, const struct change *change,
 		       struct dl_str text)
 {
@@ -194,12 +197,12 @@
 }
 
 /*
- * Let the store's clock follow the leader's wall clock.  Only what passes
- * within one term counts: a new leader's clock may be days off, and time that
- * ran too fast would end claims early and run their requests twice.  For the
- * same reason one command moves the clock by a minute at most.  Time that is
- * missed only keeps claims longer, and the store has room for them where
- * commands come that seldom.
+ * Advance the store's clock by the leader's wall clock. Only time within a term
+ * counts: the clock of a new leader may be days off, and a clock that runs too
+ * fast would expire claims early and let their requests run twice. For the same
+ * reason one command advances the clock by a minute at most. Time that is not
+ * counted only keeps claims longer, and the store has room for them when
+ * commands are that rare.
  */
 static void advance_clock(struct dl_cstore *store,
 			  const struct dl_cstore_cmd *cmd)
@@ -216,7 +219,7 @@
 	claims_expire(&store->claims, store->clock_ms);
 }
 
-/* Parse a version's text that is still kept. */
+/* Parse the text of a version if it is still kept; version 0 gives NULL. */
 static bool parse_version(const struct dl_cstore *store, uint64_t version,
 			  struct dl_conf **out)
 {
@@ -236,8 +239,8 @@
 }
 
 /*
- * The difference of two versions whose texts are kept; from may be 0.  -ENOENT
- * where one is not.
+ * Compare two versions; from may be 0. Returns -ENOENT if the text of one is
+ * not kept.
  */
 int dl_cstore_diff(const struct dl_cstore *store, uint64_t from, uint64_t to,
 		   struct dl_conf_diff *out)
@@ -254,9 +257,10 @@
 }
 
 /*
- * What the winner changed, as far as it is told.  Kept for the next loser: it
- * takes two parses, and a leader busy with parses would miss its heartbeats.
- * Both texts must still be kept, so that every replica tells the same.
+ * Return what changed from one version to another, as far as it fits in a
+ * reply. It is cached for the next conflict: it takes two parses, and a leader
+ * busy with parsing would miss its heartbeats. Both texts must still be kept,
+ * even if the diff is cached, so that every replica gives the same reply.
  */
 static const char *conflict_diff_text(struct dl_cstore *store, uint64_t from,
 				      uint64_t to)
@@ -279,7 +283,7 @@
 	return cached->text;
 }
 
-/* Tell the loser who won, and what the winner changed. */
+/* Report a conflict: the author of the version in force and what it changed. */
 static void report_conflict(struct dl_cstore *store, uint64_t expect,
 			    uint64_t version, struct dl_cstore_reply *reply)
 {
@@ -297,7 +301,7 @@
 		   conflict_diff_text(store, expect, version));
 }
 
-/* Tell the first fault of a text, and how many there are. */
+/* Report the first fault of a text and the number of faults. */
 static void report_faults(const struct dl_faults *faults,
 			  struct dl_cstore_reply *reply)
 {
@@ -309,7 +313,7 @@
 		 faults->count == 1 ? "" : "s", f->line, f->path, f->text);
 }
 
-/* Answer a change id that was answered before. */
+/* Repeat the answer to a change id that was answered before. */
 static bool repeat_answer(struct dl_cstore *store,
 			  const struct dl_cstore_cmd *cmd,
 			  struct dl_cstore_reply *reply)
@@ -324,7 +328,7 @@
 		reply->code = DL_EREUSED;
 		reply->version = a->version;
 		snprintf(reply->text, sizeof(reply->text),
-			 "this change id came before with another text");
+			 "this change id was used before with another text");
 	} else if (a->code == 0) {
 		reply->version = a->version;
 	} else {
@@ -333,7 +337,6 @@
 	return true;
 }
 
-/* Keep the answer to a change id. */
 static void record_answer(struct dl_cstore *store,
 			  const struct dl_cstore_cmd *cmd,
 			  const struct dl_cstore_reply *reply)
@@ -349,7 +352,7 @@
 	cstore_add_answer(store, &a);
 }
 
-/* Whether a text without faults must be refused for what it would do. */
+/* Check whether a valid text must be refused for its impact. */
 static int check_impact(struct dl_cstore *store, const struct dl_conf *next,
 			bool confirm, struct dl_cstore_reply *reply)
 {
@@ -360,10 +363,11 @@
 	if (!store->conf)
 		return 0;
 	if (!dl_conf_keeps_majority(store->conf, next)) {
-		snprintf(reply->text, sizeof(reply->text),
-			 "replicas: no majority of the %u in force would stay; "
-			 "replace fewer at a time",
-			 store->conf->replicas_count);
+		snprintf(
+			reply->text, sizeof(reply->text),
+			"replicas: no majority of the %u in force would remain; "
+			"replace fewer at a time",
+			store->conf->replicas_count);
 		return -EINVAL;
 	}
 	if (confirm)
@@ -372,14 +376,15 @@
 	needs_confirm = diff.needs_confirm;
 	if (needs_confirm)
 		snprintf(reply->text, sizeof(reply->text),
-			 "this takes a service in use or most of a capacity "
-			 "away and must be confirmed:\n%s",
+			 "this removes a service in use or most of a capacity "
+			 "and must be confirmed:\n%s",
 			 diff.text);
 	dl_conf_diff_free(&diff);
 	return needs_confirm ? DL_ECONFIRM : 0;
 }
 
-/* Make a text the version in force; next is NULL where it is yet to be parsed.
+/*
+ * Put a text in force as a new version; next is NULL if it is not parsed yet.
  */
 static void activate(struct dl_cstore *store, const struct dl_cstore_cmd *cmd,
 		     struct dl_conf *next)
@@ -402,9 +407,9 @@
 }
 
 /*
- * Whether a text has a number of the operators' own that the one in force has
- * reached.  Such a text is an old or repeated one: it changes nothing, and its
- * operator is told that the one in force holds.
+ * Return whether the serial number of a text is not above that of the text in
+ * force. Such a text is old or repeated: it changes nothing, and its operator
+ * is told that the version in force stands.
  */
 static bool is_superseded(const struct dl_cstore *store, uint64_t number,
 			  struct dl_cstore_reply *reply)
@@ -416,10 +421,10 @@
 }
 
 /*
- * Whether a text can be put in force unread: its leader has found it without
- * faults, its operator wants it whatever it changes, and no list of replicas is
- * at stake.  For a replica that carries out a dozen texts after a restart and
- * needs the last one only (818 KB take 40 ms to parse, and 0.27 s on 0.15
+ * Return whether a text can be put in force without parsing it: the leader
+ * found no faults, the operator accepts any change, and no list of replicas is
+ * affected. This is for a replica that executes a dozen texts after a restart
+ * and needs only the last (818 KB take 40 ms to parse, and 0.27 s on 0.15
  * cores).
  */
 static bool can_skip_parse(const struct dl_cstore *store,
@@ -432,9 +437,9 @@
 }
 
 /*
- * Apply a text.  Answers that are final (applied, lost to another) are kept
- * under the change id; a text that was refused as faulty or unconfirmed
- * changed nothing, so its id stays free for the mended one.
+ * Apply a text. Final answers (applied, or lost to another change) are recorded
+ * under the change id. A text that was refused as faulty or unconfirmed changed
+ * nothing, so its id can be used again for a corrected one.
  */
 static void do_apply(struct dl_cstore *store, const struct dl_cstore_cmd *cmd,
 		     struct dl_cstore_reply *reply)
@@ -469,7 +474,7 @@
 	}
 	rc = dl_conf_parse(cmd->text, &next, &store->faults);
 	if (rc == -ENOMEM)
-		g_error("no memory to carry out a command");
+		g_error("out of memory while executing a command");
 	if (rc) {
 		report_faults(&store->faults, reply);
 		return;
@@ -494,7 +499,7 @@
 	claims_exec(&store->claims, cmd, store->clock_ms, reply);
 }
 
-/* Raise the fencing term; it never falls. */
+/* Raise the fencing term; it never decreases. */
 static void do_fence(struct dl_cstore *store, const struct dl_cstore_cmd *cmd,
 		     struct dl_cstore_reply *reply)
 {
@@ -509,10 +514,10 @@
 }
 
 /*
- * Carry out the command at a log index.  0, and the outcome in reply->code;
- * -EALREADY for an index that was carried out, which changes nothing; -EBADMSG
- * for bytes that are no command, which count as carried out.  reply may not be
- * NULL.
+ * Execute the command at a log index. Returns 0 and the result in reply->code;
+ * -EALREADY for an index that was executed before, which changes nothing; or
+ * -EBADMSG for bytes that are not a command, which count as executed. reply
+ * must not be NULL.
  */
 int dl_cstore_exec(struct dl_cstore *store, uint64_t index,
 		   struct dl_str command, struct dl_cstore_reply *reply)
@@ -535,31 +540,33 @@
 	return 0;
 }
 
-/* The last index that was carried out. */
+/* Return the last executed index. */
 uint64_t dl_cstore_index(const struct dl_cstore *store)
 {
 	return store->index;
 }
 
-/* The version in force; 0 before the first. */
+/* Return the version in force, or 0 before the first. */
 uint64_t dl_cstore_version(const struct dl_cstore *store)
 {
 	return store->version;
 }
 
-/* The highest fencing term. */
+/* Return the highest fencing term. */
 uint64_t dl_cstore_fence(const struct dl_cstore *store)
 {
 	return store->fence;
 }
 
-/* Whether the text in force was put there unread. */
+/* Return whether the text in force has not been parsed. */
 bool dl_cstore_conf_unparsed(const struct dl_cstore *store)
 {
 	return store->conf_unparsed;
 }
 
-/* The parsed configuration in force; NULL before the first. */
+/*
+ * Return the configuration in force, parsed if needed; NULL before the first.
+ */
 const struct dl_conf *dl_cstore_conf(struct dl_cstore *store)
 {
 	if (store->conf_unparsed)
@@ -567,13 +574,13 @@
 	return store->conf;
 }
 
-/* The operators' own number of the text in force; 0 where it has none. */
+/* Return the serial number of the text in force, or 0. */
 uint64_t dl_cstore_number(const struct dl_cstore *store)
 {
 	return store->number;
 }
 
-/* The text of a version, 0 for the one in force; false where not kept. */
+/* Look up the text of a version, 0 for the one in force; false if not kept. */
 bool dl_cstore_text(const struct dl_cstore *store, uint64_t version,
 		    struct dl_str *out)
 {
@@ -592,7 +599,7 @@
 	return true;
 }
 
-/* One line of the history, the newest at index 0; false past the last. */
+/* Get an entry of the history, the newest at index 0; false beyond the last. */
 bool dl_cstore_history(const struct dl_cstore *store, uint32_t index,
 		       struct dl_cstore_change *out)
 {
@@ -609,7 +616,7 @@
 	return true;
 }
 
-/* What is kept now, for status and measurements. */
+/* Count what is kept, for status and measurements. */
 void dl_cstore_count(const struct dl_cstore *store,
 		     struct dl_cstore_counts *out)
 {
--- a/src/state/cstore_int.h
+++ b/src/state/cstore_int.h
@@ -1,7 +1,7 @@
 /*
- * Inside the store: claims with their expiry, answers to change ids, and the
- * history.  Memory that cannot be had ends the process (g_malloc): a replica
- * that skipped a command would no longer be a replica.
+ * Internals of the store: claims with their expiry, answers to change ids, and
+ * the history. A failed allocation aborts the process (g_malloc): a replica
+ * that skipped a command would diverge from the others.
  */
 #ifndef DL_STATE_CSTORE_INT_H
 #define DL_STATE_CSTORE_INT_H
@@ -11,13 +11,13 @@
 #include "daisyledge/conf.h"
 #include "daisyledge/cstore.h"
 
-/* Claims expire in queues of equal duration, 1 s, 2 s, 4 s and so on. */
+/* Claims expire from queues of equal durations: 1 s, 2 s, 4 s and so on. */
 #define CLAIM_QUEUES 21
 
 struct claim {
-	struct claim *next; /* in its queue, by expiry */
+	struct claim *next; /* in its queue, ordered by expiry */
 	struct claim *prev;
-	int64_t expires_ms; /* on the store's clock */
+	int64_t expires_ms; /* by the store's clock */
 	uint64_t owner;
 	uint64_t body_hash;
 	char *outcome;
@@ -25,7 +25,7 @@
 	uint16_t status;
 	uint8_t queue;
 	bool done;
-	struct dl_str key; /* in place, behind the struct */
+	struct dl_str key; /* stored after the struct */
 };
 
 struct claim_queue {
@@ -34,7 +34,7 @@
 };
 
 struct claims {
-	GHashTable *by_key; /* struct dl_str in struct claim -> the claim */
+	GHashTable *by_key; /* key (struct dl_str in the claim) -> claim */
 	struct claim_queue queue[CLAIM_QUEUES];
 	size_t bytes; /* of keys and outcomes */
 };
@@ -52,16 +52,16 @@
 void claims_exec(struct claims *claims, const struct dl_cstore_cmd *cmd,
 		 int64_t clock_ms, struct dl_cstore_reply *reply);
 
-/* The answer to one change id. */
+/* The recorded answer to a change id. */
 struct answer {
 	uint64_t text_hash;
 	uint64_t expect;
-	uint64_t version; /* made, or in force at the conflict */
+	uint64_t version; /* created, or in force at the conflict */
 	int code;	  /* 0 or DL_ECONFLICT */
-	struct dl_str id; /* in place, behind the struct */
+	struct dl_str id; /* stored after the struct */
 };
 
-/* One version; its text is dropped once newer ones need the room. */
+/* A version; its text is evicted when newer ones need the space. */
 struct change {
 	uint64_t version;
 	int64_t wall_ms;
@@ -72,10 +72,12 @@
 	char *text;
 };
 
-/* The latest difference that a loser was told; racing operators come in rows.
+/*
+ * The diff of the last reported conflict: operators that race on one version
+ * conflict in quick succession.
  */
 struct conflict_diff {
-	uint64_t from, to; /* to is 0 for none */
+	uint64_t from, to; /* to is 0 if there is none */
 	char text[256];
 };
 
@@ -83,18 +85,18 @@
 	uint64_t index;
 	uint64_t version;
 	uint64_t fence;
-	int64_t clock_ms;  /* time that has passed, never more than truly did */
-	int64_t wall_ms;   /* the latest wall clock of the present term */
-	GHashTable *by_id; /* struct dl_str in struct answer -> the answer */
-	struct answer *answers[DL_CSTORE_CHANGES_MAX]; /* a ring */
+	int64_t clock_ms;  /* time passed, never more than in reality */
+	int64_t wall_ms;   /* latest wall clock of the current term */
+	GHashTable *by_id; /* id (struct dl_str in the answer) -> answer */
+	struct answer *answers[DL_CSTORE_CHANGES_MAX]; /* ring buffer */
 	uint32_t answers_head, answers_count;
-	struct change history[DL_CSTORE_HISTORY_MAX]; /* a ring */
+	struct change history[DL_CSTORE_HISTORY_MAX]; /* ring buffer */
 	uint32_t history_head, history_count;
-	size_t history_bytes; /* of texts, but for the one in force */
+	size_t history_bytes; /* of texts other than the one in force */
 	struct claims claims;
-	struct dl_conf *conf; /* NULL before the first version, and while */
-	bool conf_unparsed;   /* this says that the text is yet to be parsed */
-	uint64_t number;      /* the operators' own of the text in force */
+	struct dl_conf *conf; /* NULL without a version or if unparsed */
+	bool conf_unparsed;   /* the text in force has not been parsed */
+	uint64_t number;      /* serial number of the text in force */
 	struct dl_faults faults;
 	struct conflict_diff conflict_diff;
 };
