--- a/src/state/cstore_claims.c
+++ b/src/state/cstore_claims.c
@@ -1,7 +1,7 @@
 /*
- * Claims on idempotency keys.  Each is found by hash and expires from the
- * head of a queue of equal durations, so that a command costs the same however
- * many claims are kept.
+ * Claims on idempotency keys. Claims are found by hash and expire from the
+ * heads of queues of equal durations, so that the cost of a command does not
+ * depend on the number of claims.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -33,7 +33,7 @@
 			const struct claim *claim,
 			struct dl_cstore_reply *reply);
 
-/* The queue of the shortest duration that is long enough. */
+/* Return the queue of the shortest duration that is long enough. */
 static unsigned queue_for(uint32_t expires_s)
 {
 	unsigned queue = 0;
@@ -43,7 +43,7 @@
 	return queue;
 }
 
-/* Put a claim at the end of its queue; expiries of a queue only grow. */
+/* Append a claim to its queue, where expiry times never decrease. */
 static void enqueue(struct claims *claims, struct claim *claim)
 {
 	struct claim_queue *q = &claims->queue[claim->queue];
@@ -57,7 +57,7 @@
 	q->tail = claim;
 }
 
-/* Take a claim out of its queue. */
+/* Remove a claim from its queue. */
 static void dequeue(struct claims *claims, struct claim *claim)
 {
 	struct claim_queue *q = &claims->queue[claim->queue];
@@ -72,14 +72,13 @@
 		q->tail = claim->prev;
 }
 
-/* Release a claim that is in no queue. */
+/* Free a claim that is in no queue. */
 static void claim_free(gpointer claim)
 {
 	g_free(((struct claim *)claim)->outcome);
 	g_free(claim);
 }
 
-/* Begin with no claims. */
 void claims_init(struct claims *claims)
 {
 	memset(claims, 0, sizeof(*claims));
@@ -87,25 +86,23 @@
 		cstore_str_hash, cstore_str_equal, NULL, claim_free);
 }
 
-/* Release all claims. */
 void claims_clear(struct claims *claims)
 {
 	g_hash_table_destroy(claims->by_key);
 }
 
-/* How many claims are kept. */
 uint32_t claims_count(const struct claims *claims)
 {
 	return g_hash_table_size(claims->by_key);
 }
 
-/* The claim on a key, or NULL. */
+/* Find the claim on a key, or NULL. */
 struct claim *claims_find(const struct claims *claims, struct dl_str key)
 {
 	return g_hash_table_lookup(claims->by_key, &key);
 }
 
-/* Keep a claim on a key that has none. */
+/* Add a claim on a key that has none. */
 struct claim *claims_add(struct claims *claims, struct dl_str key,
 			 unsigned queue, int64_t expires_ms)
 {
@@ -123,7 +120,7 @@
 	return claim;
 }
 
-/* Forget a claim. */
+/* Remove and free a claim. */
 void claims_remove(struct claims *claims, struct claim *claim)
 {
 	dequeue(claims, claim);
@@ -131,7 +128,7 @@
 	g_hash_table_remove(claims->by_key, &claim->key);
 }
 
-/* Forget the claims whose time has passed; each costs this once. */
+/* Remove expired claims; the cost is constant per claim. */
 void claims_expire(struct claims *claims, int64_t clock_ms)
 {
 	for (unsigned i = 0; i < CLAIM_QUEUES; i++) {
@@ -142,7 +139,7 @@
 	}
 }
 
-/* Keep an outcome's body; false where there is no room for it. */
+/* Store the body of an outcome; false if it exceeds the limits. */
 bool claims_set_outcome(struct claims *claims, struct claim *claim,
 			struct dl_str outcome)
 {
@@ -162,7 +159,7 @@
 	return true;
 }
 
-/* Put what a claim says into a reply. */
+/* Copy the state of a claim into a reply. */
 static void fill_reply(struct dl_cstore_reply *reply, const struct claim *claim)
 {
 	reply->claim = claim->done ? DL_CLAIM_DONE : DL_CLAIM_RUNNING;
@@ -175,9 +172,9 @@
 }
 
 /*
- * Claim a key.  The same owner asking again (its answer was lost) gets the
- * same answer.  When the store is full the claim is refused, and the request
- * with it: running it unclaimed could run it twice.
+ * Claim a key. The owner gets the same answer if it claims the key again
+ * because the answer was lost. A full store refuses the claim, and thereby the
+ * request: without a claim it could run twice.
  */
 static void do_claim(struct claims *claims, const struct dl_cstore_cmd *cmd,
 		     struct claim *claim, int64_t clock_ms,
@@ -210,7 +207,7 @@
 	reply->claim = DL_CLAIM_NEW;
 }
 
-/* Whether the claim is there and the command's own. */
+/* Check that the claim exists and belongs to the command's owner. */
 static bool check_owner(const struct dl_cstore_cmd *cmd,
 			const struct claim *claim,
 			struct dl_cstore_reply *reply)
@@ -227,8 +224,8 @@
 }
 
 /*
- * Record an outcome; the first one stays.  The claim is kept anew from here
- * on where the command says how long.
+ * Record an outcome; the first one is kept. A lifetime in the command starts
+ * from now.
  */
 static void do_outcome(struct claims *claims, const struct dl_cstore_cmd *cmd,
 		       struct claim *claim, int64_t clock_ms,
@@ -254,7 +251,7 @@
 	fill_reply(reply, claim);
 }
 
-/* Give a key back, as the request provably did not run. */
+/* Release a key whose request provably did not run. */
 static void do_unclaim(struct claims *claims, const struct dl_cstore_cmd *cmd,
 		       struct claim *claim, int64_t clock_ms,
 		       struct dl_cstore_reply *reply)
@@ -269,7 +266,7 @@
 	reply->outcome = (struct dl_str){ "", 0 };
 }
 
-/* Carry out one of the commands about claims. */
+/* Execute a command on claims. */
 void claims_exec(struct claims *claims, const struct dl_cstore_cmd *cmd,
 		 int64_t clock_ms, struct dl_cstore_reply *reply)
 {
--- a/src/state/cstore_codec.c
+++ b/src/state/cstore_codec.c
@@ -1,4 +1,4 @@
-/* Commands as the log carries them: one msgpack array each. */
+/* Commands as stored in the log: one msgpack array each. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,8 +9,8 @@
 #define COMMAND_FORMAT 1
 #define COMMAND_FIELDS 16
 /*
- * The head of a command: array of 16 (3 bytes), format and op (1 byte each),
- * the mark of a 64-bit number and the wall clock in network order.
+ * Start of a command: marker of an array of 16 (3 bytes), format and op (1 byte
+ * each), the marker of an int64, and the wall clock in network order.
  */
 #define WALL_MARKER_AT 5
 #define MARKER_INT64   0xd3
@@ -53,7 +53,7 @@
 	return 0;
 }
 
-/* Decode a command; its strings point into it.  0 or -EBADMSG. */
+/* Decode a command; strings point into its bytes. Returns 0 or -EBADMSG. */
 int dl_cstore_decode(struct dl_str command, struct dl_cstore_cmd *out)
 {
 	msgpack_unpacked u;
@@ -89,7 +89,7 @@
 	return f.bad ? -EBADMSG : 0;
 }
 
-/* Write the leader's wall clock into an encoded command, in place. */
+/* Overwrite the wall clock of an encoded command. */
 int dl_cstore_stamp(char *command, size_t n, int64_t wall_ms)
 {
 	uint64_t v = (uint64_t)wall_ms;
--- a/src/state/cstore_snap.c
+++ b/src/state/cstore_snap.c
@@ -1,7 +1,7 @@
 /*
- * Snapshots of the store: a msgpack head with counts, then one array for each
- * version, answer and claim, then a 64-bit checksum in network order.  The
- * same state gives the same bytes.
+ * Snapshots of the store: a msgpack header with counts, one array for each
+ * version, answer and claim, and a 64-bit checksum in network order. Equal
+ * states give equal bytes.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -46,7 +46,7 @@
 static bool get_claim(struct snap_reader *r, struct dl_cstore *store);
 static bool get_items(struct snap_reader *r, struct dl_cstore *store);
 
-/* What is one of a kind, and how many items follow. */
+/* Write the header: the scalar state and the number of items of each type. */
 static void put_head(msgpack_packer *pk, const struct dl_cstore *store)
 {
 	msgpack_pack_array(pk, HEAD_FIELDS);
@@ -62,7 +62,7 @@
 	msgpack_pack_uint32(pk, claims_count(&store->claims));
 }
 
-/* One version, with its text where that is kept. */
+/* Write a version, with its text if that is kept. */
 static void put_change(msgpack_packer *pk, const struct change *c)
 {
 	msgpack_pack_array(pk, CHANGE_FIELDS);
@@ -77,7 +77,6 @@
 					  c->text ? c->bytes : 0 });
 }
 
-/* One answer to a change id. */
 static void put_answer(msgpack_packer *pk, const struct answer *a)
 {
 	msgpack_pack_array(pk, ANSWER_FIELDS);
@@ -88,7 +87,7 @@
 	msgpack_pack_int64(pk, a->code);
 }
 
-/* The claims, queue by queue and in the order of each. */
+/* Write the claims of each queue, in their order. */
 static void put_claims(msgpack_packer *pk, const struct claims *claims)
 {
 	for (unsigned i = 0; i < CLAIM_QUEUES; i++) {
@@ -110,7 +109,7 @@
 	}
 }
 
-/* Append the checksum of all that was written. */
+/* Append the checksum of what was written. */
 static void put_checksum(msgpack_sbuffer *buf)
 {
 	struct dl_str all = { buf->data, buf->size };
@@ -124,7 +123,7 @@
 	msgpack_sbuffer_write(buf, bytes, sizeof(bytes));
 }
 
-/* Whether a snapshot ends with its own checksum. */
+/* Return whether a snapshot ends with a valid checksum. */
 static bool checksum_ok(struct dl_str snapshot)
 {
 	uint64_t sum = 0;
@@ -157,7 +156,7 @@
 	return *out ? 0 : -ENOMEM;
 }
 
-/* The next item of a snapshot as fields; bad where there is none. */
+/* Read the next item of a snapshot; bad if there is none. */
 static struct pack_fields next_item(struct snap_reader *r, uint32_t fields)
 {
 	struct dl_str rest = { r->data.s + r->offset, r->data.n - r->offset };
@@ -169,7 +168,6 @@
 	return pack_begin(&r->item.data, fields);
 }
 
-/* Read the head. */
 static bool get_head(struct snap_reader *r, struct dl_cstore *store,
 		     struct snap_counts *counts)
 {
@@ -189,7 +187,10 @@
 	return !f.bad;
 }
 
-/* Read a version; the newest one is that in force and has its text. */
+/*
+ * Read a version. Versions are consecutive; the newest is in force and has its
+ * text.
+ */
 static bool get_change(struct snap_reader *r, struct dl_cstore *store,
 		       bool newest)
 {
@@ -219,7 +220,6 @@
 	return true;
 }
 
-/* Read an answer. */
 static bool get_answer(struct snap_reader *r, struct dl_cstore *store)
 {
 	struct pack_fields f = next_item(r, ANSWER_FIELDS);
@@ -236,7 +236,6 @@
 	return true;
 }
 
-/* Read a claim. */
 static bool get_claim(struct snap_reader *r, struct dl_cstore *store)
 {
 	struct pack_fields f = next_item(r, CLAIM_FIELDS);
@@ -280,8 +279,8 @@
 }
 
 /*
- * Parse the text in force.  One that this program finds faulty was accepted
- * by an earlier one and stays in force; the next change is then compared with
+ * Parse the text in force. A text that this program rejects was accepted by an
+ * earlier release and stays in force; the next change is then compared with
  * nothing.
  */
 void cstore_parse_current(struct dl_cstore *store)
@@ -296,8 +295,8 @@
 }
 
 /*
- * Replace the whole state by a snapshot's.  -EINVAL where it is damaged or
- * not one at all; the state is then as it was.
+ * Replace the whole state by that of a snapshot. Returns -EINVAL if it is
+ * damaged or not a snapshot; the state is then unchanged.
  */
 int dl_cstore_restore(struct dl_cstore *store, struct dl_str snapshot)
 {
