--- a/src/state/cstore_pack.c
+++ b/src/state/cstore_pack.c
@@ -1,7 +1,7 @@
 /*
- * Whether bytes are one array of numbers, flags and strings, before msgpack-c
- * reads them: it would allocate what a damaged length of an inner array asks
- * for, which one byte makes a hundred gigabytes.
+ * Checks that bytes are one array of integers, booleans and byte strings before
+ * msgpack-c unpacks them: msgpack-c allocates memory for the claimed length of
+ * a nested array, and one damaged byte can claim a hundred gigabytes.
  */
 #include "state/cstore_pack.h"
 
@@ -12,10 +12,10 @@
 #define FIXINT_LAST   0x7f
 #define NEGINT_FIRST  0xe0
 
-/* Markers of scalars: how long each is, and its length field if it has one. */
+/* Size of each type of scalar, by its msgpack marker. */
 struct scalar {
-	uint8_t head;	/* bytes up to the contents, 0: not allowed */
-	uint8_t length; /* of them the length field */
+	uint8_t head;	/* marker, and length or value; 0: not allowed */
+	uint8_t length; /* size of the length field */
 };
 
 static const struct scalar scalars[] = {
@@ -31,7 +31,7 @@
 static size_t big_endian(const uint8_t *p, size_t n);
 static size_t scalar_size(const uint8_t *p, size_t left);
 
-/* A number of n bytes in network order. */
+/* Read an unsigned number of n bytes in network order. */
 static size_t big_endian(const uint8_t *p, size_t n)
 {
 	size_t v = 0;
@@ -41,7 +41,7 @@
 	return v;
 }
 
-/* The bytes of the scalar at p; 0 where it is none, or is cut. */
+/* Return the size of the scalar at p; 0 if it is none or is truncated. */
 static size_t scalar_size(const uint8_t *p, size_t left)
 {
 	struct scalar s;
@@ -60,7 +60,9 @@
 	return n <= left ? n : 0;
 }
 
-/* The bytes of the array of scalars at the start, or 0 where there is none. */
+/*
+ * Return the size of the array of scalars at the start, or 0 if there is none.
+ */
 size_t pack_flat_size(struct dl_str bytes)
 {
 	const uint8_t *p = (const uint8_t *)bytes.s;
--- a/src/state/cstore_pack.h
+++ b/src/state/cstore_pack.h
@@ -1,6 +1,6 @@
 /*
- * Reading a msgpack array field by field: one wrong type marks the whole as
- * bad, so that a decoder checks once at its end.
+ * Reading a msgpack array field by field. A field of the wrong type marks the
+ * whole array as bad, so that a decoder checks only once, at the end.
  */
 #ifndef DL_STATE_CSTORE_PACK_H
 #define DL_STATE_CSTORE_PACK_H
@@ -9,7 +9,9 @@
 
 #include "daisyledge/base.h"
 
-/* The bytes of the array of scalars at the start, or 0 where there is none. */
+/*
+ * Return the size of the array of scalars at the start, or 0 if there is none.
+ */
 size_t pack_flat_size(struct dl_str bytes);
 
 struct pack_fields {
@@ -18,7 +20,7 @@
 	bool bad;
 };
 
-/* Begin with an object; bad where it is no array of that many fields. */
+/* Start to read an object; bad if it is not an array of n fields. */
 static inline struct pack_fields pack_begin(const msgpack_object *o, uint32_t n)
 {
 	struct pack_fields f = { .bad = true };
@@ -30,7 +32,7 @@
 	return f;
 }
 
-/* The next field where it is of the type, or NULL. */
+/* Return the next field if it has the given type, or NULL. */
 static inline const msgpack_object *pack_next(struct pack_fields *f,
 					      msgpack_object_type type)
 {
@@ -47,7 +49,7 @@
 	return NULL;
 }
 
-/* The next field as an unsigned number within a limit. */
+/* Read the next field as an unsigned integer of at most max. */
 static inline uint64_t pack_u64(struct pack_fields *f, uint64_t max)
 {
 	const msgpack_object *o = pack_next(f, MSGPACK_OBJECT_POSITIVE_INTEGER);
@@ -61,7 +63,7 @@
 	return o->via.u64;
 }
 
-/* The next field as an unsigned number, 0 where it is nil. */
+/* Read the next field as an unsigned integer; nil reads as 0. */
 static inline uint64_t pack_u64_or_nil(struct pack_fields *f)
 {
 	if (!f->bad && f->next < f->array.size &&
@@ -72,7 +74,7 @@
 	return pack_u64(f, UINT64_MAX);
 }
 
-/* The next field as a signed number. */
+/* Read the next field as a signed integer. */
 static inline int64_t pack_i64(struct pack_fields *f)
 {
 	const msgpack_object *o;
@@ -88,7 +90,7 @@
 	return o ? o->via.i64 : 0;
 }
 
-/* The next field as a flag. */
+/* Read the next field as a boolean. */
 static inline bool pack_bool(struct pack_fields *f)
 {
 	const msgpack_object *o = pack_next(f, MSGPACK_OBJECT_BOOLEAN);
@@ -96,7 +98,9 @@
 	return o && o->via.boolean;
 }
 
-/* The next field as a string that points into what was decoded. */
+/*
+ * Read the next field as a byte string, which points into the object's buffer.
+ */
 static inline struct dl_str pack_str(struct pack_fields *f, size_t max)
 {
 	const msgpack_object *o = pack_next(f, MSGPACK_OBJECT_BIN);
@@ -108,7 +112,6 @@
 	return (struct dl_str){ o->via.bin.ptr, o->via.bin.size };
 }
 
-/* Write a string. */
 static inline void pack_put_str(msgpack_packer *pk, struct dl_str s)
 {
 	msgpack_pack_bin(pk, s.n);
