--- a/test/test_crash_store.c
+++ b/test/test_crash_store.c
@@ -1,4 +1,7 @@
-/* Requests held back, on a disk that fails, loses writes and goes bad. */
+/*
+ * Saved crash reports on a disk that returns errors, loses unsynced writes or
+ * flips bits.
+ */
 #include <check.h>
 #include <errno.h>
 #include <stdlib.h>
@@ -8,11 +11,11 @@
 #include "fake/suite.h"
 
 #define WALL_MS	   1000000
-#define SAVE_STEPS 4 /* of the disk, in a save */
+#define SAVE_STEPS 4 /* disk operations in a save */
 
 static struct fake_disk *disk;
 static struct dl_crash_store *store;
-static int save_code; /* of the last save; 1: not yet */
+static int save_code; /* result of the last save; 1 while it runs */
 
 static void on_saved(void *arg, int code)
 {
@@ -38,7 +41,7 @@
 	fake_disk_free(disk);
 }
 
-/* Crashes of a request, as many as are asked for. */
+/* Save a number of crashes of one request. */
 static void save(uint64_t request, uint32_t count)
 {
 	struct dl_crash crashes[100] = { { 0 } };
@@ -54,7 +57,10 @@
 		fake_disk_run(disk, now);
 }
 
-/* The request that a new process finds, 0 for none; -1 for a damaged file. */
+/*
+ * Read the file as a new process does, and return the request; 0 if there is
+ * none, -1 for a damaged file.
+ */
 static int64_t read_request(uint32_t *count)
 {
 	static struct dl_crash out[DL_CRASH_STORE_MAX];
@@ -82,7 +88,7 @@
 	fake_disk_crash(disk);
 	ck_assert_int_eq(read_request(&count), 7);
 	ck_assert_uint_eq(count, 6);
-	/* A shorter file over a longer one. */
+	/* The new file is shorter than the old one. */
 	save(8, 3);
 	fake_disk_crash(disk);
 	ck_assert_int_eq(read_request(&count), 8);
