--- a/test/test_cstore.c
+++ b/test/test_cstore.c
@@ -1,7 +1,7 @@
 /*
- * The replicated state machine: one winner an equal number, one answer a
- * change id, claims that end when they should and not before, and snapshots
- * that restore exactly or not at all.
+ * The replicated state machine: one of several changes to the same version
+ * wins, a change id is answered once, claims neither expire early nor stay
+ * forever, and a snapshot is restored exactly or rejected.
  */
 #include <check.h>
 #include <errno.h>
@@ -23,7 +23,7 @@
 #define ANY_VERSION UINT64_MAX
 #define SNAP_SEED   0x64616973 /* of a snapshot's checksum */
 
-/* A small text; its digits tell one from the other. */
+/* A small text; its numbers make it differ from others. */
 #define TEXT                                                                   \
 	"{\"format\": 1, \"services\": {%s\"a\": {\"kind\": \"plain\"}},"      \
 	"\"weight_store_mb_per_s\": %d, \"replicas\": ["                       \
@@ -48,7 +48,7 @@
 	dl_cstore_free(store);
 }
 
-/* Encode, stamp and carry out a command at the next index. */
+/* Encode, stamp and execute a command at an index. */
 static int run_on(struct dl_cstore *to, const struct dl_cstore_cmd *cmd,
 		  uint64_t index)
 {
@@ -113,7 +113,7 @@
 	return run(&cmd);
 }
 
-/* Let time pass within the term, with a command each half minute. */
+/* Advance the wall clock within the term, with a command every 30 s. */
 static void pass_time(int64_t ms)
 {
 	for (; ms > 0; ms -= 30000) {
@@ -122,7 +122,10 @@
 	}
 }
 
-/* A text with the operators' own number, as a leader's door appends it. */
+/*
+ * Apply a text with a serial number, as the leader does: with the number if it
+ * has checked the text.
+ */
 static int apply_checked(uint64_t number, bool checked)
 {
 	char text[512], id[24];
@@ -154,7 +157,7 @@
 	ck_assert_int_eq(dl_cstore_snapshot(store, snapshot, n), 0);
 }
 
-/* Whoever carries out many needs to read the last one only. */
+/* A replica that executes several texts has to parse only the last. */
 START_TEST(checked_texts_are_parsed_on_demand)
 {
 	ck_assert(!dl_cstore_conf_unparsed(store));
@@ -169,8 +172,8 @@
 END_TEST
 
 /*
- * Replicas of one group may carry out a text read or unread: what was checked
- * by the leader comes to the same state, number by number.
+ * Replicas may execute a text parsed or unparsed: a text that the leader
+ * checked gives the same state as a parsed one.
  */
 START_TEST(checked_and_parsed_texts_give_the_same_state)
 {
@@ -184,7 +187,7 @@
 	apply_numbered_texts(true, &unparsed, &unparsed_n);
 	ck_assert_uint_eq(parsed_n, unparsed_n);
 	ck_assert_mem_eq(parsed, unparsed, parsed_n);
-	/* A text without the mark after some with it is compared with them. */
+	/* An unchecked text is still compared with the number in force. */
 	ck_assert_int_eq(apply_checked(11, false), 0);
 	ck_assert_uint_eq(dl_cstore_number(store), 12);
 	free(parsed);
@@ -223,7 +226,10 @@
 }
 END_TEST
 
-/* Nothing faulty, unconfirmed or without a majority is put in force. */
+/*
+ * A text with faults, without a needed confirmation or without a majority of
+ * the replicas is refused. Its change id can be used again.
+ */
 START_TEST(refused_change_may_be_corrected_under_its_id)
 {
 	char with[512], moved[512];
@@ -253,7 +259,7 @@
 }
 END_TEST
 
-/* 10,001 ids: the oldest is forgotten, the next is not. */
+/* With 10,001 ids the oldest is dropped and the next is kept. */
 START_TEST(change_ids_are_bounded)
 {
 	struct dl_cstore_counts n;
@@ -355,7 +361,9 @@
 }
 END_TEST
 
-/* A new leader's clock may be days off: no claim ends early by that. */
+/*
+ * The clock of a new leader may be days off; no claim expires early from that.
+ */
 START_TEST(clock_jump_between_terms)
 {
 	ck_assert_int_eq(fence(1), 0);
@@ -372,7 +380,10 @@
 }
 END_TEST
 
-/* Nor by a clock that jumps within a term, as far as can be told. */
+/*
+ * A clock that jumps within a term does not expire claims early either, except
+ * for the minute that one command may advance it.
+ */
 START_TEST(clock_jump_within_a_term)
 {
 	ck_assert_int_eq(claim_op(DL_CSTORE_CLAIM, "k", 1, 600), 0);
@@ -395,7 +406,7 @@
 }
 END_TEST
 
-/* Full of claims, a new one is refused; room comes back with time. */
+/* A full store refuses new claims until others expire. */
 START_TEST(claims_are_bounded)
 {
 	static char body[DL_CSTORE_OUTCOME_MAX];
@@ -452,7 +463,7 @@
 }
 END_TEST
 
-/* A random command of few ids, keys and owners, so that they often meet. */
+/* Make a random command; ids, keys and owners are few so that they collide. */
 static void random_command(GRand *rand, struct dl_cstore_cmd *cmd, char *text,
 			   char *id, char *key)
 {
@@ -490,7 +501,7 @@
 	free(sb);
 }
 
-/* Two replicas, one of which restarts from snapshots, never differ. */
+/* Two replicas, one of which restarts from snapshots, stay identical. */
 START_TEST(restore_is_exact)
 {
 	GRand *rand = g_rand_new_with_seed(SEED + (guint32)_i);
@@ -530,7 +541,7 @@
 }
 END_TEST
 
-/* Damaged or cut snapshots are refused and leave the state as it was. */
+/* Damaged or truncated snapshots are refused and leave the state unchanged. */
 START_TEST(damaged_snapshot_is_refused)
 {
 	GRand *rand = g_rand_new_with_seed(SEED);
@@ -563,7 +574,7 @@
 }
 END_TEST
 
-/* Write the checksum anew, as if the damage had been there before it. */
+/* Update the checksum, so that the damage is not detected by it. */
 static void rewrite_checksum(char *snap, size_t n)
 {
 	uint64_t sum = dl_hash((struct dl_str){ snap, n - 8 }, SNAP_SEED);
@@ -574,7 +585,7 @@
 	}
 }
 
-/* Bytes that make no sense are refused, or give a state that works. */
+/* Mutated bytes are rejected, or give a state that further commands work on. */
 START_TEST(mutated_snapshots_and_commands)
 {
 	GRand *rand = g_rand_new_with_seed(SEED + (guint32)_i);
@@ -617,7 +628,9 @@
 }
 END_TEST
 
-/* What an operator does: read, edit, send, and send again when in doubt. */
+/*
+ * An operator: reads a version, edits and sends it, and resends it if in doubt.
+ */
 struct operator
 {
 	char id[16];
@@ -628,7 +641,7 @@
 	int code;
 };
 
-/* One race of five operators, of whose answers half are lost. */
+/* A race of five operators; half of the answers are lost. */
 static void run_race(guint32 seed)
 {
 	GRand *rand = g_rand_new_with_seed(seed);
@@ -661,14 +674,14 @@
 		}
 		o->code = reply.code;
 		o->first_version = reply.version;
-		o->pending = g_rand_boolean(rand); /* or the answer was lost */
+		o->pending = g_rand_boolean(rand); /* the answer is lost */
 		ck_assert_uint_eq(dl_cstore_version(store), applied);
 	}
 	ck_assert_uint_gt(applied, 10);
 	g_rand_free(rand);
 }
 
-/* Operators race under equal numbers while answers are lost. */
+/* Operators change the same version concurrently while answers are lost. */
 START_TEST(concurrent_operators_with_lost_answers)
 {
 	for (guint32 i = 0; i < RACES_EACH; i++) {
