--- a/src/state/conf.c
+++ b/src/state/conf.c
@@ -1,4 +1,6 @@
-/* From the operators' text to a struct dl_conf, and the look-ups in it. */
+/*
+ * Parses the configuration text into a struct dl_conf, and looks up its parts.
+ */
 #include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,17 +13,19 @@
 #define DAY_MS	      86400000
 #define TOKENS_MAX    1000000000000ull
 #define CLASS_UNKNOWN UINT32_MAX
-/* Every JSON fault of jansson's names its line; the text is cut to fit. */
-#define SYNTAX_TEXT 120
+/*
+ * jansson gives the line of each syntax error; its text is truncated to this.
+ */
+#define SYNTAX_TEXT_MAX 120
 
-static const char *const class_words[] = { "urgent", "interactive", "batch",
+static const char *const class_names[] = { "urgent", "interactive", "batch",
 					   NULL };
-static const char *const kind_words[] = { "model", "plain", NULL };
-static const char *const level_words[] = { "debug", "info", "warn", "error",
+static const char *const kind_names[] = { "model", "plain", NULL };
+static const char *const level_names[] = { "debug", "info", "warn", "error",
 					   NULL };
 
-/* What stands at the top of the text beside its lists. */
-struct top {
+/* The scalar fields at the top level of the text. */
+struct top_level {
 	uint32_t format;
 	uint32_t weight_store_mb_per_s;
 	uint32_t log_level;
@@ -30,27 +34,28 @@
 
 static const struct conf_field top_fields[] = {
 	{ "format", CONF_U32, true, FORMAT, FORMAT, FORMAT,
-	  .offset = offsetof(struct top, format) },
-	{ "classes", CONF_OTHER, .json = JSON_OBJECT },
-	{ "services", CONF_OTHER, true, .json = JSON_OBJECT },
-	{ "workspaces", CONF_OTHER, .json = JSON_OBJECT },
-	{ "replicas", CONF_OTHER, .json = JSON_ARRAY },
-	{ "routes", CONF_OTHER, .json = JSON_ARRAY },
-	{ "caller_limits", CONF_OTHER, .json = JSON_OBJECT },
+	  .offset = offsetof(struct top_level, format) },
+	{ "classes", CONF_JSON, .json = JSON_OBJECT },
+	{ "services", CONF_JSON, true, .json = JSON_OBJECT },
+	{ "workspaces", CONF_JSON, .json = JSON_OBJECT },
+	{ "replicas", CONF_JSON, .json = JSON_ARRAY },
+	{ "routes", CONF_JSON, .json = JSON_ARRAY },
+	{ "caller_limits", CONF_JSON, .json = JSON_OBJECT },
 	{ "number", CONF_U64, false, 0, INT64_MAX, 0,
-	  .offset = offsetof(struct top, number) },
-	{ "source", CONF_OTHER, .json = JSON_STRING },
-	{ "orders", CONF_OTHER, .json = JSON_ARRAY },
-	{ "drain", CONF_OTHER, .json = JSON_OBJECT },
+	  .offset = offsetof(struct top_level, number) },
+	{ "source", CONF_JSON, .json = JSON_STRING },
+	{ "orders", CONF_JSON, .json = JSON_ARRAY },
+	{ "drain", CONF_JSON, .json = JSON_OBJECT },
 	{ "weight_store_mb_per_s", CONF_U32, false, 1, 1000000, 1000,
-	  .offset = offsetof(struct top, weight_store_mb_per_s) },
-	{ "log_level", CONF_WORD, false, .initial = DL_INFO,
-	  .words = level_words, .offset = offsetof(struct top, log_level) },
+	  .offset = offsetof(struct top_level, weight_store_mb_per_s) },
+	{ "log_level", CONF_ENUM, false, .default_value = DL_INFO,
+	  .enum_names = level_names,
+	  .offset = offsetof(struct top_level, log_level) },
 };
 
 static const struct conf_field class_fields[] = {
-	{ "class", CONF_WORD, true, .initial = DL_CLASS_INTERACTIVE,
-	  .words = class_words,
+	{ "class", CONF_ENUM, true, .default_value = DL_CLASS_INTERACTIVE,
+	  .enum_names = class_names,
 	  .offset = offsetof(struct dl_class_conf, class) },
 	{ "deadline_ms", CONF_U32, true, 1, DAY_MS, 10000,
 	  .offset = offsetof(struct dl_class_conf, deadline_ms) },
@@ -58,13 +63,13 @@
 
 #define SERVICE(field) .offset = offsetof(struct dl_service_conf, field)
 static const struct conf_field service_fields[] = {
-	{ "kind", CONF_WORD, true, .initial = DL_POOL_MODEL,
-	  .words = kind_words, SERVICE(kind) },
-	{ "models", CONF_OTHER, .json = JSON_ARRAY },
-	{ "depends_on", CONF_OTHER, .json = JSON_ARRAY },
-	{ "default_class", CONF_OTHER, .json = JSON_STRING },
-	{ "idempotent_paths", CONF_OTHER, .json = JSON_ARRAY },
-	{ "get_is_idempotent", CONF_BOOL, .initial = true,
+	{ "kind", CONF_ENUM, true, .default_value = DL_POOL_MODEL,
+	  .enum_names = kind_names, SERVICE(kind) },
+	{ "models", CONF_JSON, .json = JSON_ARRAY },
+	{ "depends_on", CONF_JSON, .json = JSON_ARRAY },
+	{ "default_class", CONF_JSON, .json = JSON_STRING },
+	{ "idempotent_paths", CONF_JSON, .json = JSON_ARRAY },
+	{ "get_is_idempotent", CONF_BOOL, .default_value = true,
 	  SERVICE(get_is_idempotent) },
 	{ "ignores_fencing", CONF_BOOL, SERVICE(ignores_fencing) },
 	{ "connect_timeout_ms", CONF_U32, false, 10, 60000, 1000,
@@ -75,8 +80,8 @@
 	  SERVICE(retry_budget_permille) },
 	{ "connections_max", CONF_U32, false, 0, 1000000, 0,
 	  SERVICE(connections_max) },
-	{ "pool", CONF_OTHER, .json = JSON_OBJECT },
-	{ "engine", CONF_OTHER, .json = JSON_OBJECT },
+	{ "pool", CONF_JSON, .json = JSON_OBJECT },
+	{ "engine", CONF_JSON, .json = JSON_OBJECT },
 };
 #undef SERVICE
 
@@ -138,17 +143,17 @@
 	  WORKSPACE(limits.concurrency_max) },
 	{ "requests_per_s", CONF_U32, false, 0, 1000000, 0,
 	  WORKSPACE(limits.requests_per_s) },
-	{ "default_class", CONF_OTHER, .json = JSON_STRING },
+	{ "default_class", CONF_JSON, .json = JSON_STRING },
 	{ "priority", CONF_U32, false, 0, 1000, DL_CONF_UNSET,
 	  WORKSPACE(priority) },
-	{ "keys", CONF_OTHER, .json = JSON_ARRAY },
+	{ "keys", CONF_JSON, .json = JSON_ARRAY },
 };
 #undef WORKSPACE
 
 static const struct conf_field replica_fields[] = {
 	{ "name", CONF_NAME, true, CONF_PLAIN_NAME,
 	  .offset = offsetof(struct dl_replica_conf, name) },
-	{ "address", CONF_OTHER, true, .json = JSON_STRING },
+	{ "address", CONF_JSON, true, .json = JSON_STRING },
 };
 
 #define ORDER(field) .offset = offsetof(struct dl_order_conf, field)
@@ -162,85 +167,88 @@
 #undef ORDER
 
 static const struct conf_field drain_fields[] = {
-	{ "vms", CONF_OTHER, .json = JSON_ARRAY },
-	{ "endpoints", CONF_OTHER, .json = JSON_ARRAY },
+	{ "vms", CONF_JSON, .json = JSON_ARRAY },
+	{ "endpoints", CONF_JSON, .json = JSON_ARRAY },
 };
 
-/* Classes of a text that names none: one for each degree of urgency. */
+/* Classes of a text without any: one for each degree of urgency. */
 static const struct dl_class_conf class_defaults[] = {
 	{ { 6, "urgent" }, DL_CLASS_URGENT, 2000 },
 	{ { 11, "interactive" }, DL_CLASS_INTERACTIVE, 10000 },
 	{ { 5, "batch" }, DL_CLASS_BATCH, 600000 },
 };
 
-static bool read_key(struct conf_reader *r, const struct conf_at *at,
+static bool read_key(struct conf_reader *r, const struct conf_path *path,
 		     const char *key, struct dl_name *out);
-static void read_top(struct conf_reader *r, json_t *root, struct dl_conf *conf);
-static void read_classes(struct conf_reader *r, const struct conf_at *at,
+static void read_top_level(struct conf_reader *r, json_t *root,
+			   struct dl_conf *conf);
+static void read_classes(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, struct dl_conf *conf);
-static void default_classes(struct conf_reader *r, struct dl_conf *conf);
+static void set_default_classes(struct conf_reader *r, struct dl_conf *conf);
 static uint32_t find_class(const struct dl_conf *conf, struct dl_str name);
-static void read_default_class(struct conf_reader *r, const struct conf_at *at,
-			       json_t *json, const struct dl_conf *conf,
-			       uint32_t *out);
-static void read_services(struct conf_reader *r, const struct conf_at *at,
+static void read_default_class(struct conf_reader *r,
+			       const struct conf_path *path, json_t *json,
+			       const struct dl_conf *conf, uint32_t *out);
+static void read_services(struct conf_reader *r, const struct conf_path *path,
 			  json_t *json, struct dl_conf *conf);
-static void read_service(struct conf_reader *r, const struct conf_at *at,
+static void read_service(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, const struct dl_conf *conf,
 			 struct dl_service_conf *out);
-static void read_pool(struct conf_reader *r, const struct conf_at *at,
+static void read_pool(struct conf_reader *r, const struct conf_path *path,
 		      json_t *json, struct dl_service_conf *out);
-static void read_engine(struct conf_reader *r, const struct conf_at *at,
+static void read_engine(struct conf_reader *r, const struct conf_path *path,
 			json_t *json, struct dl_engine_model *out);
-static void read_list(struct conf_reader *r, const struct conf_at *at,
-		      json_t *json, const char *key, enum conf_name_kind kind,
-		      struct dl_name **out, uint32_t *count);
-static void read_limits(struct conf_reader *r, const struct conf_at *at,
-			json_t *root, struct dl_conf *conf);
-static void read_workspaces(struct conf_reader *r, const struct conf_at *at,
+static void read_name_list(struct conf_reader *r, const struct conf_path *path,
+			   json_t *json, const char *key,
+			   enum conf_name_kind kind, struct dl_name **out,
+			   uint32_t *count);
+static void read_caller_limits(struct conf_reader *r,
+			       const struct conf_path *path, json_t *root,
+			       struct dl_conf *conf);
+static void read_workspaces(struct conf_reader *r, const struct conf_path *path,
 			    json_t *json, struct dl_conf *conf);
-static void read_replicas(struct conf_reader *r, const struct conf_at *at,
+static void read_replicas(struct conf_reader *r, const struct conf_path *path,
 			  json_t *json, struct dl_conf *conf);
-static void read_orders(struct conf_reader *r, const struct conf_at *at,
+static void read_orders(struct conf_reader *r, const struct conf_path *path,
 			json_t *json, struct dl_conf *conf);
-static int by_name(const void *a, const void *b);
-static int by_line(const void *a, const void *b);
+static int compare_workspaces(const void *a, const void *b);
+static int compare_faults(const void *a, const void *b);
 static int read_text(struct conf_reader *r, struct dl_str text,
 		     struct dl_conf *conf);
 
-/* Make room for the elements of a list within its bound. */
-void *conf_make_list(struct conf_reader *r, const struct conf_at *at, size_t n,
-		     size_t max, size_t size)
+/* Allocate a list, unless it has more elements than allowed. */
+void *conf_alloc_list(struct conf_reader *r, const struct conf_path *path,
+		      size_t n, size_t max, size_t size)
 {
 	void *list;
 
 	if (n > max) {
-		conf_fault(r, at, "must have at most %zu elements, not %zu",
+		conf_fault(r, path, "must have at most %zu elements, not %zu",
 			   max, n);
 		return NULL;
 	}
 	list = calloc(n ? n : 1, size);
 	if (!list)
-		r->no_memory = true;
+		r->out_of_memory = true;
 	return list;
 }
 
-/* Read a key that is a name of the operators' choice. */
-static bool read_key(struct conf_reader *r, const struct conf_at *at,
+/* Check and copy a key that is a name chosen by operators. */
+static bool read_key(struct conf_reader *r, const struct conf_path *path,
 		     const char *key, struct dl_name *out)
 {
 	struct dl_str s = dl_str_of(key);
 
-	return conf_check_name(r, at, s, CONF_PLAIN_NAME) &&
+	return conf_check_name(r, path, s, CONF_PLAIN_NAME) &&
 	       dl_name_set(out, s);
 }
 
-/* Give a text without classes one for each degree of urgency. */
-static void default_classes(struct conf_reader *r, struct dl_conf *conf)
+/* Define one class for each degree of urgency. */
+static void set_default_classes(struct conf_reader *r, struct dl_conf *conf)
 {
 	conf->classes = malloc(sizeof(class_defaults));
 	if (!conf->classes) {
-		r->no_memory = true;
+		r->out_of_memory = true;
 		return;
 	}
 	memcpy(conf->classes, class_defaults, sizeof(class_defaults));
@@ -248,25 +256,24 @@
 		sizeof(class_defaults) / sizeof(class_defaults[0]);
 }
 
-/* Read the classes of requests. */
-static void read_classes(struct conf_reader *r, const struct conf_at *at,
+static void read_classes(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, struct dl_conf *conf)
 {
 	const char *key;
 	json_t *value;
 
 	if (json_object_size(json) == 0) {
-		conf_fault(r, at, "must name at least one class");
+		conf_fault(r, path, "must name at least one class");
 		return;
 	}
-	conf->classes = conf_make_list(r, at, json_object_size(json),
-				       CONF_CLASSES_MAX,
-				       sizeof(*conf->classes));
+	conf->classes = conf_alloc_list(r, path, json_object_size(json),
+					CONF_CLASSES_MAX,
+					sizeof(*conf->classes));
 	if (!conf->classes)
 		return;
 	json_object_foreach(json, key, value)
 	{
-		struct conf_at child = conf_at_key(at, dl_str_of(key));
+		struct conf_path child = conf_path_key(path, dl_str_of(key));
 		struct dl_class_conf *c = &conf->classes[conf->classes_count];
 
 		conf_read_object(r, &child, value, CONF_FIELDS(class_fields),
@@ -276,7 +283,7 @@
 	}
 }
 
-/* The index of a class, or CLASS_UNKNOWN. */
+/* Return the index of a class, or CLASS_UNKNOWN. */
 static uint32_t find_class(const struct dl_conf *conf, struct dl_str name)
 {
 	for (uint32_t i = 0; i < conf->classes_count; i++) {
@@ -286,13 +293,13 @@
 	return CLASS_UNKNOWN;
 }
 
-/* Read a reference to a class; *out stays where there is none. */
-static void read_default_class(struct conf_reader *r, const struct conf_at *at,
-			       json_t *json, const struct dl_conf *conf,
-			       uint32_t *out)
+/* Read a reference to a class; *out is unchanged if there is none. */
+static void read_default_class(struct conf_reader *r,
+			       const struct conf_path *path, json_t *json,
+			       const struct dl_conf *conf, uint32_t *out)
 {
 	json_t *value = conf_child(json, "default_class", JSON_STRING);
-	struct conf_at child = conf_at_key(at, DL_STR("default_class"));
+	struct conf_path child = conf_path_key(path, DL_STR("default_class"));
 	struct conf_nearest near = { 0 };
 	uint32_t found;
 	char hint[96];
@@ -311,86 +318,85 @@
 		   conf_nearest_hint(&near, hint));
 }
 
-/* Read a list of names that is a member of an object, where it is there. */
-static void read_list(struct conf_reader *r, const struct conf_at *at,
-		      json_t *json, const char *key, enum conf_name_kind kind,
-		      struct dl_name **out, uint32_t *count)
+/* Read a list of names that may be a member of an object. */
+static void read_name_list(struct conf_reader *r, const struct conf_path *path,
+			   json_t *json, const char *key,
+			   enum conf_name_kind kind, struct dl_name **out,
+			   uint32_t *count)
 {
 	json_t *array = conf_child(json, key, JSON_ARRAY);
-	struct conf_at child = conf_at_key(at, dl_str_of(key));
+	struct conf_path child = conf_path_key(path, dl_str_of(key));
 
 	if (array)
 		conf_read_names(r, &child, array, kind, out, count);
 }
 
-/* Read the limits of a service's pools. */
-static void read_pool(struct conf_reader *r, const struct conf_at *at,
+static void read_pool(struct conf_reader *r, const struct conf_path *path,
 		      json_t *json, struct dl_service_conf *out)
 {
 	json_t *pool = conf_child(json, "pool", JSON_OBJECT);
-	struct conf_at child = conf_at_key(at, DL_STR("pool"));
-	json_t *none = pool ? NULL : json_object();
+	struct conf_path child = conf_path_key(path, DL_STR("pool"));
+	json_t *empty = pool ? NULL : json_object();
 
-	if (pool || none)
-		conf_read_object(r, &child, pool ? pool : none,
+	if (pool || empty)
+		conf_read_object(r, &child, pool ? pool : empty,
 				 CONF_FIELDS(pool_fields), &out->pool);
 	else
-		r->no_memory = true;
-	json_decref(none);
+		r->out_of_memory = true;
+	json_decref(empty);
 	out->pool.kind = out->kind;
 }
 
-/* Read how a service's engines work, where it is published. */
-static void read_engine(struct conf_reader *r, const struct conf_at *at,
+/* Read the cost model of a service's engines, if it is given. */
+static void read_engine(struct conf_reader *r, const struct conf_path *path,
 			json_t *json, struct dl_engine_model *out)
 {
 	json_t *engine = conf_child(json, "engine", JSON_OBJECT);
-	struct conf_at child = conf_at_key(at, DL_STR("engine"));
+	struct conf_path child = conf_path_key(path, DL_STR("engine"));
 
 	if (!engine)
 		return;
 	conf_read_object(r, &child, engine, CONF_FIELDS(engine_fields), out);
 }
 
-/* Read one service. */
-static void read_service(struct conf_reader *r, const struct conf_at *at,
+static void read_service(struct conf_reader *r, const struct conf_path *path,
 			 json_t *json, const struct dl_conf *conf,
 			 struct dl_service_conf *out)
 {
-	if (!conf_read_object(r, at, json, CONF_FIELDS(service_fields), out))
+	if (!conf_read_object(r, path, json, CONF_FIELDS(service_fields), out))
 		return;
-	read_list(r, at, json, "models", CONF_MODEL_NAME, &out->models,
-		  &out->models_count);
-	read_list(r, at, json, "depends_on", CONF_PLAIN_NAME, &out->depends_on,
-		  &out->depends_on_count);
-	read_list(r, at, json, "idempotent_paths", CONF_URL_PATH,
-		  &out->idempotent_paths, &out->idempotent_paths_count);
-	read_pool(r, at, json, out);
-	read_engine(r, at, json, &out->pool.engine);
+	read_name_list(r, path, json, "models", CONF_MODEL_NAME, &out->models,
+		       &out->models_count);
+	read_name_list(r, path, json, "depends_on", CONF_PLAIN_NAME,
+		       &out->depends_on, &out->depends_on_count);
+	read_name_list(r, path, json, "idempotent_paths", CONF_URL_PATH,
+		       &out->idempotent_paths, &out->idempotent_paths_count);
+	read_pool(r, path, json, out);
+	read_engine(r, path, json, &out->pool.engine);
 	for (uint32_t i = conf->classes_count; i-- > 0;) {
 		if (conf->classes[i].class == DL_CLASS_INTERACTIVE)
 			out->default_class = i;
 	}
-	read_default_class(r, at, json, conf, &out->default_class);
+	read_default_class(r, path, json, conf, &out->default_class);
 }
 
-/* Read the services; a model service without models is named like its own. */
-static void read_services(struct conf_reader *r, const struct conf_at *at,
+/* Read the services. A model service without models has one of its own name. */
+static void read_services(struct conf_reader *r, const struct conf_path *path,
 			  json_t *json, struct dl_conf *conf)
 {
 	const char *key;
 	json_t *value;
 
 	if (json_object_size(json) == 0)
-		conf_fault(r, at, "must name at least one service");
-	conf->services = conf_make_list(r, at, json_object_size(json),
-					CONF_SERVICES_MAX,
-					sizeof(*conf->services));
+		conf_fault(r, path, "must name at least one service");
+	conf->services = conf_alloc_list(r, path, json_object_size(json),
+					 CONF_SERVICES_MAX,
+					 sizeof(*conf->services));
 	if (!conf->services)
 		return;
 	json_object_foreach(json, key, value)
 	{
-		struct conf_at child = conf_at_key(at, dl_str_of(key));
+		struct conf_path child = conf_path_key(path, dl_str_of(key));
 		struct dl_service_conf *s;
 
 		s = &conf->services[conf->services_count++];
@@ -400,7 +406,7 @@
 			continue;
 		s->models = calloc(1, sizeof(*s->models));
 		if (!s->models) {
-			r->no_memory = true;
+			r->out_of_memory = true;
 			continue;
 		}
 		s->models[0] = s->name;
@@ -408,30 +414,30 @@
 	}
 }
 
-/* Order workspaces by name, so that one is found by bisection. */
-static int by_name(const void *a, const void *b)
+/* Order workspaces by name, for the binary search of dl_conf_workspace(). */
+static int compare_workspaces(const void *a, const void *b)
 {
 	const struct dl_conf_workspace *wa = a, *wb = b;
 
 	return strcmp(wa->limits.name.s, wb->limits.name.s);
 }
 
-/* Read the workspaces. */
-static void read_workspaces(struct conf_reader *r, const struct conf_at *at,
+/* Read the workspaces, and index them by name and by key. */
+static void read_workspaces(struct conf_reader *r, const struct conf_path *path,
 			    json_t *json, struct dl_conf *conf)
 {
 	struct dl_conf_workspace *w;
 	const char *key;
 	json_t *value;
 
-	w = conf_make_list(r, at, json_object_size(json), CONF_WORKSPACES_MAX,
-			   sizeof(*w));
+	w = conf_alloc_list(r, path, json_object_size(json),
+			    CONF_WORKSPACES_MAX, sizeof(*w));
 	conf->workspaces = w;
 	if (!w)
 		return;
 	json_object_foreach(json, key, value)
 	{
-		struct conf_at child = conf_at_key(at, dl_str_of(key));
+		struct conf_path child = conf_path_key(path, dl_str_of(key));
 
 		w = &conf->workspaces[conf->workspaces_count];
 		w->default_class = CLASS_UNKNOWN;
@@ -444,24 +450,25 @@
 		if (read_key(r, &child, key, &w->limits.name))
 			conf->workspaces_count++;
 	}
-	qsort(conf->workspaces, conf->workspaces_count, sizeof(*w), by_name);
+	qsort(conf->workspaces, conf->workspaces_count, sizeof(*w),
+	      compare_workspaces);
 	conf_index_keys(r, conf);
 }
 
-/* Read the list of replicas; its length and doubles are checked later. */
-static void read_replicas(struct conf_reader *r, const struct conf_at *at,
+/* Read the list of replicas; conf_check() checks its length and duplicates. */
+static void read_replicas(struct conf_reader *r, const struct conf_path *path,
 			  json_t *json, struct dl_conf *conf)
 {
 	size_t n = json_array_size(json);
 
 	if (n > DL_REPLICAS_MAX) {
-		conf_fault(r, at, "must have at most %d replicas, not %zu",
+		conf_fault(r, path, "must have at most %d replicas, not %zu",
 			   DL_REPLICAS_MAX, n);
 		return;
 	}
 	for (size_t i = 0; i < n; i++) {
 		struct dl_replica_conf *p = &conf->replicas[i];
-		struct conf_at child = conf_at_index(at, i);
+		struct conf_path child = conf_path_index(path, i);
 		json_t *value = json_array_get(json, i), *address;
 		struct dl_name text = { 0 };
 
@@ -470,23 +477,23 @@
 				      CONF_FIELDS(replica_fields), p))
 			continue;
 		address = conf_child(value, "address", JSON_STRING);
-		child = conf_at_key(&child, DL_STR("address"));
+		child = conf_path_key(&child, DL_STR("address"));
 		if (address &&
 		    conf_read_name(r, &child, address, CONF_ADDRESS, &text))
 			dl_vm_parse(dl_name_str(&text), &p->vm);
 	}
 }
 
-/* Read the orders that the leader keeps true. */
-static void read_orders(struct conf_reader *r, const struct conf_at *at,
+/* Read the orders that the leader maintains. */
+static void read_orders(struct conf_reader *r, const struct conf_path *path,
 			json_t *json, struct dl_conf *conf)
 {
 	size_t n = json_array_size(json);
 
-	conf->orders =
-		conf_make_list(r, at, n, CONF_LIST_MAX, sizeof(*conf->orders));
+	conf->orders = conf_alloc_list(r, path, n, CONF_LIST_MAX,
+				       sizeof(*conf->orders));
 	for (size_t i = 0; conf->orders && i < n; i++) {
-		struct conf_at child = conf_at_index(at, i);
+		struct conf_path child = conf_path_index(path, i);
 		struct dl_order_conf *o = &conf->orders[i];
 
 		dl_name_set(&o->role, DL_STR("both"));
@@ -496,101 +503,104 @@
 	}
 }
 
-/* Read what callers may send; the defaults where the text says nothing. */
-static void read_limits(struct conf_reader *r, const struct conf_at *at,
-			json_t *root, struct dl_conf *conf)
+/* Read the limits for callers, or set the defaults. */
+static void read_caller_limits(struct conf_reader *r,
+			       const struct conf_path *path, json_t *root,
+			       struct dl_conf *conf)
 {
-	struct conf_at child = conf_at_key(at, DL_STR("caller_limits"));
+	struct conf_path child = conf_path_key(path, DL_STR("caller_limits"));
 	json_t *limits = conf_child(root, "caller_limits", JSON_OBJECT);
-	json_t *none = limits ? NULL : json_object();
+	json_t *empty = limits ? NULL : json_object();
 
-	if (limits || none)
-		conf_read_object(r, &child, limits ? limits : none,
+	if (limits || empty)
+		conf_read_object(r, &child, limits ? limits : empty,
 				 CONF_FIELDS(caller_limit_fields),
 				 &conf->caller_limits);
 	else
-		r->no_memory = true;
-	json_decref(none);
+		r->out_of_memory = true;
+	json_decref(empty);
 }
 
-/* Read the whole text, one part after the other. */
-static void read_top(struct conf_reader *r, json_t *root, struct dl_conf *conf)
+/* Read the parts of the text. Parts that others refer to come first. */
+static void read_top_level(struct conf_reader *r, json_t *root,
+			   struct dl_conf *conf)
 {
-	struct conf_at at = conf_at_root(), child;
-	struct top top;
+	struct conf_path path = conf_path_root(), child;
+	struct top_level top;
 	json_t *json;
 
-	if (!conf_read_object(r, &at, root, CONF_FIELDS(top_fields), &top))
+	if (!conf_read_object(r, &path, root, CONF_FIELDS(top_fields), &top))
 		return;
 	conf->weight_store_mb_per_s = top.weight_store_mb_per_s;
 	conf->log_level = (enum dl_level)top.log_level;
 	conf->number = top.number;
-	read_limits(r, &at, root, conf);
-	child = conf_at_key(&at, DL_STR("classes"));
+	read_caller_limits(r, &path, root, conf);
+	child = conf_path_key(&path, DL_STR("classes"));
 	json = conf_child(root, "classes", JSON_OBJECT);
 	if (json)
 		read_classes(r, &child, json, conf);
 	else
-		default_classes(r, conf);
-	child = conf_at_key(&at, DL_STR("services"));
+		set_default_classes(r, conf);
+	child = conf_path_key(&path, DL_STR("services"));
 	json = conf_child(root, "services", JSON_OBJECT);
 	if (json)
 		read_services(r, &child, json, conf);
-	child = conf_at_key(&at, DL_STR("routes"));
+	child = conf_path_key(&path, DL_STR("routes"));
 	json = conf_child(root, "routes", JSON_ARRAY);
 	if (json)
 		conf_read_routes(r, &child, json, conf);
-	child = conf_at_key(&at, DL_STR("workspaces"));
+	child = conf_path_key(&path, DL_STR("workspaces"));
 	json = conf_child(root, "workspaces", JSON_OBJECT);
 	if (json)
 		read_workspaces(r, &child, json, conf);
-	child = conf_at_key(&at, DL_STR("replicas"));
+	child = conf_path_key(&path, DL_STR("replicas"));
 	json = conf_child(root, "replicas", JSON_ARRAY);
 	if (json)
 		read_replicas(r, &child, json, conf);
 	else if (!top.number && !json_object_get(root, "replicas"))
-		conf_fault(r, &at, "the key \"replicas\" is missing");
-	child = conf_at_key(&at, DL_STR("orders"));
+		conf_fault(r, &path, "the key \"replicas\" is missing");
+	child = conf_path_key(&path, DL_STR("orders"));
 	json = conf_child(root, "orders", JSON_ARRAY);
 	if (json)
 		read_orders(r, &child, json, conf);
-	child = conf_at_key(&at, DL_STR("drain"));
+	child = conf_path_key(&path, DL_STR("drain"));
 	json = conf_child(root, "drain", JSON_OBJECT);
 	if (!json)
 		return;
 	conf_read_object(r, &child, json, CONF_FIELDS(drain_fields), NULL);
-	read_list(r, &child, json, "vms", CONF_ADDRESS, &conf->drain_vms,
-		  &conf->drain_vms_count);
-	read_list(r, &child, json, "endpoints", CONF_ADDRESS,
-		  &conf->drain_endpoints, &conf->drain_endpoints_count);
+	read_name_list(r, &child, json, "vms", CONF_ADDRESS, &conf->drain_vms,
+		       &conf->drain_vms_count);
+	read_name_list(r, &child, json, "endpoints", CONF_ADDRESS,
+		       &conf->drain_endpoints, &conf->drain_endpoints_count);
 }
 
-/* Read and check a text; what is wrong stands in the reader's faults. */
+/* Parse and check a text; faults are added to the reader's. */
 static int read_text(struct conf_reader *r, struct dl_str text,
 		     struct dl_conf *conf)
 {
-	struct conf_at root = conf_at_root();
+	struct conf_path root = conf_path_root();
 	json_error_t error;
 	json_t *json;
 	int rc;
 
 	if (text.n > DL_CONF_TEXT_MAX) {
-		conf_fault(r, &root, "the text has %zu bytes, at most %u fit",
+		conf_fault(r, &root,
+			   "the text has %zu bytes, at most %u are allowed",
 			   text.n, DL_CONF_TEXT_MAX);
 		return -EINVAL;
 	}
 	json = json_loadb(text.s ? text.s : "", text.n, 0, &error);
 	if (!json) {
-		conf_fault(r, &root, "%.*s", SYNTAX_TEXT, error.text);
-		r->faults->at[0].line = error.line > 0 ? (uint32_t)error.line :
-							 1;
+		conf_fault(r, &root, "%.*s", SYNTAX_TEXT_MAX, error.text);
+		r->faults->items[0].line =
+			error.line > 0 ? (uint32_t)error.line : 1;
 		return json_error_code(&error) == json_error_out_of_memory ?
 			       -ENOMEM :
 			       -EINVAL;
 	}
 	rc = conf_lines_scan(r, text);
 	if (rc == 0) {
-		read_top(r, json, conf);
+		read_top_level(r, json, conf);
 		conf_check(r, conf);
 		conf->digest = dl_conf_digest(text);
 	}
@@ -598,14 +608,14 @@
 	return rc;
 }
 
-/* The digest of a text, also of one that is not parsed. */
+/* Return the digest of a text, which need not be valid. */
 uint64_t dl_conf_digest(struct dl_str text)
 {
 	return dl_hash(text, DIGEST_SEED);
 }
 
-/* Order faults by where they stand. */
-static int by_line(const void *a, const void *b)
+/* Order faults by line, then by path. */
+static int compare_faults(const void *a, const void *b)
 {
 	const struct dl_fault *fa = a, *fb = b;
 
@@ -615,9 +625,9 @@
 }
 
 /*
- * Read and check an operators' text.  0 and *out, which the caller frees; or
- * -EINVAL and every fault at once, in the order of their lines; or -ENOMEM.
- * faults must not be NULL; its count may pass DL_FAULTS_MAX.
+ * Parse and check a configuration text. Returns 0 and *out, which the caller
+ * frees; -EINVAL and all faults, ordered by line; or -ENOMEM. faults must not
+ * be NULL; its count may exceed DL_FAULTS_MAX.
  */
 int dl_conf_parse(struct dl_str text, struct dl_conf **out,
 		  struct dl_faults *faults)
@@ -632,7 +642,7 @@
 		return -ENOMEM;
 	rc = read_text(&r, text, conf);
 	conf_lines_free(&r.lines);
-	if (rc == 0 && r.no_memory)
+	if (rc == 0 && r.out_of_memory)
 		rc = -ENOMEM;
 	if (rc == 0 && faults->count)
 		rc = -EINVAL;
@@ -641,12 +651,12 @@
 		return 0;
 	}
 	kept = faults->count < DL_FAULTS_MAX ? faults->count : DL_FAULTS_MAX;
-	qsort(faults->at, kept, sizeof(faults->at[0]), by_line);
+	qsort(faults->items, kept, sizeof(faults->items[0]), compare_faults);
 	dl_conf_free(conf);
 	return rc;
 }
 
-/* Release a configuration; NULL is nothing to do. */
+/* Free a configuration, which may be NULL. */
 void dl_conf_free(struct dl_conf *conf)
 {
 	if (!conf)
@@ -666,7 +676,7 @@
 	free(conf);
 }
 
-/* The service of a name, or NULL. */
+/* Find a service by name, or NULL. */
 const struct dl_service_conf *dl_conf_service(const struct dl_conf *conf,
 					      struct dl_str name)
 {
@@ -677,7 +687,7 @@
 	return NULL;
 }
 
-/* The service that offers a model, or NULL; a model has one service. */
+/* Find the service that offers a model, or NULL; a model has one service. */
 const struct dl_service_conf *
 dl_conf_service_of_model(const struct dl_conf *conf, struct dl_str model)
 {
@@ -692,7 +702,10 @@
 	return NULL;
 }
 
-/* The workspace of a name, or NULL; by bisection, as each request asks. */
+/*
+ * Find a workspace by name, or NULL. A binary search, as it is done for each
+ * request.
+ */
 const struct dl_conf_workspace *dl_conf_workspace(const struct dl_conf *conf,
 						  struct dl_str name)
 {
@@ -702,10 +715,10 @@
 	    !dl_name_set(&key.limits.name, name))
 		return NULL;
 	return bsearch(&key, conf->workspaces, conf->workspaces_count,
-		       sizeof(key), by_name);
+		       sizeof(key), compare_workspaces);
 }
 
-/* The class of a name, or NULL. */
+/* Find a class by name, or NULL. */
 const struct dl_class_conf *dl_conf_class(const struct dl_conf *conf,
 					  struct dl_str name)
 {
--- a/src/state/conf_scan.c
+++ b/src/state/conf_scan.c
@@ -1,6 +1,6 @@
 /*
- * The line of every key and element of a text whose syntax is known to be
- * good, and the keys that stand twice in one object: jansson tells neither.
+ * Finds the line of each key and element, and duplicate keys, in a text of
+ * valid syntax; jansson reports neither.
  */
 #include <errno.h>
 #include <stdio.h>
@@ -19,69 +19,74 @@
 	const char *p;
 	const char *end;
 	uint32_t line;
-	uint32_t owners; /* objects and lists so far */
+	uint32_t containers; /* objects and lists found so far */
 	struct conf_reader *r;
 };
 
-static struct conf_at at_child(const struct conf_at *parent, struct dl_str word,
-			       const char *before);
+static struct conf_path append_path(const struct conf_path *parent,
+				    struct dl_str word, const char *separator);
 static size_t lines_slot(const struct conf_lines *lines, uint64_t hash);
-static void lines_put(struct conf_lines *lines, size_t slot, uint64_t hash,
-		      uint32_t line, uint32_t owner);
+static void lines_set(struct conf_lines *lines, size_t slot, uint64_t hash,
+		      uint32_t line, uint32_t container);
 static bool lines_grow(struct conf_lines *lines);
-static bool note(struct scan *s, const struct conf_at *at, uint32_t owner);
-static bool key_at(struct scan *s, const struct conf_at *parent,
-		   struct dl_str raw, struct conf_at *out);
+static bool record_line(struct scan *s, const struct conf_path *path,
+			uint32_t container);
+static bool key_path(struct scan *s, const struct conf_path *parent,
+		     struct dl_str raw, struct conf_path *out);
 static void skip_space(struct scan *s);
 static struct dl_str scan_string(struct scan *s);
-static bool scan_value(struct scan *s, const struct conf_at *at, int depth);
-static bool scan_object(struct scan *s, const struct conf_at *at, int depth);
-static bool scan_array(struct scan *s, const struct conf_at *at, int depth);
+static bool scan_value(struct scan *s, const struct conf_path *path, int depth);
+static bool scan_object(struct scan *s, const struct conf_path *path,
+			int depth);
+static bool scan_array(struct scan *s, const struct conf_path *path, int depth);
 
-/* The text as a whole. */
-struct conf_at conf_at_root(void)
+/* Return the path of the text as a whole. */
+struct conf_path conf_path_root(void)
 {
-	return (struct conf_at){ .hash = ROOT_HASH };
+	return (struct conf_path){ .hash = ROOT_HASH };
 }
 
-/* Append a word to a path, cut where it grows too long, and to its hash. */
-static struct conf_at at_child(const struct conf_at *parent, struct dl_str word,
-			       const char *before)
+/*
+ * Append a word to a path and its hash. A word that does not fit is left out of
+ * the text, but not of the hash.
+ */
+static struct conf_path append_path(const struct conf_path *parent,
+				    struct dl_str word, const char *separator)
 {
-	struct conf_at at;
-	size_t lead = parent->n ? strlen(before) : 0;
-	size_t room = sizeof(at.path) - 1 - parent->n;
-
-	memcpy(at.path, parent->path, parent->n);
-	at.n = parent->n;
-	if (lead + word.n <= room) {
-		memcpy(at.path + at.n, before, lead);
-		memcpy(at.path + at.n + lead, word.s, word.n);
-		at.n += lead + word.n;
+	struct conf_path path;
+	size_t separator_n = parent->n ? strlen(separator) : 0;
+	size_t room = sizeof(path.text) - 1 - parent->n;
+
+	memcpy(path.text, parent->text, parent->n);
+	path.n = parent->n;
+	if (separator_n + word.n <= room) {
+		memcpy(path.text + path.n, separator, separator_n);
+		memcpy(path.text + path.n + separator_n, word.s, word.n);
+		path.n += separator_n + word.n;
 	}
-	at.path[at.n] = '\0';
-	at.hash = XXH3_64bits_withSeed(word.s, word.n, parent->hash);
-	if (at.hash == 0)
-		at.hash = ROOT_HASH;
-	return at;
+	path.text[path.n] = '\0';
+	path.hash = XXH3_64bits_withSeed(word.s, word.n, parent->hash);
+	if (path.hash == 0)
+		path.hash = ROOT_HASH;
+	return path;
 }
 
-/* The place of a key within an object. */
-struct conf_at conf_at_key(const struct conf_at *parent, struct dl_str key)
+/* Return the path of a key in an object. */
+struct conf_path conf_path_key(const struct conf_path *parent,
+			       struct dl_str key)
 {
-	return at_child(parent, key, ".");
+	return append_path(parent, key, ".");
 }
 
-/* The place of an element within an array. */
-struct conf_at conf_at_index(const struct conf_at *parent, size_t index)
+/* Return the path of an element in an array. */
+struct conf_path conf_path_index(const struct conf_path *parent, size_t index)
 {
 	char word[32];
 
 	snprintf(word, sizeof(word), "[%zu]", index);
-	return at_child(parent, dl_str_of(word), "");
+	return append_path(parent, dl_str_of(word), "");
 }
 
-/* Double the table of lines. */
 static bool lines_grow(struct conf_lines *lines)
 {
 	struct conf_lines next = { .size = lines->size ? lines->size * 2 :
@@ -89,8 +94,8 @@
 
 	next.hash = calloc(next.size, sizeof(*next.hash));
 	next.line = calloc(next.size, sizeof(*next.line));
-	next.owner = calloc(next.size, sizeof(*next.owner));
-	if (!next.hash || !next.line || !next.owner) {
+	next.container = calloc(next.size, sizeof(*next.container));
+	if (!next.hash || !next.line || !next.container) {
 		conf_lines_free(&next);
 		return false;
 	}
@@ -98,15 +103,15 @@
 		uint64_t hash = lines->hash[i];
 
 		if (hash)
-			lines_put(&next, lines_slot(&next, hash), hash,
-				  lines->line[i], lines->owner[i]);
+			lines_set(&next, lines_slot(&next, hash), hash,
+				  lines->line[i], lines->container[i]);
 	}
 	conf_lines_free(lines);
 	*lines = next;
 	return true;
 }
 
-/* Where a path is in the table, or would be. */
+/* Return the slot of a path, or the free slot for it. */
 static size_t lines_slot(const struct conf_lines *lines, uint64_t hash)
 {
 	size_t i = hash & (lines->size - 1);
@@ -116,18 +121,18 @@
 	return i;
 }
 
-/* Note where a path stands; the last of several counts, as for jansson. */
-static void lines_put(struct conf_lines *lines, size_t slot, uint64_t hash,
-		      uint32_t line, uint32_t owner)
+/* Set the line of a path. Of duplicate keys the last counts, as in jansson. */
+static void lines_set(struct conf_lines *lines, size_t slot, uint64_t hash,
+		      uint32_t line, uint32_t container)
 {
 	if (!lines->hash[slot])
 		lines->used++;
 	lines->hash[slot] = hash;
 	lines->line[slot] = line;
-	lines->owner[slot] = owner;
+	lines->container[slot] = container;
 }
 
-/* The line of a path; 0 where the text does not have it. */
+/* Return the line of a path, or 0 if the text does not contain it. */
 uint32_t conf_lines_find(const struct conf_lines *lines, uint64_t hash)
 {
 	if (lines->size == 0)
@@ -135,60 +140,61 @@
 	return lines->line[lines_slot(lines, hash)];
 }
 
-/* Release the table of lines. */
 void conf_lines_free(struct conf_lines *lines)
 {
 	free(lines->hash);
 	free(lines->line);
-	free(lines->owner);
+	free(lines->container);
 	memset(lines, 0, sizeof(*lines));
 }
 
 /*
- * Note the present line for a path.  A key that the same object has already
- * is a fault; one of an earlier object under the same path is not, as that
- * object stands twice itself.
+ * Record the current line for a path. A duplicate key in the same object is a
+ * fault. The same path in an earlier object is not: that object was a duplicate
+ * itself and has been reported.
  */
-static bool note(struct scan *s, const struct conf_at *at, uint32_t owner)
+static bool record_line(struct scan *s, const struct conf_path *path,
+			uint32_t container)
 {
 	struct conf_lines *lines = &s->r->lines;
-	uint32_t before;
+	uint32_t previous_line;
 	size_t slot;
 
 	if (lines->used * 2 >= lines->size && !lines_grow(lines)) {
-		s->r->no_memory = true;
+		s->r->out_of_memory = true;
 		return false;
 	}
-	slot = lines_slot(lines, at->hash);
-	before = lines->owner[slot] == owner ? lines->line[slot] : 0;
-	lines_put(lines, slot, at->hash, s->line, owner);
-	if (before)
-		conf_fault(s->r, at, "this key stands twice, also on line %u",
-			   before);
+	slot = lines_slot(lines, path->hash);
+	previous_line =
+		lines->container[slot] == container ? lines->line[slot] : 0;
+	lines_set(lines, slot, path->hash, s->line, container);
+	if (previous_line)
+		conf_fault(s->r, path, "duplicate key, also on line %u",
+			   previous_line);
 	return true;
 }
 
-/* The place of a key as it stands in the text, with or without escapes. */
-static bool key_at(struct scan *s, const struct conf_at *parent,
-		   struct dl_str raw, struct conf_at *out)
+/* Return the path of a key given as raw bytes, which may contain escapes. */
+static bool key_path(struct scan *s, const struct conf_path *parent,
+		     struct dl_str raw, struct conf_path *out)
 {
 	json_t *key;
 
 	if (!memchr(raw.s, '\\', raw.n)) {
-		*out = conf_at_key(parent, raw);
+		*out = conf_path_key(parent, raw);
 		return true;
 	}
 	key = json_loadb(raw.s - 1, raw.n + 2, JSON_DECODE_ANY, NULL);
 	if (!key) {
-		s->r->no_memory = true;
+		s->r->out_of_memory = true;
 		return false;
 	}
-	*out = conf_at_key(parent, dl_str_of(json_string_value(key)));
+	*out = conf_path_key(parent, dl_str_of(json_string_value(key)));
 	json_decref(key);
 	return true;
 }
 
-/* Go to the next byte that is no white space, and count the lines passed. */
+/* Skip white space and count lines. */
 static void skip_space(struct scan *s)
 {
 	while (s->p < s->end && (*s->p == ' ' || *s->p == '\t' ||
@@ -199,7 +205,7 @@
 	}
 }
 
-/* Pass a string; the bytes between its quotes, escapes as they stand. */
+/* Skip a string; return the raw bytes between its quotes. */
 static struct dl_str scan_string(struct scan *s)
 {
 	const char *begin = ++s->p;
@@ -209,14 +215,14 @@
 	return (struct dl_str){ begin, (size_t)(s->p++ - begin) };
 }
 
-/* Pass the members of an object and note each key. */
-static bool scan_object(struct scan *s, const struct conf_at *at, int depth)
+/* Skip the members of an object and record the line of each key. */
+static bool scan_object(struct scan *s, const struct conf_path *path, int depth)
 {
-	uint32_t owner = ++s->owners;
+	uint32_t container = ++s->containers;
 
 	s->p++;
 	for (;;) {
-		struct conf_at child;
+		struct conf_path child;
 		struct dl_str key;
 
 		skip_space(s);
@@ -227,7 +233,8 @@
 			continue;
 		}
 		key = scan_string(s);
-		if (!key_at(s, at, key, &child) || !note(s, &child, owner))
+		if (!key_path(s, path, key, &child) ||
+		    !record_line(s, &child, container))
 			return false;
 		skip_space(s);
 		s->p++;
@@ -238,15 +245,15 @@
 	return true;
 }
 
-/* Pass the elements of an array and note each. */
-static bool scan_array(struct scan *s, const struct conf_at *at, int depth)
+/* Skip the elements of an array and record the line of each. */
+static bool scan_array(struct scan *s, const struct conf_path *path, int depth)
 {
-	uint32_t owner = ++s->owners;
+	uint32_t container = ++s->containers;
 	size_t index = 0;
 
 	s->p++;
 	for (;;) {
-		struct conf_at child;
+		struct conf_path child;
 
 		skip_space(s);
 		if (s->p >= s->end || *s->p == ']')
@@ -255,8 +262,8 @@
 			s->p++;
 			continue;
 		}
-		child = conf_at_index(at, index++);
-		if (!note(s, &child, owner) ||
+		child = conf_path_index(path, index++);
+		if (!record_line(s, &child, container) ||
 		    !scan_value(s, &child, depth + 1))
 			return false;
 	}
@@ -264,20 +271,20 @@
 	return true;
 }
 
-/* Pass one value with all that is in it. */
-static bool scan_value(struct scan *s, const struct conf_at *at, int depth)
+/* Skip a value, and record the lines of all that it contains. */
+static bool scan_value(struct scan *s, const struct conf_path *path, int depth)
 {
 	skip_space(s);
 	if (s->p >= s->end)
 		return true;
 	if (depth > DEPTH_MAX) {
-		conf_fault(s->r, at, "nested too deeply");
+		conf_fault(s->r, path, "nested too deeply");
 		return false;
 	}
 	if (*s->p == '{')
-		return scan_object(s, at, depth);
+		return scan_object(s, path, depth);
 	if (*s->p == '[')
-		return scan_array(s, at, depth);
+		return scan_array(s, path, depth);
 	if (*s->p == '"') {
 		scan_string(s);
 		return true;
@@ -288,15 +295,15 @@
 }
 
 /*
- * Note the line of every path of a text that jansson has read without a
- * fault.  0, or -ENOMEM, or -EINVAL where it is nested too deeply.
+ * Record the line of each path in a text that jansson has parsed. Returns 0,
+ * -ENOMEM, or -EINVAL if it is nested too deeply.
  */
 int conf_lines_scan(struct conf_reader *r, struct dl_str text)
 {
 	struct scan s = { text.s, text.s + text.n, 1, 0, r };
-	struct conf_at root = conf_at_root();
+	struct conf_path root = conf_path_root();
 
-	if (note(&s, &root, 0) && scan_value(&s, &root, 0))
+	if (record_line(&s, &root, 0) && scan_value(&s, &root, 0))
 		return 0;
-	return r->no_memory ? -ENOMEM : -EINVAL;
+	return r->out_of_memory ? -ENOMEM : -EINVAL;
 }
