--- a/bench/control_load.h
+++ b/bench/control_load.h
@@ -17,7 +17,7 @@
 #define LOAD_RENEWALS	  3    /* a lease */
 #define LOAD_WHEEL	  4096 /* ticks; longer than any request */
 #define LOAD_FRAME_LENGTH 4
-#define LOAD_KIND_FIRST	  20 /* DL_FRAME_ASK */
+#define LOAD_KIND_FIRST	  20 /* DL_FRAME_GRANT_REQUEST */
 #define LOAD_KINDS	  7  /* up to DL_FRAME_SUMMARY */
 #define LOAD_SLOTS	  256
 #define LOAD_STEP_MS	  1
--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -73,10 +73,10 @@
 
 	entry_reach_heard(e, from);
 	switch (frame->kind) {
-	case DL_FRAME_ANSWER:
+	case DL_FRAME_GRANT_REPLY:
 		on_answer(e, from, frame);
 		return;
-	case DL_FRAME_RENEW_GONE:
+	case DL_FRAME_RENEW_UNKNOWN:
 		entry_renew_gone(e, from, frame->body);
 		return;
 	case DL_FRAME_CMD_REPLY:
--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -257,7 +257,7 @@
 	if (unknown == 0)
 		return;
 	dl_numbers_pack(&pk, DL_STR(""), keys, unknown);
-	dl_peers_send(e->node.peers, from, DL_FRAME_WORDS_ASK, 0,
+	dl_peers_send(e->node.peers, from, DL_FRAME_REPORTS_REQUEST, 0,
 		      dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
 }
--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -83,8 +83,8 @@
 	struct dl_packer pk;
 
 	dl_ask_pack(&pk, &c->ask, entry_now(e));
-	if (dl_peers_send(e->node.peers, c->dispatcher, DL_FRAME_ASK, c->ask_id,
-			  dl_packer_bytes(&pk)))
+	if (dl_peers_send(e->node.peers, c->dispatcher, DL_FRAME_GRANT_REQUEST,
+			  c->ask_id, dl_packer_bytes(&pk)))
 		c->ask_again_at = entry_now(e) + ASK_AGAIN_MS;
 	dl_packer_close(&pk);
 }
@@ -179,7 +179,7 @@
 	    c->grant.endpoints != 1)
 		return;
 	if (c->dispatcher != c->e->node.self) {
-		send_number(c, DL_FRAME_FIRST, c->grant.grant);
+		send_number(c, DL_FRAME_FIRST_EVENT, c->grant.grant);
 		return;
 	}
 	p = entry_pool_find(c->e, service_of(c));
--- a/src/main/entry_lease.c
+++ b/src/main/entry_lease.c
@@ -88,7 +88,7 @@
 
 	dl_packer_open(&pk, 1);
 	dl_pack_u64(&pk, e->version);
-	dl_peers_send(e->node.peers, replica, DL_FRAME_LEASE_ASK,
+	dl_peers_send(e->node.peers, replica, DL_FRAME_LEASE_REQUEST,
 		      (uint64_t)e->lease.requested_at, dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
 }
--- a/src/main/entry_pool.c
+++ b/src/main/entry_pool.c
@@ -42,14 +42,14 @@
 };
 
 static const struct frame_handler handlers[] = {
-	{ DL_FRAME_ASK, on_ask },
+	{ DL_FRAME_GRANT_REQUEST, on_ask },
 	{ DL_FRAME_CANCEL, on_cancel },
 	{ DL_FRAME_RENEW, on_renew },
 	{ DL_FRAME_RELEASE, on_release },
-	{ DL_FRAME_FIRST, on_first },
+	{ DL_FRAME_FIRST_EVENT, on_first },
 	{ DL_FRAME_REPORT, entry_announce_frame },
-	{ DL_FRAME_WORDS, entry_announce_words },
-	{ DL_FRAME_ALIVE, entry_announce_alive },
+	{ DL_FRAME_REPORTS, entry_announce_words },
+	{ DL_FRAME_UNCHANGED, entry_announce_alive },
 	{ DL_FRAME_SUMMARY, entry_far_frame },
 	{ DL_FRAME_ADOPT, on_adopt },
 	{ DL_FRAME_LIMIT, entry_limit_frame },
@@ -237,7 +237,7 @@
 		return;
 	}
 	dl_answer_pack(&pk, f, entry_now(e));
-	dl_peers_send(e->node.peers, f->answer.entry, DL_FRAME_ANSWER,
+	dl_peers_send(e->node.peers, f->answer.entry, DL_FRAME_GRANT_REPLY,
 		      f->answer.request, dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
 }
@@ -433,7 +433,7 @@
 	if (gone == 0)
 		return;
 	dl_numbers_pack(&pk, dl_name_str(&service), grants, gone);
-	dl_peers_send(e->node.peers, from, DL_FRAME_RENEW_GONE, 0,
+	dl_peers_send(e->node.peers, from, DL_FRAME_RENEW_UNKNOWN, 0,
 		      dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
 }
--- a/src/main/node.c
+++ b/src/main/node.c
@@ -58,7 +58,7 @@
 {
 	struct dl_node *node = arg;
 
-	if (frame->kind != DL_FRAME_MEMB) {
+	if (frame->kind != DL_FRAME_MEMBERSHIP) {
 		node->ops->frame(node->arg, from, frame);
 		return;
 	}
@@ -92,7 +92,7 @@
 
 	while (dl_memb_next_datagram(node->memb, dl_node_now(node), &to, buf,
 				     &n))
-		dl_peers_post(node->peers, to, DL_FRAME_MEMB, 0,
+		dl_peers_post(node->peers, to, DL_FRAME_MEMBERSHIP, 0,
 			      (struct dl_str){ buf, n });
 	while (dl_memb_next_event(node->memb, &member)) {
 		if (node->ops->member)
--- a/src/main/replica.c
+++ b/src/main/replica.c
@@ -108,7 +108,7 @@
 	case DL_FRAME_RLOG:
 		on_rlog(r, from, frame->body);
 		return;
-	case DL_FRAME_RLOG_SMALL:
+	case DL_FRAME_RLOG_DEFLATED:
 		on_small_rlog(r, from, frame->body);
 		return;
 	case DL_FRAME_CMD:
@@ -117,7 +117,7 @@
 	case DL_FRAME_CONF_PULL:
 		replica_conf_pull(r, from, frame);
 		return;
-	case DL_FRAME_LEASE_ASK:
+	case DL_FRAME_LEASE_REQUEST:
 		replica_lease_frame(r, from, frame);
 		return;
 	case DL_FRAME_REPORT:
@@ -126,7 +126,7 @@
 	case DL_FRAME_CRASHES:
 		replica_quarantine_frame(r, frame);
 		return;
-	case DL_FRAME_WORDS_ASK:
+	case DL_FRAME_REPORTS_REQUEST:
 		replica_alive_asked(r, from, frame);
 		return;
 	case DL_FRAME_QUERY:
@@ -225,7 +225,7 @@
 		replica_send(r, to, DL_FRAME_RLOG, 0, body);
 		return;
 	}
-	replica_send(r, to, DL_FRAME_RLOG_SMALL, 0,
+	replica_send(r, to, DL_FRAME_RLOG_DEFLATED, 0,
 		     (struct dl_str){ small, n });
 	free(small);
 }
--- a/src/main/replica_alive.c
+++ b/src/main/replica_alive.c
@@ -80,7 +80,7 @@
 
 	if (words_of(r->alive, keys, count, &body, &n))
 		return;
-	replica_to_members(r, false, DL_FRAME_WORDS,
+	replica_to_members(r, false, DL_FRAME_REPORTS,
 			   (struct dl_str){ body, n });
 	free(body);
 }
@@ -90,7 +90,7 @@
 	struct dl_packer pk;
 
 	dl_numbers_pack(&pk, DL_STR(""), keys, count);
-	replica_to_members(r, false, DL_FRAME_ALIVE, dl_packer_bytes(&pk));
+	replica_to_members(r, false, DL_FRAME_UNCHANGED, dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
 }
 
@@ -185,7 +185,7 @@
 	}
 	if (known == 0 || words_of(r->alive, keys, known, &body, &n))
 		return;
-	replica_send(r, from, DL_FRAME_WORDS, 0, (struct dl_str){ body, n });
+	replica_send(r, from, DL_FRAME_REPORTS, 0, (struct dl_str){ body, n });
 	free(body);
 }
 
--- a/src/transport/peers.h
+++ b/src/transport/peers.h
@@ -18,36 +18,36 @@
 
 /* What frames are for; numbers never change their meaning. */
 enum dl_frame_kind {
-	DL_FRAME_HELLO = 1,   /* peers' own */
-	DL_FRAME_PING = 2,    /* peers' own */
-	DL_FRAME_PONG = 3,    /* peers' own */
-	DL_FRAME_MEMB = 10,   /* datagram of src/coordination/memb */
-	DL_FRAME_ASK = 20,    /* entry to dispatcher */
-	DL_FRAME_ANSWER = 21, /* dispatcher to entry */
+	DL_FRAME_HELLO = 1,	     /* peers' own */
+	DL_FRAME_PING = 2,	     /* peers' own */
+	DL_FRAME_PONG = 3,	     /* peers' own */
+	DL_FRAME_MEMBERSHIP = 10,    /* datagram of src/coordination/memb */
+	DL_FRAME_GRANT_REQUEST = 20, /* entry to dispatcher */
+	DL_FRAME_GRANT_REPLY = 21,   /* dispatcher to entry */
 	DL_FRAME_CANCEL = 22,
 	DL_FRAME_RENEW = 23,
 	DL_FRAME_RELEASE = 24,
-	DL_FRAME_REPORT = 25,	  /* an endpoint's announcement, passed on */
-	DL_FRAME_SUMMARY = 26,	  /* a pool in one line */
-	DL_FRAME_RENEW_GONE = 27, /* the dispatcher does not know a grant */
-	DL_FRAME_ADOPT = 28,	  /* entry tells a new dispatcher a grant */
-	DL_FRAME_FIRST = 29,	  /* the first event of a grant came */
-	DL_FRAME_ALIVE = 30,	  /* endpoints that say the same, by keys */
-	DL_FRAME_WORDS_ASK = 31,  /* entry to replica: the words of keys */
-	DL_FRAME_WORDS = 32,	  /* announcements of many endpoints */
-	DL_FRAME_CRASHES = 33,	  /* of endpoints under requests */
-	DL_FRAME_LIMIT = 34,	  /* entry to dispatcher: an endpoint's own */
-	DL_FRAME_RLOG = 40,	  /* replica to replica */
-	DL_FRAME_RLOG_SMALL = 50, /* the same, deflated */
-	DL_FRAME_CMD = 41,	  /* entry to replica: a cstore command */
+	DL_FRAME_REPORT = 25,	     /* an endpoint's announcement, passed on */
+	DL_FRAME_SUMMARY = 26,	     /* a pool in one line */
+	DL_FRAME_RENEW_UNKNOWN = 27, /* the dispatcher does not know a grant */
+	DL_FRAME_ADOPT = 28,	     /* entry tells a new dispatcher a grant */
+	DL_FRAME_FIRST_EVENT = 29,   /* the first event of a grant came */
+	DL_FRAME_UNCHANGED = 30,     /* endpoints that say the same, by keys */
+	DL_FRAME_REPORTS_REQUEST = 31, /* entry to replica: the words of keys */
+	DL_FRAME_REPORTS = 32,	       /* announcements of many endpoints */
+	DL_FRAME_CRASHES = 33,	       /* of endpoints under requests */
+	DL_FRAME_LIMIT = 34, /* entry to dispatcher: an endpoint's own */
+	DL_FRAME_RLOG = 40,  /* replica to replica */
+	DL_FRAME_RLOG_DEFLATED = 50, /* the same, deflated */
+	DL_FRAME_CMD = 41,	     /* entry to replica: a cstore command */
 	DL_FRAME_CMD_REPLY = 42,
 	DL_FRAME_CONF_PULL = 43, /* who has a newer version than mine */
 	DL_FRAME_CONF_PUSH = 44, /* a version with its text */
 	DL_FRAME_QUERY = 45,	 /* entry to replica: history, status, get */
 	DL_FRAME_QUERY_REPLY = 46,
-	DL_FRAME_LEASE_ASK = 48, /* entry to replica: what is in force */
-	DL_FRAME_LEASE = 49,	 /* the leader's word */
-	DL_FRAME_CONF_ACK = 47,	 /* this version is in force here */
+	DL_FRAME_LEASE_REQUEST = 48, /* entry to replica: what is in force */
+	DL_FRAME_LEASE = 49,	     /* the leader's word */
+	DL_FRAME_CONF_ACK = 47,	     /* this version is in force here */
 };
 
 struct dl_frame {
--- a/test/test_peers.c
+++ b/test/test_peers.c
@@ -92,17 +92,19 @@
 
 	open_side(&a, VM(1, 7001), 1);
 	open_side(&b, VM(2, 7001), 1);
-	dl_peers_send(a.peers, VM(2, 7001), DL_FRAME_ASK, 1, DL_STR(""));
-	dl_peers_send(a.peers, VM(2, 7001), DL_FRAME_ASK, 2, DL_STR("x"));
+	dl_peers_send(a.peers, VM(2, 7001), DL_FRAME_GRANT_REQUEST, 1,
+		      DL_STR(""));
+	dl_peers_send(a.peers, VM(2, 7001), DL_FRAME_GRANT_REQUEST, 2,
+		      DL_STR("x"));
 	dl_peers_send(a.peers, VM(2, 7001), DL_FRAME_RLOG, 3,
 		      (struct dl_str){ big, 5u << 20 });
 	run_until(&b.frames, 3);
 	ck_assert_uint_eq(b.last_n, 5u << 20);
-	ck_assert_int_eq(dl_peers_post(b.peers, VM(1, 7001), DL_FRAME_MEMB, 0,
-				       DL_STR("ping")),
+	ck_assert_int_eq(dl_peers_post(b.peers, VM(1, 7001),
+				       DL_FRAME_MEMBERSHIP, 0, DL_STR("ping")),
 			 0);
 	run_until(&a.frames, 1);
-	ck_assert_uint_eq(a.last_kind, DL_FRAME_MEMB);
+	ck_assert_uint_eq(a.last_kind, DL_FRAME_MEMBERSHIP);
 	dl_peers_close(a.peers);
 	dl_peers_close(b.peers);
 	free(big);
@@ -114,10 +116,12 @@
 	struct side a, b;
 
 	open_side(&a, VM(1, 7002), 1);
-	dl_peers_send(a.peers, VM(2, 7002), DL_FRAME_ASK, 1, DL_STR("x"));
+	dl_peers_send(a.peers, VM(2, 7002), DL_FRAME_GRANT_REQUEST, 1,
+		      DL_STR("x"));
 	run_until(&a.downs, 1);
 	open_side(&b, VM(2, 7002), 1);
-	dl_peers_send(a.peers, VM(2, 7002), DL_FRAME_ASK, 1, DL_STR("x"));
+	dl_peers_send(a.peers, VM(2, 7002), DL_FRAME_GRANT_REQUEST, 1,
+		      DL_STR("x"));
 	run_until(&b.frames, 1);
 	dl_peers_close(b.peers);
 	run_until(&a.downs, 2);
@@ -150,7 +154,8 @@
 	ck_assert_int_eq(uv_tcp_bind(&mute, (void *)&sin, 0), 0);
 	ck_assert_int_eq(uv_listen((uv_stream_t *)&mute, 8, on_mute), 0);
 	open_side(&a, VM(1, 7003), 1);
-	dl_peers_send(a.peers, VM(9, 7003), DL_FRAME_ASK, 1, DL_STR("x"));
+	dl_peers_send(a.peers, VM(9, 7003), DL_FRAME_GRANT_REQUEST, 1,
+		      DL_STR("x"));
 	run_until(&a.downs, 1);
 	ck_assert_int_gt(dl_metric_read(DL_METRIC_peer_silent), before);
 	dl_peers_close(a.peers);
@@ -197,7 +202,8 @@
 	uv_tcp_connect(&connect, &raw, (void *)&sin, on_raw_connect);
 	raw_done = 0;
 	run_until(&raw_done, 1);
-	dl_peers_send(b.peers, VM(1, 7004), DL_FRAME_ASK, 1, DL_STR("x"));
+	dl_peers_send(b.peers, VM(1, 7004), DL_FRAME_GRANT_REQUEST, 1,
+		      DL_STR("x"));
 	run_until(&a.frames, 1);
 	for (int i = 0; i < TURNS_MAX &&
 			dl_metric_read(DL_METRIC_peer_bad_frames) == before;
@@ -216,11 +222,13 @@
 
 	open_side(&a, VM(1, 7005), 1);
 	open_side(&old, VM(2, 7005), 1);
-	dl_peers_send(old.peers, VM(1, 7005), DL_FRAME_ASK, 1, DL_STR("x"));
+	dl_peers_send(old.peers, VM(1, 7005), DL_FRAME_GRANT_REQUEST, 1,
+		      DL_STR("x"));
 	run_until(&a.frames, 1);
 	dl_peers_close(old.peers);
 	open_side(&new, VM(2, 7005), 2);
-	dl_peers_send(new.peers, VM(1, 7005), DL_FRAME_ASK, 1, DL_STR("xy"));
+	dl_peers_send(new.peers, VM(1, 7005), DL_FRAME_GRANT_REQUEST, 1,
+		      DL_STR("xy"));
 	run_until(&a.frames, 2);
 	ck_assert_uint_eq(a.last_n, 2);
 	dl_peers_close(a.peers);
