--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -193,7 +193,7 @@
 	if (!again)
 		e->stop_at = entry_now(e);
 	for (uint32_t i = 0; i < e->listeners_count; i++)
-		dl_httpd_last_answers(e->listeners[i].httpd);
+		dl_httpd_close_after_responses(e->listeners[i].httpd);
 	dl_memb_update_self(e->node.memb, true, e->version, entry_now(e));
 	if (again)
 		entry_calls_abort(e);
--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -35,7 +35,7 @@
 /* Host counts as hop-by-hop: the endpoint's replaces the caller's. */
 static bool is_hop_header(struct dl_str name)
 {
-	return dl_header_is_hop(name) || dl_header_is(name, "host");
+	return dl_header_is_hop_by_hop(name) || dl_header_is(name, "host");
 }
 
 /* Fills in the headers that every endpoint gets; returns how many. */
@@ -312,7 +312,7 @@
 	c->first_byte_at = entry_now(c->e);
 	entry_call_span(c, "first_token", c->attempt_at,
 			c->grant.endpoint[0].s);
-	dl_httpc_set_gap(c->attempt, c->gap_ms);
+	dl_httpc_set_idle_timeout(c->attempt, c->gap_ms);
 }
 
 /*
--- a/src/main/node.c
+++ b/src/main/node.c
@@ -92,8 +92,8 @@
 
 	while (dl_memb_next_datagram(node->memb, dl_node_now(node), &to, buf,
 				     &n))
-		dl_peers_post(node->peers, to, DL_FRAME_MEMBERSHIP, 0,
-			      (struct dl_str){ buf, n });
+		dl_peers_send_datagram(node->peers, to, DL_FRAME_MEMBERSHIP, 0,
+				       (struct dl_str){ buf, n });
 	while (dl_memb_next_event(node->memb, &member)) {
 		if (node->ops->member)
 			node->ops->member(node->arg, &member);
@@ -104,18 +104,18 @@
 static void read_cut(struct dl_node *node)
 {
 	FILE *f = fopen(node->settings.cut_file, "re");
-	uint64_t vms[DL_PEERS_CUT_MAX];
+	uint64_t vms[DL_PEERS_BLOCKED_MAX];
 	char line[64];
 	uint32_t n = 0;
 
-	while (f && n < DL_PEERS_CUT_MAX && fgets(line, sizeof(line), f)) {
+	while (f && n < DL_PEERS_BLOCKED_MAX && fgets(line, sizeof(line), f)) {
 		line[strcspn(line, "\n")] = '\0';
 		if (dl_vm_parse(dl_str_of(line), &vms[n]))
 			n++;
 	}
 	if (f)
 		fclose(f);
-	dl_peers_cut(node->peers, vms, n);
+	dl_peers_block(node->peers, vms, n);
 }
 
 /* When the file was last changed, 0 where it cannot be told. */
--- a/src/transport/header.c
+++ b/src/transport/header.c
@@ -27,7 +27,7 @@
 }
 
 /* Whether a header concerns one connection only, and is not passed on. */
-bool dl_header_is_hop(struct dl_str name)
+bool dl_header_is_hop_by_hop(struct dl_str name)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(hop_names); i++) {
 		if (dl_header_is(name, hop_names[i]))
--- a/src/transport/httpc.c
+++ b/src/transport/httpc.c
@@ -637,7 +637,7 @@
 }
 
 /* Change the bound on silence; it counts from the next byte on. */
-void dl_httpc_set_gap(struct dl_httpc_call *call, uint32_t gap_ms)
+void dl_httpc_set_idle_timeout(struct dl_httpc_call *call, uint32_t gap_ms)
 {
 	call->gap_ms = gap_ms;
 }
--- a/src/transport/httpc.h
+++ b/src/transport/httpc.h
@@ -22,7 +22,7 @@
 /* Whether a header has a name, which is given in lower case. */
 bool dl_header_is(struct dl_str name, const char *lower);
 /* Whether a header concerns one connection only, and is not passed on. */
-bool dl_header_is_hop(struct dl_str name);
+bool dl_header_is_hop_by_hop(struct dl_str name);
 
 struct dl_httpc_req {
 	uint64_t to; /* address as a packed ip and port */
@@ -81,7 +81,7 @@
 				     const struct dl_httpc_ops *ops, void *arg);
 void dl_httpc_resume(struct dl_httpc_call *call);
 /* From now on, the longest silence allowed. */
-void dl_httpc_set_gap(struct dl_httpc_call *call, uint32_t gap_ms);
+void dl_httpc_set_idle_timeout(struct dl_httpc_call *call, uint32_t gap_ms);
 /* How far the call has come. */
 struct dl_attempt dl_httpc_progress(const struct dl_httpc_call *call);
 /* Give up: the connection is closed, no callback follows. */
--- a/src/transport/httpd.c
+++ b/src/transport/httpd.c
@@ -291,7 +291,7 @@
  * Close each connection after its answer, and say so in it: callers that keep
  * connections would else go on sending to a process that stops.
  */
-void dl_httpd_last_answers(struct dl_httpd *server)
+void dl_httpd_close_after_responses(struct dl_httpd *server)
 {
 	server->last_answers = true;
 }
--- a/src/transport/httpd.h
+++ b/src/transport/httpd.h
@@ -36,7 +36,7 @@
 		  const struct dl_httpd_ops *ops, void *arg,
 		  struct dl_httpd **out, struct dl_err *err);
 /* From now on every answer is the last of its connection. */
-void dl_httpd_last_answers(struct dl_httpd *server);
+void dl_httpd_close_after_responses(struct dl_httpd *server);
 /* Accept nothing more; answers in flight go on. */
 void dl_httpd_stop_accepting(struct dl_httpd *server);
 void dl_httpd_close(struct dl_httpd *server);
--- a/src/transport/peers.c
+++ b/src/transport/peers.c
@@ -63,7 +63,7 @@
 	uv_udp_t udp;
 	uv_timer_t timer;
 	struct conn *conns;
-	uint64_t cut[DL_PEERS_CUT_MAX];
+	uint64_t cut[DL_PEERS_BLOCKED_MAX];
 	uint32_t cut_count;
 	unsigned handles; /* not yet closed */
 	bool closing;
@@ -208,9 +208,10 @@
 }
 
 /* Cut these off, and nobody else. */
-void dl_peers_cut(struct dl_peers *peers, const uint64_t *vms, uint32_t count)
+void dl_peers_block(struct dl_peers *peers, const uint64_t *vms, uint32_t count)
 {
-	peers->cut_count = count < DL_PEERS_CUT_MAX ? count : DL_PEERS_CUT_MAX;
+	peers->cut_count = count < DL_PEERS_BLOCKED_MAX ? count :
+							  DL_PEERS_BLOCKED_MAX;
 	if (peers->cut_count)
 		memcpy(peers->cut, vms, peers->cut_count * sizeof(*vms));
 }
@@ -569,8 +570,8 @@
 }
 
 /* Send one datagram; lost silently, as datagrams are. */
-int dl_peers_post(struct dl_peers *peers, uint64_t to, uint32_t kind,
-		  uint64_t request, struct dl_str body)
+int dl_peers_send_datagram(struct dl_peers *peers, uint64_t to, uint32_t kind,
+			   uint64_t request, struct dl_str body)
 {
 	struct sockaddr_in sin = vm_sockaddr(to);
 	msgpack_sbuffer out;
--- a/src/transport/peers.h
+++ b/src/transport/peers.h
@@ -85,9 +85,10 @@
  * For tests: nothing more passes between this process and these, either way,
  * and nobody is told, as behind a silent partition.  Replaces the last list.
  */
-#define DL_PEERS_CUT_MAX 64
+#define DL_PEERS_BLOCKED_MAX 64
 
-void dl_peers_cut(struct dl_peers *peers, const uint64_t *vms, uint32_t count);
+void dl_peers_block(struct dl_peers *peers, const uint64_t *vms,
+		    uint32_t count);
 
 /*
  * Queue a frame on the connection to a VM, opening one where needed.
@@ -97,7 +98,7 @@
 int dl_peers_send(struct dl_peers *peers, uint64_t to, uint32_t kind,
 		  uint64_t request, struct dl_str body);
 /* The same as one datagram; body at most 1,200 bytes. */
-int dl_peers_post(struct dl_peers *peers, uint64_t to, uint32_t kind,
-		  uint64_t request, struct dl_str body);
+int dl_peers_send_datagram(struct dl_peers *peers, uint64_t to, uint32_t kind,
+			   uint64_t request, struct dl_str body);
 
 #endif
--- a/test/test_peers.c
+++ b/test/test_peers.c
@@ -100,8 +100,9 @@
 		      (struct dl_str){ big, 5u << 20 });
 	run_until(&b.frames, 3);
 	ck_assert_uint_eq(b.last_n, 5u << 20);
-	ck_assert_int_eq(dl_peers_post(b.peers, VM(1, 7001),
-				       DL_FRAME_MEMBERSHIP, 0, DL_STR("ping")),
+	ck_assert_int_eq(dl_peers_send_datagram(b.peers, VM(1, 7001),
+						DL_FRAME_MEMBERSHIP, 0,
+						DL_STR("ping")),
 			 0);
 	run_until(&a.frames, 1);
 	ck_assert_uint_eq(a.last_kind, DL_FRAME_MEMBERSHIP);
