--- a/src/main/cli_http.c
+++ b/src/main/cli_http.c
@@ -103,14 +103,14 @@
 	char signature[DL_SIGNATURE_MAX];
 	struct attempt a = { .body = g_string_new(NULL) };
 	struct dl_httpc_req r = {
-		.to = to,
+		.address = to,
 		.method = dl_str_of(req->method),
 		.path = dl_str_of(req->path),
 		.headers = headers,
 		.headers_count = fill_headers(cli, req, headers, signature),
 		.body = dl_str_of(req->body),
 		.connect_ms = (uint32_t)MIN(CONNECT_MS, timeout_ms),
-		.gap_ms = (uint32_t)MIN(GAP_MS, timeout_ms),
+		.idle_ms = (uint32_t)MIN(GAP_MS, timeout_ms),
 	};
 	struct dl_httpc *client;
 	uv_loop_t loop;
--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -48,7 +48,7 @@
 
 static const struct dl_httpd_ops httpd_ops = {
 	.request = entry_http_request,
-	.gone = on_gone,
+	.aborted = on_gone,
 	.drained = on_drained,
 };
 
--- a/src/main/entry_quarantine.c
+++ b/src/main/entry_quarantine.c
@@ -25,7 +25,7 @@
 static void on_probed(void *arg, const struct dl_attempt *attempt,
 		      const struct dl_err *err);
 
-static const struct dl_httpc_ops probe_ops = { .ready = on_connected,
+static const struct dl_httpc_ops probe_ops = { .connected = on_connected,
 					       .end = on_probed };
 
 /* Nothing is known yet. */
@@ -82,11 +82,11 @@
 static void probe_now(struct probe *probe)
 {
 	struct dl_httpc_req req = {
-		.to = probe->address,
+		.address = probe->address,
 		.method = DL_STR("GET"),
 		.path = DL_STR("/"),
 		.connect_ms = PROBE_CONNECT_MS,
-		.gap_ms = PROBE_CONNECT_MS,
+		.idle_ms = PROBE_CONNECT_MS,
 	};
 
 	probe->under_way = true;
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -150,7 +150,7 @@
 	struct dl_header callers[DL_DIALECT_HEADERS_MAX];
 	struct dl_header headers[DL_DIALECT_HEADERS_MAX + 8];
 	char text[DL_DIALECT_TEXT_MAX];
-	struct dl_httpc_req req = { .to = to, .headers = headers };
+	struct dl_httpc_req req = { .address = to, .headers = headers };
 	struct dl_outbound out;
 	size_t n;
 
@@ -163,9 +163,9 @@
 	req.host = dl_httpd_authority(c->http);
 	req.body = dl_httpd_body(c->http);
 	req.connect_ms = c->connect_ms;
-	req.gap_ms = silence_limit_ms(c);
-	req.close_ends = true;
-	req.keep = c->idempotent;
+	req.idle_ms = silence_limit_ms(c);
+	req.close_delimited = true;
+	req.reuse = c->idempotent;
 	c->attempt = dl_httpc_start(c->e->httpc, &req, &relay_ops, c);
 }
 
--- a/src/main/entry_reservation.c
+++ b/src/main/entry_reservation.c
@@ -70,10 +70,10 @@
 	char text[DL_DIALECT_TEXT_MAX];
 	struct dl_httpc_req req = { .headers = headers,
 				    .connect_ms = CONNECT_MS,
-				    .gap_ms = RESPONSE_MS,
-				    .close_ends = true };
+				    .idle_ms = RESPONSE_MS,
+				    .close_delimited = true };
 
-	if (!dl_vm_parse(dl_name_str(&r->address), &req.to))
+	if (!dl_vm_parse(dl_name_str(&r->address), &req.address))
 		return NULL;
 	platform_dialect.reservation(&what, &req, headers, text);
 	return dl_httpc_start(e->httpc, &req, ops, arg);
--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -98,13 +98,13 @@
 static void send_attempt(struct call *c, uint64_t to)
 {
 	struct dl_header headers[HEADERS_MAX];
-	struct dl_httpc_req req = { .to = to, .headers = headers };
+	struct dl_httpc_req req = { .address = to, .headers = headers };
 	char left[24], offset[24];
 	size_t n;
 
 	n = fill_own_headers(c, headers, left, sizeof(left));
 	req.connect_ms = c->connect_ms;
-	req.gap_ms =
+	req.idle_ms =
 		c->gap_ms + c->grant.predicted_ttft_ms * FIRST_TOKEN_FACTOR;
 	if (c->kind == DL_POOL_PLAIN) {
 		req.method = dl_httpd_method(c->http);
@@ -114,7 +114,7 @@
 	} else {
 		req.method = DL_STR("POST");
 		req.path = DL_STR("/v1/completions");
-		req.body_first = dl_str_of(c->body_first);
+		req.body_prefix = dl_str_of(c->body_first);
 		req.body = dl_completion_rest(&c->completion);
 		headers[n++] = (struct dl_header){ DL_STR("Content-Type"),
 						   DL_STR("application/json") };
@@ -170,12 +170,12 @@
 	char path[REQUEST_ID_TEXT + 16];
 
 	if (c->routed || c->kind != DL_POOL_MODEL || !c->granted ||
-	    !dl_vm_parse(dl_name_str(&c->grant.endpoint[0]), &req.to))
+	    !dl_vm_parse(dl_name_str(&c->grant.endpoint[0]), &req.address))
 		return;
 	snprintf(path, sizeof(path), "/v1/requests/%s", c->id_text);
 	req.path = dl_str_of(path);
 	req.connect_ms = c->connect_ms;
-	req.gap_ms = c->gap_ms;
+	req.idle_ms = c->gap_ms;
 	dl_httpc_start(c->e->httpc, &req, &no_callbacks, NULL);
 }
 
--- a/src/main/replica_door.c
+++ b/src/main/replica_door.c
@@ -44,7 +44,7 @@
 
 static const struct dl_httpd_ops httpd_ops = {
 	.request = on_request,
-	.gone = on_gone,
+	.aborted = on_gone,
 	.drained = on_drained,
 };
 
--- a/src/main/replica_orders.c
+++ b/src/main/replica_orders.c
@@ -50,7 +50,7 @@
 
 static const struct dl_httpc_ops call_ops = {
 	.end = on_end,
-	.ready = on_ready,
+	.connected = on_ready,
 };
 
 /* Start without orders; -ENOMEM. */
@@ -126,8 +126,8 @@
 	req.connect_ms = CONNECT_MS;
 	/* Connecting takes its part of the time before the order is given up.
 	 */
-	req.gap_ms = (uint32_t)MAX(left - CONNECT_MS, 1);
-	if (!dl_vm_parse(dl_name_str(&order->endpoint), &req.to) ||
+	req.idle_ms = (uint32_t)MAX(left - CONNECT_MS, 1);
+	if (!dl_vm_parse(dl_name_str(&order->endpoint), &req.address) ||
 	    !dl_httpc_start(r->orders->httpc, &req, &call_ops, c)) {
 		dl_orders_result(r->orders->plan, order->id, DL_ORDER_FAILED,
 				 replica_now(r));
--- a/src/transport/httpc.c
+++ b/src/transport/httpc.c
@@ -43,7 +43,7 @@
 	struct dl_httpc *client;
 	struct dl_httpc_call *call; /* NULL while it is kept, or closing */
 	struct conn *next;	    /* of those kept */
-	uint64_t to;
+	uint64_t address;
 	struct dl_conn_usage age;
 	uint32_t idle_ms; /* how long it may be kept idle */
 	bool writing;
@@ -67,14 +67,14 @@
 	void *arg;
 	struct dl_attempt attempt;
 	struct dl_err err;
-	uint64_t to;
-	uint32_t gap_ms, head_ms;
+	uint64_t address;
+	uint32_t idle_ms, head_ms;
 	char *head; /* request line and headers */
 	size_t head_n;
 	struct dl_str body;
 	bool is_head_method;
-	bool close_ends;
-	bool keep;
+	bool close_delimited;
+	bool reuse;
 	bool framed; /* the answer tells its own length */
 	bool paused;
 	bool ended; /* end() is due at the next timer */
@@ -233,8 +233,8 @@
 	call->conn = NULL;
 	call->attempt.failure = broke;
 	if (broke != DL_FAILURE_NONE)
-		dl_err_set(&call->err, -EIO, step, dl_vm_text(call->to, peer),
-			   "%s", why);
+		dl_err_set(&call->err, -EIO, step,
+			   dl_vm_text(call->address, peer), "%s", why);
 	arm(call, 0);
 	call->ended = true;
 }
@@ -380,7 +380,7 @@
 	head.headers_count = view_headers(call, views);
 	if (bodyless)
 		call->framed = true;
-	arm(call, call->gap_ms);
+	arm(call, call->idle_ms);
 	if (call->ops->head)
 		call->ops->head(call->arg, &head);
 	return bodyless ? 1 : 0;
@@ -393,7 +393,7 @@
 
 	if (!call)
 		return 1;
-	arm(call, call->gap_ms);
+	arm(call, call->idle_ms);
 	if (call->ops->body && !call->ops->body(call->arg, piece) &&
 	    call_of(parser))
 		call->paused = true;
@@ -432,14 +432,14 @@
 {
 	struct conn *conn = call->conn;
 
-	if (!call->framed && !call->close_ends) {
+	if (!call->framed && !call->close_delimited) {
 		end_soon(call, DL_FAILURE_BAD_RESPONSE, DL_STEP_BODY,
 			 "the answer does not tell its length");
 		return;
 	}
 	if (call->attempt.received != DL_RECV_NOT_RUN)
 		call->attempt.received = DL_RECV_COMPLETE;
-	if (call->keep && call->framed && !more && !conn->writing &&
+	if (call->reuse && call->framed && !more && !conn->writing &&
 	    conn->idle_ms && conn->client->kept_count < KEEP_MAX &&
 	    http_should_keep_alive(&conn->parser))
 		keep(conn);
@@ -541,7 +541,7 @@
 		uv_buf_init((char *)call->body.s, (unsigned)call->body.n),
 	};
 
-	if (call->ops->ready && !call->ops->ready(call->arg)) {
+	if (call->ops->connected && !call->ops->connected(call->arg)) {
 		end_soon(call, DL_FAILURE_CONNECT, DL_STEP_SEND,
 			 "given up before it was sent");
 		return;
@@ -591,7 +591,7 @@
 		struct dl_conn_limits bounds = kept_bounds;
 
 		bounds.idle_ms = conn->idle_ms;
-		if (conn->to == to &&
+		if (conn->address == to &&
 		    dl_conn_usable(&bounds, &conn->age, true, now_of(client))) {
 			unkeep(conn);
 			return conn;
@@ -609,12 +609,12 @@
 	if (!conn)
 		return -ENOMEM;
 	conn->client = call->client;
-	conn->to = call->to;
+	conn->address = call->address;
 	conn->call = call;
 	call->conn = conn;
 	uv_tcp_init(call->client->loop, &conn->tcp);
-	sin.sin_addr.s_addr = htonl((uint32_t)(call->to >> PORT_BITS));
-	sin.sin_port = htons((uint16_t)(call->to & PORT_MASK));
+	sin.sin_addr.s_addr = htonl((uint32_t)(call->address >> PORT_BITS));
+	sin.sin_port = htons((uint16_t)(call->address & PORT_MASK));
 	conn->connect.data = conn;
 	rc = uv_tcp_connect(&conn->connect, &conn->tcp, (void *)&sin,
 			    on_connected);
@@ -632,14 +632,14 @@
 	call->paused = false;
 	if (!call->conn || call->ended)
 		return;
-	arm(call, call->gap_ms);
+	arm(call, call->idle_ms);
 	uv_read_start((uv_stream_t *)&call->conn->tcp, on_alloc, on_read);
 }
 
 /* Change the bound on silence; it counts from the next byte on. */
-void dl_httpc_set_idle_timeout(struct dl_httpc_call *call, uint32_t gap_ms)
+void dl_httpc_set_idle_timeout(struct dl_httpc_call *call, uint32_t idle_ms)
 {
-	call->gap_ms = gap_ms;
+	call->idle_ms = idle_ms;
 }
 
 /* What was sent and received so far. */
@@ -651,7 +651,7 @@
 static size_t head_size(const struct dl_httpc_req *req)
 {
 	size_t n = req->method.n + req->path.n + req->host.n +
-		   req->body_first.n + 256;
+		   req->body_prefix.n + 256;
 
 	for (size_t i = 0; i < req->headers_count; i++)
 		n += req->headers[i].name.n + req->headers[i].value.n + 4;
@@ -678,10 +678,10 @@
 	put(call, DL_STR(" "));
 	put(call, req->path);
 	put(call, DL_STR(" HTTP/1.1\r\nHost: "));
-	put(call,
-	    req->host.n ? req->host : dl_str_of(dl_vm_text(req->to, host)));
+	put(call, req->host.n ? req->host :
+				dl_str_of(dl_vm_text(req->address, host)));
 	put(call, DL_STR("\r\n"));
-	if (!req->keep)
+	if (!req->reuse)
 		put(call, DL_STR("Connection: close\r\n"));
 	for (size_t i = 0; i < req->headers_count; i++) {
 		put(call, req->headers[i].name);
@@ -690,9 +690,9 @@
 		put(call, DL_STR("\r\n"));
 	}
 	snprintf(line, sizeof(line), "Content-Length: %zu\r\n\r\n",
-		 req->body_first.n + req->body.n);
+		 req->body_prefix.n + req->body.n);
 	put(call, dl_str_of(line));
-	put(call, req->body_first);
+	put(call, req->body_prefix);
 	call->body = req->body;
 	return true;
 }
@@ -709,11 +709,11 @@
 	call->client = client;
 	call->ops = ops;
 	call->arg = arg;
-	call->to = req->to;
-	call->gap_ms = req->gap_ms;
-	call->head_ms = req->head_ms ? req->head_ms : req->gap_ms;
-	call->close_ends = req->close_ends;
-	call->keep = req->keep;
+	call->address = req->address;
+	call->idle_ms = req->idle_ms;
+	call->head_ms = req->head_ms ? req->head_ms : req->idle_ms;
+	call->close_delimited = req->close_delimited;
+	call->reuse = req->reuse;
 	call->is_head_method = dl_str_eq(req->method, DL_STR("HEAD"));
 	call->text = g_string_new(NULL);
 	uv_timer_init(client->loop, &call->timer);
@@ -724,7 +724,7 @@
 		call_free(call);
 		return NULL;
 	}
-	call->conn = req->keep ? take_kept(client, req->to) : NULL;
+	call->conn = req->reuse ? take_kept(client, req->address) : NULL;
 	if (call->conn) {
 		call->conn->call = call;
 		send_request(call);
--- a/src/transport/httpc.h
+++ b/src/transport/httpc.h
@@ -25,28 +25,28 @@
 bool dl_header_is_hop_by_hop(struct dl_str name);
 
 struct dl_httpc_req {
-	uint64_t to; /* address as a packed ip and port */
+	uint64_t address; /* address as a packed ip and port */
 	struct dl_str method;
 	struct dl_str path;
 	struct dl_str host;		 /* empty: the address */
 	const struct dl_header *headers; /* beside Host and Content-Length */
 	size_t headers_count;
-	struct dl_str body_first; /* begin of the body, copied; may be empty */
+	struct dl_str body_prefix; /* begin of the body, copied; may be empty */
 	struct dl_str body;  /* the rest: must stay until the end of the call */
 	uint32_t connect_ms; /* time to connect */
-	uint32_t gap_ms;     /* longest silence after that */
-	uint32_t head_ms;    /* longest wait for the head; 0: gap_ms */
+	uint32_t idle_ms;    /* longest silence after that */
+	uint32_t head_ms;    /* longest wait for the head; 0: idle_ms */
 	/*
 	 * An answer without a length is whole when its connection is closed
 	 * in order; else it counts as garbled.
 	 */
-	bool close_ends;
+	bool close_delimited;
 	/*
 	 * It may go over a kept connection, and leave one behind.  What is
 	 * sent on one that its other end has closed is lost: not for requests
 	 * that run once only.
 	 */
-	bool keep;
+	bool reuse;
 };
 
 struct dl_httpc_head {
@@ -69,7 +69,7 @@
 	/*
 	 * Connected, nothing sent yet: false gives the call up as not sent.
 	 */
-	bool (*ready)(void *arg);
+	bool (*connected)(void *arg);
 };
 
 int dl_httpc_open(uv_loop_t *loop, struct dl_httpc **out);
@@ -81,7 +81,7 @@
 				     const struct dl_httpc_ops *ops, void *arg);
 void dl_httpc_resume(struct dl_httpc_call *call);
 /* From now on, the longest silence allowed. */
-void dl_httpc_set_idle_timeout(struct dl_httpc_call *call, uint32_t gap_ms);
+void dl_httpc_set_idle_timeout(struct dl_httpc_call *call, uint32_t idle_ms);
 /* How far the call has come. */
 struct dl_attempt dl_httpc_progress(const struct dl_httpc_call *call);
 /* Give up: the connection is closed, no callback follows. */
--- a/src/transport/httpd.c
+++ b/src/transport/httpd.c
@@ -49,7 +49,7 @@
 	bool streaming;
 	bool sending; /* h2o holds bytes of ours */
 	bool finishing;
-	bool whole;
+	bool complete;
 	h2o_buffer_t *out;    /* not yet given to h2o */
 	h2o_buffer_t *flight; /* given to h2o */
 };
@@ -123,7 +123,7 @@
 	struct dl_httpd_req *req = self;
 
 	if (!req->over && !req->finishing)
-		req->server->ops->gone(req->server->arg, req);
+		req->server->ops->aborted(req->server->arg, req);
 	if (!req->over)
 		req_unlink(req);
 	if (req->out)
@@ -161,7 +161,7 @@
 	req->over = true;
 	req_unlink(req);
 	if (!req->finishing)
-		server->ops->gone(server->arg, req);
+		server->ops->aborted(server->arg, req);
 }
 
 /* h2o tells of a caller that left only once an answer has begun. */
@@ -522,11 +522,11 @@
 
 	if (req->sending)
 		return;
-	if (req->finishing && !req->whole && req->out->size == 0)
+	if (req->finishing && !req->complete && req->out->size == 0)
 		hang_up(req);
-	if (req->finishing && (req->whole || req->out->size == 0))
-		state = req->whole ? H2O_SEND_STATE_FINAL :
-				     H2O_SEND_STATE_ERROR;
+	if (req->finishing && (req->complete || req->out->size == 0))
+		state = req->complete ? H2O_SEND_STATE_FINAL :
+					H2O_SEND_STATE_ERROR;
 	else if (req->out->size == 0)
 		return;
 	req->flight = req->out;
@@ -565,9 +565,9 @@
 }
 
 /* End a stream once its bytes are out. */
-void dl_httpd_finish(struct dl_httpd_req *req, bool whole)
+void dl_httpd_finish(struct dl_httpd_req *req, bool complete)
 {
 	req->finishing = true;
-	req->whole = whole;
+	req->complete = complete;
 	flush(req);
 }
--- a/src/transport/httpd.h
+++ b/src/transport/httpd.h
@@ -27,7 +27,7 @@
 	 * The caller of an unfinished answer has gone: the request is freed
 	 * after this returns.
 	 */
-	void (*gone)(void *arg, struct dl_httpd_req *req);
+	void (*aborted)(void *arg, struct dl_httpd_req *req);
 	/* What was sent of a stream has been written: more may follow. */
 	void (*drained)(void *arg, struct dl_httpd_req *req);
 };
@@ -72,7 +72,7 @@
 		    size_t length);
 /* Queue bytes; false where the caller is slower: wait for drained(). */
 bool dl_httpd_send(struct dl_httpd_req *req, struct dl_str bytes);
-/* End a stream; !whole breaks the connection so that the caller can tell. */
-void dl_httpd_finish(struct dl_httpd_req *req, bool whole);
+/* End a stream; !complete breaks the connection so that the caller can tell. */
+void dl_httpd_finish(struct dl_httpd_req *req, bool complete);
 
 #endif
--- a/test/test_httpc.c
+++ b/test/test_httpc.c
@@ -190,7 +190,7 @@
 static uv_timer_t ticker;
 static const struct fault *fault;
 static int step, ended, connected;
-static bool close_ends;
+static bool close_delimited;
 static struct dl_attempt got;
 static char body[64];
 static char request[1024];
@@ -281,12 +281,12 @@
 
 static void call_once(struct dl_httpc *client)
 {
-	struct dl_httpc_req req = { .to = ADDRESS,
+	struct dl_httpc_req req = { .address = ADDRESS,
 				    .method = DL_STR("GET"),
 				    .path = DL_STR("/"),
 				    .connect_ms = 1000,
-				    .gap_ms = 150,
-				    .close_ends = close_ends };
+				    .idle_ms = 150,
+				    .close_delimited = close_delimited };
 
 	ck_assert_ptr_nonnull(dl_httpc_start(client, &req, &ops, NULL));
 	ck_assert_int_eq(ended, 0);
@@ -333,7 +333,7 @@
 START_TEST(each_close)
 {
 	fault = &close_faults[_i];
-	close_ends = true;
+	close_delimited = true;
 	check_fault();
 }
 END_TEST
