--- a/src/transport/disk_file.c
+++ b/src/transport/disk_file.c
@@ -37,7 +37,7 @@
 struct dl_disk_file {
 	uv_loop_t *loop;
 	char folder[PATH_BYTES - NAME_BYTES];
-	int folder_fd;
+	int dir_fd;
 	int lock_fd;
 	/* The file used last stays open. */
 	int fd;
@@ -51,35 +51,35 @@
 static void op_rename(struct dl_disk_file *f, struct op *op);
 static void op_sync_folder(struct dl_disk_file *f, struct op *op);
 static void op_unlink(struct dl_disk_file *f, struct op *op);
-static void begin_next(struct dl_disk_file *f);
+static void start_next(struct dl_disk_file *f);
 static void run_op(struct dl_disk_file *f);
 static void end_op(struct dl_disk_file *f, int code);
 static void on_opened(uv_fs_t *req);
-static void on_done(uv_fs_t *req);
-static void on_write(uv_fs_t *req);
-static void add(struct dl_disk_file *f, enum op_kind kind, const char *name,
-		struct op *op, struct dl_disk_done done);
+static void on_op_done(uv_fs_t *req);
+static void on_op_written(uv_fs_t *req);
+static void enqueue(struct dl_disk_file *f, enum op_kind kind, const char *name,
+		    struct op *op, struct dl_disk_done done);
 
 /* Whether an operation needs its file open first. */
-static const bool needs_fd[OP_KIND_COUNT] = {
+static const bool needs_open_file[OP_KIND_COUNT] = {
 	[OP_WRITE] = true,
 	[OP_SYNC] = true,
 };
 
-static void (*const run[OP_KIND_COUNT])(struct dl_disk_file *f,
-					struct op *op) = {
+static void (*const op_handlers[OP_KIND_COUNT])(struct dl_disk_file *f,
+						struct op *op) = {
 	[OP_WRITE] = op_write,	 [OP_SYNC] = op_sync,
 	[OP_RENAME] = op_rename, [OP_SYNC_FOLDER] = op_sync_folder,
 	[OP_UNLINK] = op_unlink,
 };
 
-static void path_of(const struct dl_disk_file *f, const char *name,
-		    char out[PATH_BYTES])
+static void make_path(const struct dl_disk_file *f, const char *name,
+		      char out[PATH_BYTES])
 {
 	snprintf(out, PATH_BYTES, "%s/%s", f->folder, name);
 }
 
-static struct op *first(struct dl_disk_file *f)
+static struct op *current_op(struct dl_disk_file *f)
 {
 	return f->ops.head ? f->ops.head->data : NULL;
 }
@@ -92,19 +92,19 @@
 	f->fd_name[0] = '\0';
 }
 
-static void begin_next(struct dl_disk_file *f)
+static void start_next(struct dl_disk_file *f)
 {
-	struct op *op = first(f);
+	struct op *op = current_op(f);
 	char path[PATH_BYTES];
 
 	if (!op)
 		return;
-	if (!needs_fd[op->kind] || strcmp(f->fd_name, op->name) == 0) {
+	if (!needs_open_file[op->kind] || strcmp(f->fd_name, op->name) == 0) {
 		run_op(f);
 		return;
 	}
 	close_fd(f);
-	path_of(f, op->name, path);
+	make_path(f, op->name, path);
 	uv_fs_open(f->loop, &f->req, path, O_RDWR | O_CREAT, FILE_MODE,
 		   on_opened);
 }
@@ -120,15 +120,15 @@
 		return;
 	}
 	f->fd = result;
-	g_strlcpy(f->fd_name, first(f)->name, sizeof(f->fd_name));
+	g_strlcpy(f->fd_name, current_op(f)->name, sizeof(f->fd_name));
 	run_op(f);
 }
 
 static void run_op(struct dl_disk_file *f)
 {
-	struct op *op = first(f);
+	struct op *op = current_op(f);
 
-	run[op->kind](f, op);
+	op_handlers[op->kind](f, op);
 }
 
 static void end_op(struct dl_disk_file *f, int code)
@@ -141,10 +141,10 @@
 	done.fn(done.arg, code);
 	/* Where it was idle, done has begun what it asked for. */
 	if (!idle)
-		begin_next(f);
+		start_next(f);
 }
 
-static void on_done(uv_fs_t *req)
+static void on_op_done(uv_fs_t *req)
 {
 	struct dl_disk_file *f = req->data;
 	int code = req->result < 0 ? (int)req->result : 0;
@@ -158,14 +158,14 @@
 	uv_buf_t buf = uv_buf_init((char *)op->data.s, (unsigned)op->data.n);
 
 	uv_fs_write(f->loop, &f->req, f->fd, &buf, 1, (int64_t)op->offset,
-		    on_write);
+		    on_op_written);
 }
 
 /* A write may be short: go on with the rest. */
-static void on_write(uv_fs_t *req)
+static void on_op_written(uv_fs_t *req)
 {
 	struct dl_disk_file *f = req->data;
-	struct op *op = first(f);
+	struct op *op = current_op(f);
 	ssize_t n = req->result;
 
 	uv_fs_req_cleanup(req);
@@ -186,7 +186,7 @@
 
 static void op_sync(struct dl_disk_file *f, struct op *op)
 {
-	uv_fs_fdatasync(f->loop, &f->req, f->fd, on_done);
+	uv_fs_fdatasync(f->loop, &f->req, f->fd, on_op_done);
 }
 
 static void op_rename(struct dl_disk_file *f, struct op *op)
@@ -194,14 +194,14 @@
 	char from[PATH_BYTES], to[PATH_BYTES];
 
 	close_fd(f);
-	path_of(f, op->name, from);
-	path_of(f, op->to, to);
-	uv_fs_rename(f->loop, &f->req, from, to, on_done);
+	make_path(f, op->name, from);
+	make_path(f, op->to, to);
+	uv_fs_rename(f->loop, &f->req, from, to, on_op_done);
 }
 
 static void op_sync_folder(struct dl_disk_file *f, struct op *op)
 {
-	uv_fs_fsync(f->loop, &f->req, f->folder_fd, on_done);
+	uv_fs_fsync(f->loop, &f->req, f->dir_fd, on_op_done);
 }
 
 static void op_unlink(struct dl_disk_file *f, struct op *op)
@@ -210,12 +210,12 @@
 
 	if (strcmp(f->fd_name, op->name) == 0)
 		close_fd(f);
-	path_of(f, op->name, path);
-	uv_fs_unlink(f->loop, &f->req, path, on_done);
+	make_path(f, op->name, path);
+	uv_fs_unlink(f->loop, &f->req, path, on_op_done);
 }
 
-static void add(struct dl_disk_file *f, enum op_kind kind, const char *name,
-		struct op *op, struct dl_disk_done done)
+static void enqueue(struct dl_disk_file *f, enum op_kind kind, const char *name,
+		    struct op *op, struct dl_disk_done done)
 {
 	bool idle = f->ops.head == NULL;
 
@@ -224,7 +224,7 @@
 	g_strlcpy(op->name, name, sizeof(op->name));
 	g_queue_push_tail(&f->ops, op);
 	if (idle)
-		begin_next(f);
+		start_next(f);
 }
 
 /* --- the table --- */
@@ -236,12 +236,12 @@
 
 	op->offset = offset;
 	op->data = data;
-	add(disk, OP_WRITE, name, op, done);
+	enqueue(disk, OP_WRITE, name, op, done);
 }
 
 static void disk_sync(void *disk, const char *name, struct dl_disk_done done)
 {
-	add(disk, OP_SYNC, name, g_new0(struct op, 1), done);
+	enqueue(disk, OP_SYNC, name, g_new0(struct op, 1), done);
 }
 
 static void disk_rename(void *disk, const char *from, const char *to,
@@ -250,17 +250,17 @@
 	struct op *op = g_new0(struct op, 1);
 
 	g_strlcpy(op->to, to, sizeof(op->to));
-	add(disk, OP_RENAME, from, op, done);
+	enqueue(disk, OP_RENAME, from, op, done);
 }
 
 static void disk_sync_folder(void *disk, struct dl_disk_done done)
 {
-	add(disk, OP_SYNC_FOLDER, "", g_new0(struct op, 1), done);
+	enqueue(disk, OP_SYNC_FOLDER, "", g_new0(struct op, 1), done);
 }
 
 static void disk_unlink(void *disk, const char *name, struct dl_disk_done done)
 {
-	add(disk, OP_UNLINK, name, g_new0(struct op, 1), done);
+	enqueue(disk, OP_UNLINK, name, g_new0(struct op, 1), done);
 }
 
 static int read_all(int fd, char *out, size_t n)
@@ -287,7 +287,7 @@
 	off_t size;
 	int fd, code;
 
-	path_of(disk, name, path);
+	make_path(disk, name, path);
 	fd = open(path, O_RDONLY | O_CLOEXEC);
 	if (fd < 0)
 		return -errno;
@@ -322,7 +322,7 @@
 {
 	char path[PATH_BYTES];
 
-	path_of(disk, name, path);
+	make_path(disk, name, path);
 	return truncate(path, (off_t)size) ? -errno : 0;
 }
 
@@ -342,7 +342,7 @@
 {
 	char path[PATH_BYTES];
 
-	path_of(f, LOCK_NAME, path);
+	make_path(f, LOCK_NAME, path);
 	f->lock_fd = open(path, O_RDWR | O_CREAT | O_CLOEXEC, FILE_MODE);
 	if (f->lock_fd < 0)
 		return dl_err_set(err, -errno, DL_STEP_STORE, NULL,
@@ -366,8 +366,8 @@
 	f->req.data = f;
 	g_queue_init(&f->ops);
 	g_strlcpy(f->folder, folder, sizeof(f->folder));
-	f->folder_fd = open(folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-	if (f->folder_fd < 0)
+	f->dir_fd = open(folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+	if (f->dir_fd < 0)
 		code = dl_err_set(err, -errno, DL_STEP_STORE, NULL,
 				  "cannot open %s: %s", folder,
 				  strerror(errno));
@@ -397,8 +397,8 @@
 void dl_disk_file_close(struct dl_disk_file *f)
 {
 	close_fd(f);
-	if (f->folder_fd >= 0)
-		close(f->folder_fd);
+	if (f->dir_fd >= 0)
+		close(f->dir_fd);
 	if (f->lock_fd >= 0)
 		close(f->lock_fd);
 	g_free(f);
