--- a/src/transport/header.c
+++ b/src/transport/header.c
@@ -6,7 +6,7 @@
 
 /* Named by the protocol as being about the connection, or about the body's
  * way over it. */
-static const char *const hop_names[] = {
+static const char *const hop_by_hop_headers[] = {
 	"connection",
 	"keep-alive",
 	"te",
@@ -20,17 +20,17 @@
 };
 
 /* Whether a header has a name, which is given in lower case. */
-bool dl_header_is(struct dl_str name, const char *lower)
+bool dl_header_is(struct dl_str name, const char *lower_name)
 {
-	return name.n == strlen(lower) &&
-	       g_ascii_strncasecmp(name.s, lower, name.n) == 0;
+	return name.n == strlen(lower_name) &&
+	       g_ascii_strncasecmp(name.s, lower_name, name.n) == 0;
 }
 
 /* Whether a header concerns one connection only, and is not passed on. */
 bool dl_header_is_hop_by_hop(struct dl_str name)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(hop_names); i++) {
-		if (dl_header_is(name, hop_names[i]))
+	for (size_t i = 0; i < G_N_ELEMENTS(hop_by_hop_headers); i++) {
+		if (dl_header_is(name, hop_by_hop_headers[i]))
 			return true;
 	}
 	return false;
--- a/src/transport/httpc.c
+++ b/src/transport/httpc.c
@@ -26,13 +26,13 @@
  * word, at times sooner than they say; a request that is sent on such a one is
  * lost, and a new connection costs a millisecond.
  */
-#define KEEP_IDLE_MS  1500
-#define KEEP_AGE_MS   60000
-#define KEEP_REQUESTS 1000
+#define POOL_IDLE_MS	  1500
+#define POOL_AGE_MS	  60000
+#define POOL_REQUESTS_MAX 1000
 /* What an endpoint announces, less the time on the way. */
-#define KEEP_MARGIN_MS 500
-#define KEEP_MAX       256
-#define SWEEP_MS       500
+#define KEEP_ALIVE_MARGIN_MS 500
+#define POOL_CONNS_MAX	     256
+#define POOL_SWEEP_MS	     500
 
 /* One connection, in a call or kept. */
 struct conn {
@@ -44,18 +44,18 @@
 	struct dl_httpc_call *call; /* NULL while it is kept, or closing */
 	struct conn *next;	    /* of those kept */
 	uint64_t address;
-	struct dl_conn_usage age;
+	struct dl_conn_usage usage;
 	uint32_t idle_ms; /* how long it may be kept idle */
 	bool writing;
 	bool closing;
-	bool over; /* the answer has ended */
+	bool response_ended; /* the answer has ended */
 };
 
 struct dl_httpc {
 	uv_loop_t *loop;
 	uv_timer_t sweep;
-	struct conn *kept;
-	uint32_t kept_count;
+	struct conn *pool;
+	uint32_t pool_count;
 	char buf[READ_MAX];
 };
 
@@ -80,7 +80,7 @@
 	bool ended; /* end() is due at the next timer */
 
 	/* the head of the answer as it comes */
-	GString *text;
+	GString *header_text;
 	struct {
 		size_t name, name_n, value, value_n;
 	} field[HEADERS_MAX];
@@ -92,29 +92,29 @@
 static int on_value(http_parser *parser, const char *at, size_t n);
 static int on_headers(http_parser *parser);
 static int on_body(http_parser *parser, const char *at, size_t n);
-static int on_message(http_parser *parser);
-static int on_begin(http_parser *parser);
+static int on_message_complete(http_parser *parser);
+static int on_message_begin(http_parser *parser);
 static void on_connected(uv_connect_t *req, int status);
 static void on_read(uv_stream_t *stream, ssize_t n, const uv_buf_t *buf);
 static void on_timer(uv_timer_t *timer);
 static void on_sweep(uv_timer_t *timer);
 
 static const http_parser_settings parser_settings = {
-	.on_message_begin = on_begin,
+	.on_message_begin = on_message_begin,
 	.on_header_field = on_field,
 	.on_header_value = on_value,
 	.on_headers_complete = on_headers,
 	.on_body = on_body,
-	.on_message_complete = on_message,
+	.on_message_complete = on_message_complete,
 };
 
-static const struct dl_conn_limits kept_bounds = {
-	.age_ms = KEEP_AGE_MS,
-	.idle_ms = KEEP_IDLE_MS,
-	.requests = KEEP_REQUESTS,
+static const struct dl_conn_limits pool_limits = {
+	.age_ms = POOL_AGE_MS,
+	.idle_ms = POOL_IDLE_MS,
+	.requests = POOL_REQUESTS_MAX,
 };
 
-static int64_t now_of(const struct dl_httpc *client)
+static int64_t client_now(const struct dl_httpc *client)
 {
 	return (int64_t)uv_now(client->loop);
 }
@@ -130,7 +130,7 @@
 	uv_timer_init(loop, &client->sweep);
 	uv_unref((uv_handle_t *)&client->sweep);
 	client->sweep.data = client;
-	uv_timer_start(&client->sweep, on_sweep, SWEEP_MS, SWEEP_MS);
+	uv_timer_start(&client->sweep, on_sweep, POOL_SWEEP_MS, POOL_SWEEP_MS);
 	*out = client;
 	return 0;
 }
@@ -150,17 +150,17 @@
 }
 
 /* Take a connection out of those kept. */
-static void unkeep(struct conn *conn)
+static void pool_remove(struct conn *conn)
 {
 	struct dl_httpc *client = conn->client;
-	struct conn **at = &client->kept;
+	struct conn **at = &client->pool;
 
 	while (*at && *at != conn)
 		at = &(*at)->next;
 	if (!*at)
 		return;
 	*at = conn->next;
-	client->kept_count--;
+	client->pool_count--;
 }
 
 /* Close what has been kept for long enough. */
@@ -169,12 +169,12 @@
 	struct dl_httpc *client = timer->data;
 	struct conn *conn, *next;
 
-	for (conn = client->kept; conn; conn = next) {
+	for (conn = client->pool; conn; conn = next) {
 		next = conn->next;
-		if (now_of(client) - conn->age.last_read <
+		if (client_now(client) - conn->usage.last_read <
 		    (int64_t)conn->idle_ms)
 			continue;
-		unkeep(conn);
+		pool_remove(conn);
 		conn_close(conn);
 	}
 }
@@ -187,10 +187,10 @@
 /* Every call must have ended or been cancelled before. */
 void dl_httpc_close(struct dl_httpc *client)
 {
-	while (client->kept) {
-		struct conn *conn = client->kept;
+	while (client->pool) {
+		struct conn *conn = client->pool;
 
-		unkeep(conn);
+		pool_remove(conn);
 		conn_close(conn);
 	}
 	uv_close((uv_handle_t *)&client->sweep, on_client_closed);
@@ -200,8 +200,8 @@
 {
 	struct dl_httpc_call *call = handle->data;
 
-	if (call->text)
-		g_string_free(call->text, TRUE);
+	if (call->header_text)
+		g_string_free(call->header_text, TRUE);
 	free(call->head);
 	free(call);
 }
@@ -214,15 +214,15 @@
 	uv_close((uv_handle_t *)&call->timer, on_call_closed);
 }
 
-static void arm(struct dl_httpc_call *call, uint32_t ms)
+static void start_timeout(struct dl_httpc_call *call, uint32_t ms)
 {
 	if (!call->ended)
 		uv_timer_start(&call->timer, on_timer, ms, 0);
 }
 
 /* Note how the call ended; the owner is told from the loop. */
-static void end_soon(struct dl_httpc_call *call, enum dl_failure broke,
-		     enum dl_step step, const char *why)
+static void schedule_end(struct dl_httpc_call *call, enum dl_failure failure,
+			 enum dl_step step, const char *why)
 {
 	char peer[HOST_TEXT_MAX];
 
@@ -231,15 +231,15 @@
 	if (call->conn)
 		conn_close(call->conn);
 	call->conn = NULL;
-	call->attempt.failure = broke;
-	if (broke != DL_FAILURE_NONE)
+	call->attempt.failure = failure;
+	if (failure != DL_FAILURE_NONE)
 		dl_err_set(&call->err, -EIO, step,
 			   dl_vm_text(call->address, peer), "%s", why);
-	arm(call, 0);
+	start_timeout(call, 0);
 	call->ended = true;
 }
 
-static enum dl_step step_now(const struct dl_httpc_call *call)
+static enum dl_step current_step(const struct dl_httpc_call *call)
 {
 	if (call->attempt.sent == DL_SENT_NOTHING)
 		return DL_STEP_CONNECT;
@@ -251,7 +251,7 @@
 static void on_timer(uv_timer_t *timer)
 {
 	struct dl_httpc_call *call = timer->data;
-	enum dl_step step = step_now(call);
+	enum dl_step step = current_step(call);
 
 	if (call->ended) {
 		if (call->ops->end)
@@ -261,10 +261,10 @@
 	}
 	if (call->paused)
 		return;
-	end_soon(call,
-		 step == DL_STEP_CONNECT ? DL_FAILURE_CONNECT :
-					   DL_FAILURE_IDLE_TIMEOUT,
-		 step, "no byte in the time allowed");
+	schedule_end(call,
+		     step == DL_STEP_CONNECT ? DL_FAILURE_CONNECT :
+					       DL_FAILURE_IDLE_TIMEOUT,
+		     step, "no byte in the time allowed");
 }
 
 static struct dl_httpc_call *call_of(http_parser *parser)
@@ -272,13 +272,13 @@
 	return ((struct conn *)parser->data)->call;
 }
 
-static int on_begin(http_parser *parser)
+static int on_message_begin(http_parser *parser)
 {
 	struct dl_httpc_call *call = call_of(parser);
 
 	if (!call)
 		return 1;
-	g_string_truncate(call->text, 0);
+	g_string_truncate(call->header_text, 0);
 	call->fields = 0;
 	call->in_value = false;
 	return 0;
@@ -289,18 +289,18 @@
 {
 	struct dl_httpc_call *call = call_of(parser);
 
-	if (!call || call->text->len + n > HEAD_MAX)
+	if (!call || call->header_text->len + n > HEAD_MAX)
 		return 1;
 	if (call->fields == 0 || call->in_value) {
 		if (call->fields == HEADERS_MAX)
 			return 1;
-		call->field[call->fields].name = call->text->len;
+		call->field[call->fields].name = call->header_text->len;
 		call->field[call->fields].name_n = 0;
 		call->field[call->fields].value_n = 0;
 		call->fields++;
 		call->in_value = false;
 	}
-	g_string_append_len(call->text, at, (gssize)n);
+	g_string_append_len(call->header_text, at, (gssize)n);
 	call->field[call->fields - 1].name_n += n;
 	return 0;
 }
@@ -309,18 +309,18 @@
 {
 	struct dl_httpc_call *call = call_of(parser);
 
-	if (!call || call->fields == 0 || call->text->len + n > HEAD_MAX)
+	if (!call || call->fields == 0 || call->header_text->len + n > HEAD_MAX)
 		return 1;
 	if (!call->in_value)
-		call->field[call->fields - 1].value = call->text->len;
+		call->field[call->fields - 1].value = call->header_text->len;
 	call->in_value = true;
-	g_string_append_len(call->text, at, (gssize)n);
+	g_string_append_len(call->header_text, at, (gssize)n);
 	call->field[call->fields - 1].value_n += n;
 	return 0;
 }
 
 /* "timeout=N": how long the endpoint keeps the connection, in seconds. */
-static void note_keep_alive(struct conn *conn, struct dl_str value)
+static void read_keep_alive(struct conn *conn, struct dl_str value)
 {
 	const char *at = memmem(value.s, value.n, "timeout=", 8);
 	struct dl_str digits = { at ? at + 8 : NULL, 0 };
@@ -333,17 +333,18 @@
 		digits.n++;
 	if (!dl_str_to_u64(digits, &s))
 		return;
-	conn->idle_ms = s * MS_PER_S > KEEP_MARGIN_MS ?
-				(uint32_t)MIN(s * MS_PER_S - KEEP_MARGIN_MS,
-					      KEEP_IDLE_MS) :
-				0;
+	conn->idle_ms =
+		s * MS_PER_S > KEEP_ALIVE_MARGIN_MS ?
+			(uint32_t)MIN(s * MS_PER_S - KEEP_ALIVE_MARGIN_MS,
+				      POOL_IDLE_MS) :
+			0;
 }
 
 /* Views of the headers, and what they say to this client. */
-static size_t view_headers(struct dl_httpc_call *call, struct dl_header *out)
+static size_t read_headers(struct dl_httpc_call *call, struct dl_header *out)
 {
 	for (uint32_t i = 0; i < call->fields; i++) {
-		const char *text = call->text->str;
+		const char *text = call->header_text->str;
 
 		out[i].name = (struct dl_str){ text + call->field[i].name,
 					       call->field[i].name_n };
@@ -355,7 +356,7 @@
 		if (dl_header_is(out[i].name, "daisyledge-not-run"))
 			call->attempt.received = DL_RECV_NOT_RUN;
 		if (dl_header_is(out[i].name, "keep-alive"))
-			note_keep_alive(call->conn, out[i].value);
+			read_keep_alive(call->conn, out[i].value);
 	}
 	return call->fields;
 }
@@ -365,25 +366,25 @@
 	struct dl_httpc_call *call = call_of(parser);
 	struct dl_header views[HEADERS_MAX];
 	struct dl_httpc_head head;
-	bool bodyless;
+	bool no_body;
 
 	if (!call)
 		return -1;
 	if (parser->status_code < 200)
 		return 0; /* the answer itself is still to come */
-	bodyless = call->is_head_method || parser->status_code == 204 ||
-		   parser->status_code == 304;
+	no_body = call->is_head_method || parser->status_code == 204 ||
+		  parser->status_code == 304;
 	call->attempt.received = DL_RECV_HEAD;
 	call->attempt.status = (uint16_t)parser->status_code;
 	head.status = call->attempt.status;
 	head.headers = views;
-	head.headers_count = view_headers(call, views);
-	if (bodyless)
+	head.headers_count = read_headers(call, views);
+	if (no_body)
 		call->framed = true;
-	arm(call, call->idle_ms);
+	start_timeout(call, call->idle_ms);
 	if (call->ops->head)
 		call->ops->head(call->arg, &head);
-	return bodyless ? 1 : 0;
+	return no_body ? 1 : 0;
 }
 
 static int on_body(http_parser *parser, const char *at, size_t n)
@@ -393,14 +394,14 @@
 
 	if (!call)
 		return 1;
-	arm(call, call->idle_ms);
+	start_timeout(call, call->idle_ms);
 	if (call->ops->body && !call->ops->body(call->arg, piece) &&
 	    call_of(parser))
 		call->paused = true;
 	return call_of(parser) ? 0 : 1;
 }
 
-static int on_message(http_parser *parser)
+static int on_message_complete(http_parser *parser)
 {
 	struct conn *conn = parser->data;
 
@@ -408,42 +409,42 @@
 		return 1;
 	if (parser->status_code < 200)
 		return 0;
-	conn->over = true;
+	conn->response_ended = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
 
 /* Keep a connection for another call. */
-static void keep(struct conn *conn)
+static void pool_add(struct conn *conn)
 {
 	struct dl_httpc *client = conn->client;
 
 	conn->call->conn = NULL;
 	conn->call = NULL;
-	conn->age.requests++;
-	conn->age.last_read = now_of(client);
-	conn->next = client->kept;
-	client->kept = conn;
-	client->kept_count++;
+	conn->usage.requests++;
+	conn->usage.last_read = client_now(client);
+	conn->next = client->pool;
+	client->pool = conn;
+	client->pool_count++;
 }
 
 /* The answer has ended in order; more: bytes came behind it. */
-static void end_whole(struct dl_httpc_call *call, bool more)
+static void end_complete(struct dl_httpc_call *call, bool trailing_data)
 {
 	struct conn *conn = call->conn;
 
 	if (!call->framed && !call->close_delimited) {
-		end_soon(call, DL_FAILURE_BAD_RESPONSE, DL_STEP_BODY,
-			 "the answer does not tell its length");
+		schedule_end(call, DL_FAILURE_BAD_RESPONSE, DL_STEP_BODY,
+			     "the answer does not tell its length");
 		return;
 	}
 	if (call->attempt.received != DL_RECV_NOT_RUN)
 		call->attempt.received = DL_RECV_COMPLETE;
-	if (call->reuse && call->framed && !more && !conn->writing &&
-	    conn->idle_ms && conn->client->kept_count < KEEP_MAX &&
+	if (call->reuse && call->framed && !trailing_data && !conn->writing &&
+	    conn->idle_ms && conn->client->pool_count < POOL_CONNS_MAX &&
 	    http_should_keep_alive(&conn->parser))
-		keep(conn);
-	end_soon(call, DL_FAILURE_NONE, DL_STEP_NONE, "");
+		pool_add(conn);
+	schedule_end(call, DL_FAILURE_NONE, DL_STEP_NONE, "");
 }
 
 /*
@@ -464,21 +465,22 @@
 }
 
 /* The connection ended: in order where err is UV_EOF. */
-static void on_end(struct conn *conn, int err)
+static void on_conn_end(struct conn *conn, int err)
 {
 	struct dl_httpc_call *call = conn->call;
 
 	if (!call) {
-		unkeep(conn);
+		pool_remove(conn);
 		conn_close(conn);
 		return;
 	}
 	if (err == UV_EOF && call->attempt.received != DL_RECV_NOTHING &&
 	    !call->framed && !was_reset(conn)) {
-		end_whole(call, false);
+		end_complete(call, false);
 		return;
 	}
-	end_soon(call, DL_FAILURE_RESET, step_now(call), uv_strerror(err));
+	schedule_end(call, DL_FAILURE_RESET, current_step(call),
+		     uv_strerror(err));
 }
 
 static void on_alloc(uv_handle_t *handle, size_t n, uv_buf_t *buf)
@@ -497,26 +499,26 @@
 	if (n == 0 || conn->closing)
 		return;
 	if (n < 0) {
-		on_end(conn, (int)n);
+		on_conn_end(conn, (int)n);
 		return;
 	}
 	if (!call) {
 		/* Bytes that answer nobody: nothing more is trusted here. */
-		unkeep(conn);
+		pool_remove(conn);
 		conn_close(conn);
 		return;
 	}
-	conn->age.last_read = now_of(conn->client);
+	conn->usage.last_read = client_now(conn->client);
 	used = http_parser_execute(&conn->parser, &parser_settings, buf->base,
 				   (size_t)n);
 	if (!conn->call)
 		return; /* cancelled on the way */
-	if (conn->over)
-		end_whole(call, used < (size_t)n);
+	if (conn->response_ended)
+		end_complete(call, used < (size_t)n);
 	else if (HTTP_PARSER_ERRNO(&conn->parser) != HPE_OK)
-		end_soon(call, DL_FAILURE_RESET, step_now(call),
-			 http_errno_description(
-				 HTTP_PARSER_ERRNO(&conn->parser)));
+		schedule_end(call, DL_FAILURE_RESET, current_step(call),
+			     http_errno_description(
+				     HTTP_PARSER_ERRNO(&conn->parser)));
 	else if (call->paused)
 		uv_read_stop(stream);
 }
@@ -528,8 +530,8 @@
 	conn->writing = false;
 	if (status && !conn->closing && conn->call &&
 	    conn->call->attempt.received == DL_RECV_NOTHING)
-		end_soon(conn->call, DL_FAILURE_RESET, DL_STEP_SEND,
-			 uv_strerror(status));
+		schedule_end(conn->call, DL_FAILURE_RESET, DL_STEP_SEND,
+			     uv_strerror(status));
 }
 
 /* Send the request on a connection that stands. */
@@ -542,24 +544,25 @@
 	};
 
 	if (call->ops->connected && !call->ops->connected(call->arg)) {
-		end_soon(call, DL_FAILURE_CONNECT, DL_STEP_SEND,
-			 "given up before it was sent");
+		schedule_end(call, DL_FAILURE_CONNECT, DL_STEP_SEND,
+			     "given up before it was sent");
 		return;
 	}
 	http_parser_init(&conn->parser, HTTP_RESPONSE);
 	conn->parser.data = conn;
-	conn->over = false;
-	conn->idle_ms = KEEP_IDLE_MS;
+	conn->response_ended = false;
+	conn->idle_ms = POOL_IDLE_MS;
 	conn->write.data = conn;
 	call->attempt.sent = DL_SENT_ALL;
 	conn->writing = true;
 	if (uv_write(&conn->write, (uv_stream_t *)&conn->tcp, bufs,
 		     call->body.n ? 2 : 1, on_written)) {
 		conn->writing = false;
-		end_soon(call, DL_FAILURE_RESET, DL_STEP_SEND, "cannot write");
+		schedule_end(call, DL_FAILURE_RESET, DL_STEP_SEND,
+			     "cannot write");
 		return;
 	}
-	arm(call, call->head_ms);
+	start_timeout(call, call->head_ms);
 }
 
 static void on_connected(uv_connect_t *req, int status)
@@ -571,29 +574,30 @@
 	if (status) {
 		struct dl_httpc_call *call = conn->call;
 
-		end_soon(call, DL_FAILURE_CONNECT, DL_STEP_CONNECT,
-			 uv_strerror(status));
+		schedule_end(call, DL_FAILURE_CONNECT, DL_STEP_CONNECT,
+			     uv_strerror(status));
 		call->err.code = status;
 		return;
 	}
 	uv_tcp_nodelay(&conn->tcp, 1);
-	conn->age.opened = conn->age.last_read = now_of(conn->client);
+	conn->usage.opened = conn->usage.last_read = client_now(conn->client);
 	uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read);
 	send_request(conn->call);
 }
 
 /* A kept connection to an endpoint that may be trusted, or NULL. */
-static struct conn *take_kept(struct dl_httpc *client, uint64_t to)
+static struct conn *pool_take(struct dl_httpc *client, uint64_t to)
 {
 	struct conn *conn;
 
-	for (conn = client->kept; conn; conn = conn->next) {
-		struct dl_conn_limits bounds = kept_bounds;
+	for (conn = client->pool; conn; conn = conn->next) {
+		struct dl_conn_limits limits = pool_limits;
 
-		bounds.idle_ms = conn->idle_ms;
+		limits.idle_ms = conn->idle_ms;
 		if (conn->address == to &&
-		    dl_conn_usable(&bounds, &conn->age, true, now_of(client))) {
-			unkeep(conn);
+		    dl_conn_usable(&limits, &conn->usage, true,
+				   client_now(client))) {
+			pool_remove(conn);
 			return conn;
 		}
 	}
@@ -619,8 +623,8 @@
 	rc = uv_tcp_connect(&conn->connect, &conn->tcp, (void *)&sin,
 			    on_connected);
 	if (rc)
-		end_soon(call, DL_FAILURE_CONNECT, DL_STEP_CONNECT,
-			 uv_strerror(rc));
+		schedule_end(call, DL_FAILURE_CONNECT, DL_STEP_CONNECT,
+			     uv_strerror(rc));
 	return 0;
 }
 
@@ -632,7 +636,7 @@
 	call->paused = false;
 	if (!call->conn || call->ended)
 		return;
-	arm(call, call->idle_ms);
+	start_timeout(call, call->idle_ms);
 	uv_read_start((uv_stream_t *)&call->conn->tcp, on_alloc, on_read);
 }
 
@@ -648,7 +652,7 @@
 	return call->attempt;
 }
 
-static size_t head_size(const struct dl_httpc_req *req)
+static size_t request_head_size(const struct dl_httpc_req *req)
 {
 	size_t n = req->method.n + req->path.n + req->host.n +
 		   req->body_prefix.n + 256;
@@ -658,7 +662,7 @@
 	return n;
 }
 
-static void put(struct dl_httpc_call *call, struct dl_str s)
+static void append(struct dl_httpc_call *call, struct dl_str s)
 {
 	if (s.n)
 		memcpy(call->head + call->head_n, s.s, s.n);
@@ -666,33 +670,33 @@
 }
 
 /* Write the request line and the headers. */
-static bool build_head(struct dl_httpc_call *call,
-		       const struct dl_httpc_req *req)
+static bool build_request_head(struct dl_httpc_call *call,
+			       const struct dl_httpc_req *req)
 {
 	char line[96], host[HOST_TEXT_MAX];
 
-	call->head = malloc(head_size(req));
+	call->head = malloc(request_head_size(req));
 	if (!call->head)
 		return false;
-	put(call, req->method);
-	put(call, DL_STR(" "));
-	put(call, req->path);
-	put(call, DL_STR(" HTTP/1.1\r\nHost: "));
-	put(call, req->host.n ? req->host :
-				dl_str_of(dl_vm_text(req->address, host)));
-	put(call, DL_STR("\r\n"));
+	append(call, req->method);
+	append(call, DL_STR(" "));
+	append(call, req->path);
+	append(call, DL_STR(" HTTP/1.1\r\nHost: "));
+	append(call, req->host.n ? req->host :
+				   dl_str_of(dl_vm_text(req->address, host)));
+	append(call, DL_STR("\r\n"));
 	if (!req->reuse)
-		put(call, DL_STR("Connection: close\r\n"));
+		append(call, DL_STR("Connection: close\r\n"));
 	for (size_t i = 0; i < req->headers_count; i++) {
-		put(call, req->headers[i].name);
-		put(call, DL_STR(": "));
-		put(call, req->headers[i].value);
-		put(call, DL_STR("\r\n"));
+		append(call, req->headers[i].name);
+		append(call, DL_STR(": "));
+		append(call, req->headers[i].value);
+		append(call, DL_STR("\r\n"));
 	}
 	snprintf(line, sizeof(line), "Content-Length: %zu\r\n\r\n",
 		 req->body_prefix.n + req->body.n);
-	put(call, dl_str_of(line));
-	put(call, req->body_prefix);
+	append(call, dl_str_of(line));
+	append(call, req->body_prefix);
 	call->body = req->body;
 	return true;
 }
@@ -715,16 +719,16 @@
 	call->close_delimited = req->close_delimited;
 	call->reuse = req->reuse;
 	call->is_head_method = dl_str_eq(req->method, DL_STR("HEAD"));
-	call->text = g_string_new(NULL);
+	call->header_text = g_string_new(NULL);
 	uv_timer_init(client->loop, &call->timer);
 	call->timer.data = call;
 	uv_update_time(client->loop);
-	arm(call, req->connect_ms);
-	if (!build_head(call, req)) {
+	start_timeout(call, req->connect_ms);
+	if (!build_request_head(call, req)) {
 		call_free(call);
 		return NULL;
 	}
-	call->conn = req->reuse ? take_kept(client, req->address) : NULL;
+	call->conn = req->reuse ? pool_take(client, req->address) : NULL;
 	if (call->conn) {
 		call->conn->call = call;
 		send_request(call);
--- a/src/transport/httpc.h
+++ b/src/transport/httpc.h
@@ -20,7 +20,7 @@
 };
 
 /* Whether a header has a name, which is given in lower case. */
-bool dl_header_is(struct dl_str name, const char *lower);
+bool dl_header_is(struct dl_str name, const char *lower_name);
 /* Whether a header concerns one connection only, and is not passed on. */
 bool dl_header_is_hop_by_hop(struct dl_str name);
 
