--- a/src/transport/httpd.c
+++ b/src/transport/httpd.c
@@ -9,14 +9,14 @@
 
 #include <h2o.h>
 
-#define PORT_BITS	   16
-#define PORT_MASK	   0xffff
-#define LISTEN_BACKLOG	   1024
-#define STREAM_HIGH	   (256u << 10) /* a slow caller holds no more */
-#define WATCH_PERIOD_MS	   250
-#define STATUS_CALLER_LEFT 499
-#define MS_PER_S	   1000
-#define US_PER_MS	   1000
+#define PORT_BITS	     16
+#define PORT_MASK	     0xffff
+#define LISTEN_BACKLOG	     1024
+#define STREAM_HIGH_WATER    (256u << 10) /* a slow caller holds no more */
+#define DISCONNECT_POLL_MS   250
+#define STATUS_CLIENT_CLOSED 499
+#define MS_PER_S	     1000
+#define US_PER_MS	     1000
 
 struct handler {
 	h2o_handler_t super; /* first, h2o hands it back */
@@ -32,11 +32,11 @@
 	h2o_context_t ctx;
 	h2o_accept_ctx_t accept_ctx;
 	uv_tcp_t listener;
-	uv_timer_t watch;
-	struct dl_httpd_req *open;
+	uv_timer_t disconnect_poll;
+	struct dl_httpd_req *requests;
 	uint32_t conns;
 	bool accepting;
-	bool last_answers;
+	bool close_after_responses;
 };
 
 struct dl_httpd_req {
@@ -45,13 +45,13 @@
 	struct dl_httpd_req *next, *prev;
 	h2o_req_t *h2o;
 	void *data;
-	bool over; /* answered whole, or its caller has gone */
+	bool done; /* answered whole, or its caller has gone */
 	bool streaming;
 	bool sending; /* h2o holds bytes of ours */
 	bool finishing;
 	bool complete;
-	h2o_buffer_t *out;    /* not yet given to h2o */
-	h2o_buffer_t *flight; /* given to h2o */
+	h2o_buffer_t *pending;	 /* not yet given to h2o */
+	h2o_buffer_t *in_flight; /* given to h2o */
 };
 
 struct client {
@@ -63,10 +63,10 @@
 static void on_proceed(h2o_generator_t *self, h2o_req_t *h2o);
 static void on_stop(h2o_generator_t *self, h2o_req_t *h2o);
 static void on_accept(uv_stream_t *listener, int status);
-static void on_watch(uv_timer_t *timer);
-static void answer(struct dl_httpd_req *req, uint16_t status,
-		   const struct dl_header *headers, size_t count,
-		   struct dl_str body);
+static void on_disconnect_poll(uv_timer_t *timer);
+static void send_response(struct dl_httpd_req *req, uint16_t status,
+			  const struct dl_header *headers, size_t count,
+			  struct dl_str body);
 
 static void on_client_closed(uv_handle_t *handle)
 {
@@ -76,7 +76,7 @@
 	free(client);
 }
 
-static void on_refused_closed(uv_handle_t *handle)
+static void on_rejected_closed(uv_handle_t *handle)
 {
 	free(handle);
 }
@@ -97,7 +97,7 @@
 	client->server = server;
 	if (uv_accept(listener, (uv_stream_t *)&client->tcp) ||
 	    server->conns >= server->conf.conns_max) {
-		uv_close((uv_handle_t *)&client->tcp, on_refused_closed);
+		uv_close((uv_handle_t *)&client->tcp, on_rejected_closed);
 		return;
 	}
 	server->conns++;
@@ -112,7 +112,7 @@
 	if (req->prev)
 		req->prev->next = req->next;
 	else
-		req->server->open = req->next;
+		req->server->requests = req->next;
 	if (req->next)
 		req->next->prev = req->prev;
 }
@@ -122,14 +122,14 @@
 {
 	struct dl_httpd_req *req = self;
 
-	if (!req->over && !req->finishing)
+	if (!req->done && !req->finishing)
 		req->server->ops->aborted(req->server->arg, req);
-	if (!req->over)
+	if (!req->done)
 		req_unlink(req);
-	if (req->out)
-		h2o_buffer_dispose(&req->out);
-	if (req->flight)
-		h2o_buffer_dispose(&req->flight);
+	if (req->pending)
+		h2o_buffer_dispose(&req->pending);
+	if (req->in_flight)
+		h2o_buffer_dispose(&req->in_flight);
 }
 
 static int on_request(h2o_handler_t *self, h2o_req_t *h2o)
@@ -143,22 +143,22 @@
 	req->generator.stop = on_stop;
 	req->server = server;
 	req->h2o = h2o;
-	req->next = server->open;
+	req->next = server->requests;
 	if (req->next)
 		req->next->prev = req;
-	server->open = req;
+	server->requests = req;
 	server->ops->request(server->arg, req);
 	return 0;
 }
 
 /* The owner hears of it once, and the request is out of the list. */
-static void caller_gone(struct dl_httpd_req *req)
+static void report_aborted(struct dl_httpd_req *req)
 {
 	struct dl_httpd *server = req->server;
 
-	if (req->over)
+	if (req->done)
 		return;
-	req->over = true;
+	req->done = true;
 	req_unlink(req);
 	if (!req->finishing)
 		server->ops->aborted(server->arg, req);
@@ -167,10 +167,10 @@
 /* h2o tells of a caller that left only once an answer has begun. */
 static void on_stop(h2o_generator_t *self, h2o_req_t *h2o)
 {
-	caller_gone((struct dl_httpd_req *)self);
+	report_aborted((struct dl_httpd_req *)self);
 }
 
-static bool socket_closed(h2o_req_t *h2o)
+static bool is_socket_closed(h2o_req_t *h2o)
 {
 	h2o_socket_t *sock = h2o->conn->callbacks->get_socket(h2o->conn);
 	char byte;
@@ -186,30 +186,30 @@
 }
 
 /* h2o needs an answer, or its end, to let go of a request. */
-static void let_go(struct dl_httpd_req *req)
+static void finish_aborted(struct dl_httpd_req *req)
 {
 	if (req->streaming)
 		dl_httpd_finish(req, false);
 	else
-		answer(req, STATUS_CALLER_LEFT, NULL, 0, DL_STR(""));
+		send_response(req, STATUS_CLIENT_CLOSED, NULL, 0, DL_STR(""));
 }
 
 /*
  * While a request waits for its answer h2o reads nothing, so a caller that
  * left would go unseen and its work would go on; look at the sockets.
  */
-static void on_watch(uv_timer_t *timer)
+static void on_disconnect_poll(uv_timer_t *timer)
 {
 	struct dl_httpd *server = timer->data;
 	struct dl_httpd_req *req, *next;
 
-	for (req = server->open; req; req = next) {
+	for (req = server->requests; req; req = next) {
 		next = req->next;
-		if (req->finishing || !socket_closed(req->h2o))
+		if (req->finishing || !is_socket_closed(req->h2o))
 			continue;
-		caller_gone(req);
-		let_go(req);
-		next = server->open;
+		report_aborted(req);
+		finish_aborted(req);
+		next = server->requests;
 	}
 }
 
@@ -273,16 +273,16 @@
 	config_init(server);
 	uv_tcp_init(loop, &server->listener);
 	server->listener.data = server;
-	uv_timer_init(loop, &server->watch);
-	server->watch.data = server;
+	uv_timer_init(loop, &server->disconnect_poll);
+	server->disconnect_poll.data = server;
 	rc = start_listening(server);
 	if (rc)
 		return dl_err_set(err, rc, DL_STEP_CONNECT,
 				  dl_vm_text(conf->address, text),
 				  "cannot listen: %s", uv_strerror(rc));
 	server->accepting = true;
-	uv_timer_start(&server->watch, on_watch, WATCH_PERIOD_MS,
-		       WATCH_PERIOD_MS);
+	uv_timer_start(&server->disconnect_poll, on_disconnect_poll,
+		       DISCONNECT_POLL_MS, DISCONNECT_POLL_MS);
 	*out = server;
 	return 0;
 }
@@ -293,7 +293,7 @@
  */
 void dl_httpd_close_after_responses(struct dl_httpd *server)
 {
-	server->last_answers = true;
+	server->close_after_responses = true;
 }
 
 /* Accept no new connection; those open go on. */
@@ -309,7 +309,7 @@
 void dl_httpd_close(struct dl_httpd *server)
 {
 	dl_httpd_stop_accepting(server);
-	uv_close((uv_handle_t *)&server->watch, NULL);
+	uv_close((uv_handle_t *)&server->disconnect_poll, NULL);
 }
 
 /* The method as it was sent. */
@@ -405,7 +405,7 @@
 	return req->data;
 }
 
-static const char *reason_of(uint16_t status)
+static const char *reason_phrase(uint16_t status)
 {
 	switch (status) {
 	case 200:
@@ -440,15 +440,15 @@
 }
 
 /* Copy the answer's head into h2o's own memory. */
-static void set_head(struct dl_httpd_req *req, uint16_t status,
-		     const struct dl_header *headers, size_t count)
+static void set_response_head(struct dl_httpd_req *req, uint16_t status,
+			      const struct dl_header *headers, size_t count)
 {
 	h2o_req_t *h2o = req->h2o;
 
-	if (req->server->last_answers)
+	if (req->server->close_after_responses)
 		h2o->http1_is_persistent = 0;
 	h2o->res.status = status;
-	h2o->res.reason = reason_of(status);
+	h2o->res.reason = reason_phrase(status);
 	for (size_t i = 0; i < count; i++) {
 		h2o_iovec_t name = h2o_strdup(&h2o->pool, headers[i].name.s,
 					      headers[i].name.n);
@@ -461,15 +461,15 @@
 	}
 }
 
-static void answer(struct dl_httpd_req *req, uint16_t status,
-		   const struct dl_header *headers, size_t count,
-		   struct dl_str body)
+static void send_response(struct dl_httpd_req *req, uint16_t status,
+			  const struct dl_header *headers, size_t count,
+			  struct dl_str body)
 {
 	static h2o_generator_t none;
 	h2o_req_t *h2o = req->h2o;
 	h2o_iovec_t copy;
 
-	set_head(req, status, headers, count);
+	set_response_head(req, status, headers, count);
 	h2o->res.content_length = body.n;
 	copy = h2o_strdup(&h2o->pool, body.s, body.n);
 	h2o_start_response(h2o, &none);
@@ -481,9 +481,9 @@
 		    const struct dl_header *headers, size_t count,
 		    struct dl_str body)
 {
-	req->over = true;
+	req->done = true;
 	req_unlink(req);
-	answer(req, status, headers, count, body);
+	send_response(req, status, headers, count, body);
 }
 
 /* Begin a streamed answer. */
@@ -491,11 +491,11 @@
 		    const struct dl_header *headers, size_t count,
 		    size_t length)
 {
-	set_head(req, status, headers, count);
+	set_response_head(req, status, headers, count);
 	req->h2o->res.content_length = length;
 	req->streaming = true;
-	h2o_buffer_init(&req->out, &h2o_socket_buffer_prototype);
-	h2o_buffer_init(&req->flight, &h2o_socket_buffer_prototype);
+	h2o_buffer_init(&req->pending, &h2o_socket_buffer_prototype);
+	h2o_buffer_init(&req->in_flight, &h2o_socket_buffer_prototype);
 	h2o_start_response(req->h2o, &req->generator);
 }
 
@@ -504,7 +504,7 @@
  * broke off with bytes that are no chunk: the caller shall see a connection
  * that ends early, and nothing that is not the answer's.
  */
-static void hang_up(struct dl_httpd_req *req)
+static void shutdown_connection(struct dl_httpd_req *req)
 {
 	h2o_conn_t *conn = req->h2o->conn;
 	h2o_socket_t *sock = conn->callbacks->get_socket(conn);
@@ -514,25 +514,25 @@
 }
 
 /* Hand the queued bytes to h2o, if it holds none of ours. */
-static void flush(struct dl_httpd_req *req)
+static void send_pending(struct dl_httpd_req *req)
 {
-	h2o_buffer_t *empty = req->flight;
+	h2o_buffer_t *empty = req->in_flight;
 	h2o_send_state_t state = H2O_SEND_STATE_IN_PROGRESS;
 	h2o_iovec_t bytes;
 
 	if (req->sending)
 		return;
-	if (req->finishing && !req->complete && req->out->size == 0)
-		hang_up(req);
-	if (req->finishing && (req->complete || req->out->size == 0))
+	if (req->finishing && !req->complete && req->pending->size == 0)
+		shutdown_connection(req);
+	if (req->finishing && (req->complete || req->pending->size == 0))
 		state = req->complete ? H2O_SEND_STATE_FINAL :
 					H2O_SEND_STATE_ERROR;
-	else if (req->out->size == 0)
+	else if (req->pending->size == 0)
 		return;
-	req->flight = req->out;
-	req->out = empty;
+	req->in_flight = req->pending;
+	req->pending = empty;
 	req->sending = true;
-	bytes = h2o_iovec_init(req->flight->bytes, req->flight->size);
+	bytes = h2o_iovec_init(req->in_flight->bytes, req->in_flight->size);
 	h2o_send(req->h2o, &bytes, bytes.len ? 1 : 0, state);
 }
 
@@ -541,10 +541,10 @@
 	struct dl_httpd_req *req = (struct dl_httpd_req *)self;
 	struct dl_httpd *server = req->server;
 
-	h2o_buffer_consume(&req->flight, req->flight->size);
+	h2o_buffer_consume(&req->in_flight, req->in_flight->size);
 	req->sending = false;
-	if (req->out->size || req->finishing) {
-		flush(req);
+	if (req->pending->size || req->finishing) {
+		send_pending(req);
 		return;
 	}
 	server->ops->drained(server->arg, req);
@@ -553,15 +553,15 @@
 /* Queue bytes of a stream; false: wait for drained() before more. */
 bool dl_httpd_send(struct dl_httpd_req *req, struct dl_str bytes)
 {
-	h2o_iovec_t space = h2o_buffer_reserve(&req->out, bytes.n);
+	h2o_iovec_t space = h2o_buffer_reserve(&req->pending, bytes.n);
 
 	if (space.base == NULL && bytes.n)
 		return false;
 	if (bytes.n)
 		memcpy(space.base, bytes.s, bytes.n);
-	req->out->size += bytes.n;
-	flush(req);
-	return req->out->size < STREAM_HIGH;
+	req->pending->size += bytes.n;
+	send_pending(req);
+	return req->pending->size < STREAM_HIGH_WATER;
 }
 
 /* End a stream once its bytes are out. */
@@ -569,5 +569,5 @@
 {
 	req->finishing = true;
 	req->complete = complete;
-	flush(req);
+	send_pending(req);
 }
