--- a/src/transport/peers.c
+++ b/src/transport/peers.c
@@ -16,14 +16,14 @@
 #include "base/msg.h"
 #include "base/sound.h"
 
-#define LENGTH_BYTES   4
-#define FRAME_ITEMS    4
-#define FRAME_OVERHEAD 64
-#define READ_FIRST     4096
-#define LISTEN_BACKLOG 512
-#define POST_BODY_MAX  1200
-#define PORT_BITS      16
-#define PORT_MASK      0xffff
+#define LENGTH_BYTES	  4
+#define FRAME_ITEMS	  4
+#define FRAME_OVERHEAD	  64
+#define READ_BUF_INITIAL  4096
+#define LISTEN_BACKLOG	  512
+#define DATAGRAM_BODY_MAX 1200
+#define PORT_BITS	  16
+#define PORT_MASK	  0xffff
 
 struct conn {
 	uv_tcp_t tcp; /* first, so that a handle is its connection */
@@ -35,13 +35,13 @@
 	bool outgoing;
 	bool connected;
 	bool closing;
-	int64_t last_in;  /* any byte read */
-	int64_t tried_at; /* when this connection was begun */
+	int64_t last_read;	 /* any byte read */
+	int64_t connect_started; /* when this connection was begun */
 	int64_t last_ping;
 	int64_t last_frame;    /* a frame of the owner's, either way */
 	size_t queued;	       /* bytes not yet written */
-	struct write *waiting; /* until connected, oldest first */
-	struct write **waiting_end;
+	struct write *pending; /* until connected, oldest first */
+	struct write **pending_tail;
 	char *buf;
 	size_t filled, size;
 };
@@ -63,8 +63,8 @@
 	uv_udp_t udp;
 	uv_timer_t timer;
 	struct conn *conns;
-	uint64_t cut[DL_PEERS_BLOCKED_MAX];
-	uint32_t cut_count;
+	uint64_t blocked[DL_PEERS_BLOCKED_MAX];
+	uint32_t blocked_count;
 	unsigned handles; /* not yet closed */
 	bool closing;
 	char datagram[65536];
@@ -95,7 +95,7 @@
 	conf->queue_bytes_max = 80u << 20;
 }
 
-static int64_t loop_now(const struct dl_peers *peers)
+static int64_t peers_now(const struct dl_peers *peers)
 {
 	return (int64_t)uv_now(peers->loop);
 }
@@ -124,7 +124,7 @@
 		free(peers);
 }
 
-static void on_own_closed(uv_handle_t *handle)
+static void on_handle_closed(uv_handle_t *handle)
 {
 	handle_closed(handle->data);
 }
@@ -135,8 +135,8 @@
 	struct dl_peers *peers = c->peers;
 	struct write *w;
 
-	while ((w = c->waiting)) {
-		c->waiting = w->next;
+	while ((w = c->pending)) {
+		c->pending = w->next;
 		free(w);
 	}
 	free(c->buf);
@@ -177,11 +177,11 @@
 	uv_tcp_init(peers->loop, &c->tcp);
 	peers->handles++;
 	c->peers = peers;
-	c->waiting_end = &c->waiting;
-	c->last_in = loop_now(peers);
-	c->tried_at = c->last_in;
-	c->last_ping = c->last_in;
-	c->last_frame = c->last_in;
+	c->pending_tail = &c->pending;
+	c->last_read = peers_now(peers);
+	c->connect_started = c->last_read;
+	c->last_ping = c->last_read;
+	c->last_frame = c->last_read;
 	c->next = peers->conns;
 	peers->conns = c;
 	return c;
@@ -198,10 +198,10 @@
 }
 
 /* Nothing passes to or from a VM that is cut off for a test. */
-static bool is_cut(const struct dl_peers *peers, uint64_t vm)
+static bool is_blocked(const struct dl_peers *peers, uint64_t vm)
 {
-	for (uint32_t i = 0; i < peers->cut_count; i++) {
-		if (peers->cut[i] == vm)
+	for (uint32_t i = 0; i < peers->blocked_count; i++) {
+		if (peers->blocked[i] == vm)
 			return true;
 	}
 	return false;
@@ -210,17 +210,18 @@
 /* Cut these off, and nobody else. */
 void dl_peers_block(struct dl_peers *peers, const uint64_t *vms, uint32_t count)
 {
-	peers->cut_count = count < DL_PEERS_BLOCKED_MAX ? count :
-							  DL_PEERS_BLOCKED_MAX;
-	if (peers->cut_count)
-		memcpy(peers->cut, vms, peers->cut_count * sizeof(*vms));
+	peers->blocked_count =
+		count < DL_PEERS_BLOCKED_MAX ? count : DL_PEERS_BLOCKED_MAX;
+	if (peers->blocked_count)
+		memcpy(peers->blocked, vms,
+		       peers->blocked_count * sizeof(*vms));
 }
 
 static void conn_write(struct conn *c, struct write *w)
 {
 	uv_buf_t buf = uv_buf_init(w->bytes, (unsigned)w->n);
 
-	if (is_cut(c->peers, c->vm)) {
+	if (is_blocked(c->peers, c->vm)) {
 		c->queued -= w->n;
 		free(w);
 		return;
@@ -274,8 +275,8 @@
 		conn_write(c, w);
 		return 0;
 	}
-	*c->waiting_end = w;
-	c->waiting_end = &w->next;
+	*c->pending_tail = w;
+	c->pending_tail = &w->next;
 	return 0;
 }
 
@@ -285,7 +286,7 @@
 	char *grown;
 
 	if (c->filled == c->size) {
-		size_t size = c->size ? c->size * 2 : READ_FIRST;
+		size_t size = c->size ? c->size * 2 : READ_BUF_INITIAL;
 
 		grown = realloc(c->buf, size);
 		if (!grown) {
@@ -327,7 +328,7 @@
 }
 
 /* A VM that has restarted speaks through its new process alone. */
-static void drop_older(struct conn *newer)
+static void close_older(struct conn *newer)
 {
 	struct conn *c, *next;
 
@@ -339,25 +340,25 @@
 	}
 }
 
-static void conn_bad(struct conn *c);
+static void conn_protocol_error(struct conn *c);
 
-static void conn_frame(struct conn *c, const struct dl_frame *f)
+static void conn_handle_frame(struct conn *c, const struct dl_frame *f)
 {
 	struct dl_peers *peers = c->peers;
 
 	if (!c->outgoing && c->vm == DL_VM_NONE && f->kind != DL_FRAME_HELLO) {
 		/* Answering its pings would keep a connection that says
 		 * nothing we can use; closed, the other end opens anew. */
-		conn_bad(c);
+		conn_protocol_error(c);
 		return;
 	}
 	switch (f->kind) {
 	case DL_FRAME_HELLO:
 		c->vm = f->request;
 		c->incarnation = f->incarnation;
-		if (is_cut(c->peers, c->vm))
+		if (is_blocked(c->peers, c->vm))
 			return;
-		drop_older(c);
+		close_older(c);
 		return;
 	case DL_FRAME_PING:
 		conn_send(c, DL_FRAME_PONG, f->request, f->body);
@@ -372,12 +373,12 @@
 		dl_count(DL_METRIC_late_frames_dropped, 1);
 		return;
 	}
-	c->last_frame = loop_now(peers);
+	c->last_frame = peers_now(peers);
 	dl_count(DL_METRIC_peer_frames_in, 1);
 	peers->ops->frame(peers->arg, c->vm, f);
 }
 
-static void conn_bad(struct conn *c)
+static void conn_protocol_error(struct conn *c)
 {
 	char text[24];
 
@@ -387,7 +388,7 @@
 }
 
 /* Hand on every whole frame in the buffer; keep the rest. */
-static void conn_parse(struct conn *c)
+static void conn_read_frames(struct conn *c)
 {
 	size_t at = 0;
 
@@ -400,7 +401,7 @@
 		memcpy(&n, c->buf + at, LENGTH_BYTES);
 		n = ntohl(n);
 		if (n > DL_FRAME_BODY_MAX + FRAME_OVERHEAD) {
-			conn_bad(c);
+			conn_protocol_error(c);
 			return;
 		}
 		if (c->filled - at - LENGTH_BYTES < n)
@@ -408,10 +409,10 @@
 		msgpack_unpacked_init(&u);
 		ok = parse_frame(&u, c->buf + at + LENGTH_BYTES, n, &f);
 		if (ok)
-			conn_frame(c, &f);
+			conn_handle_frame(c, &f);
 		msgpack_unpacked_destroy(&u);
 		if (!ok) {
-			conn_bad(c);
+			conn_protocol_error(c);
 			return;
 		}
 		at += LENGTH_BYTES + n;
@@ -430,12 +431,12 @@
 		conn_close(c, (int)n);
 		return;
 	}
-	if (is_cut(c->peers, c->vm))
+	if (is_blocked(c->peers, c->vm))
 		return;
-	c->last_in = loop_now(c->peers);
+	c->last_read = peers_now(c->peers);
 	c->filled += (size_t)n;
 	dl_count(DL_METRIC_peer_bytes_in, n);
-	conn_parse(c);
+	conn_read_frames(c);
 }
 
 static void on_accept(uv_stream_t *listener, int status)
@@ -469,24 +470,24 @@
 		return;
 	}
 	c->connected = true;
-	c->last_in = loop_now(c->peers);
+	c->last_read = peers_now(c->peers);
 	uv_tcp_nodelay(&c->tcp, 1);
 	if (uv_read_start((uv_stream_t *)&c->tcp, on_alloc, on_read)) {
 		conn_close(c, UV_EIO);
 		return;
 	}
-	while ((w = c->waiting)) {
-		c->waiting = w->next;
+	while ((w = c->pending)) {
+		c->pending = w->next;
 		w->next = NULL;
 		conn_write(c, w);
 	}
-	c->waiting_end = &c->waiting;
+	c->pending_tail = &c->pending;
 	if (c->peers->ops->up)
 		c->peers->ops->up(c->peers->arg, c->vm);
 }
 
 /* A connection to a VM, not yet begun. */
-static struct conn *conn_out(struct dl_peers *peers, uint64_t vm)
+static struct conn *conn_new_outgoing(struct dl_peers *peers, uint64_t vm)
 {
 	struct conn *c = conn_new(peers);
 
@@ -498,7 +499,7 @@
 	return c;
 }
 
-static int conn_begin(struct conn *c)
+static int conn_connect(struct conn *c)
 {
 	struct sockaddr_in sin = vm_sockaddr(c->vm);
 
@@ -514,11 +515,11 @@
 		if (c->outgoing && c->vm == vm)
 			return c;
 	}
-	c = conn_out(peers, vm);
+	c = conn_new_outgoing(peers, vm);
 	if (!c)
 		return NULL;
 	conn_send(c, DL_FRAME_HELLO, peers->conf.self, DL_STR(""));
-	if (conn_begin(c)) {
+	if (conn_connect(c)) {
 		conn_close(c, UV_ECONNREFUSED);
 		return NULL;
 	}
@@ -531,25 +532,25 @@
  */
 static void conn_retry(struct conn *c)
 {
-	struct conn *again = conn_out(c->peers, c->vm);
+	struct conn *retry = conn_new_outgoing(c->peers, c->vm);
 	struct write *w;
 
-	if (!again)
+	if (!retry)
 		return;
-	again->waiting = c->waiting;
-	if (c->waiting)
-		again->waiting_end = c->waiting_end;
-	again->queued = c->queued;
-	again->last_in = c->last_in;
-	again->last_frame = c->last_frame;
-	for (w = again->waiting; w; w = w->next)
-		w->conn = again;
-	c->waiting = NULL;
-	c->waiting_end = &c->waiting;
+	retry->pending = c->pending;
+	if (c->pending)
+		retry->pending_tail = c->pending_tail;
+	retry->queued = c->queued;
+	retry->last_read = c->last_read;
+	retry->last_frame = c->last_frame;
+	for (w = retry->pending; w; w = w->next)
+		w->conn = retry;
+	c->pending = NULL;
+	c->pending_tail = &c->pending;
 	c->queued = 0;
 	conn_close(c, 0);
-	if (conn_begin(again))
-		conn_close(again, UV_ECONNREFUSED);
+	if (conn_connect(retry))
+		conn_close(retry, UV_ECONNREFUSED);
 }
 
 /* Queue a frame for a VM; see the header for what is promised. */
@@ -565,7 +566,7 @@
 		return -EAGAIN;
 	if (c->queued + body.n > peers->conf.queue_bytes_max)
 		return -EAGAIN;
-	c->last_frame = loop_now(peers);
+	c->last_frame = peers_now(peers);
 	return conn_send(c, kind, request, body);
 }
 
@@ -578,9 +579,9 @@
 	uv_buf_t buf;
 	int rc;
 
-	if (body.n > POST_BODY_MAX)
+	if (body.n > DATAGRAM_BODY_MAX)
 		return -EMSGSIZE;
-	if (is_cut(peers, to))
+	if (is_blocked(peers, to))
 		return 0;
 	msgpack_sbuffer_init(&out);
 	pack_frame(&out, peers, kind, request, body);
@@ -607,7 +608,7 @@
 	struct dl_frame f;
 
 	if (n <= 0 || !from || from->sa_family != AF_INET ||
-	    is_cut(peers, sockaddr_vm(from)))
+	    is_blocked(peers, sockaddr_vm(from)))
 		return;
 	dl_count(DL_METRIC_peer_bytes_in, n);
 	dl_count(DL_METRIC_peer_frames_in, 1);
@@ -619,22 +620,22 @@
 	msgpack_unpacked_destroy(&u);
 }
 
-static bool conn_silent(const struct conn *c, int64_t now)
+static bool conn_timed_out(const struct conn *c, int64_t now)
 {
-	return now - c->last_in > c->peers->conf.silent_ms;
+	return now - c->last_read > c->peers->conf.silent_ms;
 }
 
 /* Ping what we opened, replace what is silent, close what is not used. */
 static void on_timer(uv_timer_t *timer)
 {
 	struct dl_peers *peers = timer->data;
-	int64_t now = loop_now(peers);
+	int64_t now = peers_now(peers);
 	struct conn *c, *next;
 	char text[24];
 
 	for (c = peers->conns; c; c = next) {
 		next = c->next;
-		if (conn_silent(c, now)) {
+		if (conn_timed_out(c, now)) {
 			dl_count(DL_METRIC_peer_silent, 1);
 			dl_msg(DL_MSG_PEER_SILENT, "vm=%s",
 			       dl_vm_text(c->vm, text));
@@ -646,7 +647,8 @@
 		if (!c->outgoing)
 			continue;
 		if (!c->connected) {
-			if (now - c->tried_at >= peers->conf.connect_ms) {
+			if (now - c->connect_started >=
+			    peers->conf.connect_ms) {
 				conn_retry(c);
 				next = peers->conns;
 			}
@@ -723,7 +725,7 @@
 	peers->closing = true;
 	while (peers->conns)
 		conn_close(peers->conns, 0);
-	uv_close((uv_handle_t *)&peers->listener, on_own_closed);
-	uv_close((uv_handle_t *)&peers->udp, on_own_closed);
-	uv_close((uv_handle_t *)&peers->timer, on_own_closed);
+	uv_close((uv_handle_t *)&peers->listener, on_handle_closed);
+	uv_close((uv_handle_t *)&peers->udp, on_handle_closed);
+	uv_close((uv_handle_t *)&peers->timer, on_handle_closed);
 }
