--- a/src/transport/disk_file.c
+++ b/src/transport/disk_file.c
@@ -1,4 +1,7 @@
-/* Files of the data folder: a queue of operations, each a few uv_fs steps. */
+/*
+ * Disk over the files of one data folder: a queue of operations, each carried
+ * out by one or more uv_fs requests.
+ */
 #include "transport/disk_file.h"
 
 #include <errno.h>
@@ -39,10 +42,10 @@
 	char folder[PATH_BYTES - NAME_BYTES];
 	int dir_fd;
 	int lock_fd;
-	/* The file used last stays open. */
+	/* The file used most recently is kept open. */
 	int fd;
 	char fd_name[NAME_BYTES];
-	GQueue ops; /* of struct op; the first is under way */
+	GQueue ops; /* of struct op; the first is in progress */
 	uv_fs_t req;
 };
 
@@ -60,7 +63,7 @@
 static void enqueue(struct dl_disk_file *f, enum op_kind kind, const char *name,
 		    struct op *op, struct dl_disk_done done);
 
-/* Whether an operation needs its file open first. */
+/* Operations that need an open file descriptor. */
 static const bool needs_open_file[OP_KIND_COUNT] = {
 	[OP_WRITE] = true,
 	[OP_SYNC] = true,
@@ -139,7 +142,7 @@
 
 	g_free(op);
 	done.fn(done.arg, code);
-	/* Where it was idle, done has begun what it asked for. */
+	/* If the queue was empty, the callback has started any new one. */
 	if (!idle)
 		start_next(f);
 }
@@ -161,7 +164,7 @@
 		    on_op_written);
 }
 
-/* A write may be short: go on with the rest. */
+/* Continues a short write with the rest of the data. */
 static void on_op_written(uv_fs_t *req)
 {
 	struct dl_disk_file *f = req->data;
@@ -227,7 +230,7 @@
 		start_next(f);
 }
 
-/* --- the table --- */
+/* --- struct dl_disk_ops --- */
 
 static void disk_write(void *disk, const char *name, uint64_t offset,
 		       struct dl_str data, struct dl_disk_done done)
@@ -337,7 +340,7 @@
 	.truncate = disk_truncate,
 };
 
-/* Take the folder's lock; a second process on it would ruin the journal. */
+/* Locks the folder; a second process using it would corrupt the journal. */
 static int take_lock(struct dl_disk_file *f, struct dl_err *err)
 {
 	char path[PATH_BYTES];
@@ -349,11 +352,14 @@
 				  "cannot open %s: %s", path, strerror(errno));
 	if (flock(f->lock_fd, LOCK_EX | LOCK_NB))
 		return dl_err_set(err, -EBUSY, DL_STEP_STORE, NULL,
-				  "another process uses %s", f->folder);
+				  "%s is locked by another process", f->folder);
 	return 0;
 }
 
-/* Open a data folder. */
+/*
+ * Opens a data folder, which must exist, and locks it against other processes.
+ * Returns 0, -EBUSY if another process holds the lock, or a negative errno.
+ */
 int dl_disk_file_open(uv_loop_t *loop, const char *folder,
 		      struct dl_disk_file **out, struct dl_err *err)
 {
@@ -381,19 +387,22 @@
 	return 0;
 }
 
-/* The folder as a disk. */
+/* Returns the disk interface of the folder. */
 struct dl_disk dl_disk_file_disk(struct dl_disk_file *f)
 {
 	return (struct dl_disk){ &disk_file_ops, f };
 }
 
-/* Whether anything is being written or synced. */
+/* Reports whether an operation is queued or in progress. */
 bool dl_disk_file_busy(const struct dl_disk_file *f)
 {
 	return f->ops.head != NULL;
 }
 
-/* Close what is open, and give the lock back. */
+/*
+ * Closes the folder and releases its lock.  Must not be called while an
+ * operation is in progress.
+ */
 void dl_disk_file_close(struct dl_disk_file *f)
 {
 	close_fd(f);
--- a/src/transport/disk_file.h
+++ b/src/transport/disk_file.h
@@ -1,7 +1,7 @@
 /*
- * The real disk behind struct dl_disk_ops: files of one data folder, with
- * every write and sync in libuv's thread pool.  Operations are carried out one
- * after the other, in the order of their calls.
+ * Implementation of struct dl_disk_ops on the files of one data folder.  Writes
+ * and syncs run in libuv's thread pool, one at a time, in the order in which
+ * they were requested.
  */
 #ifndef DL_TRANSPORT_DISK_FILE_H
 #define DL_TRANSPORT_DISK_FILE_H
@@ -13,15 +13,15 @@
 struct dl_disk_file;
 
 /*
- * Open the folder, which must exist, and keep other processes out of it.
- * 0, -EBUSY where another process has it, or a negative errno.
+ * Opens the folder, which must exist, and locks it against other processes.
+ * Returns 0, -EBUSY if another process holds the lock, or a negative errno.
  */
 int dl_disk_file_open(uv_loop_t *loop, const char *folder,
 		      struct dl_disk_file **out, struct dl_err *err);
 struct dl_disk dl_disk_file_disk(struct dl_disk_file *file);
-/* Whether an operation is under way. */
+/* Reports whether an operation is queued or in progress. */
 bool dl_disk_file_busy(const struct dl_disk_file *file);
-/* Only while none is under way. */
+/* Must not be called while an operation is in progress. */
 void dl_disk_file_close(struct dl_disk_file *file);
 
 #endif
