--- a/src/transport/httpc.c
+++ b/src/transport/httpc.c
@@ -1,8 +1,8 @@
 /*
- * Calls over HTTP/1.1, each alone on its connection while it lasts.  How an
- * answer ended is told exactly: in order, by its own framing, by a close where
- * it has none, or broken.  A connection is kept for another call only where its
- * answer ended by its framing, with nothing behind it.
+ * HTTP/1.1 client, one call at a time on a connection (no pipelining).  The
+ * client distinguishes a response that ended by its own framing, one delimited
+ * by an orderly close, and one that was cut short.  A connection is returned to
+ * the pool only if its response ended by its framing with no bytes after it.
  */
 #include "transport/httpc.h"
 
@@ -22,33 +22,33 @@
 #define READ_MAX      65536
 #define MS_PER_S      1000
 /*
- * How far a kept connection is trusted.  Endpoints close idle ones without a
- * word, at times sooner than they say; a request that is sent on such a one is
- * lost, and a new connection costs a millisecond.
+ * Limits on the reuse of pooled connections.  Endpoints close idle connections
+ * without notice, sometimes sooner than they announce, and a request sent on
+ * such a connection is lost, while a new connection costs only a millisecond.
  */
 #define POOL_IDLE_MS	  1500
 #define POOL_AGE_MS	  60000
 #define POOL_REQUESTS_MAX 1000
-/* What an endpoint announces, less the time on the way. */
+/* Subtracted from the timeout that an endpoint announces: transit time. */
 #define KEEP_ALIVE_MARGIN_MS 500
 #define POOL_CONNS_MAX	     256
 #define POOL_SWEEP_MS	     500
 
-/* One connection, in a call or kept. */
+/* A connection, in use by a call or idle in the pool. */
 struct conn {
-	uv_tcp_t tcp; /* first */
+	uv_tcp_t tcp; /* must be first */
 	uv_connect_t connect;
 	uv_write_t write;
 	http_parser parser;
 	struct dl_httpc *client;
-	struct dl_httpc_call *call; /* NULL while it is kept, or closing */
-	struct conn *next;	    /* of those kept */
+	struct dl_httpc_call *call; /* NULL while pooled or closing */
+	struct conn *next;	    /* in the pool */
 	uint64_t address;
 	struct dl_conn_usage usage;
-	uint32_t idle_ms; /* how long it may be kept idle */
+	uint32_t idle_ms; /* how long it may stay idle in the pool */
 	bool writing;
 	bool closing;
-	bool response_ended; /* the answer has ended */
+	bool response_ended; /* the response has been read to its end */
 };
 
 struct dl_httpc {
@@ -61,7 +61,7 @@
 
 struct dl_httpc_call {
 	struct dl_httpc *client;
-	struct conn *conn; /* NULL once it is closed or kept again */
+	struct conn *conn; /* NULL once closed or returned to the pool */
 	uv_timer_t timer;
 	const struct dl_httpc_ops *ops;
 	void *arg;
@@ -75,11 +75,11 @@
 	bool is_head_method;
 	bool close_delimited;
 	bool reuse;
-	bool framed; /* the answer tells its own length */
+	bool framed; /* the end is marked by a length or by chunks */
 	bool paused;
-	bool ended; /* end() is due at the next timer */
+	bool ended; /* end() is called when the timer fires next */
 
-	/* the head of the answer as it comes */
+	/* header fields, as offsets into header_text */
 	GString *header_text;
 	struct {
 		size_t name, name_n, value, value_n;
@@ -119,7 +119,7 @@
 	return (int64_t)uv_now(client->loop);
 }
 
-/* The client of a loop; it keeps some connections between its calls. */
+/* Creates the HTTP client of a loop, with its pool of idle connections. */
 int dl_httpc_open(uv_loop_t *loop, struct dl_httpc **out)
 {
 	struct dl_httpc *client = calloc(1, sizeof(*client));
@@ -149,7 +149,7 @@
 	uv_close((uv_handle_t *)&conn->tcp, on_conn_closed);
 }
 
-/* Take a connection out of those kept. */
+/* Removes a connection from the pool. */
 static void pool_remove(struct conn *conn)
 {
 	struct dl_httpc *client = conn->client;
@@ -163,7 +163,7 @@
 	client->pool_count--;
 }
 
-/* Close what has been kept for long enough. */
+/* Closes connections that have been idle for too long. */
 static void on_sweep(uv_timer_t *timer)
 {
 	struct dl_httpc *client = timer->data;
@@ -184,7 +184,10 @@
 	free(handle->data);
 }
 
-/* Every call must have ended or been cancelled before. */
+/*
+ * Closes the pooled connections and frees the client once the loop has run.
+ * Every call must have ended or been cancelled before.
+ */
 void dl_httpc_close(struct dl_httpc *client)
 {
 	while (client->pool) {
@@ -220,7 +223,10 @@
 		uv_timer_start(&call->timer, on_timer, ms, 0);
 }
 
-/* Note how the call ended; the owner is told from the loop. */
+/*
+ * Records how the call ended.  end() is called from the loop, so that it never
+ * runs inside a function that the owner of the call has called.
+ */
 static void schedule_end(struct dl_httpc_call *call, enum dl_failure failure,
 			 enum dl_step step, const char *why)
 {
@@ -264,7 +270,7 @@
 	schedule_end(call,
 		     step == DL_STEP_CONNECT ? DL_FAILURE_CONNECT :
 					       DL_FAILURE_IDLE_TIMEOUT,
-		     step, "no byte in the time allowed");
+		     step, "timed out");
 }
 
 static struct dl_httpc_call *call_of(http_parser *parser)
@@ -284,7 +290,7 @@
 	return 0;
 }
 
-/* Names and values may come in pieces. */
+/* The parser may deliver a name or a value in several pieces. */
 static int on_field(http_parser *parser, const char *at, size_t n)
 {
 	struct dl_httpc_call *call = call_of(parser);
@@ -319,7 +325,7 @@
 	return 0;
 }
 
-/* "timeout=N": how long the endpoint keeps the connection, in seconds. */
+/* Reads "timeout=N": the idle timeout of the endpoint in seconds. */
 static void read_keep_alive(struct conn *conn, struct dl_str value)
 {
 	const char *at = memmem(value.s, value.n, "timeout=", 8);
@@ -340,7 +346,7 @@
 			0;
 }
 
-/* Views of the headers, and what they say to this client. */
+/* Fills in views of the headers, and acts on those meant for this client. */
 static size_t read_headers(struct dl_httpc_call *call, struct dl_header *out)
 {
 	for (uint32_t i = 0; i < call->fields; i++) {
@@ -371,7 +377,7 @@
 	if (!call)
 		return -1;
 	if (parser->status_code < 200)
-		return 0; /* the answer itself is still to come */
+		return 0; /* interim response; the final one follows */
 	no_body = call->is_head_method || parser->status_code == 204 ||
 		  parser->status_code == 304;
 	call->attempt.received = DL_RECV_HEAD;
@@ -414,7 +420,7 @@
 	return 0;
 }
 
-/* Keep a connection for another call. */
+/* Detaches a connection from its call and returns it to the pool. */
 static void pool_add(struct conn *conn)
 {
 	struct dl_httpc *client = conn->client;
@@ -428,14 +434,15 @@
 	client->pool_count++;
 }
 
-/* The answer has ended in order; more: bytes came behind it. */
+/* Ends a call whose response is complete; trailing_data: bytes followed it. */
 static void end_complete(struct dl_httpc_call *call, bool trailing_data)
 {
 	struct conn *conn = call->conn;
 
 	if (!call->framed && !call->close_delimited) {
-		schedule_end(call, DL_FAILURE_BAD_RESPONSE, DL_STEP_BODY,
-			     "the answer does not tell its length");
+		schedule_end(
+			call, DL_FAILURE_BAD_RESPONSE, DL_STEP_BODY,
+			"response has neither a length nor chunked encoding");
 		return;
 	}
 	if (call->attempt.received != DL_RECV_NOT_RUN)
@@ -448,9 +455,9 @@
 }
 
 /*
- * Whether a connection that the loop says has ended was reset.  libuv tells an
- * end in order also where bytes and a reset arrive in one turn; the error then
- * still stands at the socket.
+ * Reports whether a connection that ended with UV_EOF was in fact reset.  libuv
+ * reports an orderly end when data and a reset arrive in one loop iteration;
+ * the error is then still pending on the socket.
  */
 static bool was_reset(struct conn *conn)
 {
@@ -464,7 +471,7 @@
 	return err != 0;
 }
 
-/* The connection ended: in order where err is UV_EOF. */
+/* Handles the end of a connection; err is UV_EOF for an orderly close. */
 static void on_conn_end(struct conn *conn, int err)
 {
 	struct dl_httpc_call *call = conn->call;
@@ -503,7 +510,7 @@
 		return;
 	}
 	if (!call) {
-		/* Bytes that answer nobody: nothing more is trusted here. */
+		/* Unsolicited data: the connection cannot be reused. */
 		pool_remove(conn);
 		conn_close(conn);
 		return;
@@ -512,7 +519,7 @@
 	used = http_parser_execute(&conn->parser, &parser_settings, buf->base,
 				   (size_t)n);
 	if (!conn->call)
-		return; /* cancelled on the way */
+		return; /* cancelled by a callback */
 	if (conn->response_ended)
 		end_complete(call, used < (size_t)n);
 	else if (HTTP_PARSER_ERRNO(&conn->parser) != HPE_OK)
@@ -534,7 +541,7 @@
 			     uv_strerror(status));
 }
 
-/* Send the request on a connection that stands. */
+/* Sends the request on an established connection. */
 static void send_request(struct dl_httpc_call *call)
 {
 	struct conn *conn = call->conn;
@@ -545,7 +552,7 @@
 
 	if (call->ops->connected && !call->ops->connected(call->arg)) {
 		schedule_end(call, DL_FAILURE_CONNECT, DL_STEP_SEND,
-			     "given up before it was sent");
+			     "request abandoned before it was sent");
 		return;
 	}
 	http_parser_init(&conn->parser, HTTP_RESPONSE);
@@ -559,7 +566,7 @@
 		     call->body.n ? 2 : 1, on_written)) {
 		conn->writing = false;
 		schedule_end(call, DL_FAILURE_RESET, DL_STEP_SEND,
-			     "cannot write");
+			     "cannot write to the connection");
 		return;
 	}
 	start_timeout(call, call->head_ms);
@@ -585,7 +592,7 @@
 	send_request(conn->call);
 }
 
-/* A kept connection to an endpoint that may be trusted, or NULL. */
+/* Takes a usable connection to an address from the pool; NULL if none. */
 static struct conn *pool_take(struct dl_httpc *client, uint64_t to)
 {
 	struct conn *conn;
@@ -628,7 +635,7 @@
 	return 0;
 }
 
-/* Go on reading after body() returned false. */
+/* Resumes reading after body() returned false. */
 void dl_httpc_resume(struct dl_httpc_call *call)
 {
 	if (!call->paused)
@@ -640,13 +647,13 @@
 	uv_read_start((uv_stream_t *)&call->conn->tcp, on_alloc, on_read);
 }
 
-/* Change the bound on silence; it counts from the next byte on. */
+/* Changes the idle timeout; it takes effect with the next byte received. */
 void dl_httpc_set_idle_timeout(struct dl_httpc_call *call, uint32_t idle_ms)
 {
 	call->idle_ms = idle_ms;
 }
 
-/* What was sent and received so far. */
+/* Returns what has been sent and received so far. */
 struct dl_attempt dl_httpc_progress(const struct dl_httpc_call *call)
 {
 	return call->attempt;
@@ -669,7 +676,7 @@
 	call->head_n += s.n;
 }
 
-/* Write the request line and the headers. */
+/* Builds the request line and headers; false if memory runs out. */
 static bool build_request_head(struct dl_httpc_call *call,
 			       const struct dl_httpc_req *req)
 {
@@ -701,7 +708,7 @@
 	return true;
 }
 
-/* Start a call; NULL only where memory runs out. */
+/* Starts a call; returns NULL only if memory runs out. */
 struct dl_httpc_call *dl_httpc_start(struct dl_httpc *client,
 				     const struct dl_httpc_req *req,
 				     const struct dl_httpc_ops *ops, void *arg)
@@ -739,7 +746,7 @@
 	return call;
 }
 
-/* Close the connection now; no callback follows. */
+/* Cancels a call: closes its connection; no callback follows. */
 void dl_httpc_cancel(struct dl_httpc_call *call)
 {
 	call_free(call);
--- a/src/transport/httpc.h
+++ b/src/transport/httpc.h
@@ -1,7 +1,8 @@
 /*
- * One HTTP request to an endpoint or to an entry, over libuv and http-parser.
- * A connection of its own for each call, since a kept one may have gone silent;
- * a request that may be repeated can go over a kept one.
+ * HTTP/1.1 client for requests to endpoints and entries, on libuv and
+ * http-parser.  Each call opens its own connection by default, since an idle
+ * connection may be dead without notice; a request that is safe to repeat can
+ * reuse a pooled one.
  */
 #ifndef DL_TRANSPORT_HTTPC_H
 #define DL_TRANSPORT_HTTPC_H
@@ -19,32 +20,33 @@
 	struct dl_str value;
 };
 
-/* Whether a header has a name, which is given in lower case. */
+/* Reports whether a header has a name, which is given in lower case. */
 bool dl_header_is(struct dl_str name, const char *lower_name);
-/* Whether a header concerns one connection only, and is not passed on. */
+/* Reports whether a header is hop-by-hop, so that it must not be forwarded. */
 bool dl_header_is_hop_by_hop(struct dl_str name);
 
 struct dl_httpc_req {
-	uint64_t address; /* address as a packed ip and port */
+	uint64_t address; /* packed IP address and port */
 	struct dl_str method;
 	struct dl_str path;
-	struct dl_str host;		 /* empty: the address */
-	const struct dl_header *headers; /* beside Host and Content-Length */
+	struct dl_str host;		 /* if empty, the address is sent */
+	const struct dl_header *headers; /* besides Host and Content-Length */
 	size_t headers_count;
-	struct dl_str body_prefix; /* begin of the body, copied; may be empty */
-	struct dl_str body;  /* the rest: must stay until the end of the call */
-	uint32_t connect_ms; /* time to connect */
-	uint32_t idle_ms;    /* longest silence after that */
-	uint32_t head_ms;    /* longest wait for the head; 0: idle_ms */
+	struct dl_str body_prefix; /* start of the body, copied; may be empty */
+	struct dl_str body;	   /* the rest, which must outlive the call */
+	uint32_t connect_ms;	   /* connect timeout */
+	uint32_t idle_ms;	   /* longest time without a byte after that */
+	uint32_t head_ms; /* longest wait for the response head; 0: idle_ms */
 	/*
-	 * An answer without a length is whole when its connection is closed
-	 * in order; else it counts as garbled.
+	 * Accept a response that is delimited only by an orderly close of the
+	 * connection; without this, such a response is malformed.
 	 */
 	bool close_delimited;
 	/*
-	 * It may go over a kept connection, and leave one behind.  What is
-	 * sent on one that its other end has closed is lost: not for requests
-	 * that run once only.
+	 * The request may use a pooled connection and return its connection to
+	 * the pool.  A request sent on a connection that the peer has already
+	 * closed is lost, so this is not for requests that must not be
+	 * repeated.
 	 */
 	bool reuse;
 };
@@ -56,10 +58,11 @@
 };
 
 /*
- * Callbacks of one call: head once, body for each piece, end once and last.
- * body returns false to pause; dl_httpc_resume() goes on.  broke tells what
- * ended it; attempt is filled for dl_call_outcome(); err says -ECONNREFUSED
- * where nobody listens.  NULL where nothing is to be done.
+ * Callbacks of one call; any of them may be NULL.  head() is called once,
+ * body() for each piece of the body, and end() once and last.  body() returns
+ * false to pause reading until dl_httpc_resume().  attempt is filled in for
+ * dl_call_outcome(); its failure says what ended the call.  err->code is
+ * -ECONNREFUSED if the connection was refused.
  */
 struct dl_httpc_ops {
 	void (*head)(void *arg, const struct dl_httpc_head *head);
@@ -67,7 +70,8 @@
 	void (*end)(void *arg, const struct dl_attempt *attempt,
 		    const struct dl_err *err);
 	/*
-	 * Connected, nothing sent yet: false gives the call up as not sent.
+	 * Connected, but nothing has been sent; returning false abandons the
+	 * call as not sent.
 	 */
 	bool (*connected)(void *arg);
 };
@@ -75,16 +79,16 @@
 int dl_httpc_open(uv_loop_t *loop, struct dl_httpc **out);
 void dl_httpc_close(struct dl_httpc *client);
 
-/* Start a call; end() is called later, never from within. */
+/* Starts a call.  end() is never called from within this function. */
 struct dl_httpc_call *dl_httpc_start(struct dl_httpc *client,
 				     const struct dl_httpc_req *req,
 				     const struct dl_httpc_ops *ops, void *arg);
 void dl_httpc_resume(struct dl_httpc_call *call);
-/* From now on, the longest silence allowed. */
+/* Changes the idle timeout; it takes effect with the next byte received. */
 void dl_httpc_set_idle_timeout(struct dl_httpc_call *call, uint32_t idle_ms);
-/* How far the call has come. */
+/* Returns what has been sent and received so far. */
 struct dl_attempt dl_httpc_progress(const struct dl_httpc_call *call);
-/* Give up: the connection is closed, no callback follows. */
+/* Cancels a call: closes its connection; no callback follows. */
 void dl_httpc_cancel(struct dl_httpc_call *call);
 
 #endif
