--- a/src/transport/httpd.c
+++ b/src/transport/httpd.c
@@ -1,4 +1,4 @@
-/* The HTTP server over h2o. */
+/* HTTP server on h2o. */
 #include "transport/httpd.h"
 
 #include <arpa/inet.h>
@@ -9,17 +9,19 @@
 
 #include <h2o.h>
 
-#define PORT_BITS	     16
-#define PORT_MASK	     0xffff
-#define LISTEN_BACKLOG	     1024
-#define STREAM_HIGH_WATER    (256u << 10) /* a slow caller holds no more */
+#define PORT_BITS      16
+#define PORT_MASK      0xffff
+#define LISTEN_BACKLOG 1024
+#define STREAM_HIGH_WATER                                                      \
+	(256u << 10) /* most bytes queued for a slow client                    \
+		      */
 #define DISCONNECT_POLL_MS   250
 #define STATUS_CLIENT_CLOSED 499
 #define MS_PER_S	     1000
 #define US_PER_MS	     1000
 
 struct handler {
-	h2o_handler_t super; /* first, h2o hands it back */
+	h2o_handler_t super; /* must be first: h2o passes a pointer to it */
 	struct dl_httpd *server;
 };
 
@@ -40,22 +42,22 @@
 };
 
 struct dl_httpd_req {
-	h2o_generator_t generator; /* first, h2o hands it back */
+	h2o_generator_t generator; /* must be first: h2o passes it back */
 	struct dl_httpd *server;
 	struct dl_httpd_req *next, *prev;
 	h2o_req_t *h2o;
 	void *data;
-	bool done; /* answered whole, or its caller has gone */
+	bool done; /* answered, or the client has disconnected */
 	bool streaming;
-	bool sending; /* h2o holds bytes of ours */
+	bool sending; /* h2o is sending in_flight */
 	bool finishing;
 	bool complete;
-	h2o_buffer_t *pending;	 /* not yet given to h2o */
-	h2o_buffer_t *in_flight; /* given to h2o */
+	h2o_buffer_t *pending;	 /* not yet passed to h2o */
+	h2o_buffer_t *in_flight; /* passed to h2o */
 };
 
 struct client {
-	uv_tcp_t tcp; /* first */
+	uv_tcp_t tcp; /* must be first */
 	struct dl_httpd *server;
 };
 
@@ -81,7 +83,7 @@
 	free(handle);
 }
 
-/* More connections than conf allows are closed before they cost memory. */
+/* Closes connections beyond conns_max before h2o allocates memory for them. */
 static void on_accept(uv_stream_t *listener, int status)
 {
 	struct dl_httpd *server = listener->data;
@@ -117,7 +119,7 @@
 		req->next->prev = req->prev;
 }
 
-/* h2o is done with the request, answered or not. */
+/* Called when h2o frees the request, whether it was answered or not. */
 static void on_dispose(void *self)
 {
 	struct dl_httpd_req *req = self;
@@ -151,7 +153,7 @@
 	return 0;
 }
 
-/* The owner hears of it once, and the request is out of the list. */
+/* Removes the request from the list and notifies the owner, once only. */
 static void report_aborted(struct dl_httpd_req *req)
 {
 	struct dl_httpd *server = req->server;
@@ -164,7 +166,7 @@
 		server->ops->aborted(server->arg, req);
 }
 
-/* h2o tells of a caller that left only once an answer has begun. */
+/* h2o reports a disconnected client only once a response has begun. */
 static void on_stop(h2o_generator_t *self, h2o_req_t *h2o)
 {
 	report_aborted((struct dl_httpd_req *)self);
@@ -185,7 +187,7 @@
 	       errno != EINTR;
 }
 
-/* h2o needs an answer, or its end, to let go of a request. */
+/* Ends an aborted request: h2o frees a request only once it has a response. */
 static void finish_aborted(struct dl_httpd_req *req)
 {
 	if (req->streaming)
@@ -195,8 +197,9 @@
 }
 
 /*
- * While a request waits for its answer h2o reads nothing, so a caller that
- * left would go unseen and its work would go on; look at the sockets.
+ * h2o does not read from a connection while its request awaits a response, so a
+ * client that disconnected would go unnoticed and its request would keep
+ * running.  Polls the sockets for that.
  */
 static void on_disconnect_poll(uv_timer_t *timer)
 {
@@ -219,7 +222,7 @@
 	h2o_pathconf_t *path;
 	struct handler *handler;
 
-	/* Files of its own are not allowed: large bodies stay in memory. */
+	/* Keep large bodies in memory: h2o must not create temporary files. */
 	h2o_socket_buffer_mmap_settings.threshold = SIZE_MAX;
 	h2o_config_init(&server->globalconf);
 	server->globalconf.server_name =
@@ -254,7 +257,7 @@
 			 on_accept);
 }
 
-/* Serve on conf's address; ops must outlive the server. */
+/* Starts a server on conf->address; ops must outlive it. */
 int dl_httpd_open(uv_loop_t *loop, const struct dl_httpd_conf *conf,
 		  const struct dl_httpd_ops *ops, void *arg,
 		  struct dl_httpd **out, struct dl_err *err)
@@ -288,15 +291,16 @@
 }
 
 /*
- * Close each connection after its answer, and say so in it: callers that keep
- * connections would else go on sending to a process that stops.
+ * Closes each connection after its response, announced by Connection: close.
+ * Clients with persistent connections would otherwise keep sending requests to
+ * a process that is stopping.
  */
 void dl_httpd_close_after_responses(struct dl_httpd *server)
 {
 	server->close_after_responses = true;
 }
 
-/* Accept no new connection; those open go on. */
+/* Stops accepting connections; open ones continue. */
 void dl_httpd_stop_accepting(struct dl_httpd *server)
 {
 	if (!server->accepting)
@@ -305,26 +309,28 @@
 	uv_close((uv_handle_t *)&server->listener, NULL);
 }
 
-/* Stop for good; the process ends soon after, h2o's context is its own. */
+/*
+ * Stops the server.  h2o's context is not freed: the process exits soon after.
+ */
 void dl_httpd_close(struct dl_httpd *server)
 {
 	dl_httpd_stop_accepting(server);
 	uv_close((uv_handle_t *)&server->disconnect_poll, NULL);
 }
 
-/* The method as it was sent. */
+/* Returns the method as it was sent. */
 struct dl_str dl_httpd_method(const struct dl_httpd_req *req)
 {
 	return (struct dl_str){ req->h2o->method.base, req->h2o->method.len };
 }
 
-/* The path with its query, as it was sent. */
+/* Returns the path with its query, as it was sent. */
 struct dl_str dl_httpd_path(const struct dl_httpd_req *req)
 {
 	return (struct dl_str){ req->h2o->path.base, req->h2o->path.len };
 }
 
-/* The host asked for, without a port. */
+/* Returns the requested host, without the port. */
 struct dl_str dl_httpd_host(const struct dl_httpd_req *req)
 {
 	h2o_iovec_t host = req->h2o->authority;
@@ -334,20 +340,23 @@
 						   host.len };
 }
 
-/* The host as it was sent. */
+/* Returns the requested host as it was sent, with the port. */
 struct dl_str dl_httpd_authority(const struct dl_httpd_req *req)
 {
 	return (struct dl_str){ req->h2o->authority.base,
 				req->h2o->authority.len };
 }
 
-/* The body, empty where there is none. */
+/* Returns the body, which may be empty. */
 struct dl_str dl_httpd_body(const struct dl_httpd_req *req)
 {
 	return (struct dl_str){ req->h2o->entity.base, req->h2o->entity.len };
 }
 
-/* The value of the first header of a (lower-case) name. */
+/*
+ * Returns the value of the first header with a name, given in lower case; empty
+ * if there is none.
+ */
 struct dl_str dl_httpd_header(const struct dl_httpd_req *req, const char *name)
 {
 	ssize_t at = h2o_find_header_by_str(&req->h2o->headers, name,
@@ -361,7 +370,7 @@
 	};
 }
 
-/* Views of the headers, at most max; returns how many. */
+/* Fills in views of at most max headers; returns their number. */
 size_t dl_httpd_headers(const struct dl_httpd_req *req, struct dl_header *out,
 			size_t max)
 {
@@ -378,7 +387,10 @@
 	return n;
 }
 
-/* How long ago the first byte came. */
+/*
+ * Returns the time since the first byte of the request arrived, in ms, by the
+ * wall clock that h2o records; 0 if it was set back, and at most read_ms.
+ */
 uint32_t dl_httpd_age_ms(const struct dl_httpd_req *req)
 {
 	const struct timeval *begun = &req->h2o->timestamps.request_begin_at;
@@ -393,13 +405,13 @@
 						req->server->conf.read_ms;
 }
 
-/* Keep a pointer of the owner's with the request. */
+/* Stores a pointer of the owner with the request. */
 void dl_httpd_set_data(struct dl_httpd_req *req, void *data)
 {
 	req->data = data;
 }
 
-/* The pointer kept. */
+/* Returns the pointer stored by the owner. */
 void *dl_httpd_data(const struct dl_httpd_req *req)
 {
 	return req->data;
@@ -439,7 +451,7 @@
 	}
 }
 
-/* Copy the answer's head into h2o's own memory. */
+/* Copies status and headers into the memory pool of the request. */
 static void set_response_head(struct dl_httpd_req *req, uint16_t status,
 			      const struct dl_header *headers, size_t count)
 {
@@ -476,7 +488,7 @@
 	h2o_send(h2o, &copy, 1, H2O_SEND_STATE_FINAL);
 }
 
-/* Answer whole and let go of the request. */
+/* Sends a whole response; the request is invalid afterwards. */
 void dl_httpd_reply(struct dl_httpd_req *req, uint16_t status,
 		    const struct dl_header *headers, size_t count,
 		    struct dl_str body)
@@ -486,7 +498,7 @@
 	send_response(req, status, headers, count, body);
 }
 
-/* Begin a streamed answer. */
+/* Begins a streamed response; length is SIZE_MAX if not known. */
 void dl_httpd_begin(struct dl_httpd_req *req, uint16_t status,
 		    const struct dl_header *headers, size_t count,
 		    size_t length)
@@ -500,9 +512,9 @@
 }
 
 /*
- * Close the connection under h2o, which would else end a chunked answer that
- * broke off with bytes that are no chunk: the caller shall see a connection
- * that ends early, and nothing that is not the answer's.
+ * Shuts the socket down without h2o, which would end an incomplete chunked
+ * response with bytes that are not a chunk.  The client must see a connection
+ * that ended early, and no byte that is not part of the response.
  */
 static void shutdown_connection(struct dl_httpd_req *req)
 {
@@ -513,7 +525,7 @@
 		shutdown(h2o_socket_get_fd(sock), SHUT_RDWR);
 }
 
-/* Hand the queued bytes to h2o, if it holds none of ours. */
+/* Passes the queued bytes to h2o, unless it is still sending the last ones. */
 static void send_pending(struct dl_httpd_req *req)
 {
 	h2o_buffer_t *empty = req->in_flight;
@@ -550,7 +562,10 @@
 	server->ops->drained(server->arg, req);
 }
 
-/* Queue bytes of a stream; false: wait for drained() before more. */
+/*
+ * Queues bytes of a stream; if it returns false, the caller must wait for
+ * drained() before it sends more.
+ */
 bool dl_httpd_send(struct dl_httpd_req *req, struct dl_str bytes)
 {
 	h2o_iovec_t space = h2o_buffer_reserve(&req->pending, bytes.n);
@@ -564,7 +579,10 @@
 	return req->pending->size < STREAM_HIGH_WATER;
 }
 
-/* End a stream once its bytes are out. */
+/*
+ * Ends a stream once its bytes are sent.  If it is not complete, breaks the
+ * connection so that the client can tell.
+ */
 void dl_httpd_finish(struct dl_httpd_req *req, bool complete)
 {
 	req->finishing = true;
