--- a/src/transport/peers.c
+++ b/src/transport/peers.c
@@ -1,7 +1,8 @@
 /*
- * Connections between the system's processes.  Each process sends on the
- * connections that it opened and only listens on those it accepted, so no two
- * ends ever have to agree on which of two crossed connections to keep.
+ * Connections between the processes of the system.  A process sends frames only
+ * on connections that it opened and receives them only on connections that it
+ * accepted, so two ends that connect to each other at the same time never have
+ * to agree on which connection to keep.
  */
 #include "transport/peers.h"
 
@@ -26,21 +27,21 @@
 #define PORT_MASK	  0xffff
 
 struct conn {
-	uv_tcp_t tcp; /* first, so that a handle is its connection */
+	uv_tcp_t tcp; /* must be first: handles are cast to struct conn */
 	uv_connect_t connecting;
 	struct dl_peers *peers;
 	struct conn *next;
-	uint64_t vm;	      /* 0 on an accepted one before its hello */
-	uint64_t incarnation; /* theirs, from the hello */
+	uint64_t vm; /* DL_VM_NONE on an accepted one before its hello */
+	uint64_t incarnation; /* the peer's, from its hello */
 	bool outgoing;
 	bool connected;
 	bool closing;
-	int64_t last_read;	 /* any byte read */
-	int64_t connect_started; /* when this connection was begun */
+	int64_t last_read;	 /* time of the last byte read */
+	int64_t connect_started; /* time of the connect() */
 	int64_t last_ping;
-	int64_t last_frame;    /* a frame of the owner's, either way */
-	size_t queued;	       /* bytes not yet written */
-	struct write *pending; /* until connected, oldest first */
+	int64_t last_frame; /* last frame of the owner, in either direction */
+	size_t queued;	    /* bytes not yet written */
+	struct write *pending; /* held until connected, oldest first */
 	struct write **pending_tail;
 	char *buf;
 	size_t filled, size;
@@ -65,7 +66,7 @@
 	struct conn *conns;
 	uint64_t blocked[DL_PEERS_BLOCKED_MAX];
 	uint32_t blocked_count;
-	unsigned handles; /* not yet closed */
+	unsigned handles; /* open handles */
 	bool closing;
 	char datagram[65536];
 };
@@ -77,21 +78,21 @@
 			const struct sockaddr *from, unsigned flags);
 static void on_timer(uv_timer_t *timer);
 
-/* Heartbeats and bounds that fit VMs a millisecond apart. */
+/* Sets the default timeouts, for VMs with a round trip of about 1 ms. */
 void dl_peers_defaults(struct dl_peers_conf *conf)
 {
 	memset(conf, 0, sizeof(*conf));
 	conf->heartbeat_ms = 500;
-	/* Three lost heartbeats; shorter would take a busy loop for a cut. */
+	/* Three lost heartbeats; less would take a busy loop for a failure. */
 	conf->silent_ms = 2000;
 	conf->idle_close_ms = 30000;
 	/*
-	 * Some round trips between regions.  A lost opening packet is sent
-	 * again by the system after 1, 3 and 7 s: after a cut of 5.5 s had
-	 * healed, VMs found each other again 0.4 to 1.2 s later.
+	 * A few round trips between regions.  The kernel resends a lost SYN
+	 * only after 1, 3 and 7 s, which delayed reconnection by 0.4 to 1.2 s
+	 * after a partition of 5.5 s had healed.
 	 */
 	conf->connect_ms = 250;
-	/* A snapshot fits; a peer that reads nothing cannot fill the memory. */
+	/* Fits a snapshot; bounds the memory for a peer that does not read. */
 	conf->queue_bytes_max = 80u << 20;
 }
 
@@ -144,7 +145,10 @@
 	handle_closed(peers);
 }
 
-/* Close a connection; the owner hears of it only if it carried our frames. */
+/*
+ * Closes a connection.  Calls down() if this process opened it and why is an
+ * error.
+ */
 static void conn_close(struct conn *c, int why)
 {
 	struct dl_peers *peers = c->peers;
@@ -197,7 +201,7 @@
 	free(w);
 }
 
-/* Nothing passes to or from a VM that is cut off for a test. */
+/* Reports whether traffic to and from a VM is dropped, for a test. */
 static bool is_blocked(const struct dl_peers *peers, uint64_t vm)
 {
 	for (uint32_t i = 0; i < peers->blocked_count; i++) {
@@ -207,7 +211,7 @@
 	return false;
 }
 
-/* Cut these off, and nobody else. */
+/* Drops all traffic to and from these VMs and no others; for tests. */
 void dl_peers_block(struct dl_peers *peers, const uint64_t *vms, uint32_t count)
 {
 	peers->blocked_count =
@@ -248,7 +252,7 @@
 	msgpack_pack_bin_body(&pk, body.s, body.n);
 }
 
-/* Queue one frame on a connection, holding it back until it is connected. */
+/* Queues a frame on a connection, holding it until it is connected. */
 static int conn_send(struct conn *c, uint32_t kind, uint64_t request,
 		     struct dl_str body)
 {
@@ -299,7 +303,7 @@
 	*buf = uv_buf_init(c->buf + c->filled, (unsigned)(c->size - c->filled));
 }
 
-/* Read the four items of a frame; the body points into the bytes given. */
+/* Decodes a frame; its body points into the bytes given. */
 static bool parse_frame(msgpack_unpacked *u, const char *p, size_t n,
 			struct dl_frame *out)
 {
@@ -327,7 +331,7 @@
 	return true;
 }
 
-/* A VM that has restarted speaks through its new process alone. */
+/* Closes the connections accepted from earlier incarnations of a VM. */
 static void close_older(struct conn *newer)
 {
 	struct conn *c, *next;
@@ -347,8 +351,10 @@
 	struct dl_peers *peers = c->peers;
 
 	if (!c->outgoing && c->vm == DL_VM_NONE && f->kind != DL_FRAME_HELLO) {
-		/* Answering its pings would keep a connection that says
-		 * nothing we can use; closed, the other end opens anew. */
+		/*
+		 * Replying to pings would keep a connection of an unknown
+		 * sender open; once closed, the peer opens a new one.
+		 */
 		conn_protocol_error(c);
 		return;
 	}
@@ -387,7 +393,7 @@
 	conn_close(c, UV_EPROTO);
 }
 
-/* Hand on every whole frame in the buffer; keep the rest. */
+/* Handles every complete frame in the buffer and keeps the rest. */
 static void conn_read_frames(struct conn *c)
 {
 	size_t at = 0;
@@ -486,7 +492,7 @@
 		c->peers->ops->up(c->peers->arg, c->vm);
 }
 
-/* A connection to a VM, not yet begun. */
+/* Creates a connection to a VM without connecting it. */
 static struct conn *conn_new_outgoing(struct dl_peers *peers, uint64_t vm)
 {
 	struct conn *c = conn_new(peers);
@@ -527,8 +533,8 @@
 }
 
 /*
- * Begin a connection anew whose opening packet seems lost, with the frames that
- * wait for it; it counts as silent since the first try.
+ * Repeats a connection attempt whose SYN seems lost, moving the pending frames
+ * to the new connection.  The silence timeout runs from the first attempt.
  */
 static void conn_retry(struct conn *c)
 {
@@ -553,7 +559,11 @@
 		conn_close(retry, UV_ECONNREFUSED);
 }
 
-/* Queue a frame for a VM; see the header for what is promised. */
+/*
+ * Queues a frame on the connection to a VM, opening one if needed.  Returns 0,
+ * -EAGAIN if the queue is full or no connection can be opened, or -EMSGSIZE.
+ * Delivery is not guaranteed; a lost connection is reported through down().
+ */
 int dl_peers_send(struct dl_peers *peers, uint64_t to, uint32_t kind,
 		  uint64_t request, struct dl_str body)
 {
@@ -570,7 +580,10 @@
 	return conn_send(c, kind, request, body);
 }
 
-/* Send one datagram; lost silently, as datagrams are. */
+/*
+ * Sends a frame as one datagram, which may be lost without notice.  Returns 0,
+ * -EMSGSIZE if the body is too long, or a negative errno.
+ */
 int dl_peers_send_datagram(struct dl_peers *peers, uint64_t to, uint32_t kind,
 			   uint64_t request, struct dl_str body)
 {
@@ -625,7 +638,10 @@
 	return now - c->last_read > c->peers->conf.silent_ms;
 }
 
-/* Ping what we opened, replace what is silent, close what is not used. */
+/*
+ * Closes silent and unused connections, repeats connection attempts, and sends
+ * heartbeats on the connections that this process opened.
+ */
 static void on_timer(uv_timer_t *timer)
 {
 	struct dl_peers *peers = timer->data;
@@ -640,7 +656,7 @@
 			dl_msg(DL_MSG_PEER_SILENT, "vm=%s",
 			       dl_vm_text(c->vm, text));
 			conn_close(c, UV_ETIMEDOUT);
-			/* down() may have closed others: start afresh */
+			/* down() may have closed others: restart the scan */
 			next = peers->conns;
 			continue;
 		}
@@ -683,7 +699,7 @@
 	return rc;
 }
 
-/* Listen on the address in conf; ops must outlive the result. */
+/* Listens on conf->self, TCP and UDP; ops must outlive the result. */
 int dl_peers_open(uv_loop_t *loop, const struct dl_peers_conf *conf,
 		  const struct dl_peers_ops *ops, void *arg,
 		  struct dl_peers **out, struct dl_err *err)
@@ -719,7 +735,7 @@
 	return 0;
 }
 
-/* Close everything; the memory goes once the loop has run the closings. */
+/* Closes everything; frees peers once the loop has run. */
 void dl_peers_close(struct dl_peers *peers)
 {
 	peers->closing = true;
