--- a/test/fake/http.h
+++ b/test/fake/http.h
@@ -22,7 +22,7 @@
 	/* A whole request came; answer it now or later. */
 	void (*request)(void *arg, struct fake_request *req);
 	/* The peer left, or all is sent: the request must be forgotten. */
-	void (*gone)(void *arg, struct fake_request *req);
+	void (*closed)(void *arg, struct fake_request *req);
 };
 
 int fake_server_open(uv_loop_t *loop, uint64_t listen,
@@ -48,7 +48,7 @@
 void fake_reply_write(struct fake_request *req, struct dl_str piece);
 void fake_reply_end(struct fake_request *req);
 /* Bytes written that the peer has not made room for. */
-size_t fake_reply_waiting(const struct fake_request *req);
+size_t fake_reply_pending(const struct fake_request *req);
 /* Break the connection off; no gone() follows. */
 void fake_reply_abort(struct fake_request *req);
 
@@ -59,14 +59,14 @@
 struct fake_call;
 
 enum fake_end {
-	FAKE_END_WHOLE,
+	FAKE_END_COMPLETE,
 	FAKE_END_CONNECT, /* no byte was sent */
 	FAKE_END_RESET,	  /* closed or broken before the end */
 	FAKE_END_TIMEOUT,
 };
 
 struct fake_call_req {
-	uint64_t to;
+	uint64_t address;
 	const char *method;
 	const char *path;
 	const struct fake_header *headers; /* up to a null name */
--- a/test/fake/http_client.c
+++ b/test/fake/http_client.c
@@ -136,7 +136,7 @@
 	}
 	if (call->chunk == CHUNK_TRAILER) {
 		if (call->buf->len == 0)
-			finish(call, FAKE_END_WHOLE);
+			finish(call, FAKE_END_COMPLETE);
 	} else {
 		call->left = strtoull(call->buf->str, NULL, 16);
 		call->chunk = call->left ? CHUNK_DATA : CHUNK_TRAILER;
@@ -176,7 +176,7 @@
 		return;
 	call->left -= n;
 	if (call->left == 0)
-		finish(call, FAKE_END_WHOLE);
+		finish(call, FAKE_END_COMPLETE);
 }
 
 /* Read the status line and how the body is framed. */
@@ -250,7 +250,7 @@
 	}
 	finish(call, n == UV_EOF && call->head_done &&
 				     call->framing == FRAMING_CLOSE ?
-			     FAKE_END_WHOLE :
+			     FAKE_END_COMPLETE :
 			     FAKE_END_RESET);
 }
 
@@ -289,7 +289,7 @@
 	char to[24];
 
 	g_string_append_printf(s, "%s %s HTTP/1.1\r\nHost: %s\r\n", req->method,
-			       req->path, dl_vm_text(req->to, to));
+			       req->path, dl_vm_text(req->address, to));
 	for (const struct fake_header *h = req->headers; h && h->name; h++)
 		g_string_append_printf(s, "%s: %s\r\n", h->name, h->value);
 	if (req->body.n || strcmp(req->method, "GET") != 0)
@@ -322,8 +322,8 @@
 	call->tcp.data = call->timer.data = call->connect.data = call;
 	uv_tcp_nodelay(&call->tcp, 1);
 	uv_timer_start(&call->timer, on_timer, req->connect_ms, 0);
-	to.sin_port = htons((uint16_t)(req->to & 0xffff));
-	to.sin_addr.s_addr = htonl((uint32_t)(req->to >> 16));
+	to.sin_port = htons((uint16_t)(req->address & 0xffff));
+	to.sin_addr.s_addr = htonl((uint32_t)(req->address >> 16));
 	if (uv_tcp_connect(&call->connect, &call->tcp,
 			   (const struct sockaddr *)&to, on_connected) < 0)
 		finish(call, FAKE_END_CONNECT);
--- a/test/fake/http_server.c
+++ b/test/fake/http_server.c
@@ -62,7 +62,7 @@
 	if (r->forgotten)
 		return;
 	r->forgotten = true;
-	r->server->ops.gone(r->server->arg, r);
+	r->server->ops.closed(r->server->arg, r);
 }
 
 /* h2o lets go of the request: with its pool, when the connection ends. */
@@ -161,7 +161,7 @@
 	flush(r);
 }
 
-size_t fake_reply_waiting(const struct fake_request *r)
+size_t fake_reply_pending(const struct fake_request *r)
 {
 	return r->pending->len;
 }
--- a/test/tool_endpoint.c
+++ b/test/tool_endpoint.c
@@ -401,7 +401,7 @@
 	json_t *o;
 
 	me.calling = false;
-	if ((end != FAKE_END_WHOLE || c->status != 200) && c->tries > 1) {
+	if ((end != FAKE_END_COMPLETE || c->status != 200) && c->tries > 1) {
 		announce(c->tries - 1);
 		call_free(c);
 		return;
@@ -457,9 +457,9 @@
 	json_array_clear(me.events);
 	s = json_dumps(o, JSON_COMPACT);
 	req.body = dl_str_of(s);
-	req.to = g_array_index(me.entries, uint64_t,
-			       g_rand_int_range(me.rand, 0,
-						(gint)me.entries->len));
+	req.address = g_array_index(me.entries, uint64_t,
+				    g_rand_int_range(me.rand, 0,
+						     (gint)me.entries->len));
 	sign_announcement(&req, headers, signature);
 	fake_call_start(me.loop, &req, &ops, c);
 	free(s);
@@ -531,7 +531,7 @@
 	char *path = g_strdup_printf("/v1/kv/hold/%s", job->id);
 
 	for (int i = 0; i < job->members; i++) {
-		struct fake_call_req req = { .to = job->member[i],
+		struct fake_call_req req = { .address = job->member[i],
 					     .method = "DELETE",
 					     .path = path,
 					     .connect_ms = CALL_MS,
@@ -637,7 +637,7 @@
 	uint64_t ready = fake_seq_ready(&job->seq);
 
 	while (job->reply && !job->muted && job->written < ready &&
-	       fake_reply_waiting(job->reply) < WAITING_MAX) {
+	       fake_reply_pending(job->reply) < WAITING_MAX) {
 		if (!job->head_sent) {
 			job->head_sent = true;
 			fake_reply_begin(job->reply, 200, sse_headers);
@@ -855,7 +855,7 @@
 
 	if (job) {
 		job->waiting--;
-		if (end != FAKE_END_WHOLE || c->status != 200)
+		if (end != FAKE_END_COMPLETE || c->status != 200)
 			job->refused = true;
 		if (job->waiting == 0 && (job->refused || !job->reply)) {
 			release_members(job);
@@ -878,7 +878,7 @@
 			      (json_int_t)job->share[i], "lease_ms",
 			      HOLD_LEASE_MS);
 	char *s = json_dumps(o, JSON_COMPACT);
-	struct fake_call_req req = { .to = job->member[i],
+	struct fake_call_req req = { .address = job->member[i],
 				     .method = "POST",
 				     .path = "/v1/kv/hold",
 				     .headers = json_headers,
@@ -1261,7 +1261,7 @@
 	g_free(path);
 }
 
-static void on_gone(void *arg, struct fake_request *req)
+static void on_request_closed(void *arg, struct fake_request *req)
 {
 	struct job *job = fake_request_owner(req);
 
@@ -1358,7 +1358,8 @@
 
 int main(int argc, char **argv)
 {
-	static const struct fake_server_ops ops = { on_request, on_gone };
+	static const struct fake_server_ops ops = { on_request,
+						    on_request_closed };
 	GOptionContext *ctx = g_option_context_new("- fake endpoint");
 	GError *err = NULL;
 	int rc;
--- a/test/tool_http.c
+++ b/test/tool_http.c
@@ -122,7 +122,7 @@
 
 static int verdict(const struct outcome *outcome)
 {
-	if (outcome->end != FAKE_END_WHOLE)
+	if (outcome->end != FAKE_END_COMPLETE)
 		return EXIT_NO_ANSWER;
 	if (opt.expect)
 		return outcome->status == opt.expect ? EXIT_EXPECTED :
@@ -149,8 +149,8 @@
 	for (const struct fake_header *h = req->headers; h->name; h++)
 		g_string_append_printf(s, "%s: %s\r\n", h->name, h->value);
 	g_string_append_printf(s, "Content-Length: %zu\r\n\r\n", req->body.n);
-	to.sin_port = htons((uint16_t)(req->to & 0xffff));
-	to.sin_addr.s_addr = htonl((uint32_t)(req->to >> 16));
+	to.sin_port = htons((uint16_t)(req->address & 0xffff));
+	to.sin_addr.s_addr = htonl((uint32_t)(req->address >> 16));
 	sent = fd >= 0 &&
 	       connect(fd, (const struct sockaddr *)&to, sizeof(to)) == 0 &&
 	       send_all(fd, s->str, s->len);
@@ -212,7 +212,7 @@
 	fake_ignore_sigpipe();
 	g_option_context_add_main_entries(ctx, options, NULL);
 	if (!g_option_context_parse(ctx, &argc, &argv, &err) || argc != 3 ||
-	    !dl_vm_parse(dl_str_of(argv[1]), &req.to)) {
+	    !dl_vm_parse(dl_str_of(argv[1]), &req.address)) {
 		fprintf(stderr, "http: %s\n", err ? err->message : "usage");
 		return EXIT_BAD_USAGE;
 	}
--- a/test/tool_load.c
+++ b/test/tool_load.c
@@ -248,7 +248,7 @@
 	struct entry *e = arg;
 
 	e->checking = false;
-	if (end != FAKE_END_WHOLE)
+	if (end != FAKE_END_COMPLETE)
 		e->ready = false;
 }
 
@@ -259,7 +259,7 @@
 
 	for (guint i = 0; i < me.entries_count; i++) {
 		struct entry *e = &me.entries[i];
-		struct fake_call_req req = { .to = e->vm,
+		struct fake_call_req req = { .address = e->vm,
 					     .method = "GET",
 					     .path = "/readyz",
 					     .connect_ms = READY_MS,
@@ -523,7 +523,7 @@
 {
 	struct verdict_result *r = f->r;
 	const char *told = f->event[0] ? f->event : f->outcome;
-	bool whole = end == FAKE_END_WHOLE;
+	bool whole = end == FAKE_END_COMPLETE;
 
 	r->status = f->status;
 	r->end = (int)end;
@@ -604,7 +604,7 @@
 	};
 	double left = f->r->start + f->r->deadline_ms - wall();
 	struct fake_call_req req = {
-		.to = f->entry->vm,
+		.address = f->entry->vm,
 		.method = f->class->plain && f->class->idempotent ? "GET" :
 								    "POST",
 		.path = f->path,
@@ -682,7 +682,7 @@
 	struct load_ask *ask = arg;
 	json_t *o = json_loadb(ask->body->str, ask->body->len, 0, NULL);
 
-	*ask->checked = end == FAKE_END_WHOLE && o;
+	*ask->checked = end == FAKE_END_COMPLETE && o;
 	*ask->used =
 		(uint64_t)json_integer_value(json_object_get(o, "used_tokens"));
 	json_decref(o);
@@ -707,7 +707,7 @@
 					     .connect_ms = CONNECT_MS,
 					     .timeout_ms = CONNECT_MS };
 
-		if (!dl_vm_parse(dl_str_of(*p), &req.to)) {
+		if (!dl_vm_parse(dl_str_of(*p), &req.address)) {
 			g_free(ask);
 			continue;
 		}
--- a/test/tool_relay.c
+++ b/test/tool_relay.c
@@ -282,13 +282,14 @@
 	fake_reply(req, 200, NULL, dl_str_of(text));
 }
 
-static void on_gone(void *arg, struct fake_request *req)
+static void on_request_closed(void *arg, struct fake_request *req)
 {
 }
 
 int main(int argc, char **argv)
 {
-	static const struct fake_server_ops ops = { on_command, on_gone };
+	static const struct fake_server_ops ops = { on_command,
+						    on_request_closed };
 	GOptionContext *ctx = g_option_context_new("- TCP relay");
 	struct sockaddr_in at;
 	GError *err = NULL;
--- a/test/tool_runner.c
+++ b/test/tool_runner.c
@@ -95,7 +95,7 @@
 
 static void on_call_end(void *arg, enum fake_end end)
 {
-	if (end != FAKE_END_WHOLE)
+	if (end != FAKE_END_COMPLETE)
 		go_on();
 }
 
@@ -133,9 +133,9 @@
 				     .timeout_ms = CALL_MS };
 	guint n = g_strv_length(controls);
 
-	req.to = stays_at;
+	req.address = stays_at;
 	if (stays_at != DL_VM_NONE ||
-	    dl_vm_parse(dl_str_of(controls[turn % n]), &req.to))
+	    dl_vm_parse(dl_str_of(controls[turn % n]), &req.address))
 		fake_call_start(loop, &req, &call_ops, NULL);
 }
 
@@ -339,7 +339,7 @@
 		begin_stream(req, attempt);
 }
 
-static void on_gone(void *arg, struct fake_request *req)
+static void on_request_closed(void *arg, struct fake_request *req)
 {
 	struct job *job = fake_request_owner(req);
 
@@ -348,7 +348,8 @@
 	g_free(job);
 }
 
-static const struct fake_server_ops server_ops = { on_request, on_gone };
+static const struct fake_server_ops server_ops = { on_request,
+						   on_request_closed };
 
 /* One step of a stream; false where it has ended. */
 static bool step(struct job *job, int64_t now)
