--- a/test/fake/answer.c
+++ b/test/fake/answer.c
@@ -3,7 +3,7 @@
 
 #include "answer.h"
 
-static const char *const words[] = {
+static const char *const vocabulary[] = {
 	" almaty",  " arrives",	  " at",      " bag",	 " bench",  " both",
 	" calm",    " coach",	  " counter", " dawn",	 " early",  " east",
 	" evening", " ferry",	  " four",    " gate",	 " greets", " hall",
@@ -17,7 +17,7 @@
 	" west",    " window",	  " with",    " young",
 };
 
-#define WORDS (sizeof(words) / sizeof(words[0]))
+#define VOCABULARY_SIZE (sizeof(vocabulary) / sizeof(vocabulary[0]))
 
 uint64_t fake_hash(struct dl_str s)
 {
@@ -31,5 +31,5 @@
 
 const char *fake_answer_token(uint64_t prompt_hash, uint64_t i)
 {
-	return words[XXH64(&i, sizeof(i), prompt_hash) % WORDS];
+	return vocabulary[XXH64(&i, sizeof(i), prompt_hash) % VOCABULARY_SIZE];
 }
