--- a/test/fake/http_client.c
+++ b/test/fake/http_client.c
@@ -42,8 +42,8 @@
 	bool head_done;
 	enum framing framing;
 	enum chunk_state chunk;
-	uint64_t left; /* of the body, or of the chunk */
-	GString *buf;  /* head, or the line of a chunk */
+	uint64_t remaining; /* of the body, or of the chunk */
+	GString *buf;	    /* head, or the line of a chunk */
 	enum fake_end end;
 	struct fake_call_ops ops;
 	void *arg;
@@ -51,7 +51,7 @@
 };
 
 static void finish(struct fake_call *call, enum fake_end end);
-static void take_body(struct fake_call *call, const char *s, size_t n);
+static void parse_body(struct fake_call *call, const char *s, size_t n);
 
 void fake_ignore_sigpipe(void)
 {
@@ -115,14 +115,14 @@
 	finish(call, FAKE_END_RESET);
 }
 
-static void give(struct fake_call *call, const char *s, size_t n)
+static void deliver_body(struct fake_call *call, const char *s, size_t n)
 {
 	if (n && !call->cancelled && call->ops.body)
 		call->ops.body(call->arg, (struct dl_str){ s, n });
 }
 
 /* Take one byte of the framing between chunks. */
-static void take_chunk_byte(struct fake_call *call, char c)
+static void parse_chunk_byte(struct fake_call *call, char c)
 {
 	if (call->chunk == CHUNK_DATA_END) {
 		if (c == '\n')
@@ -138,49 +138,50 @@
 		if (call->buf->len == 0)
 			finish(call, FAKE_END_COMPLETE);
 	} else {
-		call->left = strtoull(call->buf->str, NULL, 16);
-		call->chunk = call->left ? CHUNK_DATA : CHUNK_TRAILER;
+		call->remaining = strtoull(call->buf->str, NULL, 16);
+		call->chunk = call->remaining ? CHUNK_DATA : CHUNK_TRAILER;
 	}
 	g_string_truncate(call->buf, 0);
 }
 
-static void take_chunked(struct fake_call *call, const char *s, size_t n)
+static void parse_chunked(struct fake_call *call, const char *s, size_t n)
 {
 	while (n > 0 && !call->ended) {
 		size_t step = 1;
 
 		if (call->chunk == CHUNK_DATA) {
-			step = n < call->left ? n : (size_t)call->left;
-			give(call, s, step);
-			call->left -= step;
-			if (call->left == 0)
+			step = n < call->remaining ? n :
+						     (size_t)call->remaining;
+			deliver_body(call, s, step);
+			call->remaining -= step;
+			if (call->remaining == 0)
 				call->chunk = CHUNK_DATA_END;
 		} else {
-			take_chunk_byte(call, *s);
+			parse_chunk_byte(call, *s);
 		}
 		s += step;
 		n -= step;
 	}
 }
 
-static void take_body(struct fake_call *call, const char *s, size_t n)
+static void parse_body(struct fake_call *call, const char *s, size_t n)
 {
 	if (call->framing == FRAMING_CHUNKED) {
-		take_chunked(call, s, n);
+		parse_chunked(call, s, n);
 		return;
 	}
-	if (call->framing == FRAMING_LENGTH && n > call->left)
-		n = (size_t)call->left;
-	give(call, s, n);
+	if (call->framing == FRAMING_LENGTH && n > call->remaining)
+		n = (size_t)call->remaining;
+	deliver_body(call, s, n);
 	if (call->framing != FRAMING_LENGTH)
 		return;
-	call->left -= n;
-	if (call->left == 0)
+	call->remaining -= n;
+	if (call->remaining == 0)
 		finish(call, FAKE_END_COMPLETE);
 }
 
 /* Read the status line and how the body is framed. */
-static void take_head(struct fake_call *call, struct dl_str head)
+static void parse_head(struct fake_call *call, struct dl_str head)
 {
 	struct dl_str length = fake_head_find(head, "content-length");
 	struct dl_str coding = fake_head_find(head, "transfer-encoding");
@@ -194,25 +195,25 @@
 	call->framing = FRAMING_CLOSE;
 	if (coding.n)
 		call->framing = FRAMING_CHUNKED;
-	else if (dl_str_to_u64(length, &call->left))
+	else if (dl_str_to_u64(length, &call->remaining))
 		call->framing = FRAMING_LENGTH;
 	if (status == 204 || status == 304) {
 		call->framing = FRAMING_LENGTH;
-		call->left = 0;
+		call->remaining = 0;
 	}
 	call->head_done = true;
 	if (!call->cancelled && call->ops.head)
 		call->ops.head(call->arg, status, head);
 }
 
-static void take(struct fake_call *call, const char *s, size_t n)
+static void parse(struct fake_call *call, const char *s, size_t n)
 {
 	GString *rest;
 	char *end;
 	size_t used;
 
 	if (call->head_done) {
-		take_body(call, s, n);
+		parse_body(call, s, n);
 		return;
 	}
 	g_string_append_len(call->buf, s, (gssize)n);
@@ -225,9 +226,9 @@
 	used = (size_t)(end - call->buf->str) + 4;
 	rest = call->buf;
 	call->buf = g_string_new(NULL);
-	take_head(call, (struct dl_str){ rest->str, used });
+	parse_head(call, (struct dl_str){ rest->str, used });
 	if (!call->ended)
-		take_body(call, rest->str + used, rest->len - used);
+		parse_body(call, rest->str + used, rest->len - used);
 	g_string_free(rest, TRUE);
 }
 
@@ -245,7 +246,7 @@
 	if (call->ended || n == 0)
 		return;
 	if (n > 0) {
-		take(call, buf->base, (size_t)n);
+		parse(call, buf->base, (size_t)n);
 		return;
 	}
 	finish(call, n == UV_EOF && call->head_done &&
