--- a/test/fake/http_server.c
+++ b/test/fake/http_server.c
@@ -33,13 +33,13 @@
 	struct fake_server *server;
 	struct fake_request *next;
 	void *owner;
-	GString *pending; /* written by the owner, not yet given to h2o */
-	GString *flying;  /* with h2o until it asks for more */
-	bool begun;
-	bool busy; /* h2o holds a piece */
+	GString *pending;   /* written by the owner, not yet given to h2o */
+	GString *in_flight; /* with h2o until it asks for more */
+	bool started;
+	bool sending; /* h2o holds a piece */
 	bool ending;
 	bool aborting;
-	bool forgotten; /* the owner knows that it is gone */
+	bool close_reported; /* the owner knows that it is gone */
 };
 
 /* Requests by socket, for the read callback that watches for a leaving peer. */
@@ -57,11 +57,11 @@
 		*p = r->next;
 }
 
-static void forget(struct fake_request *r)
+static void report_closed(struct fake_request *r)
 {
-	if (r->forgotten)
+	if (r->close_reported)
 		return;
-	r->forgotten = true;
+	r->close_reported = true;
 	r->server->ops.closed(r->server->arg, r);
 }
 
@@ -70,10 +70,10 @@
 {
 	struct fake_request *r = *(struct fake_request **)arg;
 
-	forget(r);
+	report_closed(r);
 	unlink_request(r);
 	g_string_free(r->pending, TRUE);
-	g_string_free(r->flying, TRUE);
+	g_string_free(r->in_flight, TRUE);
 	free(r);
 }
 
@@ -81,17 +81,17 @@
 {
 	struct fake_request *r = (struct fake_request *)gen;
 
-	r->busy = false;
+	r->sending = false;
 	flush(r);
 }
 
 static void on_stop(h2o_generator_t *gen, h2o_req_t *req)
 {
-	forget((struct fake_request *)gen);
+	report_closed((struct fake_request *)gen);
 }
 
 /* The peer closed while its answer is made: tell the owner, drop the rest. */
-static void on_watch(h2o_socket_t *sock, const char *err)
+static void on_socket_read(h2o_socket_t *sock, const char *err)
 {
 	struct fake_request *r = only_server->open;
 
@@ -102,14 +102,14 @@
 		r = r->next;
 	if (!r)
 		return;
-	forget(r);
+	report_closed(r);
 	fake_reply_abort(r);
 }
 
 static void start_response(struct fake_request *r, int status,
 			   const struct fake_header *headers)
 {
-	r->begun = true;
+	r->started = true;
 	r->req->res.status = status;
 	r->req->res.reason = status < 300 ? "OK" : "Error";
 	for (const struct fake_header *h = headers; h && h->name; h++) {
@@ -125,11 +125,11 @@
 /* Give h2o what waits, once it has sent the piece before. */
 static void flush(struct fake_request *r)
 {
-	GString *swap = r->flying;
+	GString *swap = r->in_flight;
 	h2o_send_state_t state = H2O_SEND_STATE_IN_PROGRESS;
 	h2o_iovec_t vec;
 
-	if (r->busy || !r->begun)
+	if (r->sending || !r->started)
 		return;
 	if (r->aborting)
 		state = H2O_SEND_STATE_ERROR;
@@ -137,15 +137,15 @@
 		state = H2O_SEND_STATE_FINAL;
 	else if (r->pending->len == 0)
 		return;
-	r->flying = r->pending;
+	r->in_flight = r->pending;
 	r->pending = swap;
 	g_string_truncate(r->pending, 0);
-	r->busy = true;
+	r->sending = true;
 	if (state != H2O_SEND_STATE_IN_PROGRESS) {
 		h2o_socket_read_stop(r->sock);
-		forget(r);
+		report_closed(r);
 	}
-	vec = h2o_iovec_init(r->flying->str, r->flying->len);
+	vec = h2o_iovec_init(r->in_flight->str, r->in_flight->len);
 	h2o_send(r->req, &vec, vec.len ? 1 : 0, state);
 }
 
@@ -183,9 +183,9 @@
 
 void fake_reply_abort(struct fake_request *r)
 {
-	r->forgotten = true;
+	r->close_reported = true;
 	r->aborting = true;
-	if (!r->begun)
+	if (!r->started)
 		start_response(r, 500, NULL);
 	flush(r);
 }
@@ -194,7 +194,7 @@
 {
 	struct fake_server *server = ((struct handler *)self)->server;
 	struct fake_request *r = calloc(1, sizeof(*r));
-	struct fake_request **hold;
+	struct fake_request **slot;
 
 	if (!r)
 		abort();
@@ -204,13 +204,13 @@
 	r->server = server;
 	r->sock = req->conn->callbacks->get_socket(req->conn);
 	r->pending = g_string_new(NULL);
-	r->flying = g_string_new(NULL);
+	r->in_flight = g_string_new(NULL);
 	r->next = server->open;
 	server->open = r;
-	hold = h2o_mem_alloc_shared(&req->pool, sizeof(struct fake_request *),
+	slot = h2o_mem_alloc_shared(&req->pool, sizeof(struct fake_request *),
 				    on_dispose);
-	*hold = r;
-	h2o_socket_read_start(r->sock, on_watch);
+	*slot = r;
+	h2o_socket_read_start(r->sock, on_socket_read);
 	server->ops.request(server->arg, r);
 	return 0;
 }
