--- a/test/fake/link.c
+++ b/test/fake/link.c
@@ -8,7 +8,7 @@
 
 #define PERMILLE 1000
 
-struct parcel {
+struct queued_datagram {
 	int64_t due;
 	uint64_t seq; /* keeps the order of datagrams due at one time */
 	int64_t sent;
@@ -36,14 +36,14 @@
 	GArray *cuts;
 	GArray *pauses;
 	GHashTable *counts; /* vm to struct fake_link_count */
-	struct parcel *last;
+	struct queued_datagram *last;
 };
 
 static bool chance(struct fake_link *link, uint32_t permille);
-static struct fake_link_count *count_of(struct fake_link *link, uint64_t vm);
-static void push(struct fake_link *link, struct parcel *p);
-static struct parcel *pop(struct fake_link *link);
-static bool before(const GPtrArray *heap, guint a, guint b);
+static struct fake_link_count *counts_for(struct fake_link *link, uint64_t vm);
+static void push(struct fake_link *link, struct queued_datagram *p);
+static struct queued_datagram *pop(struct fake_link *link);
+static bool due_before(const GPtrArray *heap, guint a, guint b);
 static void swap(GPtrArray *heap, guint a, guint b);
 static int64_t paused_until(const struct fake_link *link, uint64_t vm);
 
@@ -89,7 +89,7 @@
 	return (uint32_t)g_rand_int_range(link->rand, 0, PERMILLE) < permille;
 }
 
-static struct fake_link_count *count_of(struct fake_link *link, uint64_t vm)
+static struct fake_link_count *counts_for(struct fake_link *link, uint64_t vm)
 {
 	struct fake_link_count *c = g_hash_table_lookup(link->counts, &vm);
 	uint64_t *key;
@@ -110,8 +110,8 @@
 	int copies = chance(link, link->conf.dup_permille) ? 2 : 1;
 	bool lost = chance(link, link->conf.loss_permille) ||
 		    fake_link_is_cut(link, from, to);
-	struct fake_link_count *counts[] = { count_of(link, from),
-					     count_of(link, DL_VM_NONE) };
+	struct fake_link_count *counts[] = { counts_for(link, from),
+					     counts_for(link, DL_VM_NONE) };
 
 	for (int i = 0; i < 2; i++) {
 		counts[i]->msgs++;
@@ -121,7 +121,7 @@
 	if (lost)
 		return;
 	for (int i = 0; i < copies; i++) {
-		struct parcel *p = g_malloc(sizeof(*p) + data.n);
+		struct queued_datagram *p = g_malloc(sizeof(*p) + data.n);
 		uint32_t span =
 			link->conf.delay_max_ms - link->conf.delay_min_ms;
 
@@ -145,7 +145,7 @@
 		    struct fake_datagram *out)
 {
 	while (link->heap->len) {
-		struct parcel *p = g_ptr_array_index(link->heap, 0);
+		struct queued_datagram *p = g_ptr_array_index(link->heap, 0);
 		int64_t until;
 
 		if (p->due > now)
@@ -177,7 +177,8 @@
 {
 	if (!link->heap->len)
 		return INT64_MAX;
-	return ((struct parcel *)g_ptr_array_index(link->heap, 0))->due;
+	return ((struct queued_datagram *)g_ptr_array_index(link->heap, 0))
+		->due;
 }
 
 /* Cut one direction; cutting twice is the same as once. */
@@ -255,10 +256,10 @@
 	return c ? *c : (struct fake_link_count){ 0 };
 }
 
-static bool before(const GPtrArray *heap, guint a, guint b)
+static bool due_before(const GPtrArray *heap, guint a, guint b)
 {
-	const struct parcel *x = g_ptr_array_index(heap, a);
-	const struct parcel *y = g_ptr_array_index(heap, b);
+	const struct queued_datagram *x = g_ptr_array_index(heap, a);
+	const struct queued_datagram *y = g_ptr_array_index(heap, b);
 
 	return x->due != y->due ? x->due < y->due : x->seq < y->seq;
 }
@@ -271,21 +272,21 @@
 	heap->pdata[b] = p;
 }
 
-static void push(struct fake_link *link, struct parcel *p)
+static void push(struct fake_link *link, struct queued_datagram *p)
 {
 	guint i = link->heap->len;
 
 	g_ptr_array_add(link->heap, p);
-	while (i && before(link->heap, i, (i - 1) / 2)) {
+	while (i && due_before(link->heap, i, (i - 1) / 2)) {
 		swap(link->heap, i, (i - 1) / 2);
 		i = (i - 1) / 2;
 	}
 }
 
-static struct parcel *pop(struct fake_link *link)
+static struct queued_datagram *pop(struct fake_link *link)
 {
 	GPtrArray *heap = link->heap;
-	struct parcel *top = g_ptr_array_index(heap, 0);
+	struct queued_datagram *top = g_ptr_array_index(heap, 0);
 	guint i = 0;
 
 	swap(heap, 0, heap->len - 1);
@@ -295,7 +296,7 @@
 		guint least = i;
 
 		for (guint child = 2 * i + 1; child <= 2 * i + 2; child++) {
-			if (child < heap->len && before(heap, child, least))
+			if (child < heap->len && due_before(heap, child, least))
 				least = child;
 		}
 		if (least == i)
