--- a/test/fake/sign.c
+++ b/test/fake/sign.c
@@ -28,11 +28,12 @@
 int fake_sign(const struct dl_key *key, const struct fake_call_req *req,
 	      int64_t ago_ms, char out[DL_SIGNATURE_MAX])
 {
-	const struct dl_signed what = {
+	const struct dl_signed content = {
 		.method = dl_str_of(req->method),
 		.path = dl_str_of(req->path),
 		.body = req->body,
 	};
 
-	return dl_sign(key, &what, g_get_real_time() / US_PER_MS - ago_ms, out);
+	return dl_sign(key, &content, g_get_real_time() / US_PER_MS - ago_ms,
+		       out);
 }
