--- a/test/test_disk.c
+++ b/test/test_disk.c
@@ -15,9 +15,9 @@
 static char folder[64];
 static struct dl_disk_file *file;
 static struct dl_disk disk;
-static int ended, last_code;
+static int completed, last_code;
 
-static void begin(void)
+static void setup(void)
 {
 	struct dl_err err;
 
@@ -26,10 +26,10 @@
 	ck_assert_int_eq(
 		dl_disk_file_open(uv_default_loop(), folder, &file, &err), 0);
 	disk = dl_disk_file_disk(file);
-	ended = 0;
+	completed = 0;
 }
 
-static void remove_name(void *arg, const char *name)
+static void remove_file(void *arg, const char *name)
 {
 	char path[200];
 
@@ -37,17 +37,17 @@
 	unlink(path);
 }
 
-static void end(void)
+static void teardown(void)
 {
-	disk.ops->list(disk.disk, remove_name, NULL);
+	disk.ops->list(disk.disk, remove_file, NULL);
 	dl_disk_file_close(file);
 	rmdir(folder);
 }
 
 static void done(void *arg, int code)
 {
-	ck_assert_int_eq(ended, GPOINTER_TO_INT(arg));
-	ended++;
+	ck_assert_int_eq(completed, GPOINTER_TO_INT(arg));
+	completed++;
 	last_code = code;
 }
 
@@ -71,7 +71,7 @@
 	disk.ops->sync_dir(disk.disk, DONE(4));
 	disk.ops->write(disk.disk, "a", 6, DL_STR("W"), DONE(5));
 	run_loop();
-	ck_assert_int_eq(ended, 6);
+	ck_assert_int_eq(completed, 6);
 	ck_assert_int_eq(last_code, 0);
 	ck_assert_int_eq(disk.ops->read(disk.disk, "a", &got, &n), 0);
 	ck_assert(dl_str_eq((struct dl_str){ got, n }, DL_STR("hello World")));
@@ -83,7 +83,7 @@
 }
 END_TEST
 
-START_TEST(failures_are_told)
+START_TEST(failures_are_reported)
 {
 	char *got;
 	size_t n;
@@ -96,7 +96,7 @@
 }
 END_TEST
 
-START_TEST(second_process_is_kept_out)
+START_TEST(second_process_is_locked_out)
 {
 	struct dl_disk_file *second;
 	struct dl_err err;
@@ -159,10 +159,10 @@
 	TCase *t = tcase_create("disk");
 
 	suite_add_tcase(s, t);
-	tcase_add_checked_fixture(t, begin, end);
+	tcase_add_checked_fixture(t, setup, teardown);
 	tcase_add_test(t, operations_keep_their_order);
-	tcase_add_test(t, failures_are_told);
-	tcase_add_test(t, second_process_is_kept_out);
+	tcase_add_test(t, failures_are_reported);
+	tcase_add_test(t, second_process_is_locked_out);
 	tcase_add_test(t, journal_over_files);
 	return suite_run(s);
 }
