--- a/test/test_httpc.c
+++ b/test/test_httpc.c
@@ -11,175 +11,175 @@
 #include "fake/suite.h"
 #include "transport/httpc.h"
 
-#define ADDRESS	  ((UINT64_C(0x7f004301) << 16) | 7101)
-#define TURNS_MAX 3000
+#define ADDRESS	       ((UINT64_C(0x7f004301) << 16) | 7101)
+#define ITERATIONS_MAX 3000
 
 /* What the server does once it has the request. */
-enum then {
-	THEN_CLOSE,
-	THEN_RESET,
-	THEN_SILENT
+enum server_end {
+	SERVER_CLOSES,
+	SERVER_RESETS,
+	SERVER_SILENT
 };
 
-struct fault {
-	const char *what;
-	const char *script[3]; /* written one turn after the other */
-	enum then then;
+struct response {
+	const char *name;
+	const char *writes[3]; /* written one turn after the other */
+	enum server_end end;
 	enum dl_received received;
-	enum dl_failure broke;
+	enum dl_failure failure;
 	const char *body;
 };
 
 #define CHUNKED "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 #define LENGTH	"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
 
-static const struct fault faults[] = {
+static const struct response responses[] = {
 	{ "whole by length",
 	  { LENGTH "hello" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_COMPLETE,
 	  DL_FAILURE_NONE,
 	  "hello" },
 	{ "whole in pieces",
 	  { LENGTH, "he", "llo" },
-	  THEN_SILENT,
+	  SERVER_SILENT,
 	  DL_RECV_COMPLETE,
 	  DL_FAILURE_NONE,
 	  "hello" },
 	{ "whole by chunks",
 	  { CHUNKED "5\r\nhello\r\n0\r\n\r\n" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_COMPLETE,
 	  DL_FAILURE_NONE,
 	  "hello" },
 	{ "chunks in pieces",
 	  { CHUNKED, "5\r\nhello\r\n", "0\r\n\r\n" },
-	  THEN_SILENT,
+	  SERVER_SILENT,
 	  DL_RECV_COMPLETE,
 	  DL_FAILURE_NONE,
 	  "hello" },
 	{ "end mark alone",
 	  { CHUNKED "5\r\nhello\r\n", "0\r\n\r\n" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_COMPLETE,
 	  DL_FAILURE_NONE,
 	  "hello" },
 	{ "closed at a chunk's end",
 	  { CHUNKED, "5\r\nhello\r\n" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "hello" },
 	{ "closed at a chunk's end, one write",
 	  { CHUNKED "5\r\nhello\r\n" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "hello" },
 	{ "closed after a chunk's size",
 	  { CHUNKED "5\r\nhello\r\n", "7\r\n" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "hello" },
 	{ "closed within a chunk",
 	  { CHUNKED, "9\r\nhello" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "hello" },
 	{ "closed after the head",
 	  { CHUNKED },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "" },
 	{ "closed within the length",
 	  { LENGTH "hel" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "hel" },
 	{ "reset within the length",
 	  { LENGTH, "hel" },
-	  THEN_RESET,
+	  SERVER_RESETS,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "hel" },
 	{ "silent within the length",
 	  { LENGTH, "hel" },
-	  THEN_SILENT,
+	  SERVER_SILENT,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_IDLE_TIMEOUT,
 	  "hel" },
 	{ "silent after the head",
 	  { LENGTH },
-	  THEN_SILENT,
+	  SERVER_SILENT,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_IDLE_TIMEOUT,
 	  "" },
 	{ "silent before the head",
 	  { "" },
-	  THEN_SILENT,
+	  SERVER_SILENT,
 	  DL_RECV_NOTHING,
 	  DL_FAILURE_IDLE_TIMEOUT,
 	  "" },
 	{ "closed before the head",
 	  { "" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_NOTHING,
 	  DL_FAILURE_RESET,
 	  "" },
 	{ "reset before the head",
 	  { "" },
-	  THEN_RESET,
+	  SERVER_RESETS,
 	  DL_RECV_NOTHING,
 	  DL_FAILURE_RESET,
 	  "" },
 	{ "half a head",
 	  { "HTTP/1.1 200 OK\r\nCont" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_NOTHING,
 	  DL_FAILURE_RESET,
 	  "" },
 	{ "no answer at all",
 	  { "SSH-2.0-x\r\n\r\n" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_NOTHING,
 	  DL_FAILURE_RESET,
 	  "" },
 	{ "no length told",
 	  { "HTTP/1.1 200 OK\r\n\r\nhello" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_BAD_RESPONSE,
 	  "hello" },
 	{ "not run, says the endpoint",
 	  { "HTTP/1.1 503 No\r\nDaisyledge-Not-Run: yes\r\n"
 	    "Content-Length: 0\r\n\r\n" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_NOT_RUN,
 	  DL_FAILURE_NONE,
 	  "" },
 };
 
 /* Where an answer may end with its connection. */
-static const struct fault close_faults[] = {
+static const struct response close_delimited_responses[] = {
 	{ "no length told, closed in order",
 	  { "HTTP/1.1 200 OK\r\n\r\n", "hello" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_COMPLETE,
 	  DL_FAILURE_NONE,
 	  "hello" },
 	{ "no length told, reset",
 	  { "HTTP/1.1 200 OK\r\n\r\n", "hello" },
-	  THEN_RESET,
+	  SERVER_RESETS,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "hello" },
 	{ "closed within the length, where a close may end it",
 	  { LENGTH, "hel" },
-	  THEN_CLOSE,
+	  SERVER_CLOSES,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "hel" },
@@ -188,10 +188,10 @@
 static uv_loop_t loop;
 static uv_tcp_t listener, server;
 static uv_timer_t ticker;
-static const struct fault *fault;
+static const struct response *response;
 static int step, ended, connected;
 static bool close_delimited;
-static struct dl_attempt got;
+static struct dl_attempt result;
 static char body[64];
 static char request[1024];
 
@@ -227,7 +227,7 @@
 
 	if (!connected || step > 3 || uv_is_closing((uv_handle_t *)&server))
 		return;
-	text = step < 3 ? fault->script[step] : NULL;
+	text = step < 3 ? response->writes[step] : NULL;
 	step++;
 	if (text && text[0]) {
 		uv_write_t *req = malloc(sizeof(*req));
@@ -236,12 +236,12 @@
 
 		uv_write(req, (uv_stream_t *)&server, &buf, 1, on_written);
 	}
-	if (step < 3 && fault->script[step])
+	if (step < 3 && response->writes[step])
 		return;
 	step = 4;
-	if (fault->then == THEN_CLOSE)
+	if (response->end == SERVER_CLOSES)
 		uv_close((uv_handle_t *)&server, NULL);
-	if (fault->then == THEN_RESET)
+	if (response->end == SERVER_RESETS)
 		uv_tcp_close_reset(&server, NULL);
 }
 
@@ -261,13 +261,13 @@
 static void on_end(void *arg, const struct dl_attempt *attempt,
 		   const struct dl_err *err)
 {
-	got = *attempt;
+	result = *attempt;
 	ended++;
 }
 
 static const struct dl_httpc_ops ops = { on_head, on_body, on_end, NULL };
 
-static void listen_here(void)
+static void listen_on_address(void)
 {
 	struct sockaddr_in sin = { .sin_family = AF_INET };
 
@@ -279,7 +279,7 @@
 			 0);
 }
 
-static void call_once(struct dl_httpc *client)
+static void run_call(struct dl_httpc *client)
 {
 	struct dl_httpc_req req = { .address = ADDRESS,
 				    .method = DL_STR("GET"),
@@ -290,12 +290,12 @@
 
 	ck_assert_ptr_nonnull(dl_httpc_start(client, &req, &ops, NULL));
 	ck_assert_int_eq(ended, 0);
-	for (int i = 0; i < TURNS_MAX && !ended; i++)
+	for (int i = 0; i < ITERATIONS_MAX && !ended; i++)
 		uv_run(&loop, UV_RUN_ONCE);
 	ck_assert_int_eq(ended, 1);
 }
 
-static void open_all(struct dl_httpc **client)
+static void setup_client(struct dl_httpc **client)
 {
 	uv_loop_init(&loop);
 	uv_timer_init(&loop, &ticker);
@@ -307,45 +307,45 @@
 	connected = 0;
 }
 
-static void check_fault(void)
+static void check_response(void)
 {
 	struct dl_httpc *client;
 
-	open_all(&client);
-	listen_here();
-	call_once(client);
-	ck_assert_msg(got.received == fault->received, "%s: received %d",
-		      fault->what, got.received);
-	ck_assert_msg(got.failure == fault->broke, "%s: broke %d", fault->what,
-		      got.failure);
-	ck_assert_msg(strcmp(body, fault->body) == 0, "%s: body '%s'",
-		      fault->what, body);
-	ck_assert_int_eq(got.sent, DL_SENT_ALL);
+	setup_client(&client);
+	listen_on_address();
+	run_call(client);
+	ck_assert_msg(result.received == response->received, "%s: received %d",
+		      response->name, result.received);
+	ck_assert_msg(result.failure == response->failure, "%s: broke %d",
+		      response->name, result.failure);
+	ck_assert_msg(strcmp(body, response->body) == 0, "%s: body '%s'",
+		      response->name, body);
+	ck_assert_int_eq(result.sent, DL_SENT_ALL);
 }
 
-START_TEST(each_fault)
+START_TEST(each_response)
 {
-	fault = &faults[_i];
-	check_fault();
+	response = &responses[_i];
+	check_response();
 }
 END_TEST
 
-START_TEST(each_close)
+START_TEST(each_close_delimited_response)
 {
-	fault = &close_faults[_i];
+	response = &close_delimited_responses[_i];
 	close_delimited = true;
-	check_fault();
+	check_response();
 }
 END_TEST
 
-START_TEST(nobody_listens)
+START_TEST(connection_refused)
 {
 	struct dl_httpc *client;
 
-	open_all(&client);
-	call_once(client);
-	ck_assert_int_eq(got.sent, DL_SENT_NOTHING);
-	ck_assert_int_eq(got.failure, DL_FAILURE_CONNECT);
+	setup_client(&client);
+	run_call(client);
+	ck_assert_int_eq(result.sent, DL_SENT_NOTHING);
+	ck_assert_int_eq(result.failure, DL_FAILURE_CONNECT);
 }
 END_TEST
 
@@ -356,10 +356,11 @@
 
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 60);
-	tcase_add_loop_test(t, each_fault, 0,
-			    (int)(sizeof(faults) / sizeof(faults[0])));
-	tcase_add_loop_test(t, each_close, 0,
-			    sizeof(close_faults) / sizeof(close_faults[0]));
-	tcase_add_test(t, nobody_listens);
+	tcase_add_loop_test(t, each_response, 0,
+			    (int)(sizeof(responses) / sizeof(responses[0])));
+	tcase_add_loop_test(t, each_close_delimited_response, 0,
+			    sizeof(close_delimited_responses) /
+				    sizeof(close_delimited_responses[0]));
+	tcase_add_test(t, connection_refused);
 	return suite_run(s);
 }
