--- a/test/test_link.c
+++ b/test/test_link.c
@@ -8,7 +8,7 @@
 #define A 1
 #define B 2
 
-static uint32_t drain(struct fake_link *link, int64_t now)
+static uint32_t receive_all(struct fake_link *link, int64_t now)
 {
 	struct fake_datagram d;
 	uint32_t n = 0;
@@ -18,7 +18,7 @@
 	return n;
 }
 
-START_TEST(delivers_in_time_and_counts)
+START_TEST(delivery_times_and_counts)
 {
 	struct fake_link *link = fake_link_new(&(struct fake_link_conf){
 		.seed = 1, .delay_min_ms = 2, .delay_max_ms = 2 });
@@ -39,7 +39,7 @@
 }
 END_TEST
 
-START_TEST(cuts_one_way_and_pauses)
+START_TEST(one_way_cuts_and_pauses)
 {
 	struct fake_link *link =
 		fake_link_new(&(struct fake_link_conf){ .seed = 1 });
@@ -47,20 +47,20 @@
 	fake_link_cut(link, A, B);
 	fake_link_send(link, A, B, DL_STR("lost"), 0);
 	fake_link_send(link, B, A, DL_STR("passes"), 0);
-	ck_assert_uint_eq(drain(link, 0), 1);
+	ck_assert_uint_eq(receive_all(link, 0), 1);
 	fake_link_heal(link);
 	fake_link_pause(link, B, 50);
 	fake_link_send(link, A, B, DL_STR("held"), 0);
-	ck_assert_uint_eq(drain(link, 49), 0);
-	ck_assert_uint_eq(drain(link, 50), 1);
+	ck_assert_uint_eq(receive_all(link, 49), 0);
+	ck_assert_uint_eq(receive_all(link, 50), 1);
 	fake_link_send(link, A, B, DL_STR("under way"), 60);
 	fake_link_isolate(link, B);
-	ck_assert_uint_eq(drain(link, 100), 0);
+	ck_assert_uint_eq(receive_all(link, 100), 0);
 	fake_link_free(link);
 }
 END_TEST
 
-START_TEST(loses_and_doubles_by_the_seed)
+START_TEST(loss_and_duplication_follow_the_seed)
 {
 	struct fake_link_conf conf = { .seed = 7,
 				       .loss_permille = 100,
@@ -73,7 +73,7 @@
 
 		for (int i = 0; i < 10000; i++)
 			fake_link_send(link, A, B, DL_STR("x"), 0);
-		got[round] = drain(link, 9);
+		got[round] = receive_all(link, 9);
 		fake_link_free(link);
 	}
 	ck_assert_uint_eq(got[0], got[1]);
@@ -88,8 +88,8 @@
 	TCase *t = tcase_create("link");
 
 	suite_add_tcase(s, t);
-	tcase_add_test(t, delivers_in_time_and_counts);
-	tcase_add_test(t, cuts_one_way_and_pauses);
-	tcase_add_test(t, loses_and_doubles_by_the_seed);
+	tcase_add_test(t, delivery_times_and_counts);
+	tcase_add_test(t, one_way_cuts_and_pauses);
+	tcase_add_test(t, loss_and_duplication_follow_the_seed);
 	return suite_run(s);
 }
