--- a/test/test_peers.c
+++ b/test/test_peers.c
@@ -14,9 +14,9 @@
 
 #define VM(last, port)                                                         \
 	((uint64_t)(0x7f000000u | 0x4200 | (last)) << 16 | (port))
-#define TURNS_MAX 2000 /* of about 10 ms: far more than any step needs */
+#define ITERATIONS_MAX 2000 /* of about 10 ms: far more than any step needs */
 
-struct side {
+struct node {
 	struct dl_peers *peers;
 	int frames;
 	size_t last_n;
@@ -29,7 +29,7 @@
 
 static void on_frame(void *arg, uint64_t from, const struct dl_frame *f)
 {
-	struct side *s = arg;
+	struct node *s = arg;
 
 	s->frames++;
 	s->last_n = f->body.n;
@@ -38,7 +38,7 @@
 
 static void on_down(void *arg, uint64_t vm)
 {
-	((struct side *)arg)->downs++;
+	((struct node *)arg)->downs++;
 }
 
 static const struct dl_peers_ops ops = { .frame = on_frame, .down = on_down };
@@ -47,7 +47,7 @@
 {
 }
 
-static void open_side(struct side *s, uint64_t vm, uint64_t incarnation)
+static void open_node(struct node *s, uint64_t vm, uint64_t incarnation)
 {
 	struct dl_peers_conf conf;
 	struct dl_err err;
@@ -65,7 +65,7 @@
 /* Run the loop until a counter reaches a value, or fail. */
 static void run_until(const int *counter, int value)
 {
-	for (int i = 0; i < TURNS_MAX && *counter < value; i++)
+	for (int i = 0; i < ITERATIONS_MAX && *counter < value; i++)
 		uv_run(&loop, UV_RUN_ONCE);
 	ck_assert_int_ge(*counter, value);
 }
@@ -87,11 +87,11 @@
 
 START_TEST(frames_of_all_sizes)
 {
-	struct side a, b;
+	struct node a, b;
 	char *big = calloc(1, 5u << 20);
 
-	open_side(&a, VM(1, 7001), 1);
-	open_side(&b, VM(2, 7001), 1);
+	open_node(&a, VM(1, 7001), 1);
+	open_node(&b, VM(2, 7001), 1);
 	dl_peers_send(a.peers, VM(2, 7001), DL_FRAME_GRANT_REQUEST, 1,
 		      DL_STR(""));
 	dl_peers_send(a.peers, VM(2, 7001), DL_FRAME_GRANT_REQUEST, 2,
@@ -112,15 +112,15 @@
 }
 END_TEST
 
-START_TEST(a_vm_that_is_away)
+START_TEST(absent_vm_is_reported_down)
 {
-	struct side a, b;
+	struct node a, b;
 
-	open_side(&a, VM(1, 7002), 1);
+	open_node(&a, VM(1, 7002), 1);
 	dl_peers_send(a.peers, VM(2, 7002), DL_FRAME_GRANT_REQUEST, 1,
 		      DL_STR("x"));
 	run_until(&a.downs, 1);
-	open_side(&b, VM(2, 7002), 1);
+	open_node(&b, VM(2, 7002), 1);
 	dl_peers_send(a.peers, VM(2, 7002), DL_FRAME_GRANT_REQUEST, 1,
 		      DL_STR("x"));
 	run_until(&b.frames, 1);
@@ -131,7 +131,7 @@
 END_TEST
 
 /* A listener that accepts and never says a word. */
-static void on_mute(uv_stream_t *listener, int status)
+static void on_silent_accept(uv_stream_t *listener, int status)
 {
 	uv_tcp_t *tcp = calloc(1, sizeof(*tcp));
 
@@ -141,40 +141,42 @@
 	listener->data = tcp;
 }
 
-START_TEST(silence_is_found)
+START_TEST(silent_connection_is_closed)
 {
 	struct sockaddr_in sin = { .sin_family = AF_INET };
 	int64_t before = dl_metric_read(DL_METRIC_peer_silent);
-	struct side a;
-	static uv_tcp_t mute;
+	struct node a;
+	static uv_tcp_t silent_listener;
 
 	sin.sin_addr.s_addr = htonl((uint32_t)(VM(9, 7003) >> 16));
 	sin.sin_port = htons(7003);
-	uv_tcp_init(&loop, &mute);
-	mute.data = NULL;
-	ck_assert_int_eq(uv_tcp_bind(&mute, (void *)&sin, 0), 0);
-	ck_assert_int_eq(uv_listen((uv_stream_t *)&mute, 8, on_mute), 0);
-	open_side(&a, VM(1, 7003), 1);
+	uv_tcp_init(&loop, &silent_listener);
+	silent_listener.data = NULL;
+	ck_assert_int_eq(uv_tcp_bind(&silent_listener, (void *)&sin, 0), 0);
+	ck_assert_int_eq(uv_listen((uv_stream_t *)&silent_listener, 8,
+				   on_silent_accept),
+			 0);
+	open_node(&a, VM(1, 7003), 1);
 	dl_peers_send(a.peers, VM(9, 7003), DL_FRAME_GRANT_REQUEST, 1,
 		      DL_STR("x"));
 	run_until(&a.downs, 1);
 	ck_assert_int_gt(dl_metric_read(DL_METRIC_peer_silent), before);
 	dl_peers_close(a.peers);
-	while (mute.data) {
-		uv_tcp_t *tcp = mute.data;
+	while (silent_listener.data) {
+		uv_tcp_t *tcp = silent_listener.data;
 
-		mute.data = tcp->data;
+		silent_listener.data = tcp->data;
 		uv_close((uv_handle_t *)tcp, (uv_close_cb)free);
 	}
-	uv_close((uv_handle_t *)&mute, NULL);
+	uv_close((uv_handle_t *)&silent_listener, NULL);
 }
 END_TEST
 
-static int raw_done;
+static int raw_written;
 
 static void on_raw_written(uv_write_t *req, int status)
 {
-	raw_done = 1;
+	raw_written = 1;
 }
 
 static void on_raw_connect(uv_connect_t *req, int status)
@@ -187,26 +189,26 @@
 	uv_write(&write, req->handle, &buf, 1, on_raw_written);
 }
 
-START_TEST(bytes_that_are_no_frame)
+START_TEST(invalid_frame_closes_only_its_connection)
 {
 	struct sockaddr_in sin = { .sin_family = AF_INET };
 	int64_t before = dl_metric_read(DL_METRIC_peer_bad_frames);
-	struct side a, b;
+	struct node a, b;
 	static uv_connect_t connect;
 	static uv_tcp_t raw;
 
-	open_side(&a, VM(1, 7004), 1);
-	open_side(&b, VM(2, 7004), 1);
+	open_node(&a, VM(1, 7004), 1);
+	open_node(&b, VM(2, 7004), 1);
 	sin.sin_addr.s_addr = htonl((uint32_t)(VM(1, 7004) >> 16));
 	sin.sin_port = htons(7004);
 	uv_tcp_init(&loop, &raw);
 	uv_tcp_connect(&connect, &raw, (void *)&sin, on_raw_connect);
-	raw_done = 0;
-	run_until(&raw_done, 1);
+	raw_written = 0;
+	run_until(&raw_written, 1);
 	dl_peers_send(b.peers, VM(1, 7004), DL_FRAME_GRANT_REQUEST, 1,
 		      DL_STR("x"));
 	run_until(&a.frames, 1);
-	for (int i = 0; i < TURNS_MAX &&
+	for (int i = 0; i < ITERATIONS_MAX &&
 			dl_metric_read(DL_METRIC_peer_bad_frames) == before;
 	     i++)
 		uv_run(&loop, UV_RUN_ONCE);
@@ -217,17 +219,17 @@
 }
 END_TEST
 
-START_TEST(a_restarted_process_speaks_alone)
+START_TEST(restarted_process_replaces_the_old_one)
 {
-	struct side a, old, new;
+	struct node a, old, new;
 
-	open_side(&a, VM(1, 7005), 1);
-	open_side(&old, VM(2, 7005), 1);
+	open_node(&a, VM(1, 7005), 1);
+	open_node(&old, VM(2, 7005), 1);
 	dl_peers_send(old.peers, VM(1, 7005), DL_FRAME_GRANT_REQUEST, 1,
 		      DL_STR("x"));
 	run_until(&a.frames, 1);
 	dl_peers_close(old.peers);
-	open_side(&new, VM(2, 7005), 2);
+	open_node(&new, VM(2, 7005), 2);
 	dl_peers_send(new.peers, VM(1, 7005), DL_FRAME_GRANT_REQUEST, 1,
 		      DL_STR("xy"));
 	run_until(&a.frames, 2);
@@ -246,9 +248,9 @@
 	tcase_set_timeout(t, 60);
 	tcase_add_checked_fixture(t, setup, teardown);
 	tcase_add_test(t, frames_of_all_sizes);
-	tcase_add_test(t, a_vm_that_is_away);
-	tcase_add_test(t, silence_is_found);
-	tcase_add_test(t, bytes_that_are_no_frame);
-	tcase_add_test(t, a_restarted_process_speaks_alone);
+	tcase_add_test(t, absent_vm_is_reported_down);
+	tcase_add_test(t, silent_connection_is_closed);
+	tcase_add_test(t, invalid_frame_closes_only_its_connection);
+	tcase_add_test(t, restarted_process_replaces_the_old_one);
 	return suite_run(s);
 }
