--- a/test/tool_http.c
+++ b/test/tool_http.c
@@ -19,9 +19,9 @@
 
 enum tool_exit {
 	EXIT_EXPECTED = 0,
-	EXIT_OTHER = 1,
+	EXIT_UNEXPECTED = 1,
 	EXIT_BAD_USAGE = 2,
-	EXIT_NO_ANSWER = 3
+	EXIT_NO_RESPONSE = 3
 };
 
 static struct {
@@ -63,14 +63,14 @@
 	{ NULL },
 };
 
-struct outcome {
+struct result {
 	int status;
 	enum fake_end end;
 };
 
 static void on_head(void *arg, int status, struct dl_str head)
 {
-	((struct outcome *)arg)->status = status;
+	((struct result *)arg)->status = status;
 	if (opt.head)
 		fwrite(head.s, 1, head.n, stdout);
 }
@@ -82,7 +82,7 @@
 
 static void on_end(void *arg, enum fake_end end)
 {
-	((struct outcome *)arg)->end = end;
+	((struct result *)arg)->end = end;
 }
 
 /* Split "NAME: VALUE" lines into headers; their number. */
@@ -120,15 +120,15 @@
 	return 0;
 }
 
-static int verdict(const struct outcome *outcome)
+static int exit_status(const struct result *result)
 {
-	if (outcome->end != FAKE_END_COMPLETE)
-		return EXIT_NO_ANSWER;
+	if (result->end != FAKE_END_COMPLETE)
+		return EXIT_NO_RESPONSE;
 	if (opt.expect)
-		return outcome->status == opt.expect ? EXIT_EXPECTED :
-						       EXIT_OTHER;
-	return outcome->status >= 200 && outcome->status < 300 ? EXIT_EXPECTED :
-								 EXIT_OTHER;
+		return result->status == opt.expect ? EXIT_EXPECTED :
+						      EXIT_UNEXPECTED;
+	return result->status >= 200 && result->status < 300 ? EXIT_EXPECTED :
+							       EXIT_UNEXPECTED;
 }
 
 static bool send_all(int fd, const char *s, size_t n)
@@ -163,7 +163,7 @@
 }
 
 /* Send the request, read nothing, and leave: a caller that has hung. */
-static int stall(const struct fake_call_req *req)
+static int send_without_reading(const struct fake_call_req *req)
 {
 	int fd = send_head(req);
 	bool sent = send_all(fd, req->body.s, req->body.n);
@@ -172,7 +172,7 @@
 		g_usleep((gulong)opt.stall_ms * 1000);
 	if (fd >= 0)
 		close(fd);
-	return sent ? EXIT_EXPECTED : EXIT_NO_ANSWER;
+	return sent ? EXIT_EXPECTED : EXIT_NO_RESPONSE;
 }
 
 /* Send the body a while after the head, and read the answer to its end. */
@@ -186,7 +186,7 @@
 
 	g_usleep((gulong)opt.slow_ms * 1000);
 	if (!send_all(fd, req->body.s, req->body.n))
-		return EXIT_NO_ANSWER;
+		return EXIT_NO_RESPONSE;
 	while (n < sizeof(text) - 1 &&
 	       (got = read(fd, text + n, sizeof(text) - 1 - n)) > 0)
 		n += (size_t)got;
@@ -194,8 +194,8 @@
 	text[n] = '\0';
 	fputs(text, stdout);
 	if (sscanf(text, "HTTP/1.1 %d", &status) != 1)
-		return EXIT_NO_ANSWER;
-	return status == opt.expect ? EXIT_EXPECTED : EXIT_OTHER;
+		return EXIT_NO_RESPONSE;
+	return status == opt.expect ? EXIT_EXPECTED : EXIT_UNEXPECTED;
 }
 
 int main(int argc, char **argv)
@@ -203,7 +203,7 @@
 	static const struct fake_call_ops ops = { on_head, on_body, on_end };
 	GOptionContext *ctx = g_option_context_new("IP:PORT PATH");
 	struct fake_header headers[HEADERS_MAX + 1];
-	struct outcome outcome = { 0 };
+	struct result result = { 0 };
 	struct fake_call_req req = { .headers = headers,
 				     .connect_ms = CONNECT_MS };
 	GError *err = NULL;
@@ -233,12 +233,12 @@
 		return EXIT_BAD_USAGE;
 	}
 	if (opt.stall_ms)
-		return stall(&req);
+		return send_without_reading(&req);
 	if (opt.slow_ms)
 		return send_slowly(&req);
-	fake_call_start(uv_default_loop(), &req, &ops, &outcome);
+	fake_call_start(uv_default_loop(), &req, &ops, &result);
 	uv_run(uv_default_loop(), UV_RUN_DEFAULT);
 	if (opt.file)
 		g_free((char *)req.body.s);
-	return verdict(&outcome);
+	return exit_status(&result);
 }
