--- a/test/tool_relay.c
+++ b/test/tool_relay.c
@@ -16,12 +16,12 @@
 
 #include "fake/http.h"
 
-#define CHUNK 65536
+#define CHUNK_MAX 65536
 
-enum way {
-	WAY_FORWARD,
-	WAY_BACK,
-	WAY_COUNT
+enum dir {
+	DIR_FORWARD,
+	DIR_BACK,
+	DIR_COUNT
 };
 
 struct pair;
@@ -30,25 +30,25 @@
 struct side {
 	uv_tcp_t tcp;
 	struct pair *pair;
-	enum way way; /* of the bytes read here */
+	enum dir dir; /* of the bytes read here */
 	bool closed;
-	char in[CHUNK];
+	char in[CHUNK_MAX];
 };
 
 struct pair {
-	struct side side[WAY_COUNT];
+	struct side side[DIR_COUNT];
 	uv_connect_t connect;
 	struct pair *next;
-	bool silent[WAY_COUNT];
-	int open;
+	bool silent[DIR_COUNT];
+	int handles;
 };
 
 /* Bytes on their way to the other side. */
-struct piece {
+struct chunk {
 	uv_write_t write;
 	uv_timer_t timer;
 	struct pair *pair;
-	enum way way;
+	enum dir dir;
 	size_t n;
 	char bytes[];
 };
@@ -56,15 +56,15 @@
 static struct {
 	uv_loop_t *loop;
 	uv_tcp_t listener;
-	struct fake_server *door;
+	struct fake_server *control_server;
 	struct pair *pairs;
 	uint64_t listen;
 	uint64_t to;
 	uint64_t control;
-	bool silent[WAY_COUNT]; /* for connections made from now on */
+	bool silent[DIR_COUNT]; /* for connections made from now on */
 	uint64_t delay_ms;
-	unsigned long long carried;
-} me;
+	unsigned long long bytes_relayed;
+} relay;
 
 static struct {
 	char *listen;
@@ -95,9 +95,9 @@
 {
 	struct side *side = handle->data;
 	struct pair *pair = side->pair;
-	struct pair **p = &me.pairs;
+	struct pair **p = &relay.pairs;
 
-	if (--pair->open > 0)
+	if (--pair->handles > 0)
 		return;
 	while (*p && *p != pair)
 		p = &(*p)->next;
@@ -108,7 +108,7 @@
 
 static void close_pair(struct pair *pair)
 {
-	for (int i = 0; i < WAY_COUNT; i++) {
+	for (int i = 0; i < DIR_COUNT; i++) {
 		struct side *side = &pair->side[i];
 
 		if (side->closed)
@@ -118,104 +118,104 @@
 	}
 }
 
-static struct side *other(struct pair *pair, enum way way)
+static struct side *opposite(struct pair *pair, enum dir dir)
 {
-	return &pair->side[way == WAY_FORWARD ? WAY_BACK : WAY_FORWARD];
+	return &pair->side[dir == DIR_FORWARD ? DIR_BACK : DIR_FORWARD];
 }
 
-static void unhold(struct pair *pair)
+static void release_pair(struct pair *pair)
 {
-	if (--pair->open == 0) {
-		pair->open++;
+	if (--pair->handles == 0) {
+		pair->handles++;
 		on_side_closed((uv_handle_t *)&pair->side[0].tcp);
 	}
 }
 
-static void on_piece_closed(uv_handle_t *handle)
+static void on_chunk_closed(uv_handle_t *handle)
 {
-	struct piece *piece = handle->data;
+	struct chunk *chunk = handle->data;
 
-	unhold(piece->pair);
-	free(piece);
+	release_pair(chunk->pair);
+	free(chunk);
 }
 
-static void on_piece_written(uv_write_t *write, int status)
+static void on_chunk_written(uv_write_t *write, int status)
 {
-	struct piece *piece = write->data;
+	struct chunk *chunk = write->data;
 
 	if (status < 0)
-		close_pair(piece->pair);
-	uv_close((uv_handle_t *)&piece->timer, on_piece_closed);
+		close_pair(chunk->pair);
+	uv_close((uv_handle_t *)&chunk->timer, on_chunk_closed);
 }
 
 /* Send a piece on, unless its way has gone silent meanwhile. */
-static void on_piece_due(uv_timer_t *timer)
+static void on_chunk_due(uv_timer_t *timer)
 {
-	struct piece *piece = timer->data;
-	struct pair *pair = piece->pair;
-	struct side *to = other(pair, piece->way);
-	uv_buf_t buf = uv_buf_init(piece->bytes, (unsigned int)piece->n);
+	struct chunk *chunk = timer->data;
+	struct pair *pair = chunk->pair;
+	struct side *to = opposite(pair, chunk->dir);
+	uv_buf_t buf = uv_buf_init(chunk->bytes, (unsigned int)chunk->n);
 
-	if (to->closed || pair->silent[piece->way]) {
-		uv_close((uv_handle_t *)timer, on_piece_closed);
+	if (to->closed || pair->silent[chunk->dir]) {
+		uv_close((uv_handle_t *)timer, on_chunk_closed);
 		return;
 	}
-	me.carried += piece->n;
-	piece->write.data = piece;
-	if (uv_write(&piece->write, (uv_stream_t *)&to->tcp, &buf, 1,
-		     on_piece_written) < 0)
-		uv_close((uv_handle_t *)timer, on_piece_closed);
+	relay.bytes_relayed += chunk->n;
+	chunk->write.data = chunk;
+	if (uv_write(&chunk->write, (uv_stream_t *)&to->tcp, &buf, 1,
+		     on_chunk_written) < 0)
+		uv_close((uv_handle_t *)timer, on_chunk_closed);
 }
 
 static void on_alloc(uv_handle_t *handle, size_t hint, uv_buf_t *buf)
 {
 	struct side *side = handle->data;
 
-	*buf = uv_buf_init(side->in, CHUNK);
+	*buf = uv_buf_init(side->in, CHUNK_MAX);
 }
 
 static void on_read(uv_stream_t *stream, ssize_t n, const uv_buf_t *buf)
 {
 	struct side *side = stream->data;
 	struct pair *pair = side->pair;
-	struct piece *piece;
+	struct chunk *chunk;
 
 	if (n == 0 || side->closed)
 		return;
 	if (n < 0) {
 		/* A silent way loses the end of the connection as well. */
-		if (pair->silent[side->way])
+		if (pair->silent[side->dir])
 			uv_read_stop(stream);
 		else
 			close_pair(pair);
 		return;
 	}
-	if (pair->silent[side->way])
+	if (pair->silent[side->dir])
 		return;
-	piece = malloc(sizeof(*piece) + (size_t)n);
-	if (!piece)
+	chunk = malloc(sizeof(*chunk) + (size_t)n);
+	if (!chunk)
 		abort();
-	piece->pair = pair;
-	piece->way = side->way;
-	piece->n = (size_t)n;
-	memcpy(piece->bytes, buf->base, (size_t)n);
-	pair->open++;
-	uv_timer_init(me.loop, &piece->timer);
-	piece->timer.data = piece;
-	uv_timer_start(&piece->timer, on_piece_due, me.delay_ms, 0);
+	chunk->pair = pair;
+	chunk->dir = side->dir;
+	chunk->n = (size_t)n;
+	memcpy(chunk->bytes, buf->base, (size_t)n);
+	pair->handles++;
+	uv_timer_init(relay.loop, &chunk->timer);
+	chunk->timer.data = chunk;
+	uv_timer_start(&chunk->timer, on_chunk_due, relay.delay_ms, 0);
 }
 
 static void on_connected(uv_connect_t *connect, int status)
 {
 	struct pair *pair = connect->data;
 
-	if (pair->side[WAY_BACK].closed)
+	if (pair->side[DIR_BACK].closed)
 		return;
 	if (status < 0) {
 		close_pair(pair);
 		return;
 	}
-	for (int i = 0; i < WAY_COUNT; i++)
+	for (int i = 0; i < DIR_COUNT; i++)
 		uv_read_start((uv_stream_t *)&pair->side[i].tcp, on_alloc,
 			      on_read);
 }
@@ -223,32 +223,32 @@
 static void on_accept(uv_stream_t *stream, int status)
 {
 	struct pair *pair = calloc(1, sizeof(*pair));
-	struct sockaddr_in to = address(me.to);
+	struct sockaddr_in to = address(relay.to);
 
 	if (!pair)
 		abort();
-	for (int i = 0; i < WAY_COUNT; i++) {
+	for (int i = 0; i < DIR_COUNT; i++) {
 		struct side *side = &pair->side[i];
 
 		side->pair = pair;
-		side->way = (enum way)i;
+		side->dir = (enum dir)i;
 		side->tcp.data = side;
-		uv_tcp_init(me.loop, &side->tcp);
-		pair->silent[i] = me.silent[i];
+		uv_tcp_init(relay.loop, &side->tcp);
+		pair->silent[i] = relay.silent[i];
 	}
-	pair->open = WAY_COUNT;
-	pair->next = me.pairs;
-	me.pairs = pair;
+	pair->handles = DIR_COUNT;
+	pair->next = relay.pairs;
+	relay.pairs = pair;
 	pair->connect.data = pair;
-	if (uv_accept(stream, (uv_stream_t *)&pair->side[WAY_FORWARD].tcp) <
+	if (uv_accept(stream, (uv_stream_t *)&pair->side[DIR_FORWARD].tcp) <
 		    0 ||
-	    uv_tcp_connect(&pair->connect, &pair->side[WAY_BACK].tcp,
+	    uv_tcp_connect(&pair->connect, &pair->side[DIR_BACK].tcp,
 			   (const struct sockaddr *)&to, on_connected) < 0)
 		close_pair(pair);
 }
 
-static void set_way(const json_t *o, const char *key, enum way way,
-		    bool old_only)
+static void set_mode(const json_t *o, const char *key, enum dir dir,
+		     bool old_only)
 {
 	const char *mode = json_string_value(json_object_get(o, key));
 	bool silent;
@@ -256,9 +256,9 @@
 	if (!mode)
 		return;
 	silent = strcmp(mode, "silent") == 0;
-	for (struct pair *p = me.pairs; p; p = p->next)
-		p->silent[way] = silent;
-	me.silent[way] = silent && !old_only;
+	for (struct pair *p = relay.pairs; p; p = p->next)
+		p->silent[dir] = silent;
+	relay.silent[dir] = silent && !old_only;
 }
 
 static void on_command(void *arg, struct fake_request *req)
@@ -268,17 +268,18 @@
 	bool old_only = json_is_true(json_object_get(o, "old_only"));
 	char text[64];
 
-	set_way(o, "forward", WAY_FORWARD, old_only);
-	set_way(o, "back", WAY_BACK, old_only);
+	set_mode(o, "forward", DIR_FORWARD, old_only);
+	set_mode(o, "back", DIR_BACK, old_only);
 	if (json_object_get(o, "delay_ms"))
-		me.delay_ms = (uint64_t)json_integer_value(
+		relay.delay_ms = (uint64_t)json_integer_value(
 			json_object_get(o, "delay_ms"));
 	if (json_is_true(json_object_get(o, "cut"))) {
-		for (struct pair *p = me.pairs; p; p = p->next)
+		for (struct pair *p = relay.pairs; p; p = p->next)
 			close_pair(p);
 	}
 	json_decref(o);
-	snprintf(text, sizeof(text), "{\"carried\":%llu}\n", me.carried);
+	snprintf(text, sizeof(text), "{\"carried\":%llu}\n",
+		 relay.bytes_relayed);
 	fake_reply(req, 200, NULL, dl_str_of(text));
 }
 
@@ -299,25 +300,25 @@
 	g_option_context_add_main_entries(ctx, options, NULL);
 	if (!g_option_context_parse(ctx, &argc, &argv, &err) || !opt.listen ||
 	    !opt.to || !opt.control ||
-	    !dl_vm_parse(dl_str_of(opt.listen), &me.listen) ||
-	    !dl_vm_parse(dl_str_of(opt.to), &me.to) ||
-	    !dl_vm_parse(dl_str_of(opt.control), &me.control)) {
+	    !dl_vm_parse(dl_str_of(opt.listen), &relay.listen) ||
+	    !dl_vm_parse(dl_str_of(opt.to), &relay.to) ||
+	    !dl_vm_parse(dl_str_of(opt.control), &relay.control)) {
 		fprintf(stderr, "relay: bad options, try --help\n");
 		return 2;
 	}
 	g_option_context_free(ctx);
-	me.loop = uv_default_loop();
-	at = address(me.listen);
-	uv_tcp_init(me.loop, &me.listener);
-	rc = uv_tcp_bind(&me.listener, (const struct sockaddr *)&at, 0);
+	relay.loop = uv_default_loop();
+	at = address(relay.listen);
+	uv_tcp_init(relay.loop, &relay.listener);
+	rc = uv_tcp_bind(&relay.listener, (const struct sockaddr *)&at, 0);
 	if (rc == 0)
-		rc = uv_listen((uv_stream_t *)&me.listener, 512, on_accept);
+		rc = uv_listen((uv_stream_t *)&relay.listener, 512, on_accept);
 	if (rc == 0)
-		rc = fake_server_open(me.loop, me.control, &ops, NULL,
-				      &me.door);
+		rc = fake_server_open(relay.loop, relay.control, &ops, NULL,
+				      &relay.control_server);
 	if (rc < 0) {
 		fprintf(stderr, "relay: listen: %s\n", uv_strerror(rc));
 		return 1;
 	}
-	return uv_run(me.loop, UV_RUN_DEFAULT);
+	return uv_run(relay.loop, UV_RUN_DEFAULT);
 }
