--- a/test/tool_runner.c
+++ b/test/tool_runner.c
@@ -16,12 +16,12 @@
 
 #include "fake/http.h"
 
-#define BEAT_MS	  300
-#define TICK_MS	  10
-#define CALL_MS	  600
-#define CONTROLS  8
-#define BROKEN_AT 3   /* the event at which a faulty one breaks off */
-#define DOWN_MS	  700 /* from a crash to the next start */
+#define HEARTBEAT_MS	 300
+#define TICK_MS		 10
+#define CALL_MS		 600
+#define CONTROLS_MAX	 8
+#define FAULT_EVENT	 3   /* the event at which a faulty one breaks off */
+#define RESTART_DELAY_MS 700 /* from a crash to the next start */
 /* How many starts there were before this one; outlives a crash. */
 #define CRASHES_ENV "RUNNER_CRASHES"
 
@@ -78,31 +78,32 @@
 static uv_loop_t *loop;
 static GPtrArray *jobs;
 static char **controls;
-static guint turn;
-static uint64_t stays_at = DL_VM_NONE; /* as told, until a call there fails */
+static guint next_control;
+static uint64_t heartbeat_address =
+	DL_VM_NONE; /* as told, until a call there fails */
 static uint64_t sequence;
-static int64_t born; /* when this start began, Unix ms */
+static int64_t started_ms; /* when this start began, Unix ms */
 static int record_fd = -1, arrivals_fd = -1;
-static bool leaving, gone;
-static int64_t beat_at;
+static bool leaving, deregistered;
+static int64_t next_heartbeat;
 
 /* A call failed: the next one goes elsewhere. */
-static void go_on(void)
+static void try_next_control(void)
 {
-	stays_at = DL_VM_NONE;
-	turn++;
+	heartbeat_address = DL_VM_NONE;
+	next_control++;
 }
 
 static void on_call_end(void *arg, enum fake_end end)
 {
 	if (end != FAKE_END_COMPLETE)
-		go_on();
+		try_next_control();
 }
 
 static void on_call_head(void *arg, int status, struct dl_str head)
 {
 	if (status != 200)
-		go_on();
+		try_next_control();
 }
 
 /* The address after a name in a reply; DL_VM_NONE where there is none. */
@@ -117,8 +118,8 @@
 	at += sizeof(name) - 1;
 	quote = memchr(at, '"', (size_t)(end - at));
 	if (!quote || !dl_vm_parse((struct dl_str){ at, (size_t)(quote - at) },
-				   &stays_at))
-		stays_at = DL_VM_NONE;
+				   &heartbeat_address))
+		heartbeat_address = DL_VM_NONE;
 }
 
 static const struct fake_call_ops call_ops = { on_call_head, on_call_body,
@@ -133,9 +134,9 @@
 				     .timeout_ms = CALL_MS };
 	guint n = g_strv_length(controls);
 
-	req.address = stays_at;
-	if (stays_at != DL_VM_NONE ||
-	    dl_vm_parse(dl_str_of(controls[turn % n]), &req.address))
+	req.address = heartbeat_address;
+	if (heartbeat_address != DL_VM_NONE ||
+	    dl_vm_parse(dl_str_of(controls[next_control % n]), &req.address))
 		fake_call_start(loop, &req, &call_ops, NULL);
 }
 
@@ -151,7 +152,7 @@
 		 "\"seq\":%" PRIu64 ",\"born\":%" PRId64 "}",
 		 opt.service, opt.listen, opt.zone, opt.slots,
 		 leaving && !opt.unheard ? "draining" : "ready", ++sequence,
-		 born);
+		 started_ms);
 	call_control(path, body);
 }
 
@@ -161,7 +162,7 @@
 }
 
 /* instance attempt path tenant last-event key, one line a run. */
-static void record(const struct fake_request *req)
+static void record_execution(const struct fake_request *req)
 {
 	struct dl_str path = fake_request_path(req);
 	struct dl_str attempt = header(req, "daisyledge-attempt-id");
@@ -233,7 +234,7 @@
 }
 
 /* A start after a crash: down for a while, then under another name. */
-static void come_back(char **argv)
+static void restart_after_crash(char **argv)
 {
 	const char *crashes = getenv(CRASHES_ENV);
 
@@ -243,18 +244,18 @@
 	opt.instance_crashes = atoi(crashes);
 	opt.instance =
 		g_strdup_printf("%s-%d", opt.instance, opt.instance_crashes);
-	g_usleep((gulong)DOWN_MS * G_USEC_PER_SEC / 1000);
+	g_usleep((gulong)RESTART_DELAY_MS * G_USEC_PER_SEC / 1000);
 }
 
 /* What the endpoint says of itself in its answers: that it leaves, a limit. */
-static const char *said_name(void)
+static const char *notice_name(void)
 {
 	if (leaving)
 		return "Server-Leaving";
 	return opt.limit ? "Server-Limit" : NULL;
 }
 
-static const char *said_value(void)
+static const char *notice_value(void)
 {
 	return leaving ? "1" : opt.limit;
 }
@@ -265,7 +266,7 @@
 		{ "Content-Type", "text/event-stream" },
 		{ "Daisyledge-Attempt-Id", attempt },
 		{ "Daisyledge-Response-Stamp", opt.instance },
-		{ said_name(), said_value() },
+		{ notice_name(), notice_value() },
 		{ NULL, NULL },
 	};
 	struct dl_str last = header(req, "last-event-id");
@@ -281,12 +282,12 @@
 	fake_reply_begin(req, 200, headers);
 }
 
-static void answer_plain(struct fake_request *req, const char *attempt)
+static void reply_plain(struct fake_request *req, const char *attempt)
 {
 	const struct fake_header headers[] = {
 		{ "Daisyledge-Attempt-Id", attempt },
 		{ "Daisyledge-Response-Stamp", opt.instance },
-		{ said_name(), said_value() },
+		{ notice_name(), notice_value() },
 		{ NULL, NULL },
 	};
 	bool error = strcmp(opt.fault, "error") == 0;
@@ -298,7 +299,7 @@
  * When a request came, and what of it: Unix ms, instance, attempt, and "shed"
  * with a Retry-After, "leaving", or "taken".
  */
-static void note_arrival(const struct fake_request *req, const char *what)
+static void record_arrival(const struct fake_request *req, const char *what)
 {
 	struct dl_str attempt = header(req, "daisyledge-attempt-id");
 	char line[256];
@@ -318,7 +319,7 @@
 	bool shed = is_shedding(retry_after, sizeof(retry_after));
 
 	snprintf(what, sizeof(what), "shed %s", retry_after);
-	note_arrival(req, shed ? what : leaving ? "leaving" : "taken");
+	record_arrival(req, shed ? what : leaving ? "leaving" : "taken");
 	if (target.n && !dl_str_eq(target, dl_str_of(opt.instance))) {
 		refuse(req, 421, "");
 		return;
@@ -327,14 +328,14 @@
 		refuse(req, 503, retry_after);
 		return;
 	}
-	record(req);
+	record_execution(req);
 	if (is_crashing(req))
 		crash();
 	snprintf(attempt, sizeof(attempt), "%.*s", (int)MIN(id.n, 60), id.s);
 	if (strcmp(opt.fault, "foreign") == 0)
 		snprintf(attempt, sizeof(attempt), "another");
 	if (opt.plain)
-		answer_plain(req, attempt);
+		reply_plain(req, attempt);
 	else
 		begin_stream(req, attempt);
 }
@@ -352,16 +353,16 @@
 						   on_request_closed };
 
 /* One step of a stream; false where it has ended. */
-static bool step(struct job *job, int64_t now)
+static bool send_due_event(struct job *job, int64_t now)
 {
 	char event[64];
 	int n;
 
 	if (now < job->at)
 		return true;
-	if (job->next == BROKEN_AT && strcmp(opt.fault, "silent") == 0)
+	if (job->next == FAULT_EVENT && strcmp(opt.fault, "silent") == 0)
 		return true;
-	if (job->next == BROKEN_AT && strcmp(opt.fault, "cut") == 0) {
+	if (job->next == FAULT_EVENT && strcmp(opt.fault, "cut") == 0) {
 		fake_request_set_owner(job->req, NULL);
 		fake_reply_write(job->req, DL_STR("id: 3\nda"));
 		fake_reply_abort(job->req);
@@ -384,14 +385,14 @@
 {
 	int64_t now = (int64_t)uv_now(loop);
 
-	if (now >= beat_at && !gone) {
-		beat_at = now + BEAT_MS;
+	if (now >= next_heartbeat && !deregistered) {
+		next_heartbeat = now + HEARTBEAT_MS;
 		announce();
 	}
 	for (guint i = jobs->len; i > 0; i--) {
 		struct job *job = jobs->pdata[i - 1];
 
-		if (step(job, now))
+		if (send_due_event(job, now))
 			continue;
 		g_ptr_array_remove_index(jobs, i - 1);
 		g_free(job);
@@ -409,14 +410,14 @@
 	if (signum == SIGTERM)
 		exit(0);
 	if (leaving || opt.abrupt) {
-		gone = true;
+		deregistered = true;
 		snprintf(path, sizeof(path), "/-/Instances.Deregister/%s",
 			 opt.instance);
 		call_control(path, "");
 		return;
 	}
 	leaving = true;
-	beat_at = 0;
+	next_heartbeat = 0;
 }
 
 int main(int argc, char **argv)
@@ -437,12 +438,12 @@
 		return 2;
 	}
 	g_option_context_free(ctx);
-	come_back(args);
+	restart_after_crash(args);
 	fake_ignore_sigpipe();
-	born = g_get_real_time() / 1000;
+	started_ms = g_get_real_time() / 1000;
 	loop = uv_default_loop();
 	jobs = g_ptr_array_new();
-	controls = g_strsplit(opt.control, ",", CONTROLS);
+	controls = g_strsplit(opt.control, ",", CONTROLS_MAX);
 	if (opt.record)
 		record_fd =
 			open(opt.record, O_WRONLY | O_APPEND | O_CREAT, 0600);
