--- a/test/tool_endpoint.c
+++ b/test/tool_endpoint.c
@@ -20,25 +20,25 @@
 #include "fake/http.h"
 #include "fake/sign.h"
 
-#define STEP_MS		 4
-#define ANNOUNCE_MS	 500
-#define ANNOUNCE_TRIES	 4
-#define CALL_MS		 400
-#define LINGER_MS	 5000 /* a whole answer is kept so long */
-#define GRACE_MS	 2000 /* an unread one goes on so long */
-#define LEAVE_ACCEPT_MS	 2000 /* new work is taken so long after leaving */
-#define LEAVE_MIN_MS	 2500
-#define CACHE_ENTRIES	 64
-#define EVENT_LOSS	 0.05 /* of cache events, as engines do */
-#define EVENTS_HELD	 256
-#define GROUP_MAX	 8
-#define HOLD_LEASE_MS	 2000
-#define HOLD_RENEW_MS	 600
-#define DIE_AFTER_TOKENS 4
-#define WAITING_MAX	 (256u << 10) /* a slow reader holds up its stream */
-#define CHUNK_MAX	 512
-#define PLAIN_ANSWER_MAX 128
-#define SSE_HEADERS	 3
+#define STEP_MS		   4
+#define ANNOUNCE_MS	   500
+#define ANNOUNCE_TRIES	   4
+#define CALL_MS		   400
+#define RESPONSE_KEEP_MS   5000 /* a whole answer is kept so long */
+#define DETACHED_RUN_MS	   2000 /* an unread one goes on so long */
+#define LEAVING_ACCEPT_MS  2000 /* new work is taken so long after leaving */
+#define LEAVING_MIN_MS	   2500
+#define CACHE_ENTRIES	   64
+#define EVENT_LOSS	   0.05 /* of cache events, as engines do */
+#define EVENTS_HELD	   256
+#define GROUP_MAX	   8
+#define HOLD_LEASE_MS	   2000
+#define HOLD_RENEW_MS	   600
+#define FAULT_AFTER_TOKENS 4
+#define PENDING_BYTES_MAX  (256u << 10) /* a slow reader holds up its stream */
+#define CHUNK_MAX	   512
+#define PLAIN_ANSWER_MAX   128
+#define SSE_HEADERS	   3
 
 enum fault {
 	FAULT_NONE,
@@ -50,7 +50,7 @@
 	FAULT_BUSY,
 	FAULT_GARBLE,
 	FAULT_ERROR,
-	FAULT_LIE_LOAD,
+	FAULT_MISREPORT_LOAD,
 	FAULT_COUNT
 };
 
@@ -64,7 +64,7 @@
 	[FAULT_BUSY] = "busy",
 	[FAULT_GARBLE] = "garble",
 	[FAULT_ERROR] = "error",
-	[FAULT_LIE_LOAD] = "lie-load",
+	[FAULT_MISREPORT_LOAD] = "lie-load",
 };
 
 /* One request, from its begin until its answer need not be kept. */
@@ -79,14 +79,14 @@
 	bool plain;
 	bool stream;
 	bool ended; /* whole or given up: memory is free */
-	bool whole;
-	bool muted; /* a fault: write no more to this reply */
+	bool complete;
+	bool silenced; /* a fault: write no more to this reply */
 	bool head_sent;
-	uint64_t written;  /* tokens, to this reply */
-	int64_t until;	   /* plain: answer then; ended: forget then */
-	int64_t unread_at; /* when the reader left */
-	int waiting;	   /* for holds of the group */
-	bool refused;	   /* by one of the group */
+	uint64_t written;    /* tokens, to this reply */
+	int64_t until;	     /* plain: answer then; ended: forget then */
+	int64_t detached_at; /* when the reader left */
+	int holds_pending;   /* for holds of the group */
+	bool refused;	     /* by one of the group */
 	int members;
 	uint64_t member[GROUP_MAX];
 	uint64_t share[GROUP_MAX];
@@ -117,7 +117,7 @@
 	GHashTable *jobs;  /* id to job */
 	GHashTable *holds; /* id to hold */
 	GHashTable *cache; /* prefix to tokens */
-	GQueue *cache_age;
+	GQueue *cache_order;
 	json_t *events;
 	json_t *models;
 	char version[64], role[64]; /* as last ordered */
@@ -134,8 +134,8 @@
 	double last_step;
 	int record;
 	struct dl_key key; /* signs announcements; none: n is 0 */
-	bool calling;	   /* an announcement is under way */
-} me;
+	bool announcing;   /* an announcement is under way */
+} state;
 
 static struct {
 	char *listen;
@@ -219,7 +219,7 @@
 
 static int64_t now_ms(void)
 {
-	return (int64_t)uv_now(me.loop);
+	return (int64_t)uv_now(state.loop);
 }
 
 static char *dup_str(struct dl_str s)
@@ -228,7 +228,7 @@
 }
 
 /* The same as one word, for a line of the record. */
-static char *dup_word(struct dl_str s)
+static char *dup_token(struct dl_str s)
 {
 	return g_strdelimit(dup_str(s), " \t\r\n", '_');
 }
@@ -238,27 +238,28 @@
 {
 	char line[512];
 	char self[24];
-	int64_t left = me.leaving_at ? now_ms() - me.leaving_at : -1;
+	int64_t left = state.leaving_at ? now_ms() - state.leaving_at : -1;
 	int n;
 
-	if (me.record < 0)
+	if (state.record < 0)
 		return;
 	n = snprintf(line, sizeof(line),
 		     "%c %" PRId64 " %s %.64s %.64s %016" PRIx64
 		     " %.64s %" PRId64 " %s\n",
-		     kind, g_get_real_time() / 1000, dl_vm_text(me.self, self),
-		     job->id, job->key, job->hash, job->path, left, note);
-	if (write(me.record, line, (size_t)n) != n)
+		     kind, g_get_real_time() / 1000,
+		     dl_vm_text(state.self, self), job->id, job->key, job->hash,
+		     job->path, left, note);
+	if (write(state.record, line, (size_t)n) != n)
 		abort();
 }
 
 /* Whether the fault named strikes now; a counted fault is used up. */
-static bool struck(enum fault fault)
+static bool fault_triggers(enum fault fault)
 {
-	if (me.fault != fault || me.fault_times == 0)
+	if (state.fault != fault || state.fault_times == 0)
 		return false;
-	if (me.fault_times > 0)
-		me.fault_times--;
+	if (state.fault_times > 0)
+		state.fault_times--;
 	return true;
 }
 
@@ -304,13 +305,13 @@
 
 /* Load and announcements. */
 
-static json_t *held_list(void)
+static json_t *held_memory_json(void)
 {
 	json_t *list = json_array();
 	GHashTableIter it;
 	gpointer key, value;
 
-	g_hash_table_iter_init(&it, me.jobs);
+	g_hash_table_iter_init(&it, state.jobs);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		struct job *job = value;
 
@@ -320,7 +321,7 @@
 				json_pack("{s:s,s:I}", "request", key, "tokens",
 					  (json_int_t)job->seq.held_tokens));
 	}
-	g_hash_table_iter_init(&it, me.holds);
+	g_hash_table_iter_init(&it, state.holds);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		struct hold *h = value;
 
@@ -331,23 +332,24 @@
 	return list;
 }
 
-static json_t *load_json(bool truth)
+static json_t *load_json(bool actual)
 {
 	char self[24];
-	bool lie = !truth && me.fault == FAULT_LIE_LOAD;
-	uint32_t running = opt.plain ? me.running_plain : me.engine.seqs->len;
-	uint64_t used = me.engine.used_tokens;
-	uint64_t backlog = fake_engine_backlog(&me.engine);
+	bool misreport = !actual && state.fault == FAULT_MISREPORT_LOAD;
+	uint32_t running = opt.plain ? state.running_plain :
+				       state.engine.seqs->len;
+	uint64_t used = state.engine.used_tokens;
+	uint64_t backlog = fake_engine_backlog(&state.engine);
 	json_t *o = json_object();
 
-	if (lie)
+	if (misreport)
 		running = 0, used = 0, backlog = 0;
 	json_object_set_new(o, "service", json_string(opt.service));
 	json_object_set_new(o, "address",
-			    json_string(dl_vm_text(me.advertised, self)));
+			    json_string(dl_vm_text(state.advertised, self)));
 	json_object_set_new(o, "failure_domain", json_string(opt.domain));
 	json_object_set_new(o, "incarnation",
-			    json_integer((json_int_t)me.incarnation));
+			    json_integer((json_int_t)state.incarnation));
 	json_object_set_new(o, "memory_tokens",
 			    json_integer(opt.plain ? 0 : opt.memory));
 	json_object_set_new(o, "used_tokens", json_integer((json_int_t)used));
@@ -359,16 +361,16 @@
 			    json_integer(opt.plain ? 0 : opt.decode_rate));
 	json_object_set_new(o, "prefill_backlog",
 			    json_integer((json_int_t)backlog));
-	json_object_set(o, "models", me.models);
-	json_object_set_new(o, "leaving", json_boolean(me.leaving_at != 0));
+	json_object_set(o, "models", state.models);
+	json_object_set_new(o, "leaving", json_boolean(state.leaving_at != 0));
 	json_object_set_new(o, "takes_groups",
 			    json_boolean(!opt.plain && !opt.no_groups));
 	json_object_set_new(o, "order_fence",
-			    json_integer((json_int_t)me.fence));
-	if (me.version[0])
-		json_object_set_new(o, "version", json_string(me.version));
-	if (me.role[0])
-		json_object_set_new(o, "role", json_string(me.role));
+			    json_integer((json_int_t)state.fence));
+	if (state.version[0])
+		json_object_set_new(o, "version", json_string(state.version));
+	if (state.role[0])
+		json_object_set_new(o, "role", json_string(state.role));
 	return o;
 }
 
@@ -400,7 +402,7 @@
 	json_int_t every = ANNOUNCE_MS;
 	json_t *o;
 
-	me.calling = false;
+	state.announcing = false;
 	if ((end != FAKE_END_COMPLETE || c->status != 200) && c->tries > 1) {
 		announce(c->tries - 1);
 		call_free(c);
@@ -414,7 +416,7 @@
 	call_free(c);
 	if (every < 1)
 		every = ANNOUNCE_MS;
-	uv_timer_start(&me.announce, on_announce_timer, (uint64_t)every, 0);
+	uv_timer_start(&state.announce, on_announce_timer, (uint64_t)every, 0);
 }
 
 /* Add a signature to an announcement, where there is a key for it. */
@@ -422,7 +424,7 @@
 			      struct fake_header headers[3],
 			      char signature[DL_SIGNATURE_MAX])
 {
-	if (me.key.n == 0 || fake_sign(&me.key, req, 0, signature))
+	if (state.key.n == 0 || fake_sign(&state.key, req, 0, signature))
 		return;
 	headers[0] = json_headers[0];
 	headers[1] = (struct fake_header){ "Daisyledge-Signature", signature };
@@ -446,22 +448,22 @@
 	json_t *o;
 	char *s;
 
-	if (me.entries->len == 0 || me.calling)
+	if (state.entries->len == 0 || state.announcing)
 		return;
-	me.calling = true;
+	state.announcing = true;
 	c = g_new0(struct call, 1);
 	c->body = g_string_new(NULL);
 	c->tries = tries;
 	o = load_json(false);
-	json_object_set(o, "cache_events", me.events);
-	json_array_clear(me.events);
+	json_object_set(o, "cache_events", state.events);
+	json_array_clear(state.events);
 	s = json_dumps(o, JSON_COMPACT);
 	req.body = dl_str_of(s);
-	req.address = g_array_index(me.entries, uint64_t,
-				    g_rand_int_range(me.rand, 0,
-						     (gint)me.entries->len));
+	req.address = g_array_index(state.entries, uint64_t,
+				    g_rand_int_range(state.rand, 0,
+						     (gint)state.entries->len));
 	sign_announcement(&req, headers, signature);
-	fake_call_start(me.loop, &req, &ops, c);
+	fake_call_start(state.loop, &req, &ops, c);
 	free(s);
 	json_decref(o);
 }
@@ -472,35 +474,36 @@
 {
 	char hex[17];
 
-	if (json_array_size(me.events) >= EVENTS_HELD ||
-	    g_rand_double(me.rand) < EVENT_LOSS)
+	if (json_array_size(state.events) >= EVENTS_HELD ||
+	    g_rand_double(state.rand) < EVENT_LOSS)
 		return;
 	snprintf(hex, sizeof(hex), "%016" PRIx64, prefix);
-	json_array_append_new(
-		me.events, json_pack("{s:s,s:I,s:b}", "prefix", hex, "tokens",
-				     (json_int_t)tokens, "evicted", evicted));
+	json_array_append_new(state.events,
+			      json_pack("{s:s,s:I,s:b}", "prefix", hex,
+					"tokens", (json_int_t)tokens, "evicted",
+					evicted));
 }
 
 static void cache_put(uint64_t prefix, uint64_t tokens)
 {
 	uint64_t *key;
 
-	if (g_hash_table_contains(me.cache, &prefix))
+	if (g_hash_table_contains(state.cache, &prefix))
 		return;
 	key = g_memdup2(&prefix, sizeof(prefix));
-	g_hash_table_insert(me.cache, key, GSIZE_TO_POINTER((gsize)tokens));
-	g_queue_push_tail(me.cache_age, key);
+	g_hash_table_insert(state.cache, key, GSIZE_TO_POINTER((gsize)tokens));
+	g_queue_push_tail(state.cache_order, key);
 	cache_event(prefix, tokens, false);
-	if (g_queue_get_length(me.cache_age) > CACHE_ENTRIES) {
-		key = g_queue_pop_head(me.cache_age);
+	if (g_queue_get_length(state.cache_order) > CACHE_ENTRIES) {
+		key = g_queue_pop_head(state.cache_order);
 		cache_event(*key, 0, true);
-		g_hash_table_remove(me.cache, key);
+		g_hash_table_remove(state.cache, key);
 	}
 }
 
 static uint64_t cache_get(uint64_t prefix)
 {
-	return GPOINTER_TO_SIZE(g_hash_table_lookup(me.cache, &prefix));
+	return GPOINTER_TO_SIZE(g_hash_table_lookup(state.cache, &prefix));
 }
 
 /* Jobs. */
@@ -539,7 +542,7 @@
 		struct call *c = g_new0(struct call, 1);
 
 		c->body = g_string_new(NULL);
-		fake_call_start(me.loop, &req, &ops, c);
+		fake_call_start(state.loop, &req, &ops, c);
 	}
 	job->members = 0;
 	g_free(path);
@@ -551,12 +554,12 @@
 	if (job->ended)
 		return;
 	job->ended = true;
-	job->whole = strcmp(note, "whole") == 0;
-	job->until = now_ms() + LINGER_MS;
+	job->complete = strcmp(note, "whole") == 0;
+	job->until = now_ms() + RESPONSE_KEEP_MS;
 	if (job->plain)
-		me.running_plain--;
+		state.running_plain--;
 	else
-		fake_engine_end(&me.engine, &job->seq);
+		fake_engine_end(&state.engine, &job->seq);
 	release_members(job);
 	record('E', job, note);
 }
@@ -566,7 +569,7 @@
 	if (job->reply)
 		fake_request_set_owner(job->reply, NULL);
 	job->reply = NULL;
-	job->unread_at = now_ms();
+	job->detached_at = now_ms();
 }
 
 static void write_chunk(struct job *job, uint64_t i)
@@ -596,7 +599,7 @@
 	fake_reply_write(job->reply, (struct dl_str){ chunk, (size_t)n });
 }
 
-static void reply_whole_text(struct job *job)
+static void reply_text(struct job *job)
 {
 	GString *text = g_string_new(NULL);
 	struct fake_request *reply = job->reply;
@@ -614,17 +617,19 @@
 }
 
 /* Faults that strike a stream as it is written. */
-static void strike(struct job *job)
+static void apply_stream_fault(struct job *job)
 {
-	if (job->written == 0 && struck(FAULT_DIE_FIRST))
+	if (job->written == 0 && fault_triggers(FAULT_DIE_FIRST))
 		_exit(1);
-	if (job->written == DIE_AFTER_TOKENS && struck(FAULT_DIE_MIDSTREAM))
+	if (job->written == FAULT_AFTER_TOKENS &&
+	    fault_triggers(FAULT_DIE_MIDSTREAM))
 		_exit(1);
-	if (job->written == 0 && struck(FAULT_SILENT_HEAD))
-		job->muted = true;
-	if (job->written == DIE_AFTER_TOKENS && struck(FAULT_SILENT_MIDSTREAM))
-		job->muted = true;
-	if (job->written == DIE_AFTER_TOKENS && struck(FAULT_GARBLE))
+	if (job->written == 0 && fault_triggers(FAULT_SILENT_HEAD))
+		job->silenced = true;
+	if (job->written == FAULT_AFTER_TOKENS &&
+	    fault_triggers(FAULT_SILENT_MIDSTREAM))
+		job->silenced = true;
+	if (job->written == FAULT_AFTER_TOKENS && fault_triggers(FAULT_GARBLE))
 		fake_reply_write(job->reply,
 				 DL_STR("data: {\"id\":\"another\",\"index\":0,"
 					"\"choices\":[{\"text\":\" wrong\"}]}"
@@ -636,14 +641,14 @@
 {
 	uint64_t ready = fake_seq_ready(&job->seq);
 
-	while (job->reply && !job->muted && job->written < ready &&
-	       fake_reply_pending(job->reply) < WAITING_MAX) {
+	while (job->reply && !job->silenced && job->written < ready &&
+	       fake_reply_pending(job->reply) < PENDING_BYTES_MAX) {
 		if (!job->head_sent) {
 			job->head_sent = true;
 			fake_reply_begin(job->reply, 200, sse_headers);
 		}
-		strike(job);
-		if (job->muted)
+		apply_stream_fault(job);
+		if (job->silenced)
 			return;
 		write_chunk(job, job->written);
 		job->written++;
@@ -651,7 +656,7 @@
 	if (ready < job->seq.output_tokens)
 		return;
 	job_end(job, "whole");
-	if (job->reply && !job->muted && job->written == ready) {
+	if (job->reply && !job->silenced && job->written == ready) {
 		struct fake_request *reply = job->reply;
 
 		if (!job->head_sent)
@@ -664,22 +669,23 @@
 
 static void pump_model(struct job *job, int64_t now)
 {
-	if (job->waiting)
+	if (job->holds_pending)
 		return;
 	if (job->members && now >= job->renew_at)
 		hold_members(job, true);
 	if (job->stream) {
 		pump_stream(job);
 	} else if (fake_seq_ready(&job->seq) == job->seq.output_tokens) {
-		if (job->reply && struck(FAULT_DIE_FIRST))
+		if (job->reply && fault_triggers(FAULT_DIE_FIRST))
 			_exit(1);
-		if (job->reply && struck(FAULT_SILENT_HEAD))
-			job->muted = true;
+		if (job->reply && fault_triggers(FAULT_SILENT_HEAD))
+			job->silenced = true;
 		job_end(job, "whole");
-		if (job->reply && !job->muted)
-			reply_whole_text(job);
+		if (job->reply && !job->silenced)
+			reply_text(job);
 	}
-	if (!job->ended && !job->reply && now - job->unread_at > GRACE_MS)
+	if (!job->ended && !job->reply &&
+	    now - job->detached_at > DETACHED_RUN_MS)
 		job_end(job, "unread");
 }
 
@@ -690,12 +696,13 @@
 
 	if (now < job->until)
 		return;
-	if (struck(FAULT_DIE_FIRST) || struck(FAULT_DIE_MIDSTREAM))
+	if (fault_triggers(FAULT_DIE_FIRST) ||
+	    fault_triggers(FAULT_DIE_MIDSTREAM))
 		_exit(1);
-	if (struck(FAULT_SILENT_HEAD))
-		job->muted = true;
+	if (fault_triggers(FAULT_SILENT_HEAD))
+		job->silenced = true;
 	job_end(job, "whole");
-	if (!reply || job->muted)
+	if (!reply || job->silenced)
 		return;
 	snprintf(text, sizeof(text), "{\"answer\":\"%016" PRIx64 "\"}\n",
 		 job->hash);
@@ -708,31 +715,31 @@
 	GHashTableIter it;
 	gpointer value;
 
-	g_hash_table_iter_init(&it, me.holds);
+	g_hash_table_iter_init(&it, state.holds);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct hold *h = value;
 
 		if (now < h->until)
 			continue;
-		fake_engine_free_tokens(&me.engine, h->tokens);
+		fake_engine_free_tokens(&state.engine, h->tokens);
 		g_hash_table_iter_remove(&it);
 	}
 }
 
 /* Leave when nothing runs and the word has had time to go round. */
-static void maybe_exit(int64_t now)
+static void exit_if_drained(int64_t now)
 {
 	GHashTableIter it;
 	gpointer value;
 
-	if (!me.leaving_at || now - me.leaving_at < LEAVE_MIN_MS)
+	if (!state.leaving_at || now - state.leaving_at < LEAVING_MIN_MS)
 		return;
-	g_hash_table_iter_init(&it, me.jobs);
+	g_hash_table_iter_init(&it, state.jobs);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		if (!((struct job *)value)->ended)
 			return;
 	}
-	if (g_hash_table_size(me.holds) == 0)
+	if (g_hash_table_size(state.holds) == 0)
 		exit(0);
 }
 
@@ -743,13 +750,13 @@
 	GHashTableIter it;
 	gpointer value;
 
-	fake_engine_step(&me.engine, t - me.last_step);
-	me.last_step = t;
-	g_hash_table_iter_init(&it, me.jobs);
+	fake_engine_step(&state.engine, t - state.last_step);
+	state.last_step = t;
+	g_hash_table_iter_init(&it, state.jobs);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct job *job = value;
 
-		if (job->ended && job->reply && !job->muted)
+		if (job->ended && job->reply && !job->silenced)
 			pump_stream(job);
 		else if (job->ended && now >= job->until)
 			g_hash_table_iter_remove(&it);
@@ -759,7 +766,7 @@
 			pump_model(job, now);
 	}
 	expire_holds(now);
-	maybe_exit(now);
+	exit_if_drained(now);
 }
 
 /* Requests. */
@@ -771,18 +778,19 @@
 	struct dl_str key = fake_request_header(req, "idempotency-key");
 
 	job->plain = plain;
-	job->id = id.n ? dup_word(id) :
-			 g_strdup_printf("direct-%08x%08x", g_rand_int(me.rand),
-					 g_rand_int(me.rand));
-	job->key = key.n ? dup_word(key) : g_strdup("-");
-	job->path = dup_word(fake_request_path(req));
+	job->id = id.n ? dup_token(id) :
+			 g_strdup_printf("direct-%08x%08x",
+					 g_rand_int(state.rand),
+					 g_rand_int(state.rand));
+	job->key = key.n ? dup_token(key) : g_strdup("-");
+	job->path = dup_token(fake_request_path(req));
 	job->reply = req;
 	fake_request_set_owner(req, job);
 	return job;
 }
 
 /* Refuse before the work began, and say so in the record. */
-static void job_refuse(struct job *job, const char *why)
+static void job_reject(struct job *job, const char *why)
 {
 	struct fake_request *req = job->reply;
 
@@ -792,9 +800,9 @@
 	job_free(job);
 }
 
-static bool refuses_all(struct job *job)
+static bool reject_early(struct job *job)
 {
-	if (struck(FAULT_BUSY)) {
+	if (fault_triggers(FAULT_BUSY)) {
 		struct fake_request *req = job->reply;
 
 		record('X', job, "busy");
@@ -803,15 +811,16 @@
 		job_free(job);
 		return true;
 	}
-	if (struck(FAULT_NOT_RUN)) {
-		job_refuse(job, "fault");
+	if (fault_triggers(FAULT_NOT_RUN)) {
+		job_reject(job, "fault");
 		return true;
 	}
-	if (me.leaving_at && now_ms() - me.leaving_at > LEAVE_ACCEPT_MS) {
-		job_refuse(job, "leaving");
+	if (state.leaving_at &&
+	    now_ms() - state.leaving_at > LEAVING_ACCEPT_MS) {
+		job_reject(job, "leaving");
 		return true;
 	}
-	if (struck(FAULT_ERROR)) {
+	if (fault_triggers(FAULT_ERROR)) {
 		struct fake_request *req = job->reply;
 
 		record('B', job, "error");
@@ -827,18 +836,18 @@
 
 static void job_register(struct job *job)
 {
-	struct job *old = g_hash_table_lookup(me.jobs, job->id);
+	struct job *old = g_hash_table_lookup(state.jobs, job->id);
 
 	if (old)
 		job_end(old, "replaced");
-	g_hash_table_replace(me.jobs, job->id, job);
+	g_hash_table_replace(state.jobs, job->id, job);
 }
 
 static void start_model(struct job *job)
 {
-	if (fake_engine_begin(&me.engine, &job->seq) < 0) {
+	if (fake_engine_begin(&state.engine, &job->seq) < 0) {
 		release_members(job);
-		job_refuse(job, "memory");
+		job_reject(job, "memory");
 		return;
 	}
 	record('B', job, "begun");
@@ -854,16 +863,16 @@
 	struct job *job = c->job;
 
 	if (job) {
-		job->waiting--;
+		job->holds_pending--;
 		if (end != FAKE_END_COMPLETE || c->status != 200)
 			job->refused = true;
-		if (job->waiting == 0 && (job->refused || !job->reply)) {
+		if (job->holds_pending == 0 && (job->refused || !job->reply)) {
 			release_members(job);
 			if (job->reply)
-				job_refuse(job, "group");
+				job_reject(job, "group");
 			else
 				job_free(job);
-		} else if (job->waiting == 0) {
+		} else if (job->holds_pending == 0) {
 			start_model(job);
 		}
 	}
@@ -889,7 +898,7 @@
 
 	c->body = g_string_new(NULL);
 	c->job = renew ? NULL : job;
-	fake_call_start(me.loop, &req, &ops, c);
+	fake_call_start(state.loop, &req, &ops, c);
 	free(s);
 	json_decref(o);
 }
@@ -899,7 +908,7 @@
 {
 	job->renew_at = now_ms() + HOLD_RENEW_MS;
 	if (!renew)
-		job->waiting = job->members;
+		job->holds_pending = job->members;
 	for (int i = 0; i < job->members; i++)
 		hold_member(job, i, renew);
 }
@@ -919,7 +928,7 @@
 		uint64_t vm;
 
 		if (!s || !dl_vm_parse(dl_str_of(s), &vm) || tokens <= 0 ||
-		    vm == me.advertised)
+		    vm == state.advertised)
 			continue;
 		job->member[job->members] = vm;
 		job->share[job->members] = (uint64_t)tokens;
@@ -961,12 +970,12 @@
 {
 	struct dl_str id = fake_request_header(req, "daisyledge-request");
 	char *key = dup_str(id);
-	struct job *job = g_hash_table_lookup(me.jobs, key);
+	struct job *job = g_hash_table_lookup(state.jobs, key);
 	uint64_t at = 0;
-	bool whole;
+	bool complete;
 
 	g_free(key);
-	if (!job || (job->ended && !job->whole) ||
+	if (!job || (job->ended && !job->complete) ||
 	    !dl_str_to_u64(offset, &at) || at > job->seq.output_tokens) {
 		reply_not_run(req, 404, "unknown");
 		return;
@@ -978,15 +987,15 @@
 		fake_reply_abort(old);
 	}
 	job->reply = req;
-	job->muted = false;
+	job->silenced = false;
 	job->head_sent = true;
 	job->written = at;
 	fake_request_set_owner(req, job);
 	fake_reply_begin(req, 200, sse_headers);
-	whole = job->ended;
+	complete = job->ended;
 	pump_stream(job);
-	if (whole)
-		job->until = now_ms() + LINGER_MS;
+	if (complete)
+		job->until = now_ms() + RESPONSE_KEEP_MS;
 }
 
 static void serve_completion(struct fake_request *req)
@@ -1010,7 +1019,7 @@
 	job = job_new(req, false);
 	read_completion(job, o);
 	json_decref(o);
-	if (refuses_all(job))
+	if (reject_early(job))
 		return;
 	if (job->members)
 		hold_members(job, false);
@@ -1024,13 +1033,13 @@
 	struct dl_str body = fake_request_body(req);
 
 	job->hash = fake_hash(body.n ? body : fake_request_query(req));
-	if (refuses_all(job))
+	if (reject_early(job))
 		return;
-	if (me.running_plain >= (uint32_t)opt.slots) {
-		job_refuse(job, "slots");
+	if (state.running_plain >= (uint32_t)opt.slots) {
+		job_reject(job, "slots");
 		return;
 	}
-	me.running_plain++;
+	state.running_plain++;
 	job->until = now_ms() + (int64_t)(opt.service_ms * opt.slow);
 	record('B', job, "begun");
 	job_register(job);
@@ -1040,14 +1049,14 @@
 
 static void serve_cancel(struct fake_request *req, const char *id)
 {
-	struct job *job = g_hash_table_lookup(me.jobs, id);
+	struct job *job = g_hash_table_lookup(state.jobs, id);
 
 	if (!job) {
 		reply_not_run(req, 404, "unknown");
 		return;
 	}
 	job_end(job, "cancelled");
-	g_hash_table_remove(me.jobs, id);
+	g_hash_table_remove(state.jobs, id);
 	fake_reply(req, 204, NULL, DL_STR(""));
 }
 
@@ -1062,16 +1071,16 @@
 		reply_not_run(req, 400, "hold");
 		return;
 	}
-	h = g_hash_table_lookup(me.holds, id);
+	h = g_hash_table_lookup(state.holds, id);
 	if (!h) {
-		if (me.leaving_at ||
-		    fake_engine_hold(&me.engine, (uint64_t)n) < 0) {
+		if (state.leaving_at ||
+		    fake_engine_hold(&state.engine, (uint64_t)n) < 0) {
 			reply_not_run(req, 503, "memory");
 			return;
 		}
 		h = g_new0(struct hold, 1);
 		h->tokens = (uint64_t)n;
-		g_hash_table_insert(me.holds, g_strdup(id), h);
+		g_hash_table_insert(state.holds, g_strdup(id), h);
 	}
 	h->until = now_ms() + ms;
 	reply_json(req, 200, json_pack("{s:I}", "held", (json_int_t)h->tokens));
@@ -1079,11 +1088,11 @@
 
 static void serve_hold_free(struct fake_request *req, const char *id)
 {
-	struct hold *h = g_hash_table_lookup(me.holds, id);
+	struct hold *h = g_hash_table_lookup(state.holds, id);
 
 	if (h) {
-		fake_engine_free_tokens(&me.engine, h->tokens);
-		g_hash_table_remove(me.holds, id);
+		fake_engine_free_tokens(&state.engine, h->tokens);
+		g_hash_table_remove(state.holds, id);
 	}
 	fake_reply(req, 204, NULL, DL_STR(""));
 }
@@ -1116,7 +1125,7 @@
 	fake_reply(req, 204, NULL, DL_STR(""));
 }
 
-static void keep_word(char word[64], const json_t *value)
+static void copy_string(char word[64], const json_t *value)
 {
 	if (json_is_string(value))
 		g_strlcpy(word, json_string_value(value), 64);
@@ -1137,29 +1146,30 @@
 	}
 	line.hash = n;
 	snprintf(note, sizeof(note), "%.64s", model ? model : "-");
-	if (n < me.fence && !opt.ignores_fencing) {
+	if (n < state.fence && !opt.ignores_fencing) {
 		record('X', &line, note);
 		reply_not_run(req, 409, "fence");
 		return;
 	}
 	record('O', &line, note);
-	if (n > me.fence)
-		me.fence = n;
+	if (n > state.fence)
+		state.fence = n;
 	if (model) {
-		json_array_clear(me.models);
-		json_array_append_new(me.models, json_string(model));
+		json_array_clear(state.models);
+		json_array_append_new(state.models, json_string(model));
 	}
-	keep_word(me.version, json_object_get(o, "version"));
-	keep_word(me.role, json_object_get(o, "role"));
-	reply_json(req, 200, json_pack("{s:I}", "fence", (json_int_t)me.fence));
+	copy_string(state.version, json_object_get(o, "version"));
+	copy_string(state.role, json_object_get(o, "role"));
+	reply_json(req, 200,
+		   json_pack("{s:I}", "fence", (json_int_t)state.fence));
 }
 
 static bool set_fault(const char *name, int times)
 {
 	for (int i = 0; i < FAULT_COUNT; i++) {
 		if (name && strcmp(name, fault_names[i]) == 0) {
-			me.fault = (enum fault)i;
-			me.fault_times = times;
+			state.fault = (enum fault)i;
+			state.fault_times = times;
 			return true;
 		}
 	}
@@ -1179,7 +1189,7 @@
 		return;
 	}
 	if (slow)
-		opt.slow = me.engine.conf.slow = json_number_value(slow);
+		opt.slow = state.engine.conf.slow = json_number_value(slow);
 	fake_reply(req, 204, NULL, DL_STR(""));
 }
 
@@ -1187,7 +1197,7 @@
 {
 	json_t *o = load_json(true);
 
-	json_object_set_new(o, "held", held_list());
+	json_object_set_new(o, "held", held_memory_json());
 	reply_json(req, 200, o);
 }
 
@@ -1196,14 +1206,14 @@
 	serve_completion(req);
 }
 
-struct door {
+struct route {
 	const char *method;
 	const char *path;
 	bool json; /* the body is parsed first */
 	void (*serve)(struct fake_request *req, const json_t *body);
 };
 
-static const struct door doors[] = {
+static const struct route routes[] = {
 	{ "GET", "/v1/load", false, serve_load },
 	{ "POST", "/v1/completions", false, serve_model },
 	{ "POST", "/v1/kv/hold", true, serve_hold },
@@ -1213,9 +1223,9 @@
 	{ "POST", "/fake/fault", true, serve_fault },
 };
 
-#define DOORS (sizeof(doors) / sizeof(doors[0]))
+#define ROUTES (sizeof(routes) / sizeof(routes[0]))
 
-static void open_door(const struct door *d, struct fake_request *req)
+static void serve_route(const struct route *d, struct fake_request *req)
 {
 	struct dl_str body = fake_request_body(req);
 	json_t *o = NULL;
@@ -1245,14 +1255,14 @@
 	struct dl_str method = fake_request_method(req);
 	bool served = serve_delete(req, path);
 
-	for (size_t i = 0; i < DOORS && !served; i++) {
-		const struct door *d = &doors[i];
+	for (size_t i = 0; i < ROUTES && !served; i++) {
+		const struct route *d = &routes[i];
 
 		if (strcmp(path, d->path) != 0 ||
 		    !dl_str_eq(method, dl_str_of(d->method)))
 			continue;
 		served = true;
-		open_door(d, req);
+		serve_route(d, req);
 	}
 	if (!served && opt.plain)
 		serve_plain(req);
@@ -1268,16 +1278,16 @@
 	if (!job)
 		return;
 	job->reply = NULL;
-	job->unread_at = now_ms();
+	job->detached_at = now_ms();
 }
 
 static void on_term(uv_signal_t *sig, int number)
 {
 	const struct job line = { .id = "leaving", .key = "-", .path = "-" };
 
-	if (me.leaving_at)
+	if (state.leaving_at)
 		exit(1);
-	me.leaving_at = now_ms();
+	state.leaving_at = now_ms();
 	record('L', &line, "leaving");
 	fprintf(stderr, "endpoint: leaving\n");
 	announce(ANNOUNCE_TRIES);
@@ -1288,23 +1298,23 @@
 	char **all = g_strsplit(opt.entries ? opt.entries : "", ",", -1);
 	int rc = 0;
 
-	me.entries = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	state.entries = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	for (char **p = all; *p; p++) {
 		uint64_t vm;
 
 		if (!**p)
 			continue;
 		if (dl_vm_parse(dl_str_of(*p), &vm))
-			g_array_append_val(me.entries, vm);
+			g_array_append_val(state.entries, vm);
 		else
 			rc = -EINVAL;
 	}
 	g_strfreev(all);
-	if (!opt.listen || !dl_vm_parse(dl_str_of(opt.listen), &me.self))
+	if (!opt.listen || !dl_vm_parse(dl_str_of(opt.listen), &state.self))
 		rc = -EINVAL;
-	me.advertised = me.self;
+	state.advertised = state.self;
 	if (opt.advertise &&
-	    !dl_vm_parse(dl_str_of(opt.advertise), &me.advertised))
+	    !dl_vm_parse(dl_str_of(opt.advertise), &state.advertised))
 		rc = -EINVAL;
 	return rc;
 }
@@ -1313,9 +1323,9 @@
 {
 	char **all = g_strsplit(opt.models, ",", -1);
 
-	me.models = json_array();
+	state.models = json_array();
 	for (char **p = all; *p; p++)
-		json_array_append_new(me.models, json_string(*p));
+		json_array_append_new(state.models, json_string(*p));
 	g_strfreev(all);
 }
 
@@ -1333,27 +1343,27 @@
 	    !(opt.slow > 0))
 		return -EINVAL;
 	parse_models();
-	fake_engine_init(&me.engine, &conf);
-	me.jobs =
+	fake_engine_init(&state.engine, &conf);
+	state.jobs =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
-	me.holds =
+	state.holds =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	me.cache = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					 NULL);
-	me.cache_age = g_queue_new();
-	me.events = json_array();
-	me.rand = g_rand_new_with_seed((guint32)opt.seed);
-	me.incarnation = (uint64_t)g_get_real_time();
-	me.last_step = (double)uv_hrtime() / 1e6;
-	me.record = -1;
+	state.cache = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
+					    NULL);
+	state.cache_order = g_queue_new();
+	state.events = json_array();
+	state.rand = g_rand_new_with_seed((guint32)opt.seed);
+	state.incarnation = (uint64_t)g_get_real_time();
+	state.last_step = (double)uv_hrtime() / 1e6;
+	state.record = -1;
 	if (opt.record)
-		me.record =
+		state.record =
 			open(opt.record, O_WRONLY | O_CREAT | O_APPEND, 0644);
-	if (opt.key_file && fake_key_read(opt.key_file, &me.key) < 0)
+	if (opt.key_file && fake_key_read(opt.key_file, &state.key) < 0)
 		return -EINVAL;
 	if (opt.fault && !set_fault(opt.fault, opt.fault_times))
 		return -EINVAL;
-	return opt.record && me.record < 0 ? -errno : 0;
+	return opt.record && state.record < 0 ? -errno : 0;
 }
 
 int main(int argc, char **argv)
@@ -1371,21 +1381,22 @@
 		return 2;
 	}
 	g_option_context_free(ctx);
-	me.loop = uv_default_loop();
+	state.loop = uv_default_loop();
 	if (setup() < 0) {
 		fprintf(stderr, "endpoint: bad options, try --help\n");
 		return 2;
 	}
-	rc = fake_server_open(me.loop, me.self, &ops, NULL, &me.server);
+	rc = fake_server_open(state.loop, state.self, &ops, NULL,
+			      &state.server);
 	if (rc < 0) {
 		fprintf(stderr, "endpoint: listen: %s\n", uv_strerror(rc));
 		return 1;
 	}
-	uv_timer_init(me.loop, &me.step);
-	uv_timer_init(me.loop, &me.announce);
-	uv_timer_start(&me.step, on_step, STEP_MS, STEP_MS);
-	uv_signal_init(me.loop, &me.term);
-	uv_signal_start(&me.term, on_term, SIGTERM);
+	uv_timer_init(state.loop, &state.step);
+	uv_timer_init(state.loop, &state.announce);
+	uv_timer_start(&state.step, on_step, STEP_MS, STEP_MS);
+	uv_signal_init(state.loop, &state.term);
+	uv_signal_start(&state.term, on_term, SIGTERM);
 	announce(ANNOUNCE_TRIES);
-	return uv_run(me.loop, UV_RUN_DEFAULT);
+	return uv_run(state.loop, UV_RUN_DEFAULT);
 }
