--- a/test/tool_load.c
+++ b/test/tool_load.c
@@ -23,11 +23,11 @@
 #define READY_EVERY_MS	  300
 #define READY_MS	  500
 #define DEADLINE_SLACK_MS 250
-#define GUARD_MS	  2500 /* a late answer is waited for so long */
+#define LATE_RESPONSE_MS  2500 /* a late answer is waited for so long */
 #define SETTLE_MS	  12000
 #define SETTLE_EVERY_MS	  250
 #define ENTRIES_MAX	  64
-#define PREFIX_WORTH	  (2ul * FAKE_PREFIX_BYTES)
+#define PREFIX_MIN_BYTES  (2ul * FAKE_PREFIX_BYTES)
 #define RESENDS_MAX	  3
 #define PATH_SIZE	  160
 #define SSE_LINE_MAX	  (1u << 20)
@@ -58,7 +58,7 @@
 };
 
 /* One request under way; its result outlives it. */
-struct flight {
+struct request {
 	struct class *class;
 	struct verdict_result *r;
 	struct fake_call *call;
@@ -67,7 +67,7 @@
 	GString *text; /* of the answer */
 	GString *line; /* of the event stream */
 	bool sse;
-	bool done_mark;
+	bool done_seen;
 	int status;
 	int64_t ends_at;
 	char outcome[16];
@@ -96,7 +96,7 @@
 	guint in_flight;
 	int64_t ready_at;
 	uint64_t number;
-} me;
+} gen;
 
 static struct {
 	char *entries;
@@ -145,47 +145,47 @@
 	{ NULL },
 };
 
-static void launch(struct flight *f);
+static void send_request(struct request *f);
 static void on_end(void *arg, enum fake_end end);
 
-static double wall(void)
+static double monotonic_ms(void)
 {
 	return (double)uv_hrtime() / 1e6;
 }
 
-static const char *text_of(const json_t *o, const char *key,
-			   const char *otherwise)
+static const char *string_of(const json_t *o, const char *key,
+			     const char *fallback)
 {
 	const char *s = json_string_value(json_object_get(o, key));
 
-	return s ? s : otherwise;
+	return s ? s : fallback;
 }
 
-static double number_of(const json_t *o, const char *key, double otherwise)
+static double number_of(const json_t *o, const char *key, double fallback)
 {
 	const json_t *v = json_object_get(o, key);
 
-	return json_is_number(v) ? json_number_value(v) : otherwise;
+	return json_is_number(v) ? json_number_value(v) : fallback;
 }
 
-static bool truth_of(const json_t *o, const char *key, bool otherwise)
+static bool bool_of(const json_t *o, const char *key, bool fallback)
 {
 	const json_t *v = json_object_get(o, key);
 
-	return json_is_boolean(v) ? json_is_true(v) : otherwise;
+	return json_is_boolean(v) ? json_is_true(v) : fallback;
 }
 
 static void read_class(const json_t *o)
 {
 	struct class c = {
-		.name = g_strdup(text_of(o, "name", "?")),
-		.service = g_strdup(text_of(o, "service", "match-writer")),
-		.path = g_strdup(text_of(o, "path", "/")),
-		.model = g_strdup(text_of(o, "model", "match-7b")),
-		.plain = truth_of(o, "plain", false),
-		.stream = truth_of(o, "stream", true),
-		.idempotent = truth_of(o, "idempotent", true),
-		.key = truth_of(o, "key", false),
+		.name = g_strdup(string_of(o, "name", "?")),
+		.service = g_strdup(string_of(o, "service", "match-writer")),
+		.path = g_strdup(string_of(o, "path", "/")),
+		.model = g_strdup(string_of(o, "model", "match-7b")),
+		.plain = bool_of(o, "plain", false),
+		.stream = bool_of(o, "stream", true),
+		.idempotent = bool_of(o, "idempotent", true),
+		.key = bool_of(o, "key", false),
 		.rate = number_of(o, "rate", 1) * opt.rate,
 		.tokens_min = (uint64_t)number_of(o, "tokens_min", 100),
 		.tokens_max = (uint64_t)number_of(o, "tokens_max", 100),
@@ -193,8 +193,8 @@
 		.deadline_ms = (uint32_t)number_of(o, "deadline_ms", 5000),
 	};
 
-	c.label = g_strdup(text_of(o, "class", c.name));
-	g_array_append_val(me.classes, c);
+	c.label = g_strdup(string_of(o, "class", c.name));
+	g_array_append_val(gen.classes, c);
 }
 
 static int read_classes(void)
@@ -208,32 +208,32 @@
 		fprintf(stderr, "load: %s: %s\n", err.source, err.text);
 		return -EINVAL;
 	}
-	me.classes = g_array_new(FALSE, FALSE, sizeof(struct class));
+	gen.classes = g_array_new(FALSE, FALSE, sizeof(struct class));
 	for (size_t i = 0; i < json_array_size(list); i++)
 		read_class(json_array_get(list, i));
-	me.workspaces_count = (guint)json_array_size(ws);
-	me.workspaces = g_new0(char *, me.workspaces_count + 1);
-	for (guint i = 0; i < me.workspaces_count; i++)
-		me.workspaces[i] =
+	gen.workspaces_count = (guint)json_array_size(ws);
+	gen.workspaces = g_new0(char *, gen.workspaces_count + 1);
+	for (guint i = 0; i < gen.workspaces_count; i++)
+		gen.workspaces[i] =
 			g_strdup(json_string_value(json_array_get(ws, i)));
 	json_decref(o);
-	return me.classes->len && me.workspaces_count ? 0 : -EINVAL;
+	return gen.classes->len && gen.workspaces_count ? 0 : -EINVAL;
 }
 
 static int read_entries(void)
 {
 	char **all = g_strsplit(opt.entries ? opt.entries : "", ",", -1);
 
-	for (char **p = all; *p && me.entries_count < ENTRIES_MAX; p++) {
-		struct entry *e = &me.entries[me.entries_count];
+	for (char **p = all; *p && gen.entries_count < ENTRIES_MAX; p++) {
+		struct entry *e = &gen.entries[gen.entries_count];
 
 		if (!dl_vm_parse(dl_str_of(*p), &e->vm))
 			continue;
 		e->ready = true;
-		me.entries_count++;
+		gen.entries_count++;
 	}
 	g_strfreev(all);
-	return me.entries_count ? 0 : -EINVAL;
+	return gen.entries_count ? 0 : -EINVAL;
 }
 
 /* The balancer's part: which entries say that they are ready. */
@@ -252,13 +252,13 @@
 		e->ready = false;
 }
 
-static void check_ready(void)
+static void poll_readiness(void)
 {
 	static const struct fake_call_ops ops = { on_ready_head, NULL,
 						  on_ready_end };
 
-	for (guint i = 0; i < me.entries_count; i++) {
-		struct entry *e = &me.entries[i];
+	for (guint i = 0; i < gen.entries_count; i++) {
+		struct entry *e = &gen.entries[i];
 		struct fake_call_req req = { .address = e->vm,
 					     .method = "GET",
 					     .path = "/readyz",
@@ -268,33 +268,33 @@
 		if (e->checking)
 			continue;
 		e->checking = true;
-		fake_call_start(me.loop, &req, &ops, e);
+		fake_call_start(gen.loop, &req, &ops, e);
 	}
 }
 
-static struct entry *pick_entry(const struct entry *not_this)
+static struct entry *pick_entry(const struct entry *excluded)
 {
 	struct entry *ready[ENTRIES_MAX];
 	gint n = 0;
 
-	for (guint i = 0; i < me.entries_count; i++) {
-		if (me.entries[i].ready && &me.entries[i] != not_this)
-			ready[n++] = &me.entries[i];
+	for (guint i = 0; i < gen.entries_count; i++) {
+		if (gen.entries[i].ready && &gen.entries[i] != excluded)
+			ready[n++] = &gen.entries[i];
 	}
 	if (n == 0)
-		return &me.entries[g_rand_int_range(me.rand, 0,
-						    (gint)me.entries_count)];
-	return ready[g_rand_int_range(me.rand, 0, n)];
+		return &gen.entries[g_rand_int_range(gen.rand, 0,
+						     (gint)gen.entries_count)];
+	return ready[g_rand_int_range(gen.rand, 0, n)];
 }
 
 /* Making a request. */
 
 /* Words enough for any prompt; a prompt takes its part of them. */
-static void fill(uint64_t bytes)
+static void extend_filler(uint64_t bytes)
 {
-	while (me.filler->len < bytes)
-		g_string_append(me.filler,
-				fake_answer_token(7, me.filler->len));
+	while (gen.filler->len < bytes)
+		g_string_append(gen.filler,
+				fake_answer_token(7, gen.filler->len));
 }
 
 /* The start is the workspace's own, so that it may be cached; the rest
@@ -303,29 +303,30 @@
 {
 	uint64_t bytes = tokens * FAKE_TOKEN_BYTES;
 	size_t start = s->len;
-	uint64_t have;
+	uint64_t written;
 
-	fill(bytes + FAKE_PREFIX_BYTES);
+	extend_filler(bytes + FAKE_PREFIX_BYTES);
 	g_string_append_printf(s, "For %s: ", workspace);
-	if (bytes > PREFIX_WORTH)
-		g_string_append_len(s, me.filler->str, FAKE_PREFIX_BYTES);
-	g_string_append_printf(s, " number %" PRIu64 " of %d:", me.number,
+	if (bytes > PREFIX_MIN_BYTES)
+		g_string_append_len(s, gen.filler->str, FAKE_PREFIX_BYTES);
+	g_string_append_printf(s, " number %" PRIu64 " of %d:", gen.number,
 			       opt.seed);
-	have = s->len - start;
-	if (have < bytes)
-		g_string_append_len(s, me.filler->str, (gssize)(bytes - have));
+	written = s->len - start;
+	if (written < bytes)
+		g_string_append_len(s, gen.filler->str,
+				    (gssize)(bytes - written));
 }
 
 static uint64_t pick_tokens(const struct class *c)
 {
-	double u = g_rand_double(me.rand);
+	double u = g_rand_double(gen.rand);
 	double span = (double)c->tokens_max - (double)c->tokens_min;
 
 	/* Skewed to the short end, as archives are. */
 	return c->tokens_min + (uint64_t)(span * u * u);
 }
 
-static void make_model(struct flight *f, const char *workspace)
+static void build_completion(struct request *f, const char *workspace)
 {
 	const struct class *c = f->class;
 	size_t start;
@@ -343,13 +344,13 @@
 	g_string_append(f->body, "\"}");
 }
 
-static void make_plain(struct flight *f, const char *workspace)
+static void build_plain(struct request *f, const char *workspace)
 {
 	const struct class *c = f->class;
 	char text[PATH_SIZE / 2];
 
 	snprintf(text, sizeof(text), "workspace=%s&n=%" PRIu64 "&seed=%d",
-		 workspace, me.number, opt.seed);
+		 workspace, gen.number, opt.seed);
 	f->r->hash = fake_hash(dl_str_of(text));
 	if (c->idempotent) {
 		snprintf(f->path, sizeof(f->path), "/s/%s%s?%s", c->service,
@@ -363,43 +364,43 @@
 
 static void start_request(struct class *c)
 {
-	struct flight *f = g_new0(struct flight, 1);
-	guint w = (guint)(g_rand_double(me.rand) * g_rand_double(me.rand) *
-			  me.workspaces_count);
-	const char *workspace = me.workspaces[w];
+	struct request *f = g_new0(struct request, 1);
+	guint w = (guint)(g_rand_double(gen.rand) * g_rand_double(gen.rand) *
+			  gen.workspaces_count);
+	const char *workspace = gen.workspaces[w];
 
-	me.number++;
+	gen.number++;
 	f->class = c;
 	f->body = g_string_new(NULL);
 	f->text = g_string_new(NULL);
 	f->line = g_string_new(NULL);
 	f->r = g_new0(struct verdict_result, 1);
-	f->r->class = (guint)(c - (struct class *)me.classes->data);
+	f->r->class = (guint)(c - (struct class *)gen.classes->data);
 	f->r->idempotent = c->idempotent;
-	f->r->number = me.number;
+	f->r->number = gen.number;
 	g_strlcpy(f->r->workspace, workspace, sizeof(f->r->workspace));
-	g_ptr_array_add(me.results, f->r);
+	g_ptr_array_add(gen.results, f->r);
 	if (c->plain)
-		make_plain(f, workspace);
+		build_plain(f, workspace);
 	else
-		make_model(f, workspace);
+		build_completion(f, workspace);
 	if (c->key)
 		snprintf(f->key, sizeof(f->key), "key-%d-%" PRIu64, opt.seed,
-			 me.number);
+			 gen.number);
 	f->r->keyed = c->key;
-	f->r->start = wall();
+	f->r->start = monotonic_ms();
 	f->r->wall_start = (double)g_get_real_time() / 1e3;
 	f->r->deadline_ms = c->deadline_ms;
-	me.in_flight++;
+	gen.in_flight++;
 	f->entry = pick_entry(NULL);
-	launch(f);
+	send_request(f);
 }
 
 /* Reading an answer. */
 
 static void on_head(void *arg, int status, struct dl_str head)
 {
-	struct flight *f = arg;
+	struct request *f = arg;
 	struct dl_str outcome = fake_head_find(head, "daisyledge-outcome");
 	struct dl_str type = fake_head_find(head, "content-type");
 	struct dl_str id = fake_head_find(head, "daisyledge-request");
@@ -414,37 +415,37 @@
 	f->r->retry_after = after.n > 0;
 }
 
-static void first_token(struct flight *f)
+static void first_token(struct request *f)
 {
 	if (f->r->ttft <= 0)
-		f->r->ttft = wall() - f->r->start;
+		f->r->ttft = monotonic_ms() - f->r->start;
 }
 
-static void take_event(struct flight *f, const char *data, size_t n)
+static void parse_event(struct request *f, const char *data, size_t n)
 {
 	json_t *o = json_loadb(data, n, 0, NULL);
 
 	if (strcmp(f->event_name, "daisyledge") == 0) {
-		g_strlcpy(f->event, text_of(o, "outcome", ""),
+		g_strlcpy(f->event, string_of(o, "outcome", ""),
 			  sizeof(f->event));
-		g_strlcpy(f->reason, text_of(o, "reason", ""),
+		g_strlcpy(f->reason, string_of(o, "reason", ""),
 			  sizeof(f->reason));
 	} else if (o) {
 		const json_t *choice =
 			json_array_get(json_object_get(o, "choices"), 0);
 
 		first_token(f);
-		g_string_append(f->text, text_of(choice, "text", ""));
+		g_string_append(f->text, string_of(choice, "text", ""));
 		f->r->tokens++;
 	} else if (n == 6 && memcmp(data, "[DONE]", 6) == 0) {
-		f->done_mark = true;
+		f->done_seen = true;
 	} else {
 		f->r->garbled = true;
 	}
 	json_decref(o);
 }
 
-static void take_line(struct flight *f)
+static void parse_line(struct request *f)
 {
 	struct dl_str line = { f->line->str, f->line->len };
 
@@ -460,14 +461,14 @@
 
 		while (*data == ' ')
 			data++;
-		take_event(f, data, line.n - (size_t)(data - line.s));
+		parse_event(f, data, line.n - (size_t)(data - line.s));
 	}
 	g_string_truncate(f->line, 0);
 }
 
 static void on_body(void *arg, struct dl_str piece)
 {
-	struct flight *f = arg;
+	struct request *f = arg;
 
 	if (!f->sse) {
 		first_token(f);
@@ -476,41 +477,43 @@
 	}
 	for (size_t i = 0; i < piece.n; i++) {
 		if (piece.s[i] == '\n')
-			take_line(f);
+			parse_line(f);
 		else if (f->line->len < SSE_LINE_MAX)
 			g_string_append_c(f->line, piece.s[i]);
 	}
 }
 
 /* Whether the text is the answer to this prompt, the whole of it. */
-static bool right_answer(struct flight *f)
+static bool is_expected_answer(struct request *f)
 {
 	const struct class *c = f->class;
-	GString *want = g_string_new(NULL);
+	GString *expected = g_string_new(NULL);
 	json_t *o = NULL;
-	const char *have = f->text->str;
+	const char *actual = f->text->str;
 	bool right;
 
 	if (c->plain) {
-		g_string_printf(want, "{\"answer\":\"%016" PRIx64 "\"}\n",
+		g_string_printf(expected, "{\"answer\":\"%016" PRIx64 "\"}\n",
 				f->r->hash);
 	} else {
 		for (uint64_t i = 0; i < c->max_tokens; i++)
-			g_string_append(want, fake_answer_token(f->r->hash, i));
+			g_string_append(expected,
+					fake_answer_token(f->r->hash, i));
 	}
 	if (!c->plain && !f->sse) {
 		o = json_loadb(f->text->str, f->text->len, 0, NULL);
-		have = text_of(json_array_get(json_object_get(o, "choices"), 0),
-			       "text", "");
+		actual = string_of(json_array_get(json_object_get(o, "choices"),
+						  0),
+				   "text", "");
 	}
-	f->r->is_prefix = g_str_has_prefix(want->str, have);
-	right = strcmp(want->str, have) == 0;
+	f->r->is_prefix = g_str_has_prefix(expected->str, actual);
+	right = strcmp(expected->str, actual) == 0;
 	json_decref(o);
-	g_string_free(want, TRUE);
+	g_string_free(expected, TRUE);
 	return right;
 }
 
-static void flight_free(struct flight *f)
+static void request_free(struct request *f)
 {
 	g_string_free(f->body, TRUE);
 	g_string_free(f->text, TRUE);
@@ -519,76 +522,78 @@
 }
 
 /* What the caller was told, or that it was told nothing. */
-static void judge(struct flight *f, enum fake_end end)
+static void check_response(struct request *f, enum fake_end end)
 {
 	struct verdict_result *r = f->r;
-	const char *told = f->event[0] ? f->event : f->outcome;
-	bool whole = end == FAKE_END_COMPLETE;
+	const char *outcome = f->event[0] ? f->event : f->outcome;
+	bool complete = end == FAKE_END_COMPLETE;
 
 	r->status = f->status;
 	r->end = (int)end;
 	if (f->sse && f->status == 200 && !f->event[0])
-		told = whole && f->done_mark ? f->outcome : "";
-	if (opt.direct && whole && f->status == 200 &&
-	    (!f->sse || f->done_mark))
-		told = "done";
-	r->outcome = verdict_parse_outcome(whole || f->event[0] ? told : "");
-	r->complete = f->status / 100 == 2 && right_answer(f);
-	r->cut_done_mark = f->sse && f->status == 200 && !f->done_mark &&
+		outcome = complete && f->done_seen ? f->outcome : "";
+	if (opt.direct && complete && f->status == 200 &&
+	    (!f->sse || f->done_seen))
+		outcome = "done";
+	r->outcome =
+		verdict_parse_outcome(complete || f->event[0] ? outcome : "");
+	r->complete = f->status / 100 == 2 && is_expected_answer(f);
+	r->cut_done_mark = f->sse && f->status == 200 && !f->done_seen &&
 			   r->outcome == VERDICT_DONE;
 	if (f->text->len && f->status != 200 && !f->reason[0]) {
 		json_t *o = json_loadb(f->text->str, f->text->len, 0, NULL);
 
 		g_strlcpy(f->reason,
-			  text_of(json_object_get(o, "error"), "reason", ""),
+			  string_of(json_object_get(o, "error"), "reason", ""),
 			  sizeof(f->reason));
 		json_decref(o);
 	}
 	g_strlcpy(r->reason, f->reason, sizeof(r->reason));
 }
 
-static void reset_answer(struct flight *f)
+static void reset_answer(struct request *f)
 {
 	g_string_truncate(f->text, 0);
 	g_string_truncate(f->line, 0);
-	f->sse = f->done_mark = false;
+	f->sse = f->done_seen = false;
 	f->status = 0;
 	f->outcome[0] = f->event[0] = f->reason[0] = '\0';
 }
 
 /* A caller with a key that was told nothing sends again through another. */
-static bool resend(struct flight *f, enum fake_end end)
+static bool resend(struct request *f, enum fake_end end)
 {
-	double left = f->r->start + f->r->deadline_ms - wall();
+	double remaining_ms = f->r->start + f->r->deadline_ms - monotonic_ms();
 
-	if (end == FAKE_END_CONNECT && f->resends < RESENDS_MAX && left > 0) {
+	if (end == FAKE_END_CONNECT && f->resends < RESENDS_MAX &&
+	    remaining_ms > 0) {
 		f->entry->ready = false;
 	} else if (!f->key[0] || f->r->outcome != VERDICT_NO_OUTCOME ||
-		   f->resends >= RESENDS_MAX || left <= 0) {
+		   f->resends >= RESENDS_MAX || remaining_ms <= 0) {
 		return false;
 	}
 	f->resends++;
 	f->r->resent++;
 	reset_answer(f);
 	f->entry = pick_entry(f->entry);
-	launch(f);
+	send_request(f);
 	return true;
 }
 
 static void on_end(void *arg, enum fake_end end)
 {
-	struct flight *f = arg;
+	struct request *f = arg;
 
-	f->r->ended = wall();
-	judge(f, end);
+	f->r->ended = monotonic_ms();
+	check_response(f, end);
 	if (resend(f, end))
 		return;
 	f->r->entry = f->entry->vm;
-	me.in_flight--;
-	flight_free(f);
+	gen.in_flight--;
+	request_free(f);
 }
 
-static void launch(struct flight *f)
+static void send_request(struct request *f)
 {
 	static const struct fake_call_ops ops = { on_head, on_body, on_end };
 	char deadline[24];
@@ -602,7 +607,7 @@
 		{ f->key[0] ? "Idempotency-Key" : NULL, f->key },
 		{ NULL, NULL },
 	};
-	double left = f->r->start + f->r->deadline_ms - wall();
+	double remaining_ms = f->r->start + f->r->deadline_ms - monotonic_ms();
 	struct fake_call_req req = {
 		.address = f->entry->vm,
 		.method = f->class->plain && f->class->idempotent ? "GET" :
@@ -613,58 +618,58 @@
 		.connect_ms = CONNECT_MS,
 	};
 
-	if (left < 1)
-		left = 1;
-	snprintf(deadline, sizeof(deadline), "%.0f", left);
-	req.timeout_ms = (uint32_t)left + GUARD_MS;
-	fake_call_start(me.loop, &req, &ops, f);
+	if (remaining_ms < 1)
+		remaining_ms = 1;
+	snprintf(deadline, sizeof(deadline), "%.0f", remaining_ms);
+	req.timeout_ms = (uint32_t)remaining_ms + LATE_RESPONSE_MS;
+	fake_call_start(gen.loop, &req, &ops, f);
 }
 
 /* The open loop: arrivals do not wait for answers. */
 static void on_tick(uv_timer_t *timer)
 {
-	double now = wall();
+	double now = monotonic_ms();
 
-	if ((int64_t)now >= me.ready_at) {
-		me.ready_at = (int64_t)now + READY_EVERY_MS;
-		check_ready();
+	if ((int64_t)now >= gen.ready_at) {
+		gen.ready_at = (int64_t)now + READY_EVERY_MS;
+		poll_readiness();
 	}
-	for (guint i = 0; i < me.classes->len && now < me.ends; i++) {
-		struct class *c = &g_array_index(me.classes, struct class, i);
+	for (guint i = 0; i < gen.classes->len && now < gen.ends; i++) {
+		struct class *c = &g_array_index(gen.classes, struct class, i);
 
 		while (c->rate > 0 && c->next_at <= now) {
-			double u = 1.0 - g_rand_double(me.rand);
+			double u = 1.0 - g_rand_double(gen.rand);
 
-			if (me.in_flight < (guint)opt.in_flight_max)
+			if (gen.in_flight < (guint)opt.in_flight_max)
 				start_request(c);
 			c->next_at += -log(u) / c->rate * 1000.0;
 		}
 	}
-	if (now >= me.ends && me.in_flight == 0)
+	if (now >= gen.ends && gen.in_flight == 0)
 		uv_timer_stop(timer);
 }
 
 static void run(void)
 {
-	me.loop = uv_default_loop();
-	me.started = wall();
-	me.ends = me.started + opt.seconds * 1000.0;
-	for (guint i = 0; i < me.classes->len; i++) {
-		struct class *c = &g_array_index(me.classes, struct class, i);
+	gen.loop = uv_default_loop();
+	gen.started = monotonic_ms();
+	gen.ends = gen.started + opt.seconds * 1000.0;
+	for (guint i = 0; i < gen.classes->len; i++) {
+		struct class *c = &g_array_index(gen.classes, struct class, i);
 
-		fill((c->tokens_max + 1) * FAKE_TOKEN_BYTES +
-		     FAKE_PREFIX_BYTES);
-		c->next_at = me.started + g_rand_double(me.rand) * 1000.0 /
-						  (c->rate > 0 ? c->rate : 1);
+		extend_filler((c->tokens_max + 1) * FAKE_TOKEN_BYTES +
+			      FAKE_PREFIX_BYTES);
+		c->next_at = gen.started + g_rand_double(gen.rand) * 1000.0 /
+						   (c->rate > 0 ? c->rate : 1);
 	}
-	uv_timer_init(me.loop, &me.tick);
-	uv_timer_start(&me.tick, on_tick, 0, TICK_MS);
-	uv_run(me.loop, UV_RUN_DEFAULT);
+	uv_timer_init(gen.loop, &gen.tick);
+	uv_timer_start(&gen.tick, on_tick, 0, TICK_MS);
+	uv_run(gen.loop, UV_RUN_DEFAULT);
 }
 
 /* After the run: the memory of the engines. */
 
-struct load_ask {
+struct load_query {
 	GString *body;
 	bool *unreached;
 	uint64_t *used;
@@ -673,21 +678,21 @@
 
 static void on_load_body(void *arg, struct dl_str piece)
 {
-	g_string_append_len(((struct load_ask *)arg)->body, piece.s,
+	g_string_append_len(((struct load_query *)arg)->body, piece.s,
 			    (gssize)piece.n);
 }
 
 static void on_load_end(void *arg, enum fake_end end)
 {
-	struct load_ask *ask = arg;
-	json_t *o = json_loadb(ask->body->str, ask->body->len, 0, NULL);
+	struct load_query *query = arg;
+	json_t *o = json_loadb(query->body->str, query->body->len, 0, NULL);
 
-	*ask->checked = end == FAKE_END_COMPLETE && o;
-	*ask->used =
+	*query->checked = end == FAKE_END_COMPLETE && o;
+	*query->used =
 		(uint64_t)json_integer_value(json_object_get(o, "used_tokens"));
 	json_decref(o);
-	g_string_free(ask->body, TRUE);
-	g_free(ask);
+	g_string_free(query->body, TRUE);
+	g_free(query);
 }
 
 /* The memory held by the endpoints that answer, and how many those are. */
@@ -701,21 +706,21 @@
 	for (char **p = endpoints; *p; p++) {
 		uint64_t used = 0;
 		bool checked = false;
-		struct load_ask *ask = g_new0(struct load_ask, 1);
+		struct load_query *query = g_new0(struct load_query, 1);
 		struct fake_call_req req = { .method = "GET",
 					     .path = "/v1/load",
 					     .connect_ms = CONNECT_MS,
 					     .timeout_ms = CONNECT_MS };
 
 		if (!dl_vm_parse(dl_str_of(*p), &req.address)) {
-			g_free(ask);
+			g_free(query);
 			continue;
 		}
-		ask->body = g_string_new(NULL);
-		ask->used = &used;
-		ask->checked = &checked;
-		fake_call_start(me.loop, &req, &ops, ask);
-		uv_run(me.loop, UV_RUN_DEFAULT);
+		query->body = g_string_new(NULL);
+		query->used = &used;
+		query->checked = &checked;
+		fake_call_start(gen.loop, &req, &ops, query);
+		uv_run(gen.loop, UV_RUN_DEFAULT);
 		if (checked) {
 			sum += used;
 			*alive += 1;
@@ -724,17 +729,17 @@
 	return sum;
 }
 
-static void settle_memory(struct verdict *v)
+static void wait_for_memory_release(struct verdict *v)
 {
 	char **all = g_strsplit(opt.endpoints ? opt.endpoints : "", ",", -1);
-	double until = wall() + SETTLE_MS;
+	double until = monotonic_ms() + SETTLE_MS;
 
 	do {
 		v->memory_left = used_memory(all, &v->engines_alive);
 		if (v->memory_left == 0)
 			break;
 		g_usleep(SETTLE_EVERY_MS * 1000ul);
-	} while (wall() < until);
+	} while (monotonic_ms() < until);
 	g_strfreev(all);
 }
 
@@ -747,11 +752,11 @@
 	f = fopen(opt.out, "w");
 	if (!f)
 		return -errno;
-	for (guint i = 0; i < me.results->len; i++) {
+	for (guint i = 0; i < gen.results->len; i++) {
 		const struct verdict_result *r =
-			g_ptr_array_index(me.results, i);
+			g_ptr_array_index(gen.results, i);
 		const struct class *c =
-			&g_array_index(me.classes, struct class, r->class);
+			&g_array_index(gen.classes, struct class, r->class);
 		char vm[24];
 
 		fprintf(f,
@@ -772,16 +777,16 @@
 {
 	guint done = 0;
 
-	for (guint i = 0; i < me.results->len; i++) {
+	for (guint i = 0; i < gen.results->len; i++) {
 		const struct verdict_result *r =
-			g_ptr_array_index(me.results, i);
+			g_ptr_array_index(gen.results, i);
 
 		done += r->outcome == VERDICT_DONE;
 	}
-	if (done * 1000ull >= me.results->len * (guint64)opt.done_min)
+	if (done * 1000ull >= gen.results->len * (guint64)opt.done_min)
 		return true;
 	fprintf(stderr, "load: %u of %u done, %d in a thousand wanted\n", done,
-		me.results->len, opt.done_min);
+		gen.results->len, opt.done_min);
 	return false;
 }
 
@@ -790,12 +795,12 @@
 	printf("%-13s %7s %7s %7s %7s %7s %7s %9s %9s %9s\n", "class",
 	       "offered", "done", "refused", "failed", "unknown", "cut",
 	       "ttft p50", "p95", "p99 ms");
-	for (guint i = 0; i < me.classes->len; i++) {
+	for (guint i = 0; i < gen.classes->len; i++) {
 		const struct class *c =
-			&g_array_index(me.classes, struct class, i);
+			&g_array_index(gen.classes, struct class, i);
 		struct verdict_row row;
 
-		verdict_row(me.results, i, &row);
+		verdict_row(gen.results, i, &row);
 		printf("%-13s %7u %7u %7u %7u %7u %7u %9.1f %9.1f %9.1f\n",
 		       c->name, row.offered, row.outcomes[VERDICT_DONE],
 		       row.outcomes[VERDICT_NOT_RUN],
@@ -819,15 +824,15 @@
 		return 2;
 	}
 	g_option_context_free(ctx);
-	me.rand = g_rand_new_with_seed((guint32)opt.seed);
-	me.results = g_ptr_array_new_with_free_func(g_free);
-	me.filler = g_string_new(NULL);
+	gen.rand = g_rand_new_with_seed((guint32)opt.seed);
+	gen.results = g_ptr_array_new_with_free_func(g_free);
+	gen.filler = g_string_new(NULL);
 	if (read_classes() < 0 || read_entries() < 0) {
 		fprintf(stderr, "load: bad options, try --help\n");
 		return 2;
 	}
 	run();
-	settle_memory(&v);
+	wait_for_memory_release(&v);
 	for (char **p = opt.check; p && *p; p++) {
 		if (verdict_read_execution_log(&v, *p) < 0) {
 			fprintf(stderr, "load: %s: unreadable\n", *p);
@@ -838,7 +843,7 @@
 		fprintf(stderr, "load: %s: unreadable\n", opt.away);
 		return 2;
 	}
-	verdict_check(&v, me.results);
+	verdict_check(&v, gen.results);
 	if (!opt.quiet)
 		print_table();
 	if (opt.promises)
