--- a/test/tool_badinput.c
+++ b/test/tool_badinput.c
@@ -17,10 +17,10 @@
 
 #include "daisyledge/base.h"
 
-#define ANSWER_MS     8000
+#define RESPONSE_MS   8000
 #define STALL_MAX_MS  20000 /* an unfinished head must be closed by then */
-#define STALLED	      8
-#define PIECE	      65536
+#define STALLED_CONNS 8
+#define PIECE_BYTES   65536
 #define HUGE_BODY     (100ul << 20)
 #define HUGE_HEADERS  (4ul << 20)
 #define NESTING	      100000
@@ -31,13 +31,13 @@
 #define TIMED_OUT     (-2)
 
 /* What a case does beside sending its text. */
-enum manner {
-	MANNER_PLAIN,
-	MANNER_HALF_CLOSE,   /* no more is sent after the text */
-	MANNER_SLOW,	     /* a byte at a time */
-	MANNER_BODY_HUGE,    /* the text, then 100 MB */
-	MANNER_HEADERS_HUGE, /* the text, then headers without end */
-	MANNER_CHUNKS_HUGE,  /* the text, then chunks without end */
+enum send_mode {
+	SEND_PLAIN,
+	SEND_HALF_CLOSE,   /* no more is sent after the text */
+	SEND_SLOW,	   /* a byte at a time */
+	SEND_BODY_HUGE,	   /* the text, then 100 MB */
+	SEND_HEADERS_HUGE, /* the text, then headers without end */
+	SEND_CHUNKS_HUGE,  /* the text, then chunks without end */
 };
 
 struct bad_case {
@@ -46,14 +46,14 @@
 	const char *path;
 	const char *headers; /* lines, each ended by CR LF */
 	const char *body;
-	enum manner manner;
+	enum send_mode mode;
 	int allowed[STATUSES_MAX]; /* ended by 0 */
 };
 
 static const char *model;
-static const char *plain;
-static uint64_t door;
-static uint64_t peer_door;
+static const char *plain_service;
+static uint64_t http_address;
+static uint64_t peer_address;
 static int failures;
 
 /* %M and %P in paths and bodies are the model and the plain service. */
@@ -232,36 +232,36 @@
 	  "/v1/completions",
 	  "",
 	  "",
-	  MANNER_BODY_HUGE,
+	  SEND_BODY_HUGE,
 	  { 413, CLOSED } },
 	{ "chunks without end",
 	  "POST",
 	  "/v1/completions",
 	  "",
 	  NULL,
-	  MANNER_CHUNKS_HUGE,
+	  SEND_CHUNKS_HUGE,
 	  { 413, CLOSED } },
 	{ "headers without end",
 	  "GET",
 	  "/healthz",
 	  "",
 	  NULL,
-	  MANNER_HEADERS_HUGE,
+	  SEND_HEADERS_HUGE,
 	  { 400, 431, CLOSED } },
-	{ "slow sender", "GET", "/healthz", "", NULL, MANNER_SLOW, { 200 } },
+	{ "slow sender", "GET", "/healthz", "", NULL, SEND_SLOW, { 200 } },
 	{ "half-closed after a request",
 	  "GET",
 	  "/healthz",
 	  "",
 	  NULL,
-	  MANNER_HALF_CLOSE,
+	  SEND_HALF_CLOSE,
 	  { 200, CLOSED } },
 	{ "half a body, then closed",
 	  "POST",
 	  "/v1/completions",
 	  "Content-Length: 1000\r\n",
 	  "{\"model\":",
-	  MANNER_HALF_CLOSE,
+	  SEND_HALF_CLOSE,
 	  { 400, CLOSED } },
 };
 
@@ -320,12 +320,12 @@
 	return CLOSED;
 }
 
-static char *fill_in(const char *s)
+static char *expand(const char *s)
 {
 	GString *out = g_string_new(s);
 
 	g_string_replace(out, "%M", model, 0);
-	g_string_replace(out, "%P", plain, 0);
+	g_string_replace(out, "%P", plain_service, 0);
 	return g_string_free(out, FALSE);
 }
 
@@ -339,7 +339,7 @@
 }
 
 /* Repeat a piece until so many bytes are sent or the other end closes. */
-static void send_much(int fd, const char *piece, size_t n, size_t total)
+static void send_repeated(int fd, const char *piece, size_t n, size_t total)
 {
 	for (size_t sent = 0; sent < total; sent += n) {
 		if (!send_all(fd, piece, n))
@@ -352,55 +352,55 @@
 {
 	GString *chunk = g_string_new(NULL);
 
-	g_string_printf(chunk, "%x\r\n", PIECE);
-	g_string_append_len(chunk, fill, PIECE);
+	g_string_printf(chunk, "%x\r\n", PIECE_BYTES);
+	g_string_append_len(chunk, fill, PIECE_BYTES);
 	g_string_append(chunk, "\r\n");
-	send_much(fd, chunk->str, chunk->len, HUGE_BODY);
+	send_repeated(fd, chunk->str, chunk->len, HUGE_BODY);
 	g_string_free(chunk, TRUE);
 }
 
 static void send_case(int fd, const struct bad_case *c, const GString *text)
 {
-	char *piece = g_strnfill(PIECE, 'a');
+	char *piece = g_strnfill(PIECE_BYTES, 'a');
 
-	if (c->manner == MANNER_SLOW)
+	if (c->mode == SEND_SLOW)
 		send_slowly(fd, text);
 	else
 		send_all(fd, text->str, text->len);
-	if (c->manner == MANNER_BODY_HUGE)
-		send_much(fd, piece, PIECE, HUGE_BODY);
-	else if (c->manner == MANNER_HEADERS_HUGE)
-		send_much(fd, "X-More: and more\r\n", 18, HUGE_HEADERS);
-	else if (c->manner == MANNER_CHUNKS_HUGE)
+	if (c->mode == SEND_BODY_HUGE)
+		send_repeated(fd, piece, PIECE_BYTES, HUGE_BODY);
+	else if (c->mode == SEND_HEADERS_HUGE)
+		send_repeated(fd, "X-More: and more\r\n", 18, HUGE_HEADERS);
+	else if (c->mode == SEND_CHUNKS_HUGE)
 		send_chunks(fd, piece);
-	else if (c->manner == MANNER_HALF_CLOSE)
+	else if (c->mode == SEND_HALF_CLOSE)
 		shutdown(fd, SHUT_WR);
 	g_free(piece);
 }
 
-static GString *build(const struct bad_case *c)
+static GString *build_request(const struct bad_case *c)
 {
 	GString *s = g_string_new(NULL);
-	char *path = fill_in(c->path);
-	char *body = fill_in(c->body ? c->body : "");
+	char *path = expand(c->path);
+	char *body = expand(c->body ? c->body : "");
 
 	g_string_append_printf(s, "%s %s HTTP/1.1\r\nHost: a\r\n%s", c->method,
 			       path, c->headers);
-	if (c->manner == MANNER_BODY_HUGE)
+	if (c->mode == SEND_BODY_HUGE)
 		g_string_append_printf(s, "Content-Length: %lu\r\n", HUGE_BODY);
-	else if (c->manner == MANNER_CHUNKS_HUGE)
+	else if (c->mode == SEND_CHUNKS_HUGE)
 		g_string_append(s, "Transfer-Encoding: chunked\r\n");
 	else if (c->body && !strstr(c->headers, "Content-Length"))
 		g_string_append_printf(s, "Content-Length: %zu\r\n",
 				       strlen(body));
-	if (c->manner != MANNER_HEADERS_HUGE)
+	if (c->mode != SEND_HEADERS_HUGE)
 		g_string_append_printf(s, "Connection: close\r\n\r\n%s", body);
 	g_free(path);
 	g_free(body);
 	return s;
 }
 
-static void judge(const char *name, int status, const int *allowed)
+static void check_status(const char *name, int status, const int *allowed)
 {
 	for (int i = 0; i < STATUSES_MAX && allowed[i]; i++) {
 		if (allowed[i] == status)
@@ -413,11 +413,11 @@
 
 static void run_case(const struct bad_case *c)
 {
-	GString *text = build(c);
-	int fd = connect_to(door);
+	GString *text = build_request(c);
+	int fd = connect_to(http_address);
 
 	send_case(fd, c, text);
-	judge(c->name, read_status(fd, ANSWER_MS), c->allowed);
+	check_status(c->name, read_status(fd, RESPONSE_MS), c->allowed);
 	close(fd);
 	g_string_free(text, TRUE);
 }
@@ -427,7 +427,7 @@
 {
 	static const int allowed[STATUSES_MAX] = { 400 };
 	GString *s = g_string_new(NULL);
-	int fd = connect_to(door);
+	int fd = connect_to(http_address);
 
 	g_string_printf(s,
 			"POST /v1/completions HTTP/1.1\r\nHost: a\r\n"
@@ -436,7 +436,7 @@
 	for (int i = 0; i < NESTING; i++)
 		g_string_append_c(s, '[');
 	send_all(fd, s->str, s->len);
-	judge("deep nesting", read_status(fd, ANSWER_MS), allowed);
+	check_status("deep nesting", read_status(fd, RESPONSE_MS), allowed);
 	close(fd);
 	g_string_free(s, TRUE);
 }
@@ -469,10 +469,11 @@
 	};
 
 	for (size_t i = 0; i < sizeof(raw) / sizeof(raw[0]); i++) {
-		int fd = connect_to(door);
+		int fd = connect_to(http_address);
 
 		send_all(fd, raw[i].s, raw[i].n);
-		judge(raw[i].name, read_status(fd, ANSWER_MS), raw[i].allowed);
+		check_status(raw[i].name, read_status(fd, RESPONSE_MS),
+			     raw[i].allowed);
 		close(fd);
 	}
 }
@@ -490,15 +491,15 @@
 	for (int round = 0; round < 16; round++) {
 		for (size_t i = 0; i < sizeof(bytes); i++)
 			bytes[i] = (char)g_rand_int(rand);
-		fd = connect_to(round % 2 ? door : peer_door);
+		fd = connect_to(round % 2 ? http_address : peer_address);
 		send_all(fd, bytes, sizeof(bytes));
 		shutdown(fd, SHUT_WR);
-		read_status(fd, ANSWER_MS / 8);
+		read_status(fd, RESPONSE_MS / 8);
 		close(fd);
 	}
-	fd = connect_to(peer_door);
+	fd = connect_to(peer_address);
 	send_all(fd, (const char *)long_frame, sizeof(long_frame));
-	if (read_status(fd, ANSWER_MS) == TIMED_OUT) {
+	if (read_status(fd, RESPONSE_MS) == TIMED_OUT) {
 		failures++;
 		printf("a frame past all bounds is waited for\n");
 	}
@@ -511,19 +512,19 @@
 {
 	static const char head[] = "POST /v1/completions HTTP/1.1\r\nHos";
 
-	for (int i = 0; i < STALLED; i++) {
-		fds[i] = connect_to(door);
+	for (int i = 0; i < STALLED_CONNS; i++) {
+		fds[i] = connect_to(http_address);
 		send_all(fds[i], head, sizeof(head) - 1);
 	}
 }
 
-static void judge_stalled(const int *fds)
+static void check_stalled(const int *fds)
 {
 	static const int allowed[STATUSES_MAX] = { CLOSED, 400, 408 };
 
-	for (int i = 0; i < STALLED; i++) {
-		judge("a head never finished",
-		      read_status(fds[i], STALL_MAX_MS), allowed);
+	for (int i = 0; i < STALLED_CONNS; i++) {
+		check_status("a head never finished",
+			     read_status(fds[i], STALL_MAX_MS), allowed);
 		close(fds[i]);
 	}
 }
@@ -533,23 +534,23 @@
 	static const struct bad_case health = {
 		"health afterwards", "GET", "/healthz", "", NULL, 0, { 200 }
 	};
-	int stalled[STALLED];
+	int stalled[STALLED_CONNS];
 
-	if (argc != 5 || !dl_vm_parse(dl_str_of(argv[1]), &door) ||
-	    !dl_vm_parse(dl_str_of(argv[2]), &peer_door)) {
+	if (argc != 5 || !dl_vm_parse(dl_str_of(argv[1]), &http_address) ||
+	    !dl_vm_parse(dl_str_of(argv[2]), &peer_address)) {
 		fprintf(stderr, "usage: tool_badinput HTTP-ADDRESS "
 				"PEER-ADDRESS MODEL PLAIN-SERVICE\n");
 		return 2;
 	}
 	model = argv[3];
-	plain = argv[4];
+	plain_service = argv[4];
 	open_stalled(stalled);
 	for (size_t i = 0; i < CASES; i++)
 		run_case(&cases[i]);
 	run_nesting();
 	run_raw_nul();
 	run_garbage();
-	judge_stalled(stalled);
+	check_stalled(stalled);
 	run_case(&health);
 	printf("bad input: %zu cases, %d wrong\n", CASES, failures);
 	return failures ? 1 : 0;
