--- a/test/fake/answer.c
+++ b/test/fake/answer.c
@@ -1,4 +1,4 @@
-/* Answers by hash: words of a fixed list, chosen by prompt and place. */
+/* Answers made of words from a fixed list, chosen by prompt hash and index. */
 #include <xxhash.h>
 
 #include "answer.h"
