--- a/test/fake/http.h
+++ b/test/fake/http.h
@@ -1,6 +1,6 @@
 /*
- * The HTTP parts that the tools share: a server on h2o and a small client of
- * its own, so that the tools do not judge the daemon by the daemon's code.
+ * HTTP for the test tools: a server on h2o and a small independent client, so
+ * that the daemon is not tested with its own HTTP code.
  */
 #ifndef DL_TEST_FAKE_HTTP_H
 #define DL_TEST_FAKE_HTTP_H
@@ -14,14 +14,14 @@
 	const char *value;
 };
 
-/* The server: one request is one struct, until it has ended or gone. */
+/* The server.  A request is valid until closed() is called for it. */
 struct fake_server;
 struct fake_request;
 
 struct fake_server_ops {
-	/* A whole request came; answer it now or later. */
+	/* A complete request has arrived; reply from here or later. */
 	void (*request)(void *arg, struct fake_request *req);
-	/* The peer left, or all is sent: the request must be forgotten. */
+	/* The client disconnected or the reply is sent; do not use req. */
 	void (*closed)(void *arg, struct fake_request *req);
 };
 
@@ -39,29 +39,29 @@
 void fake_request_set_owner(struct fake_request *req, void *owner);
 void *fake_request_owner(const struct fake_request *req);
 
-/* Status, headers up to a null name, and a whole body. */
+/* Sends a complete reply; headers end with a null name. */
 void fake_reply(struct fake_request *req, int status,
 		const struct fake_header *headers, struct dl_str body);
-/* The same in pieces; pieces are copied and sent as the peer takes them. */
+/* Streams a reply; data is copied and sent as fast as the client reads. */
 void fake_reply_begin(struct fake_request *req, int status,
 		      const struct fake_header *headers);
 void fake_reply_write(struct fake_request *req, struct dl_str piece);
 void fake_reply_end(struct fake_request *req);
-/* Bytes written that the peer has not made room for. */
+/* Bytes written by the owner but not yet passed to h2o. */
 size_t fake_reply_pending(const struct fake_request *req);
-/* Break the connection off; no gone() follows. */
+/* Aborts the reply and its connection; closed() is not called. */
 void fake_reply_abort(struct fake_request *req);
 
-/* Writing to a peer that has left is an error, no signal; call it first. */
+/* Ignores SIGPIPE, so that writes fail with EPIPE; must be called first. */
 void fake_ignore_sigpipe(void);
 
-/* The client: a connection of its own for each call. */
+/* The client: each call uses its own connection. */
 struct fake_call;
 
 enum fake_end {
 	FAKE_END_COMPLETE,
-	FAKE_END_CONNECT, /* no byte was sent */
-	FAKE_END_RESET,	  /* closed or broken before the end */
+	FAKE_END_CONNECT, /* nothing was sent */
+	FAKE_END_RESET,	  /* closed, reset or malformed before the end */
 	FAKE_END_TIMEOUT,
 };
 
@@ -69,7 +69,7 @@
 	uint64_t address;
 	const char *method;
 	const char *path;
-	const struct fake_header *headers; /* up to a null name */
+	const struct fake_header *headers; /* ends with a null name */
 	struct dl_str body;		   /* copied */
 	uint32_t connect_ms;
 	uint32_t timeout_ms;
@@ -81,13 +81,13 @@
 	void (*end)(void *arg, enum fake_end end);
 };
 
-/* Start a call; end() is called later, once and last. */
+/* Starts a call; end() is called from the loop, once and last. */
 struct fake_call *fake_call_start(uv_loop_t *loop,
 				  const struct fake_call_req *req,
 				  const struct fake_call_ops *ops, void *arg);
-/* Close the connection; no callback follows. */
+/* Cancels a call by closing its connection; no callback follows. */
 void fake_call_cancel(struct fake_call *call);
-/* Find a header in the raw head of an answer; empty where it is not. */
+/* Finds a header in the raw head of a response; empty if absent. */
 struct dl_str fake_head_find(struct dl_str head, const char *name);
 
 #endif
--- a/test/fake/http_client.c
+++ b/test/fake/http_client.c
@@ -1,4 +1,4 @@
-/* A client for one HTTP/1.1 request on one connection, on libuv alone. */
+/* HTTP/1.1 client on libuv, with one request per connection. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <glib.h>
@@ -42,8 +42,8 @@
 	bool head_done;
 	enum framing framing;
 	enum chunk_state chunk;
-	uint64_t remaining; /* of the body, or of the chunk */
-	GString *buf;	    /* head, or the line of a chunk */
+	uint64_t remaining; /* bytes of the body or of the current chunk */
+	GString *buf;	    /* response head, or a line between chunks */
 	enum fake_end end;
 	struct fake_call_ops ops;
 	void *arg;
@@ -121,7 +121,7 @@
 		call->ops.body(call->arg, (struct dl_str){ s, n });
 }
 
-/* Take one byte of the framing between chunks. */
+/* Parses one byte of the framing between chunks. */
 static void parse_chunk_byte(struct fake_call *call, char c)
 {
 	if (call->chunk == CHUNK_DATA_END) {
@@ -180,7 +180,7 @@
 		finish(call, FAKE_END_COMPLETE);
 }
 
-/* Read the status line and how the body is framed. */
+/* Parses the status line and determines the framing of the body. */
 static void parse_head(struct fake_call *call, struct dl_str head)
 {
 	struct dl_str length = fake_head_find(head, "content-length");
@@ -257,7 +257,7 @@
 
 static void on_written(uv_write_t *write, int status)
 {
-	/* A failed write shows as a failed read; the answer may be there. */
+	/* Ignored: a read also fails then, unless a response has arrived. */
 }
 
 static void on_timer(uv_timer_t *timer)
--- a/test/fake/http_server.c
+++ b/test/fake/http_server.c
@@ -1,4 +1,4 @@
-/* A server for the fakes: h2o on libuv, one handler, answers in pieces. */
+/* HTTP server of the test tools, on h2o and libuv. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <glib.h>
@@ -18,7 +18,7 @@
 	h2o_accept_ctx_t accept;
 	struct fake_server_ops ops;
 	void *arg;
-	struct fake_request *open; /* list of requests not yet ended */
+	struct fake_request *open; /* list of open requests */
 };
 
 struct handler {
@@ -33,16 +33,16 @@
 	struct fake_server *server;
 	struct fake_request *next;
 	void *owner;
-	GString *pending;   /* written by the owner, not yet given to h2o */
-	GString *in_flight; /* with h2o until it asks for more */
+	GString *pending;   /* written by the owner, not yet passed to h2o */
+	GString *in_flight; /* passed to h2o, until it calls on_proceed() */
 	bool started;
-	bool sending; /* h2o holds a piece */
+	bool sending; /* h2o is sending in_flight */
 	bool ending;
 	bool aborting;
-	bool close_reported; /* the owner knows that it is gone */
+	bool close_reported; /* closed() was called or is not wanted */
 };
 
-/* Requests by socket, for the read callback that watches for a leaving peer. */
+/* For on_socket_read(), which gets a socket but no context. */
 static struct fake_server *only_server;
 
 static void flush(struct fake_request *r);
@@ -65,7 +65,7 @@
 	r->server->ops.closed(r->server->arg, r);
 }
 
-/* h2o lets go of the request: with its pool, when the connection ends. */
+/* Called when h2o frees the memory pool of the request. */
 static void on_dispose(void *arg)
 {
 	struct fake_request *r = *(struct fake_request **)arg;
@@ -90,7 +90,7 @@
 	report_closed((struct fake_request *)gen);
 }
 
-/* The peer closed while its answer is made: tell the owner, drop the rest. */
+/* Detects a client that disconnects before its reply: aborts the request. */
 static void on_socket_read(h2o_socket_t *sock, const char *err)
 {
 	struct fake_request *r = only_server->open;
@@ -122,7 +122,7 @@
 	h2o_start_response(r->req, &r->super);
 }
 
-/* Give h2o what waits, once it has sent the piece before. */
+/* Passes the pending data to h2o, once it has sent the data before. */
 static void flush(struct fake_request *r)
 {
 	GString *swap = r->in_flight;
