--- a/test/fake/link.c
+++ b/test/fake/link.c
@@ -1,4 +1,4 @@
-/* The network in memory: a heap of datagrams by the time they are due. */
+/* In-memory network: a heap of datagrams ordered by delivery time. */
 #include "link.h"
 
 #include <stdlib.h>
@@ -10,7 +10,7 @@
 
 struct queued_datagram {
 	int64_t due;
-	uint64_t seq; /* keeps the order of datagrams due at one time */
+	uint64_t seq; /* keeps datagrams due at the same time in order */
 	int64_t sent;
 	uint64_t from;
 	uint64_t to;
@@ -32,7 +32,7 @@
 	struct fake_link_conf conf;
 	GRand *rand;
 	uint64_t seq;
-	GPtrArray *heap; /* of struct parcel */
+	GPtrArray *heap; /* of struct queued_datagram */
 	GArray *cuts;
 	GArray *pauses;
 	GHashTable *counts; /* vm to struct fake_link_count */
@@ -47,7 +47,7 @@
 static void swap(GPtrArray *heap, guint a, guint b);
 static int64_t paused_until(const struct fake_link *link, uint64_t vm);
 
-/* A network without cuts. */
+/* Creates a network without cuts. */
 struct fake_link *fake_link_new(const struct fake_link_conf *conf)
 {
 	struct fake_link *link = g_new0(struct fake_link, 1);
@@ -62,7 +62,7 @@
 	return link;
 }
 
-/* Free it with all that is under way. */
+/* Frees the network and all datagrams in flight. */
 void fake_link_free(struct fake_link *link)
 {
 	if (!link)
@@ -76,7 +76,7 @@
 	g_free(link);
 }
 
-/* Change loss, doubling and delay; the seed of conf is not looked at. */
+/* Changes loss, duplication and delay; conf->seed is ignored. */
 void fake_link_set(struct fake_link *link, const struct fake_link_conf *conf)
 {
 	link->conf = *conf;
@@ -103,7 +103,7 @@
 	return c;
 }
 
-/* Send a copy of the datagram; it is lost, delayed or doubled by chance. */
+/* Sends a copy of the datagram, applying random loss, duplication and delay. */
 void fake_link_send(struct fake_link *link, uint64_t from, uint64_t to,
 		    struct dl_str data, int64_t now)
 {
@@ -140,7 +140,7 @@
 	}
 }
 
-/* Take the next datagram that is due; those to paused VMs wait. */
+/* Returns the next datagram that is due, deferring those to paused VMs. */
 bool fake_link_next(struct fake_link *link, int64_t now,
 		    struct fake_datagram *out)
 {
@@ -172,7 +172,7 @@
 	return false;
 }
 
-/* When to look again. */
+/* Returns when the next datagram is due; INT64_MAX if there is none. */
 int64_t fake_link_wakeup(const struct fake_link *link)
 {
 	if (!link->heap->len)
@@ -181,7 +181,7 @@
 		->due;
 }
 
-/* Cut one direction; cutting twice is the same as once. */
+/* Cuts one direction of a link; repeated cuts have no further effect. */
 void fake_link_cut(struct fake_link *link, uint64_t from, uint64_t to)
 {
 	struct cut c = { from, to };
@@ -189,20 +189,20 @@
 	g_array_append_val(link->cuts, c);
 }
 
-/* Cut a VM off. */
+/* Cuts a VM off from all others, in both directions. */
 void fake_link_isolate(struct fake_link *link, uint64_t vm)
 {
 	fake_link_cut(link, vm, DL_VM_NONE);
 	fake_link_cut(link, DL_VM_NONE, vm);
 }
 
-/* Mend all. */
+/* Restores all links. */
 void fake_link_heal(struct fake_link *link)
 {
 	g_array_set_size(link->cuts, 0);
 }
 
-/* Whether nothing passes from one VM to another now. */
+/* Reports whether the link from one VM to another is cut. */
 bool fake_link_is_cut(const struct fake_link *link, uint64_t from, uint64_t to)
 {
 	for (guint i = 0; i < link->cuts->len; i++) {
@@ -215,7 +215,7 @@
 	return false;
 }
 
-/* Hold a VM's deliveries until then; a later call replaces an earlier one. */
+/* Defers deliveries to a VM until the given time; replaces an earlier pause. */
 void fake_link_pause(struct fake_link *link, uint64_t vm, int64_t until)
 {
 	struct pause new = { vm, until };
@@ -242,13 +242,13 @@
 	return INT64_MIN;
 }
 
-/* Whether a VM stands still now. */
+/* Reports whether a VM is paused. */
 bool fake_link_paused(const struct fake_link *link, uint64_t vm, int64_t now)
 {
 	return paused_until(link, vm) > now;
 }
 
-/* Counted datagrams; a doubled one counts once. */
+/* Returns the traffic counted for a VM; a duplicated datagram counts once. */
 struct fake_link_count fake_link_sent(const struct fake_link *link, uint64_t vm)
 {
 	struct fake_link_count *c = g_hash_table_lookup(link->counts, &vm);
