--- a/test/fake/sign.c
+++ b/test/fake/sign.c
@@ -1,4 +1,4 @@
-/* Signatures of the fakes and the tools, by a key from a file. */
+/* Request signatures for the fakes and tools, with a key from a file. */
 #include "sign.h"
 
 #include <errno.h>
@@ -7,7 +7,7 @@
 
 #define US_PER_MS 1000
 
-/* Read a key, the first line of a file. */
+/* Reads a key from the first line of a file; -EINVAL if there is none. */
 int fake_key_read(const char *path, struct dl_key *key)
 {
 	char *text;
@@ -24,7 +24,7 @@
 	return key->n ? 0 : -EINVAL;
 }
 
-/* Sign a request as of so many milliseconds ago. */
+/* Signs a request with a timestamp ago_ms in the past. */
 int fake_sign(const struct dl_key *key, const struct fake_call_req *req,
 	      int64_t ago_ms, char out[DL_SIGNATURE_MAX])
 {
--- a/test/fake/suite.h
+++ b/test/fake/suite.h
@@ -1,11 +1,11 @@
-/* The end of each test program: run its suite, and say how it went. */
+/* Runs the suite of a test program. */
 #ifndef TEST_FAKE_SUITE_H
 #define TEST_FAKE_SUITE_H
 
 #include <check.h>
 #include <stdlib.h>
 
-/* Run a suite, which is freed; returns the program's exit status. */
+/* Runs and frees a suite; returns the exit status of the program. */
 static inline int suite_run(Suite *suite)
 {
 	SRunner *runner = srunner_create(suite);
