--- a/test/test_disk.c
+++ b/test/test_disk.c
@@ -1,4 +1,7 @@
-/* The data folder: order, content, failures; and the journal upon it. */
+/*
+ * Disk over a data folder: order and content of operations, reported failures,
+ * the lock against a second process, and the journal on top of it.
+ */
 #include <check.h>
 #include <errno.h>
 #include <stdio.h>
@@ -110,7 +113,7 @@
 }
 END_TEST
 
-/* The journal over real files: an entry, a generation, and back. */
+/* The journal is read back after entries and a snapshot were written. */
 START_TEST(journal_over_files)
 {
 	struct dl_rlog_entry entries[] = {
--- a/test/test_link.c
+++ b/test/test_link.c
@@ -1,4 +1,4 @@
-/* The fake link itself: what the other tests rely on. */
+/* The simulated network that other tests rely on. */
 #include <check.h>
 #include <stdlib.h>
 
