--- a/test/test_httpc.c
+++ b/test/test_httpc.c
@@ -1,7 +1,7 @@
 /*
- * The client against a server that breaks at every stage: what was sent, what
- * was received and how it ended must be told right, and a truncated answer
- * must never pass for a whole one.
+ * HTTP client against a server that fails at every stage of a response.  The
+ * client must report correctly what was sent and received and how the call
+ * ended; a truncated response must never be reported as complete.
  */
 #include <arpa/inet.h>
 #include <check.h>
@@ -14,7 +14,7 @@
 #define ADDRESS	       ((UINT64_C(0x7f004301) << 16) | 7101)
 #define ITERATIONS_MAX 3000
 
-/* What the server does once it has the request. */
+/* What the server does after its last write. */
 enum server_end {
 	SERVER_CLOSES,
 	SERVER_RESETS,
@@ -23,7 +23,7 @@
 
 struct response {
 	const char *name;
-	const char *writes[3]; /* written one turn after the other */
+	const char *writes[3]; /* written one per timer tick */
 	enum server_end end;
 	enum dl_received received;
 	enum dl_failure failure;
@@ -34,31 +34,31 @@
 #define LENGTH	"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
 
 static const struct response responses[] = {
-	{ "whole by length",
+	{ "complete by length",
 	  { LENGTH "hello" },
 	  SERVER_CLOSES,
 	  DL_RECV_COMPLETE,
 	  DL_FAILURE_NONE,
 	  "hello" },
-	{ "whole in pieces",
+	{ "complete by length, in pieces",
 	  { LENGTH, "he", "llo" },
 	  SERVER_SILENT,
 	  DL_RECV_COMPLETE,
 	  DL_FAILURE_NONE,
 	  "hello" },
-	{ "whole by chunks",
+	{ "complete by chunks",
 	  { CHUNKED "5\r\nhello\r\n0\r\n\r\n" },
 	  SERVER_CLOSES,
 	  DL_RECV_COMPLETE,
 	  DL_FAILURE_NONE,
 	  "hello" },
-	{ "chunks in pieces",
+	{ "complete by chunks, in pieces",
 	  { CHUNKED, "5\r\nhello\r\n", "0\r\n\r\n" },
 	  SERVER_SILENT,
 	  DL_RECV_COMPLETE,
 	  DL_FAILURE_NONE,
 	  "hello" },
-	{ "end mark alone",
+	{ "last chunk in a separate write",
 	  { CHUNKED "5\r\nhello\r\n", "0\r\n\r\n" },
 	  SERVER_CLOSES,
 	  DL_RECV_COMPLETE,
@@ -82,7 +82,7 @@
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "hello" },
-	{ "closed within a chunk",
+	{ "closed inside a chunk",
 	  { CHUNKED, "9\r\nhello" },
 	  SERVER_CLOSES,
 	  DL_RECV_HEAD,
@@ -94,19 +94,19 @@
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "" },
-	{ "closed within the length",
+	{ "closed before the end of the body",
 	  { LENGTH "hel" },
 	  SERVER_CLOSES,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "hel" },
-	{ "reset within the length",
+	{ "reset before the end of the body",
 	  { LENGTH, "hel" },
 	  SERVER_RESETS,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "hel" },
-	{ "silent within the length",
+	{ "silent before the end of the body",
 	  { LENGTH, "hel" },
 	  SERVER_SILENT,
 	  DL_RECV_HEAD,
@@ -136,25 +136,25 @@
 	  DL_RECV_NOTHING,
 	  DL_FAILURE_RESET,
 	  "" },
-	{ "half a head",
+	{ "closed inside the head",
 	  { "HTTP/1.1 200 OK\r\nCont" },
 	  SERVER_CLOSES,
 	  DL_RECV_NOTHING,
 	  DL_FAILURE_RESET,
 	  "" },
-	{ "no answer at all",
+	{ "not an HTTP response",
 	  { "SSH-2.0-x\r\n\r\n" },
 	  SERVER_CLOSES,
 	  DL_RECV_NOTHING,
 	  DL_FAILURE_RESET,
 	  "" },
-	{ "no length told",
+	{ "no framing",
 	  { "HTTP/1.1 200 OK\r\n\r\nhello" },
 	  SERVER_CLOSES,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_BAD_RESPONSE,
 	  "hello" },
-	{ "not run, says the endpoint",
+	{ "endpoint reports that it did not run",
 	  { "HTTP/1.1 503 No\r\nDaisyledge-Not-Run: yes\r\n"
 	    "Content-Length: 0\r\n\r\n" },
 	  SERVER_CLOSES,
@@ -163,21 +163,21 @@
 	  "" },
 };
 
-/* Where an answer may end with its connection. */
+/* Calls that accept a close-delimited response. */
 static const struct response close_delimited_responses[] = {
-	{ "no length told, closed in order",
+	{ "no framing, orderly close",
 	  { "HTTP/1.1 200 OK\r\n\r\n", "hello" },
 	  SERVER_CLOSES,
 	  DL_RECV_COMPLETE,
 	  DL_FAILURE_NONE,
 	  "hello" },
-	{ "no length told, reset",
+	{ "no framing, reset",
 	  { "HTTP/1.1 200 OK\r\n\r\n", "hello" },
 	  SERVER_RESETS,
 	  DL_RECV_HEAD,
 	  DL_FAILURE_RESET,
 	  "hello" },
-	{ "closed within the length, where a close may end it",
+	{ "closed before the end of the body, close-delimited allowed",
 	  { LENGTH, "hel" },
 	  SERVER_CLOSES,
 	  DL_RECV_HEAD,
@@ -220,7 +220,7 @@
 	connected = 1;
 }
 
-/* One step of the script a tick, so that the pieces arrive apart. */
+/* Sends one write per tick, so that the pieces arrive separately. */
 static void on_tick(uv_timer_t *timer)
 {
 	const char *text;
@@ -316,7 +316,7 @@
 	run_call(client);
 	ck_assert_msg(result.received == response->received, "%s: received %d",
 		      response->name, result.received);
-	ck_assert_msg(result.failure == response->failure, "%s: broke %d",
+	ck_assert_msg(result.failure == response->failure, "%s: failure %d",
 		      response->name, result.failure);
 	ck_assert_msg(strcmp(body, response->body) == 0, "%s: body '%s'",
 		      response->name, body);
