--- a/test/test_peers.c
+++ b/test/test_peers.c
@@ -1,7 +1,8 @@
 /*
- * Connections between processes, on one loop: frames arrive whole, a restarted
- * process is not confused with its old self, a connection that has gone silent
- * is replaced, and bytes that are no frames end only their own connection.
+ * Connections between processes, all on one loop: frames of any size arrive
+ * intact, a restarted process replaces its previous incarnation, a silent
+ * connection is closed and reported, and invalid bytes close only the
+ * connection that they arrived on.
  */
 #include <arpa/inet.h>
 #include <check.h>
@@ -14,7 +15,7 @@
 
 #define VM(last, port)                                                         \
 	((uint64_t)(0x7f000000u | 0x4200 | (last)) << 16 | (port))
-#define ITERATIONS_MAX 2000 /* of about 10 ms: far more than any step needs */
+#define ITERATIONS_MAX 2000 /* of about 10 ms; far more than any wait needs */
 
 struct node {
 	struct dl_peers *peers;
@@ -62,7 +63,7 @@
 			 0);
 }
 
-/* Run the loop until a counter reaches a value, or fail. */
+/* Runs the loop until a counter reaches a value; fails if it does not. */
 static void run_until(const int *counter, int value)
 {
 	for (int i = 0; i < ITERATIONS_MAX && *counter < value; i++)
@@ -130,7 +131,7 @@
 }
 END_TEST
 
-/* A listener that accepts and never says a word. */
+/* Accepts a connection and never reads from or writes to it. */
 static void on_silent_accept(uv_stream_t *listener, int status)
 {
 	uv_tcp_t *tcp = calloc(1, sizeof(*tcp));
