--- a/test/tool_http.c
+++ b/test/tool_http.c
@@ -1,7 +1,8 @@
 /*
- * One HTTP request from the command line, for the test scripts.  Prints the
- * body, and with --head the head before it; exit status 0 where the status is
- * the one expected, 1 where it is another, 3 where no whole answer came.
+ * Sends one HTTP request, for the test scripts.  Prints the body, and with
+ * --head also the head.  Exit status: 0 if the response has the expected
+ * status, 1 if it has another, 2 for bad usage, 3 if the response is missing or
+ * incomplete.
  */
 #include <arpa/inet.h>
 #include <glib.h>
@@ -39,27 +40,28 @@
 } opt = { .method = "GET", .timeout_ms = 10000 };
 
 static const GOptionEntry options[] = {
-	{ "method", 'X', 0, G_OPTION_ARG_STRING, &opt.method, "method",
+	{ "method", 'X', 0, G_OPTION_ARG_STRING, &opt.method, "request method",
 	  "NAME" },
-	{ "header", 'H', 0, G_OPTION_ARG_STRING_ARRAY, &opt.headers, "header",
-	  "NAME:VALUE" },
-	{ "data", 'd', 0, G_OPTION_ARG_STRING, &opt.data, "body", "TEXT" },
-	{ "file", 'f', 0, G_OPTION_ARG_FILENAME, &opt.file, "body from",
-	  "FILE" },
+	{ "header", 'H', 0, G_OPTION_ARG_STRING_ARRAY, &opt.headers,
+	  "add a request header", "NAME:VALUE" },
+	{ "data", 'd', 0, G_OPTION_ARG_STRING, &opt.data, "request body",
+	  "TEXT" },
+	{ "file", 'f', 0, G_OPTION_ARG_FILENAME, &opt.file,
+	  "read the request body from", "FILE" },
 	{ "expect", 'e', 0, G_OPTION_ARG_INT, &opt.expect,
-	  "status expected; 0 for any of 200 to 299", "STATUS" },
-	{ "timeout", 't', 0, G_OPTION_ARG_INT, &opt.timeout_ms, "longest wait",
-	  "MS" },
+	  "expected status; 0 for any of 200 to 299", "STATUS" },
+	{ "timeout", 't', 0, G_OPTION_ARG_INT, &opt.timeout_ms,
+	  "response timeout", "MS" },
 	{ "stall", 0, 0, G_OPTION_ARG_INT, &opt.stall_ms,
-	  "read nothing for so long, then leave", "MS" },
+	  "read nothing for this long, then disconnect", "MS" },
 	{ "slow", 0, 0, G_OPTION_ARG_INT, &opt.slow_ms,
-	  "so long between the head and the body", "MS" },
+	  "delay between the head and the body", "MS" },
 	{ "key-file", 0, 0, G_OPTION_ARG_FILENAME, &opt.key_file,
 	  "sign with the key in this file", "FILE" },
 	{ "signed-ago", 0, 0, G_OPTION_ARG_INT, &opt.signed_ago,
-	  "as if it had been signed so long ago", "MS" },
-	{ "head", 'i', 0, G_OPTION_ARG_NONE, &opt.head, "print the head too",
-	  NULL },
+	  "set the time of the signature this far back", "MS" },
+	{ "head", 'i', 0, G_OPTION_ARG_NONE, &opt.head,
+	  "print the response head too", NULL },
 	{ NULL },
 };
 
@@ -85,7 +87,7 @@
 	((struct result *)arg)->end = end;
 }
 
-/* Split "NAME: VALUE" lines into headers; their number. */
+/* Splits "NAME: VALUE" options into headers; returns their number. */
 static int split_headers(struct fake_header *out)
 {
 	int n = 0;
@@ -104,7 +106,7 @@
 	return n;
 }
 
-/* Add the signature after n headers, where a key is given. */
+/* Adds a signature after n headers if a key is given; -1 on failure. */
 static int sign(const struct fake_call_req *req, struct fake_header *out, int n)
 {
 	static char signature[DL_SIGNATURE_MAX];
@@ -136,7 +138,7 @@
 	return fd >= 0 && write(fd, s, n) == (ssize_t)n;
 }
 
-/* Connect and send the head of the request; the socket, or -1. */
+/* Connects and sends the head of the request; returns the socket, or -1. */
 static int send_head(const struct fake_call_req *req)
 {
 	struct sockaddr_in to = { .sin_family = AF_INET };
@@ -162,7 +164,7 @@
 	return -1;
 }
 
-/* Send the request, read nothing, and leave: a caller that has hung. */
+/* Simulates a client that hangs: sends the request, never reads, closes. */
 static int send_without_reading(const struct fake_call_req *req)
 {
 	int fd = send_head(req);
@@ -175,7 +177,7 @@
 	return sent ? EXIT_EXPECTED : EXIT_NO_RESPONSE;
 }
 
-/* Send the body a while after the head, and read the answer to its end. */
+/* Sends the body after a delay, then reads the whole response. */
 static int send_slowly(const struct fake_call_req *req)
 {
 	int fd = send_head(req);
@@ -213,7 +215,9 @@
 	g_option_context_add_main_entries(ctx, options, NULL);
 	if (!g_option_context_parse(ctx, &argc, &argv, &err) || argc != 3 ||
 	    !dl_vm_parse(dl_str_of(argv[1]), &req.address)) {
-		fprintf(stderr, "http: %s\n", err ? err->message : "usage");
+		fprintf(stderr, "http: %s\n",
+			err ? err->message :
+			      "usage: tool_http [OPTION...] IP:PORT PATH");
 		return EXIT_BAD_USAGE;
 	}
 	g_option_context_free(ctx);
@@ -229,7 +233,7 @@
 		return EXIT_BAD_USAGE;
 	}
 	if (sign(&req, headers, n) < 0) {
-		fprintf(stderr, "http: the key file cannot be used\n");
+		fprintf(stderr, "http: cannot sign with the key file\n");
 		return EXIT_BAD_USAGE;
 	}
 	if (opt.stall_ms)
