--- a/test/tool_relay.c
+++ b/test/tool_relay.c
@@ -1,9 +1,9 @@
 /*
- * A TCP relay between two ends, which can cut, delay or go silent on command.
- * Commands are HTTP: POST /relay with {"forward":MODE,"back":MODE,
- * "delay_ms":N,"cut":true,"old_only":true}.  MODE is "pass" or "silent";
- * "old_only" lets connections made later pass, as where something between the
- * ends has lost track of the open ones.
+ * TCP relay that can close connections, delay data or drop it silently, for
+ * tests of network failures.  It is controlled by HTTP: POST /relay with
+ * {"forward":MODE,"back":MODE,"delay_ms":N,"cut":true,"old_only":true}.  MODE
+ * is "pass" or "silent".  With "old_only", new connections pass, as behind a
+ * stateful firewall or NAT that has lost its table of open connections.
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -26,11 +26,11 @@
 
 struct pair;
 
-/* One end of a connection through the relay. */
+/* One of the two sockets of a relayed connection. */
 struct side {
 	uv_tcp_t tcp;
 	struct pair *pair;
-	enum dir dir; /* of the bytes read here */
+	enum dir dir; /* direction of the bytes read here */
 	bool closed;
 	char in[CHUNK_MAX];
 };
@@ -43,7 +43,7 @@
 	int handles;
 };
 
-/* Bytes on their way to the other side. */
+/* Data to be sent to the other side after a delay. */
 struct chunk {
 	uv_write_t write;
 	uv_timer_t timer;
@@ -61,7 +61,7 @@
 	uint64_t listen;
 	uint64_t to;
 	uint64_t control;
-	bool silent[DIR_COUNT]; /* for connections made from now on */
+	bool silent[DIR_COUNT]; /* for new connections */
 	uint64_t delay_ms;
 	unsigned long long bytes_relayed;
 } relay;
@@ -73,12 +73,12 @@
 } opt;
 
 static const GOptionEntry options[] = {
-	{ "listen", 0, 0, G_OPTION_ARG_STRING, &opt.listen, "where to listen",
-	  "IP:PORT" },
-	{ "to", 0, 0, G_OPTION_ARG_STRING, &opt.to, "where to connect",
+	{ "listen", 0, 0, G_OPTION_ARG_STRING, &opt.listen,
+	  "address to listen on", "IP:PORT" },
+	{ "to", 0, 0, G_OPTION_ARG_STRING, &opt.to, "address to connect to",
 	  "IP:PORT" },
 	{ "control", 0, 0, G_OPTION_ARG_STRING, &opt.control,
-	  "where to take commands", "IP:PORT" },
+	  "address to accept commands on", "IP:PORT" },
 	{ NULL },
 };
 
@@ -148,7 +148,7 @@
 	uv_close((uv_handle_t *)&chunk->timer, on_chunk_closed);
 }
 
-/* Send a piece on, unless its way has gone silent meanwhile. */
+/* Forwards a chunk, unless its direction has become silent meanwhile. */
 static void on_chunk_due(uv_timer_t *timer)
 {
 	struct chunk *chunk = timer->data;
@@ -183,7 +183,7 @@
 	if (n == 0 || side->closed)
 		return;
 	if (n < 0) {
-		/* A silent way loses the end of the connection as well. */
+		/* A silent direction drops the end of the connection too. */
 		if (pair->silent[side->dir])
 			uv_read_stop(stream);
 		else
@@ -303,7 +303,7 @@
 	    !dl_vm_parse(dl_str_of(opt.listen), &relay.listen) ||
 	    !dl_vm_parse(dl_str_of(opt.to), &relay.to) ||
 	    !dl_vm_parse(dl_str_of(opt.control), &relay.control)) {
-		fprintf(stderr, "relay: bad options, try --help\n");
+		fprintf(stderr, "relay: invalid options; see --help\n");
 		return 2;
 	}
 	g_option_context_free(ctx);
@@ -317,7 +317,7 @@
 		rc = fake_server_open(relay.loop, relay.control, &ops, NULL,
 				      &relay.control_server);
 	if (rc < 0) {
-		fprintf(stderr, "relay: listen: %s\n", uv_strerror(rc));
+		fprintf(stderr, "relay: cannot listen: %s\n", uv_strerror(rc));
 		return 1;
 	}
 	return uv_run(relay.loop, UV_RUN_DEFAULT);
