--- a/test/tool_runner.c
+++ b/test/tool_runner.c
@@ -1,8 +1,8 @@
 /*
- * An emulated endpoint of the platform's protocol: announces itself to the
- * replicas' doors, streams events that may be resumed, refuses what names
- * another start of it, breaks on order, ends under requests that it is told of
- * and starts again, and records all that it ran.
+ * Emulated endpoint that speaks the platform's protocol.  It announces itself
+ * to the replicas, streams resumable events, rejects requests addressed to
+ * another instance, shows faults on command, crashes and restarts under
+ * selected requests, and records every execution.
  */
 #include <fcntl.h>
 #include <glib.h>
@@ -20,9 +20,9 @@
 #define TICK_MS		 10
 #define CALL_MS		 600
 #define CONTROLS_MAX	 8
-#define FAULT_EVENT	 3   /* the event at which a faulty one breaks off */
+#define FAULT_EVENT	 3   /* event at which a fault interrupts the stream */
 #define RESTART_DELAY_MS 700 /* from a crash to the next start */
-/* How many starts there were before this one; outlives a crash. */
+/* Number of crashes so far; the environment survives execv(). */
 #define CRASHES_ENV "RUNNER_CRASHES"
 
 static struct {
@@ -40,38 +40,47 @@
 };
 
 static const GOptionEntry options[] = {
-	{ "listen", 0, 0, G_OPTION_ARG_STRING, &opt.listen, "address", "A" },
-	{ "control", 0, 0, G_OPTION_ARG_STRING, &opt.control, "doors", "A,B" },
-	{ "service", 0, 0, G_OPTION_ARG_STRING, &opt.service, "name", "S" },
-	{ "instance", 0, 0, G_OPTION_ARG_STRING, &opt.instance, "id", "I" },
+	{ "listen", 0, 0, G_OPTION_ARG_STRING, &opt.listen,
+	  "address to listen on", "A" },
+	{ "control", 0, 0, G_OPTION_ARG_STRING, &opt.control,
+	  "replica addresses", "A,B" },
+	{ "service", 0, 0, G_OPTION_ARG_STRING, &opt.service, "service name",
+	  "S" },
+	{ "instance", 0, 0, G_OPTION_ARG_STRING, &opt.instance, "instance id",
+	  "I" },
 	{ "zone", 0, 0, G_OPTION_ARG_STRING, &opt.zone, "zone", "Z" },
-	{ "record", 0, 0, G_OPTION_ARG_FILENAME, &opt.record, "file", "F" },
-	{ "slots", 0, 0, G_OPTION_ARG_INT, &opt.slots, "at once", "N" },
-	{ "events", 0, 0, G_OPTION_ARG_INT, &opt.events, "a stream", "N" },
-	{ "event-ms", 0, 0, G_OPTION_ARG_INT, &opt.event_ms, "apart", "MS" },
-	{ "plain", 0, 0, G_OPTION_ARG_NONE, &opt.plain, "no streams", NULL },
+	{ "record", 0, 0, G_OPTION_ARG_FILENAME, &opt.record,
+	  "append each execution to", "F" },
+	{ "slots", 0, 0, G_OPTION_ARG_INT, &opt.slots,
+	  "concurrent requests to announce", "N" },
+	{ "events", 0, 0, G_OPTION_ARG_INT, &opt.events, "events per stream",
+	  "N" },
+	{ "event-ms", 0, 0, G_OPTION_ARG_INT, &opt.event_ms,
+	  "time between events", "MS" },
+	{ "plain", 0, 0, G_OPTION_ARG_NONE, &opt.plain,
+	  "reply without streaming", NULL },
 	{ "abrupt", 0, 0, G_OPTION_ARG_NONE, &opt.abrupt,
-	  "leaves without announcing it before", NULL },
+	  "leave without announcing it first", NULL },
 	{ "unheard", 0, 0, G_OPTION_ARG_NONE, &opt.unheard,
-	  "says in its answers alone that it leaves", NULL },
+	  "announce leaving in responses only", NULL },
 	{ "shed", 0, 0, G_OPTION_ARG_FILENAME, &opt.shed,
-	  "while F is there turn all away, with the Retry-After in it", "F" },
+	  "while F exists, reject all with the Retry-After in it", "F" },
 	{ "crash-on", 0, 0, G_OPTION_ARG_STRING, &opt.crash_on,
-	  "crash under a request whose path holds this", "TEXT" },
+	  "crash on a request whose path contains this", "TEXT" },
 	{ "limit", 0, 0, G_OPTION_ARG_STRING, &opt.limit,
-	  "requests a second that answers name", "N" },
+	  "requests per second to announce in responses", "N" },
 	{ "arrivals", 0, 0, G_OPTION_ARG_FILENAME, &opt.arrivals,
-	  "Unix ms, instance, attempt and what came of each request", "F" },
+	  "append time, instance, attempt and result of each request", "F" },
 	{ "fault", 0, 0, G_OPTION_ARG_STRING, &opt.fault,
 	  "none, cut, silent, not-run, error or foreign", "KIND" },
 	{ NULL },
 };
 
-/* A stream under way. */
+/* An open stream. */
 struct job {
 	struct fake_request *req;
 	char attempt[64];
-	int next; /* the event sent next */
+	int next; /* number of the next event */
 	int64_t at;
 };
 
@@ -79,15 +88,15 @@
 static GPtrArray *jobs;
 static char **controls;
 static guint next_control;
-static uint64_t heartbeat_address =
-	DL_VM_NONE; /* as told, until a call there fails */
+/* from the last reply, until a call there fails */
+static uint64_t heartbeat_address = DL_VM_NONE;
 static uint64_t sequence;
-static int64_t started_ms; /* when this start began, Unix ms */
+static int64_t started_ms; /* start time of this instance, Unix ms */
 static int record_fd = -1, arrivals_fd = -1;
 static bool leaving, deregistered;
 static int64_t next_heartbeat;
 
-/* A call failed: the next one goes elsewhere. */
+/* After a failed call, sends the next one to another replica. */
 static void try_next_control(void)
 {
 	heartbeat_address = DL_VM_NONE;
@@ -106,7 +115,7 @@
 		try_next_control();
 }
 
-/* The address after a name in a reply; DL_VM_NONE where there is none. */
+/* Reads the address for heartbeats from a reply, if it contains one. */
 static void on_call_body(void *arg, struct dl_str piece)
 {
 	static const char name[] = "\"heartbeat_addr\":\"";
@@ -161,7 +170,7 @@
 	return fake_request_header(req, name);
 }
 
-/* instance attempt path tenant last-event key, one line a run. */
+/* Writes one line: instance, attempt, path, tenant, last event id, API key. */
 static void record_execution(const struct fake_request *req)
 {
 	struct dl_str path = fake_request_path(req);
@@ -180,7 +189,7 @@
 		perror("record");
 }
 
-/* Refuse as not run; retry_after: "" for none. */
+/* Rejects a request as not executed; retry_after is "" for none. */
 static void refuse(struct fake_request *req, int status,
 		   const char *retry_after)
 {
@@ -197,7 +206,7 @@
 	fake_reply(req, status, headers, DL_STR(""));
 }
 
-/* What is to be named where requests are turned away now; false: they run. */
+/* Reports whether requests are rejected now, and with which Retry-After. */
 static bool is_shedding(char *retry_after, size_t size)
 {
 	FILE *f = opt.shed ? fopen(opt.shed, "r") : NULL;
@@ -212,7 +221,10 @@
 	return true;
 }
 
-/* End as by a crash: every socket closes, and the next start has a new name. */
+/*
+ * Simulates a crash and restart: execv() closes every socket, and the next
+ * instance gets a new id.
+ */
 static void crash(void)
 {
 	int crashes = opt.instance_crashes + 1;
@@ -233,7 +245,7 @@
 	       memmem(path.s, path.n, opt.crash_on, strlen(opt.crash_on));
 }
 
-/* A start after a crash: down for a while, then under another name. */
+/* After a crash, delays the start and derives the new instance id. */
 static void restart_after_crash(char **argv)
 {
 	const char *crashes = getenv(CRASHES_ENV);
@@ -247,7 +259,7 @@
 	g_usleep((gulong)RESTART_DELAY_MS * G_USEC_PER_SEC / 1000);
 }
 
-/* What the endpoint says of itself in its answers: that it leaves, a limit. */
+/* Header by which responses announce that the endpoint leaves, or its limit. */
 static const char *notice_name(void)
 {
 	if (leaving)
@@ -296,8 +308,8 @@
 }
 
 /*
- * When a request came, and what of it: Unix ms, instance, attempt, and "shed"
- * with a Retry-After, "leaving", or "taken".
+ * Records the arrival of a request: Unix ms, instance, attempt, and "shed" with
+ * the Retry-After, "leaving" or "taken".
  */
 static void record_arrival(const struct fake_request *req, const char *what)
 {
@@ -352,7 +364,7 @@
 static const struct fake_server_ops server_ops = { on_request,
 						   on_request_closed };
 
-/* One step of a stream; false where it has ended. */
+/* Sends the next event of a stream if due; false once the stream has ended. */
 static bool send_due_event(struct job *job, int64_t now)
 {
 	char event[64];
@@ -400,8 +412,9 @@
 }
 
 /*
- * SIGUSR1: leave, and say so; one that is abrupt does not announce that it
- * drains before, and serves on without another word.  SIGTERM: end.
+ * SIGUSR1 announces draining, and the second one deregisters the instance,
+ * which continues to serve without heartbeats; with --abrupt, the first one
+ * deregisters.  SIGTERM exits.
  */
 static void on_signal(uv_signal_t *handle, int signum)
 {
@@ -434,7 +447,7 @@
 	if (!g_option_context_parse(ctx, &argc, &argv, NULL) || !opt.listen ||
 	    !opt.control || !opt.service || !opt.instance ||
 	    !dl_vm_parse(dl_str_of(opt.listen), &address)) {
-		fprintf(stderr, "runner: usage: see --help\n");
+		fprintf(stderr, "runner: invalid options; see --help\n");
 		return 2;
 	}
 	g_option_context_free(ctx);
