--- a/test/tool_endpoint.c
+++ b/test/tool_endpoint.c
@@ -1,7 +1,7 @@
 /*
- * A fake endpoint: a model engine or a plain service with a model of time and
- * memory, faults on order, and a record of all that it ran.  Its protocol is
- * told by daisyledge-endpoint(7).
+ * Fake endpoint: a model engine or a plain service that simulates processing
+ * time and memory, shows faults on command and records every execution.  The
+ * protocol is described in daisyledge-endpoint(7).
  */
 #include <errno.h>
 #include <fcntl.h>
@@ -24,18 +24,18 @@
 #define ANNOUNCE_MS	   500
 #define ANNOUNCE_TRIES	   4
 #define CALL_MS		   400
-#define RESPONSE_KEEP_MS   5000 /* a whole answer is kept so long */
-#define DETACHED_RUN_MS	   2000 /* an unread one goes on so long */
-#define LEAVING_ACCEPT_MS  2000 /* new work is taken so long after leaving */
+#define RESPONSE_KEEP_MS   5000 /* how long a response is resumable */
+#define DETACHED_RUN_MS	   2000 /* how long to run without a client */
+#define LEAVING_ACCEPT_MS  2000 /* accept requests after leaving */
 #define LEAVING_MIN_MS	   2500
 #define CACHE_ENTRIES	   64
-#define EVENT_LOSS	   0.05 /* of cache events, as engines do */
+#define EVENT_LOSS	   0.05 /* of cache events, as real engines do */
 #define EVENTS_HELD	   256
 #define GROUP_MAX	   8
 #define HOLD_LEASE_MS	   2000
 #define HOLD_RENEW_MS	   600
 #define FAULT_AFTER_TOKENS 4
-#define PENDING_BYTES_MAX  (256u << 10) /* a slow reader holds up its stream */
+#define PENDING_BYTES_MAX  (256u << 10) /* unsent data per stream */
 #define CHUNK_MAX	   512
 #define PLAIN_ANSWER_MAX   128
 #define SSE_HEADERS	   3
@@ -67,7 +67,7 @@
 	[FAULT_MISREPORT_LOAD] = "lie-load",
 };
 
-/* One request, from its begin until its answer need not be kept. */
+/* One request, until its response is no longer kept for resumption. */
 struct job {
 	char *id;
 	char *key;
@@ -75,18 +75,18 @@
 	uint64_t hash;
 	uint64_t prefix;
 	struct fake_seq seq;
-	struct fake_request *reply; /* NULL while nobody reads */
+	struct fake_request *reply; /* NULL without a client */
 	bool plain;
 	bool stream;
-	bool ended; /* whole or given up: memory is free */
+	bool ended; /* completed or stopped; its memory is released */
 	bool complete;
-	bool silenced; /* a fault: write no more to this reply */
+	bool silenced; /* by a fault: nothing more is written */
 	bool head_sent;
-	uint64_t written;    /* tokens, to this reply */
-	int64_t until;	     /* plain: answer then; ended: forget then */
-	int64_t detached_at; /* when the reader left */
-	int holds_pending;   /* for holds of the group */
-	bool refused;	     /* by one of the group */
+	uint64_t written;    /* tokens written to this reply */
+	int64_t until;	     /* plain: reply time; ended: expiry */
+	int64_t detached_at; /* when the client disconnected */
+	int holds_pending;   /* members that have not answered a hold */
+	bool refused;	     /* by a member of the group */
 	int members;
 	uint64_t member[GROUP_MAX];
 	uint64_t share[GROUP_MAX];
@@ -98,7 +98,7 @@
 	int64_t until;
 };
 
-/* An answer to an announcement, or to an order among the group. */
+/* A call for an announcement or to a member of a group. */
 struct call {
 	GString *body;
 	struct job *job;
@@ -120,21 +120,21 @@
 	GQueue *cache_order;
 	json_t *events;
 	json_t *models;
-	char version[64], role[64]; /* as last ordered */
+	char version[64], role[64]; /* set by the last order */
 	GRand *rand;
 	uint64_t self;
-	uint64_t advertised; /* where callers reach it */
+	uint64_t advertised; /* address for clients */
 	uint64_t incarnation;
 	uint64_t fence;
 	GArray *entries;
 	enum fault fault;
-	int fault_times; /* -1: each time */
+	int fault_times; /* remaining triggers; -1: unlimited */
 	uint32_t running_plain;
 	int64_t leaving_at;
 	double last_step;
 	int record;
-	struct dl_key key; /* signs announcements; none: n is 0 */
-	bool announcing;   /* an announcement is under way */
+	struct dl_key key; /* signs announcements; n is 0 if unset */
+	bool announcing;   /* an announcement is in progress */
 } state;
 
 static struct {
@@ -174,43 +174,44 @@
 
 static const GOptionEntry options[] = {
 	{ "listen", 0, 0, G_OPTION_ARG_STRING, &opt.listen,
-	  "where to serve HTTP", "IP:PORT" },
+	  "address to serve HTTP on", "IP:PORT" },
 	{ "advertise", 0, 0, G_OPTION_ARG_STRING, &opt.advertise,
-	  "the address to announce, where it is another", "IP:PORT" },
+	  "address to announce, if different", "IP:PORT" },
 	{ "entries", 0, 0, G_OPTION_ARG_STRING, &opt.entries,
 	  "entries to announce to", "IP:PORT,..." },
 	{ "service", 0, 0, G_OPTION_ARG_STRING, &opt.service, "service name",
 	  "NAME" },
 	{ "domain", 0, 0, G_OPTION_ARG_STRING, &opt.domain, "failure domain",
 	  "NAME" },
-	{ "models", 0, 0, G_OPTION_ARG_STRING, &opt.models, "models loaded",
+	{ "models", 0, 0, G_OPTION_ARG_STRING, &opt.models, "loaded models",
 	  "NAME,..." },
 	{ "plain", 0, 0, G_OPTION_ARG_NONE, &opt.plain,
 	  "a plain service instead of an engine", NULL },
 	{ "memory", 0, 0, G_OPTION_ARG_INT, &opt.memory, "KV memory",
 	  "TOKENS" },
-	{ "slots", 0, 0, G_OPTION_ARG_INT, &opt.slots, "requests at once",
+	{ "slots", 0, 0, G_OPTION_ARG_INT, &opt.slots, "concurrent requests",
 	  "N" },
 	{ "prefill-rate", 0, 0, G_OPTION_ARG_INT, &opt.prefill_rate,
-	  "tokens a second", "N" },
+	  "tokens per second", "N" },
 	{ "decode-rate", 0, 0, G_OPTION_ARG_INT, &opt.decode_rate,
-	  "tokens a second of one stream", "N" },
+	  "tokens per second and stream", "N" },
 	{ "service-ms", 0, 0, G_OPTION_ARG_INT, &opt.service_ms,
-	  "time of a plain call", "MS" },
-	{ "slow", 0, 0, G_OPTION_ARG_DOUBLE, &opt.slow, "slower by", "FACTOR" },
+	  "duration of a plain request", "MS" },
+	{ "slow", 0, 0, G_OPTION_ARG_DOUBLE, &opt.slow, "slow down by",
+	  "FACTOR" },
 	{ "record", 0, 0, G_OPTION_ARG_STRING, &opt.record,
 	  "append each execution to", "FILE" },
 	{ "key-file", 0, 0, G_OPTION_ARG_FILENAME, &opt.key_file,
 	  "sign announcements with the key in", "FILE" },
-	{ "fault", 0, 0, G_OPTION_ARG_STRING, &opt.fault, "fault to show",
+	{ "fault", 0, 0, G_OPTION_ARG_STRING, &opt.fault, "fault to simulate",
 	  "NAME" },
 	{ "fault-times", 0, 0, G_OPTION_ARG_INT, &opt.fault_times,
-	  "so many times, -1 for always", "N" },
+	  "how often to simulate it; -1 for always", "N" },
 	{ "ignores-fencing", 0, 0, G_OPTION_ARG_NONE, &opt.ignores_fencing,
-	  "take orders with old fences", NULL },
+	  "accept orders with outdated fences", NULL },
 	{ "no-groups", 0, 0, G_OPTION_ARG_NONE, &opt.no_groups,
-	  "share no prompt with others", NULL },
-	{ "seed", 0, 0, G_OPTION_ARG_INT, &opt.seed, "seed", "N" },
+	  "do not join groups that share a prompt", NULL },
+	{ "seed", 0, 0, G_OPTION_ARG_INT, &opt.seed, "random seed", "N" },
 	{ NULL },
 };
 
@@ -227,13 +228,13 @@
 	return g_strndup(s.s, s.n);
 }
 
-/* The same as one word, for a line of the record. */
+/* Copies a string as one word, for a line of the record. */
 static char *dup_token(struct dl_str s)
 {
 	return g_strdelimit(dup_str(s), " \t\r\n", '_');
 }
 
-/* Write one line to the record, whole, as other endpoints share the file. */
+/* Appends a line to the record in one write; other endpoints share the file. */
 static void record(char kind, const struct job *job, const char *note)
 {
 	char line[512];
@@ -253,7 +254,7 @@
 		abort();
 }
 
-/* Whether the fault named strikes now; a counted fault is used up. */
+/* Reports whether a fault is due now, and counts it down. */
 static bool fault_triggers(enum fault fault)
 {
 	if (state.fault != fault || state.fault_times == 0)
@@ -278,7 +279,7 @@
 	{ NULL, NULL },
 };
 
-/* Come back in so many seconds: what a busy one names. */
+/* Rejection of a busy endpoint, with the time to retry after. */
 static const struct fake_header busy_headers[] = {
 	{ "Content-Type", "application/json" },
 	{ "Daisyledge-Not-Run", "yes" },
@@ -303,7 +304,7 @@
 	fake_reply(req, status, not_run_headers, dl_str_of(body));
 }
 
-/* Load and announcements. */
+/* Load reports and announcements. */
 
 static json_t *held_memory_json(void)
 {
@@ -419,7 +420,7 @@
 	uv_timer_start(&state.announce, on_announce_timer, (uint64_t)every, 0);
 }
 
-/* Add a signature to an announcement, where there is a key for it. */
+/* Signs an announcement if a key is set. */
 static void sign_announcement(struct fake_call_req *req,
 			      struct fake_header headers[3],
 			      char signature[DL_SIGNATURE_MAX])
@@ -432,7 +433,7 @@
 	req->headers = headers;
 }
 
-/* Say how things stand to one entry, as the balancer would choose it. */
+/* Announces the state to a random entry, as through a load balancer. */
 static void announce(int tries)
 {
 	static const struct fake_call_ops ops = { call_head, call_body,
@@ -468,7 +469,7 @@
 	json_decref(o);
 }
 
-/* The prefix cache: what was prefilled before costs nothing again. */
+/* Prefix cache: a cached prefix does not need prefilling again. */
 
 static void cache_event(uint64_t prefix, uint64_t tokens, bool evicted)
 {
@@ -548,7 +549,7 @@
 	g_free(path);
 }
 
-/* The end of the work, by whatever cause: memory is freed here only. */
+/* Ends a request for any reason; the only place that releases its memory. */
 static void job_end(struct job *job, const char *note)
 {
 	if (job->ended)
@@ -616,7 +617,7 @@
 	g_string_free(text, TRUE);
 }
 
-/* Faults that strike a stream as it is written. */
+/* Applies the faults that occur while a stream is written. */
 static void apply_stream_fault(struct job *job)
 {
 	if (job->written == 0 && fault_triggers(FAULT_DIE_FIRST))
@@ -636,7 +637,7 @@
 					"\n\ndata: \001{]]\n\n"));
 }
 
-/* Pass on the tokens that are ready. */
+/* Writes the tokens that are ready. */
 static void pump_stream(struct job *job)
 {
 	uint64_t ready = fake_seq_ready(&job->seq);
@@ -726,7 +727,7 @@
 	}
 }
 
-/* Leave when nothing runs and the word has had time to go round. */
+/* Exits once idle, after time for the announcement to reach all entries. */
 static void exit_if_drained(int64_t now)
 {
 	GHashTableIter it;
@@ -789,7 +790,7 @@
 	return job;
 }
 
-/* Refuse before the work began, and say so in the record. */
+/* Rejects a request before execution, and records that. */
 static void job_reject(struct job *job, const char *why)
 {
 	struct fake_request *req = job->reply;
@@ -856,7 +857,7 @@
 	job_register(job);
 }
 
-/* One of the group has answered the leader's call for memory. */
+/* A member of the group has answered the request to hold memory. */
 static void on_member_held(void *arg, enum fake_end end)
 {
 	struct call *c = arg;
@@ -903,7 +904,10 @@
 	json_decref(o);
 }
 
-/* Ask the others for their shares, or renew them; a lease outlives nobody. */
+/*
+ * Asks the members to hold their shares, or renews the holds.  Holds are
+ * leases, so that they expire if this endpoint dies.
+ */
 static void hold_members(struct job *job, bool renew)
 {
 	job->renew_at = now_ms() + HOLD_RENEW_MS;
@@ -913,7 +917,7 @@
 		hold_member(job, i, renew);
 }
 
-/* Read the other members of the group and the share that each one holds. */
+/* Reads the other members of the group; returns the sum of their shares. */
 static uint64_t read_group(struct job *job, const json_t *group)
 {
 	size_t n = json_array_size(group);
@@ -965,7 +969,7 @@
 		job->seq.prefilled = (double)job->seq.prompt_tokens - 1;
 }
 
-/* Go on with a stream that is kept, from a token on. */
+/* Resumes a stream that was kept, from a token offset. */
 static void serve_resume(struct fake_request *req, struct dl_str offset)
 {
 	struct dl_str id = fake_request_header(req, "daisyledge-request");
@@ -1131,7 +1135,7 @@
 		g_strlcpy(word, json_string_value(value), 64);
 }
 
-/* An order to load a model or change role: the highest fence wins. */
+/* Order to load a model or change role; an outdated fence is rejected. */
 static void serve_order(struct fake_request *req, const json_t *o)
 {
 	const json_t *fence = json_object_get(o, "fence");
@@ -1176,7 +1180,7 @@
 	return false;
 }
 
-/* The tests' own door: {"fault":NAME,"times":N,"slow":FACTOR}. */
+/* Control interface for tests: {"fault":NAME,"times":N,"slow":FACTOR}. */
 static void serve_fault(struct fake_request *req, const json_t *o)
 {
 	const json_t *times = json_object_get(o, "times");
@@ -1209,7 +1213,7 @@
 struct route {
 	const char *method;
 	const char *path;
-	bool json; /* the body is parsed first */
+	bool json; /* parse the body as JSON */
 	void (*serve)(struct fake_request *req, const json_t *body);
 };
 
@@ -1383,13 +1387,14 @@
 	g_option_context_free(ctx);
 	state.loop = uv_default_loop();
 	if (setup() < 0) {
-		fprintf(stderr, "endpoint: bad options, try --help\n");
+		fprintf(stderr, "endpoint: invalid options; see --help\n");
 		return 2;
 	}
 	rc = fake_server_open(state.loop, state.self, &ops, NULL,
 			      &state.server);
 	if (rc < 0) {
-		fprintf(stderr, "endpoint: listen: %s\n", uv_strerror(rc));
+		fprintf(stderr, "endpoint: cannot listen: %s\n",
+			uv_strerror(rc));
 		return 1;
 	}
 	uv_timer_init(state.loop, &state.step);
