--- a/test/tool_load.c
+++ b/test/tool_load.c
@@ -1,8 +1,8 @@
 /*
- * Load for entries, and the judge of what came of it.  Sends the classes of a
- * JSON file at their rates through random entries, as callers behind the
- * balancer would; checks each answer against the one that its prompt must
- * give; and compares what callers were told with what the fakes recorded.
+ * Load generator and checker.  Sends the request classes of a JSON file at
+ * their rates to random entries, as clients behind a load balancer do, compares
+ * each response with the expected one for its prompt, and checks the reported
+ * outcomes against the execution records of the fake endpoints.
  */
 #include <errno.h>
 #include <glib.h>
@@ -23,7 +23,7 @@
 #define READY_EVERY_MS	  300
 #define READY_MS	  500
 #define DEADLINE_SLACK_MS 250
-#define LATE_RESPONSE_MS  2500 /* a late answer is waited for so long */
+#define LATE_RESPONSE_MS  2500 /* wait for a response after its deadline */
 #define SETTLE_MS	  12000
 #define SETTLE_EVERY_MS	  250
 #define ENTRIES_MAX	  64
@@ -35,7 +35,7 @@
 struct class
 {
 	char *name;
-	char *service; /* plain: the path starts with it */
+	char *service; /* plain: first part of the path */
 	char *path;
 	char *model;
 	char *label; /* Daisyledge-Class */
@@ -43,7 +43,7 @@
 	bool stream;
 	bool idempotent;
 	bool key;
-	double rate; /* a second */
+	double rate; /* per second */
 	uint64_t tokens_min;
 	uint64_t tokens_max;
 	uint64_t max_tokens;
@@ -57,21 +57,21 @@
 	bool checking;
 };
 
-/* One request under way; its result outlives it. */
+/* A request in flight; its result is kept after it ends. */
 struct request {
 	struct class *class;
 	struct verdict_result *r;
 	struct fake_call *call;
 	struct entry *entry;
 	GString *body;
-	GString *text; /* of the answer */
-	GString *line; /* of the event stream */
+	GString *text; /* text of the response */
+	GString *line; /* current line of the event stream */
 	bool sse;
 	bool done_seen;
 	int status;
 	int64_t ends_at;
 	char outcome[16];
-	char event[16]; /* the outcome that an event gave */
+	char event[16]; /* outcome reported by an event */
 	char reason[64];
 	char event_name[32];
 	char path[PATH_SIZE];
@@ -121,27 +121,28 @@
 	{ "classes", 0, 0, G_OPTION_ARG_FILENAME, &opt.classes,
 	  "classes and workspaces", "FILE" },
 	{ "seconds", 0, 0, G_OPTION_ARG_DOUBLE, &opt.seconds,
-	  "how long to offer load", "S" },
-	{ "rate", 0, 0, G_OPTION_ARG_DOUBLE, &opt.rate, "times the rates",
+	  "duration of the load", "S" },
+	{ "rate", 0, 0, G_OPTION_ARG_DOUBLE, &opt.rate, "multiply the rates by",
 	  "FACTOR" },
-	{ "seed", 0, 0, G_OPTION_ARG_INT, &opt.seed, "seed", "N" },
+	{ "seed", 0, 0, G_OPTION_ARG_INT, &opt.seed, "random seed", "N" },
 	{ "in-flight", 0, 0, G_OPTION_ARG_INT, &opt.in_flight_max,
-	  "most requests at once", "N" },
+	  "limit on concurrent requests", "N" },
 	{ "away", 0, 0, G_OPTION_ARG_FILENAME, &opt.away,
-	  "when entries were killed or frozen, and back", "FILE" },
+	  "times when entries were killed, frozen and restored", "FILE" },
 	{ "endpoints", 0, 0, G_OPTION_ARG_STRING, &opt.endpoints,
-	  "endpoints whose memory must come back", "IP:PORT,..." },
+	  "endpoints that must release all memory", "IP:PORT,..." },
 	{ "check", 0, 0, G_OPTION_ARG_FILENAME_ARRAY, &opt.check,
-	  "compare with these records", "FILE" },
-	{ "out", 0, 0, G_OPTION_ARG_FILENAME, &opt.out, "a line a result to",
-	  "FILE" },
+	  "check against this execution record", "FILE" },
+	{ "out", 0, 0, G_OPTION_ARG_FILENAME, &opt.out,
+	  "write one line per result to", "FILE" },
 	{ "promises", 0, 0, G_OPTION_ARG_NONE, &opt.promises,
-	  "print a line a promise", NULL },
+	  "print one line per promise", NULL },
 	{ "done-min", 0, 0, G_OPTION_ARG_INT, &opt.done_min,
-	  "fail where fewer in a thousand are done", "PERMILLE" },
+	  "fail if fewer requests per thousand are done", "PERMILLE" },
 	{ "direct", 0, 0, G_OPTION_ARG_NONE, &opt.direct,
-	  "the entries are endpoints, which tell no outcome", NULL },
-	{ "quiet", 0, 0, G_OPTION_ARG_NONE, &opt.quiet, "no table", NULL },
+	  "the entries are endpoints, which report no outcome", NULL },
+	{ "quiet", 0, 0, G_OPTION_ARG_NONE, &opt.quiet,
+	  "do not print the table", NULL },
 	{ NULL },
 };
 
@@ -236,7 +237,7 @@
 	return gen.entries_count ? 0 : -EINVAL;
 }
 
-/* The balancer's part: which entries say that they are ready. */
+/* Readiness of the entries, as a load balancer checks it. */
 
 static void on_ready_head(void *arg, int status, struct dl_str head)
 {
@@ -287,9 +288,9 @@
 	return ready[g_rand_int_range(gen.rand, 0, n)];
 }
 
-/* Making a request. */
+/* Building requests. */
 
-/* Words enough for any prompt; a prompt takes its part of them. */
+/* Extends the text that prompts are cut from. */
 static void extend_filler(uint64_t bytes)
 {
 	while (gen.filler->len < bytes)
@@ -297,8 +298,10 @@
 				fake_answer_token(7, gen.filler->len));
 }
 
-/* The start is the workspace's own, so that it may be cached; the rest
- * is this request's alone. */
+/*
+ * Writes a prompt whose start is the same for all requests of a workspace, so
+ * that it can be cached, and whose rest is unique.
+ */
 static void write_prompt(GString *s, const char *workspace, uint64_t tokens)
 {
 	uint64_t bytes = tokens * FAKE_TOKEN_BYTES;
@@ -322,7 +325,7 @@
 	double u = g_rand_double(gen.rand);
 	double span = (double)c->tokens_max - (double)c->tokens_min;
 
-	/* Skewed to the short end, as archives are. */
+	/* Skewed towards short prompts, like recorded workloads. */
 	return c->tokens_min + (uint64_t)(span * u * u);
 }
 
@@ -396,7 +399,7 @@
 	send_request(f);
 }
 
-/* Reading an answer. */
+/* Reading responses. */
 
 static void on_head(void *arg, int status, struct dl_str head)
 {
@@ -483,7 +486,7 @@
 	}
 }
 
-/* Whether the text is the answer to this prompt, the whole of it. */
+/* Reports whether the text is the complete expected answer. */
 static bool is_expected_answer(struct request *f)
 {
 	const struct class *c = f->class;
@@ -521,7 +524,7 @@
 	g_free(f);
 }
 
-/* What the caller was told, or that it was told nothing. */
+/* Determines the outcome reported to the client, if any. */
 static void check_response(struct request *f, enum fake_end end)
 {
 	struct verdict_result *r = f->r;
@@ -560,7 +563,10 @@
 	f->outcome[0] = f->event[0] = f->reason[0] = '\0';
 }
 
-/* A caller with a key that was told nothing sends again through another. */
+/*
+ * Resends through another entry if the entry could not be connected to, or if a
+ * request with an idempotency key got no outcome.
+ */
 static bool resend(struct request *f, enum fake_end end)
 {
 	double remaining_ms = f->r->start + f->r->deadline_ms - monotonic_ms();
@@ -625,7 +631,7 @@
 	fake_call_start(gen.loop, &req, &ops, f);
 }
 
-/* The open loop: arrivals do not wait for answers. */
+/* Open-loop load: new requests do not wait for earlier responses. */
 static void on_tick(uv_timer_t *timer)
 {
 	double now = monotonic_ms();
@@ -667,7 +673,7 @@
 	uv_run(gen.loop, UV_RUN_DEFAULT);
 }
 
-/* After the run: the memory of the engines. */
+/* Memory of the engines after the run. */
 
 struct load_query {
 	GString *body;
@@ -695,7 +701,7 @@
 	g_free(query);
 }
 
-/* The memory held by the endpoints that answer, and how many those are. */
+/* Returns the memory in use at the endpoints that respond, and their number. */
 static uint64_t used_memory(char **endpoints, guint *alive)
 {
 	static const struct fake_call_ops ops = { NULL, on_load_body,
@@ -772,7 +778,7 @@
 	return fclose(f) == 0 ? 0 : -errno;
 }
 
-/* Whether enough was done, so that a run of refusals is no pass. */
+/* Checks --done-min, so that a run of rejections does not pass. */
 static bool enough_done(void)
 {
 	guint done = 0;
@@ -785,8 +791,9 @@
 	}
 	if (done * 1000ull >= gen.results->len * (guint64)opt.done_min)
 		return true;
-	fprintf(stderr, "load: %u of %u done, %d in a thousand wanted\n", done,
-		gen.results->len, opt.done_min);
+	fprintf(stderr,
+		"load: %u of %u requests done, at least %d per thousand required\n",
+		done, gen.results->len, opt.done_min);
 	return false;
 }
 
@@ -828,19 +835,19 @@
 	gen.results = g_ptr_array_new_with_free_func(g_free);
 	gen.filler = g_string_new(NULL);
 	if (read_classes() < 0 || read_entries() < 0) {
-		fprintf(stderr, "load: bad options, try --help\n");
+		fprintf(stderr, "load: invalid options; see --help\n");
 		return 2;
 	}
 	run();
 	wait_for_memory_release(&v);
 	for (char **p = opt.check; p && *p; p++) {
 		if (verdict_read_execution_log(&v, *p) < 0) {
-			fprintf(stderr, "load: %s: unreadable\n", *p);
+			fprintf(stderr, "load: cannot read %s\n", *p);
 			return 2;
 		}
 	}
 	if (opt.away && verdict_read_outages(&v, opt.away) < 0) {
-		fprintf(stderr, "load: %s: unreadable\n", opt.away);
+		fprintf(stderr, "load: cannot read %s\n", opt.away);
 		return 2;
 	}
 	verdict_check(&v, gen.results);
