--- a/test/tool_badinput.c
+++ b/test/tool_badinput.c
@@ -1,7 +1,7 @@
 /*
- * Bad input at the doors of one entry: each case sends bytes as no decent
- * caller would and looks at the status that comes back.  Exit status 0 only
- * if each got one that is allowed and the entry is healthy afterwards.
+ * Sends malformed, oversized, slow and incomplete input to the HTTP and peer
+ * ports of one entry and checks the status of each response.  Exit status 0
+ * only if every status is allowed and the entry is healthy afterwards.
  *
  *   tool_badinput HTTP-ADDRESS PEER-ADDRESS MODEL PLAIN-SERVICE
  */
@@ -18,7 +18,7 @@
 #include "daisyledge/base.h"
 
 #define RESPONSE_MS   8000
-#define STALL_MAX_MS  20000 /* an unfinished head must be closed by then */
+#define STALL_MAX_MS  20000 /* deadline for closing an incomplete head */
 #define STALLED_CONNS 8
 #define PIECE_BYTES   65536
 #define HUGE_BODY     (100ul << 20)
@@ -27,27 +27,27 @@
 #define STATUSES_MAX  4
 #define SLOW_STEP_MS  20
 #define GARBAGE_BYTES 4096
-#define CLOSED	      (-1) /* in place of a status */
+#define CLOSED	      (-1) /* the connection was closed without a status */
 #define TIMED_OUT     (-2)
 
-/* What a case does beside sending its text. */
+/* How a case sends its request text, and what it sends after it. */
 enum send_mode {
 	SEND_PLAIN,
-	SEND_HALF_CLOSE,   /* no more is sent after the text */
-	SEND_SLOW,	   /* a byte at a time */
+	SEND_HALF_CLOSE,   /* shut down sending after the text */
+	SEND_SLOW,	   /* one byte at a time */
 	SEND_BODY_HUGE,	   /* the text, then 100 MB */
-	SEND_HEADERS_HUGE, /* the text, then headers without end */
-	SEND_CHUNKS_HUGE,  /* the text, then chunks without end */
+	SEND_HEADERS_HUGE, /* the text, then endless headers */
+	SEND_CHUNKS_HUGE,  /* the text, then endless chunks */
 };
 
 struct bad_case {
 	const char *name;
 	const char *method;
 	const char *path;
-	const char *headers; /* lines, each ended by CR LF */
+	const char *headers; /* lines, each terminated by CR LF */
 	const char *body;
 	enum send_mode mode;
-	int allowed[STATUSES_MAX]; /* ended by 0 */
+	int allowed[STATUSES_MAX]; /* terminated by 0 */
 };
 
 static const char *model;
@@ -56,50 +56,50 @@
 static uint64_t peer_address;
 static int failures;
 
-/* %M and %P in paths and bodies are the model and the plain service. */
+/* In paths and bodies, %M is the model and %P the plain service. */
 static const struct bad_case cases[] = {
 	{ "unknown path", "GET", "/nowhere", "", NULL, 0, { 404 } },
 	{ "unknown service", "GET", "/s/nobody/x", "", NULL, 0, { 404 } },
 	{ "wrong method", "GET", "/v1/completions", "", NULL, 0, { 405 } },
 	{ "wrong method on health", "POST", "/healthz", "", "", 0, { 405 } },
-	{ "cut JSON",
+	{ "truncated JSON",
 	  "POST",
 	  "/v1/completions",
 	  "",
 	  "{\"model\":\"%M\",\"prompt\":\"a",
 	  0,
 	  { 400 } },
-	{ "no JSON", "POST", "/v1/completions", "", "hello", 0, { 400 } },
+	{ "not JSON", "POST", "/v1/completions", "", "hello", 0, { 400 } },
 	{ "empty body", "POST", "/v1/completions", "", "", 0, { 400 } },
-	{ "JSON of another shape",
+	{ "JSON array instead of an object",
 	  "POST",
 	  "/v1/completions",
 	  "",
 	  "[1,2]",
 	  0,
 	  { 400 } },
-	{ "no prompt",
+	{ "missing prompt",
 	  "POST",
 	  "/v1/completions",
 	  "",
 	  "{\"model\":\"%M\"}",
 	  0,
 	  { 400 } },
-	{ "prompt a number",
+	{ "prompt is a number",
 	  "POST",
 	  "/v1/completions",
 	  "",
 	  "{\"model\":\"%M\",\"prompt\":7}",
 	  0,
 	  { 400 } },
-	{ "prompt null",
+	{ "prompt is null",
 	  "POST",
 	  "/v1/completions",
 	  "",
 	  "{\"model\":\"%M\",\"prompt\":null}",
 	  0,
 	  { 400 } },
-	{ "model a number",
+	{ "model is a number",
 	  "POST",
 	  "/v1/completions",
 	  "",
@@ -113,21 +113,21 @@
 	  "{\"model\":\"nobody\",\"prompt\":\"a\"}",
 	  0,
 	  { 400, 404 } },
-	{ "max_tokens text",
+	{ "max_tokens is a string",
 	  "POST",
 	  "/v1/completions",
 	  "",
 	  "{\"model\":\"%M\",\"prompt\":\"a\",\"max_tokens\":\"5\"}",
 	  0,
 	  { 400 } },
-	{ "max_tokens negative",
+	{ "max_tokens is negative",
 	  "POST",
 	  "/v1/completions",
 	  "",
 	  "{\"model\":\"%M\",\"prompt\":\"a\",\"max_tokens\":-5}",
 	  0,
 	  { 400 } },
-	{ "max_tokens enormous",
+	{ "max_tokens is the largest integer",
 	  "POST",
 	  "/v1/completions",
 	  "",
@@ -135,14 +135,14 @@
 	  "\"max_tokens\":9223372036854775807}",
 	  0,
 	  { 400, 429, 503 } },
-	{ "stream a text",
+	{ "stream is a string",
 	  "POST",
 	  "/v1/completions",
 	  "",
 	  "{\"model\":\"%M\",\"prompt\":\"a\",\"stream\":\"yes\"}",
 	  0,
 	  { 400 } },
-	{ "broken UTF-8",
+	{ "invalid UTF-8",
 	  "POST",
 	  "/v1/completions",
 	  "",
@@ -163,21 +163,21 @@
 	  "{\"model\":\"%M\\u0000\",\"prompt\":\"a\"}",
 	  0,
 	  { 400, 404 } },
-	{ "deadline no number",
+	{ "deadline is not a number",
 	  "POST",
 	  "/v1/completions",
 	  "Daisyledge-Deadline-Ms: soon\r\n",
 	  "{\"model\":\"%M\",\"prompt\":\"a\"}",
 	  0,
 	  { 400 } },
-	{ "deadline negative",
+	{ "deadline is negative",
 	  "POST",
 	  "/v1/completions",
 	  "Daisyledge-Deadline-Ms: -1\r\n",
 	  "{\"model\":\"%M\",\"prompt\":\"a\"}",
 	  0,
 	  { 400 } },
-	{ "deadline past all numbers",
+	{ "deadline is out of range",
 	  "POST",
 	  "/v1/completions",
 	  "Daisyledge-Deadline-Ms: 99999999999999999999999\r\n",
@@ -191,14 +191,14 @@
 	  "{\"model\":\"%M\",\"prompt\":\"a\",\"max_tokens\":1}",
 	  0,
 	  { 400 } },
-	{ "idempotent neither yes nor no",
+	{ "idempotent is neither yes nor no",
 	  "POST",
 	  "/v1/completions",
 	  "Daisyledge-Idempotent: perhaps\r\n",
 	  "{\"model\":\"%M\",\"prompt\":\"a\",\"max_tokens\":1}",
 	  0,
 	  { 400 } },
-	{ "announcement of another shape",
+	{ "announcement with a wrong type",
 	  "POST",
 	  "/v1/endpoints",
 	  "",
@@ -234,14 +234,14 @@
 	  "",
 	  SEND_BODY_HUGE,
 	  { 413, CLOSED } },
-	{ "chunks without end",
+	{ "endless chunks",
 	  "POST",
 	  "/v1/completions",
 	  "",
 	  NULL,
 	  SEND_CHUNKS_HUGE,
 	  { 413, CLOSED } },
-	{ "headers without end",
+	{ "endless headers",
 	  "GET",
 	  "/healthz",
 	  "",
@@ -256,7 +256,7 @@
 	  NULL,
 	  SEND_HALF_CLOSE,
 	  { 200, CLOSED } },
-	{ "half a body, then closed",
+	{ "half-closed inside a body",
 	  "POST",
 	  "/v1/completions",
 	  "Content-Length: 1000\r\n",
@@ -281,7 +281,7 @@
 	return fd;
 }
 
-/* Send all; false where the other end has closed. */
+/* Sends all bytes; false if the peer has closed the connection. */
 static bool send_all(int fd, const char *s, size_t n)
 {
 	while (n > 0) {
@@ -297,7 +297,7 @@
 	return true;
 }
 
-/* The status of the answer, CLOSED, or TIMED_OUT. */
+/* Returns the status of the response, CLOSED or TIMED_OUT. */
 static int read_status(int fd, int ms)
 {
 	char head[64] = "";
@@ -338,7 +338,7 @@
 	}
 }
 
-/* Repeat a piece until so many bytes are sent or the other end closes. */
+/* Repeats a piece until total bytes are sent or the peer closes. */
 static void send_repeated(int fd, const char *piece, size_t n, size_t total)
 {
 	for (size_t sent = 0; sent < total; sent += n) {
@@ -347,7 +347,7 @@
 	}
 }
 
-/* Chunks of a body, without a last one. */
+/* Sends chunks of a body without the last chunk. */
 static void send_chunks(int fd, const char *fill)
 {
 	GString *chunk = g_string_new(NULL);
@@ -407,7 +407,7 @@
 			return;
 	}
 	failures++;
-	printf("bad input \"%s\" got %d (-1: closed, -2: no answer)\n", name,
+	printf("bad input \"%s\" got %d (-1: closed, -2: no response)\n", name,
 	       status);
 }
 
@@ -422,7 +422,7 @@
 	g_string_free(text, TRUE);
 }
 
-/* JSON nested past all reason must not exhaust a stack. */
+/* Deeply nested JSON must not overflow the stack of the parser. */
 static void run_nesting(void)
 {
 	static const int allowed[STATUSES_MAX] = { 400 };
@@ -441,7 +441,7 @@
 	g_string_free(s, TRUE);
 }
 
-/* A byte of zero, raw, in the body, in a header and in the path. */
+/* Sends raw NUL bytes in the body, in a header and in the path. */
 static void run_raw_nul(void)
 {
 	static const char body[] =
@@ -478,7 +478,7 @@
 	}
 }
 
-/* Garbage at both doors: whatever comes back, the process must live on. */
+/* Sends random bytes to both ports; any response will do, but no crash. */
 static void run_garbage(void)
 {
 	static const unsigned char long_frame[] = { 0xff, 0xff, 0xff,
@@ -501,13 +501,16 @@
 	send_all(fd, (const char *)long_frame, sizeof(long_frame));
 	if (read_status(fd, RESPONSE_MS) == TIMED_OUT) {
 		failures++;
-		printf("a frame past all bounds is waited for\n");
+		printf("connection with an oversized frame was not closed\n");
 	}
 	close(fd);
 	g_rand_free(rand);
 }
 
-/* Heads that never end are closed in the end; others are served meanwhile. */
+/*
+ * Opens connections with incomplete request heads.  They must be closed after a
+ * timeout and must not keep other requests from being served.
+ */
 static void open_stalled(int *fds)
 {
 	static const char head[] = "POST /v1/completions HTTP/1.1\r\nHos";
@@ -523,7 +526,7 @@
 	static const int allowed[STATUSES_MAX] = { CLOSED, 400, 408 };
 
 	for (int i = 0; i < STALLED_CONNS; i++) {
-		check_status("a head never finished",
+		check_status("incomplete head",
 			     read_status(fds[i], STALL_MAX_MS), allowed);
 		close(fds[i]);
 	}
