--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -48,7 +48,7 @@
 
 static const struct dl_httpd_ops httpd_ops = {
 	.request = entry_http_request,
-	.gone = on_gone,
+	.aborted = on_gone,
 	.drained = on_drained,
 };
 
@@ -73,10 +73,10 @@
 
 	entry_reach_heard(e, from);
 	switch (frame->kind) {
-	case DL_FRAME_ANSWER:
+	case DL_FRAME_GRANT_REPLY:
 		on_answer(e, from, frame);
 		return;
-	case DL_FRAME_RENEW_GONE:
+	case DL_FRAME_RENEW_UNKNOWN:
 		entry_renew_gone(e, from, frame->body);
 		return;
 	case DL_FRAME_CMD_REPLY:
@@ -193,7 +193,7 @@
 	if (!again)
 		e->stop_at = entry_now(e);
 	for (uint32_t i = 0; i < e->listeners_count; i++)
-		dl_httpd_last_answers(e->listeners[i].httpd);
+		dl_httpd_close_after_responses(e->listeners[i].httpd);
 	dl_memb_update_self(e->node.memb, true, e->version, entry_now(e));
 	if (again)
 		entry_calls_abort(e);
--- a/src/transport/peers.c
+++ b/src/transport/peers.c
@@ -1,7 +1,8 @@
 /*
- * Connections between the system's processes.  Each process sends on the
- * connections that it opened and only listens on those it accepted, so no two
- * ends ever have to agree on which of two crossed connections to keep.
+ * Connections between the processes of the system.  A process sends frames only
+ * on connections that it opened and receives them only on connections that it
+ * accepted, so two ends that connect to each other at the same time never have
+ * to agree on which connection to keep.
  */
 #include "transport/peers.h"
 
@@ -16,32 +17,32 @@
 #include "base/msg.h"
 #include "base/sound.h"
 
-#define LENGTH_BYTES   4
-#define FRAME_ITEMS    4
-#define FRAME_OVERHEAD 64
-#define READ_FIRST     4096
-#define LISTEN_BACKLOG 512
-#define POST_BODY_MAX  1200
-#define PORT_BITS      16
-#define PORT_MASK      0xffff
+#define LENGTH_BYTES	  4
+#define FRAME_ITEMS	  4
+#define FRAME_OVERHEAD	  64
+#define READ_BUF_INITIAL  4096
+#define LISTEN_BACKLOG	  512
+#define DATAGRAM_BODY_MAX 1200
+#define PORT_BITS	  16
+#define PORT_MASK	  0xffff
 
 struct conn {
-	uv_tcp_t tcp; /* first, so that a handle is its connection */
+	uv_tcp_t tcp; /* must be first: handles are cast to struct conn */
 	uv_connect_t connecting;
 	struct dl_peers *peers;
 	struct conn *next;
-	uint64_t vm;	      /* 0 on an accepted one before its hello */
-	uint64_t incarnation; /* theirs, from the hello */
+	uint64_t vm; /* DL_VM_NONE on an accepted one before its hello */
+	uint64_t incarnation; /* the peer's, from its hello */
 	bool outgoing;
 	bool connected;
 	bool closing;
-	int64_t last_in;  /* any byte read */
-	int64_t tried_at; /* when this connection was begun */
+	int64_t last_read;	 /* time of the last byte read */
+	int64_t connect_started; /* time of the connect() */
 	int64_t last_ping;
-	int64_t last_frame;    /* a frame of the owner's, either way */
-	size_t queued;	       /* bytes not yet written */
-	struct write *waiting; /* until connected, oldest first */
-	struct write **waiting_end;
+	int64_t last_frame; /* last frame of the owner, in either direction */
+	size_t queued;	    /* bytes not yet written */
+	struct write *pending; /* held until connected, oldest first */
+	struct write **pending_tail;
 	char *buf;
 	size_t filled, size;
 };
@@ -63,9 +64,9 @@
 	uv_udp_t udp;
 	uv_timer_t timer;
 	struct conn *conns;
-	uint64_t cut[DL_PEERS_CUT_MAX];
-	uint32_t cut_count;
-	unsigned handles; /* not yet closed */
+	uint64_t blocked[DL_PEERS_BLOCKED_MAX];
+	uint32_t blocked_count;
+	unsigned handles; /* open handles */
 	bool closing;
 	char datagram[65536];
 };
@@ -77,25 +78,25 @@
 			const struct sockaddr *from, unsigned flags);
 static void on_timer(uv_timer_t *timer);
 
-/* Heartbeats and bounds that fit VMs a millisecond apart. */
+/* Sets the default timeouts, for VMs with a round trip of about 1 ms. */
 void dl_peers_defaults(struct dl_peers_conf *conf)
 {
 	memset(conf, 0, sizeof(*conf));
 	conf->heartbeat_ms = 500;
-	/* Three lost heartbeats; shorter would take a busy loop for a cut. */
+	/* Three lost heartbeats; less would take a busy loop for a failure. */
 	conf->silent_ms = 2000;
 	conf->idle_close_ms = 30000;
 	/*
-	 * Some round trips between regions.  A lost opening packet is sent
-	 * again by the system after 1, 3 and 7 s: after a cut of 5.5 s had
-	 * healed, VMs found each other again 0.4 to 1.2 s later.
+	 * A few round trips between regions.  The kernel resends a lost SYN
+	 * only after 1, 3 and 7 s, which delayed reconnection by 0.4 to 1.2 s
+	 * after a partition of 5.5 s had healed.
 	 */
 	conf->connect_ms = 250;
-	/* A snapshot fits; a peer that reads nothing cannot fill the memory. */
+	/* Fits a snapshot; bounds the memory for a peer that does not read. */
 	conf->queue_bytes_max = 80u << 20;
 }
 
-static int64_t loop_now(const struct dl_peers *peers)
+static int64_t peers_now(const struct dl_peers *peers)
 {
 	return (int64_t)uv_now(peers->loop);
 }
@@ -124,7 +125,7 @@
 		free(peers);
 }
 
-static void on_own_closed(uv_handle_t *handle)
+static void on_handle_closed(uv_handle_t *handle)
 {
 	handle_closed(handle->data);
 }
@@ -135,8 +136,8 @@
 	struct dl_peers *peers = c->peers;
 	struct write *w;
 
-	while ((w = c->waiting)) {
-		c->waiting = w->next;
+	while ((w = c->pending)) {
+		c->pending = w->next;
 		free(w);
 	}
 	free(c->buf);
@@ -144,7 +145,10 @@
 	handle_closed(peers);
 }
 
-/* Close a connection; the owner hears of it only if it carried our frames. */
+/*
+ * Closes a connection.  Calls down() if this process opened it and why is an
+ * error.
+ */
 static void conn_close(struct conn *c, int why)
 {
 	struct dl_peers *peers = c->peers;
@@ -177,11 +181,11 @@
 	uv_tcp_init(peers->loop, &c->tcp);
 	peers->handles++;
 	c->peers = peers;
-	c->waiting_end = &c->waiting;
-	c->last_in = loop_now(peers);
-	c->tried_at = c->last_in;
-	c->last_ping = c->last_in;
-	c->last_frame = c->last_in;
+	c->pending_tail = &c->pending;
+	c->last_read = peers_now(peers);
+	c->connect_started = c->last_read;
+	c->last_ping = c->last_read;
+	c->last_frame = c->last_read;
 	c->next = peers->conns;
 	peers->conns = c;
 	return c;
@@ -197,29 +201,31 @@
 	free(w);
 }
 
-/* Nothing passes to or from a VM that is cut off for a test. */
-static bool is_cut(const struct dl_peers *peers, uint64_t vm)
+/* Reports whether traffic to and from a VM is dropped, for a test. */
+static bool is_blocked(const struct dl_peers *peers, uint64_t vm)
 {
-	for (uint32_t i = 0; i < peers->cut_count; i++) {
-		if (peers->cut[i] == vm)
+	for (uint32_t i = 0; i < peers->blocked_count; i++) {
+		if (peers->blocked[i] == vm)
 			return true;
 	}
 	return false;
 }
 
-/* Cut these off, and nobody else. */
-void dl_peers_cut(struct dl_peers *peers, const uint64_t *vms, uint32_t count)
+/* Drops all traffic to and from these VMs and no others; for tests. */
+void dl_peers_block(struct dl_peers *peers, const uint64_t *vms, uint32_t count)
 {
-	peers->cut_count = count < DL_PEERS_CUT_MAX ? count : DL_PEERS_CUT_MAX;
-	if (peers->cut_count)
-		memcpy(peers->cut, vms, peers->cut_count * sizeof(*vms));
+	peers->blocked_count =
+		count < DL_PEERS_BLOCKED_MAX ? count : DL_PEERS_BLOCKED_MAX;
+	if (peers->blocked_count)
+		memcpy(peers->blocked, vms,
+		       peers->blocked_count * sizeof(*vms));
 }
 
 static void conn_write(struct conn *c, struct write *w)
 {
 	uv_buf_t buf = uv_buf_init(w->bytes, (unsigned)w->n);
 
-	if (is_cut(c->peers, c->vm)) {
+	if (is_blocked(c->peers, c->vm)) {
 		c->queued -= w->n;
 		free(w);
 		return;
@@ -246,7 +252,7 @@
 	msgpack_pack_bin_body(&pk, body.s, body.n);
 }
 
-/* Queue one frame on a connection, holding it back until it is connected. */
+/* Queues a frame on a connection, holding it until it is connected. */
 static int conn_send(struct conn *c, uint32_t kind, uint64_t request,
 		     struct dl_str body)
 {
@@ -273,8 +279,8 @@
 		conn_write(c, w);
 		return 0;
 	}
-	*c->waiting_end = w;
-	c->waiting_end = &w->next;
+	*c->pending_tail = w;
+	c->pending_tail = &w->next;
 	return 0;
 }
 
@@ -284,7 +290,7 @@
 	char *grown;
 
 	if (c->filled == c->size) {
-		size_t size = c->size ? c->size * 2 : READ_FIRST;
+		size_t size = c->size ? c->size * 2 : READ_BUF_INITIAL;
 
 		grown = realloc(c->buf, size);
 		if (!grown) {
@@ -297,7 +303,7 @@
 	*buf = uv_buf_init(c->buf + c->filled, (unsigned)(c->size - c->filled));
 }
 
-/* Read the four items of a frame; the body points into the bytes given. */
+/* Decodes a frame; its body points into the bytes given. */
 static bool parse_frame(msgpack_unpacked *u, const char *p, size_t n,
 			struct dl_frame *out)
 {
@@ -325,8 +331,8 @@
 	return true;
 }
 
-/* A VM that has restarted speaks through its new process alone. */
-static void drop_older(struct conn *newer)
+/* Closes the connections accepted from earlier incarnations of a VM. */
+static void close_older(struct conn *newer)
 {
 	struct conn *c, *next;
 
@@ -338,25 +344,27 @@
 	}
 }
 
-static void conn_bad(struct conn *c);
+static void conn_protocol_error(struct conn *c);
 
-static void conn_frame(struct conn *c, const struct dl_frame *f)
+static void conn_handle_frame(struct conn *c, const struct dl_frame *f)
 {
 	struct dl_peers *peers = c->peers;
 
 	if (!c->outgoing && c->vm == DL_VM_NONE && f->kind != DL_FRAME_HELLO) {
-		/* Answering its pings would keep a connection that says
-		 * nothing we can use; closed, the other end opens anew. */
-		conn_bad(c);
+		/*
+		 * Replying to pings would keep a connection of an unknown
+		 * sender open; once closed, the peer opens a new one.
+		 */
+		conn_protocol_error(c);
 		return;
 	}
 	switch (f->kind) {
 	case DL_FRAME_HELLO:
 		c->vm = f->request;
 		c->incarnation = f->incarnation;
-		if (is_cut(c->peers, c->vm))
+		if (is_blocked(c->peers, c->vm))
 			return;
-		drop_older(c);
+		close_older(c);
 		return;
 	case DL_FRAME_PING:
 		conn_send(c, DL_FRAME_PONG, f->request, f->body);
@@ -371,12 +379,12 @@
 		dl_count(DL_METRIC_late_frames_dropped, 1);
 		return;
 	}
-	c->last_frame = loop_now(peers);
+	c->last_frame = peers_now(peers);
 	dl_count(DL_METRIC_peer_frames_in, 1);
 	peers->ops->frame(peers->arg, c->vm, f);
 }
 
-static void conn_bad(struct conn *c)
+static void conn_protocol_error(struct conn *c)
 {
 	char text[24];
 
@@ -385,8 +393,8 @@
 	conn_close(c, UV_EPROTO);
 }
 
-/* Hand on every whole frame in the buffer; keep the rest. */
-static void conn_parse(struct conn *c)
+/* Handles every complete frame in the buffer and keeps the rest. */
+static void conn_read_frames(struct conn *c)
 {
 	size_t at = 0;
 
@@ -399,7 +407,7 @@
 		memcpy(&n, c->buf + at, LENGTH_BYTES);
 		n = ntohl(n);
 		if (n > DL_FRAME_BODY_MAX + FRAME_OVERHEAD) {
-			conn_bad(c);
+			conn_protocol_error(c);
 			return;
 		}
 		if (c->filled - at - LENGTH_BYTES < n)
@@ -407,10 +415,10 @@
 		msgpack_unpacked_init(&u);
 		ok = parse_frame(&u, c->buf + at + LENGTH_BYTES, n, &f);
 		if (ok)
-			conn_frame(c, &f);
+			conn_handle_frame(c, &f);
 		msgpack_unpacked_destroy(&u);
 		if (!ok) {
-			conn_bad(c);
+			conn_protocol_error(c);
 			return;
 		}
 		at += LENGTH_BYTES + n;
@@ -429,12 +437,12 @@
 		conn_close(c, (int)n);
 		return;
 	}
-	if (is_cut(c->peers, c->vm))
+	if (is_blocked(c->peers, c->vm))
 		return;
-	c->last_in = loop_now(c->peers);
+	c->last_read = peers_now(c->peers);
 	c->filled += (size_t)n;
 	dl_count(DL_METRIC_peer_bytes_in, n);
-	conn_parse(c);
+	conn_read_frames(c);
 }
 
 static void on_accept(uv_stream_t *listener, int status)
@@ -468,24 +476,24 @@
 		return;
 	}
 	c->connected = true;
-	c->last_in = loop_now(c->peers);
+	c->last_read = peers_now(c->peers);
 	uv_tcp_nodelay(&c->tcp, 1);
 	if (uv_read_start((uv_stream_t *)&c->tcp, on_alloc, on_read)) {
 		conn_close(c, UV_EIO);
 		return;
 	}
-	while ((w = c->waiting)) {
-		c->waiting = w->next;
+	while ((w = c->pending)) {
+		c->pending = w->next;
 		w->next = NULL;
 		conn_write(c, w);
 	}
-	c->waiting_end = &c->waiting;
+	c->pending_tail = &c->pending;
 	if (c->peers->ops->up)
 		c->peers->ops->up(c->peers->arg, c->vm);
 }
 
-/* A connection to a VM, not yet begun. */
-static struct conn *conn_out(struct dl_peers *peers, uint64_t vm)
+/* Creates a connection to a VM without connecting it. */
+static struct conn *conn_new_outgoing(struct dl_peers *peers, uint64_t vm)
 {
 	struct conn *c = conn_new(peers);
 
@@ -497,7 +505,7 @@
 	return c;
 }
 
-static int conn_begin(struct conn *c)
+static int conn_connect(struct conn *c)
 {
 	struct sockaddr_in sin = vm_sockaddr(c->vm);
 
@@ -513,11 +521,11 @@
 		if (c->outgoing && c->vm == vm)
 			return c;
 	}
-	c = conn_out(peers, vm);
+	c = conn_new_outgoing(peers, vm);
 	if (!c)
 		return NULL;
 	conn_send(c, DL_FRAME_HELLO, peers->conf.self, DL_STR(""));
-	if (conn_begin(c)) {
+	if (conn_connect(c)) {
 		conn_close(c, UV_ECONNREFUSED);
 		return NULL;
 	}
@@ -525,33 +533,37 @@
 }
 
 /*
- * Begin a connection anew whose opening packet seems lost, with the frames that
- * wait for it; it counts as silent since the first try.
+ * Repeats a connection attempt whose SYN seems lost, moving the pending frames
+ * to the new connection.  The silence timeout runs from the first attempt.
  */
 static void conn_retry(struct conn *c)
 {
-	struct conn *again = conn_out(c->peers, c->vm);
+	struct conn *retry = conn_new_outgoing(c->peers, c->vm);
 	struct write *w;
 
-	if (!again)
+	if (!retry)
 		return;
-	again->waiting = c->waiting;
-	if (c->waiting)
-		again->waiting_end = c->waiting_end;
-	again->queued = c->queued;
-	again->last_in = c->last_in;
-	again->last_frame = c->last_frame;
-	for (w = again->waiting; w; w = w->next)
-		w->conn = again;
-	c->waiting = NULL;
-	c->waiting_end = &c->waiting;
+	retry->pending = c->pending;
+	if (c->pending)
+		retry->pending_tail = c->pending_tail;
+	retry->queued = c->queued;
+	retry->last_read = c->last_read;
+	retry->last_frame = c->last_frame;
+	for (w = retry->pending; w; w = w->next)
+		w->conn = retry;
+	c->pending = NULL;
+	c->pending_tail = &c->pending;
 	c->queued = 0;
 	conn_close(c, 0);
-	if (conn_begin(again))
-		conn_close(again, UV_ECONNREFUSED);
+	if (conn_connect(retry))
+		conn_close(retry, UV_ECONNREFUSED);
 }
 
-/* Queue a frame for a VM; see the header for what is promised. */
+/*
+ * Queues a frame on the connection to a VM, opening one if needed.  Returns 0,
+ * -EAGAIN if the queue is full or no connection can be opened, or -EMSGSIZE.
+ * Delivery is not guaranteed; a lost connection is reported through down().
+ */
 int dl_peers_send(struct dl_peers *peers, uint64_t to, uint32_t kind,
 		  uint64_t request, struct dl_str body)
 {
@@ -564,22 +576,25 @@
 		return -EAGAIN;
 	if (c->queued + body.n > peers->conf.queue_bytes_max)
 		return -EAGAIN;
-	c->last_frame = loop_now(peers);
+	c->last_frame = peers_now(peers);
 	return conn_send(c, kind, request, body);
 }
 
-/* Send one datagram; lost silently, as datagrams are. */
-int dl_peers_post(struct dl_peers *peers, uint64_t to, uint32_t kind,
-		  uint64_t request, struct dl_str body)
+/*
+ * Sends a frame as one datagram, which may be lost without notice.  Returns 0,
+ * -EMSGSIZE if the body is too long, or a negative errno.
+ */
+int dl_peers_send_datagram(struct dl_peers *peers, uint64_t to, uint32_t kind,
+			   uint64_t request, struct dl_str body)
 {
 	struct sockaddr_in sin = vm_sockaddr(to);
 	msgpack_sbuffer out;
 	uv_buf_t buf;
 	int rc;
 
-	if (body.n > POST_BODY_MAX)
+	if (body.n > DATAGRAM_BODY_MAX)
 		return -EMSGSIZE;
-	if (is_cut(peers, to))
+	if (is_blocked(peers, to))
 		return 0;
 	msgpack_sbuffer_init(&out);
 	pack_frame(&out, peers, kind, request, body);
@@ -606,7 +621,7 @@
 	struct dl_frame f;
 
 	if (n <= 0 || !from || from->sa_family != AF_INET ||
-	    is_cut(peers, sockaddr_vm(from)))
+	    is_blocked(peers, sockaddr_vm(from)))
 		return;
 	dl_count(DL_METRIC_peer_bytes_in, n);
 	dl_count(DL_METRIC_peer_frames_in, 1);
@@ -618,34 +633,38 @@
 	msgpack_unpacked_destroy(&u);
 }
 
-static bool conn_silent(const struct conn *c, int64_t now)
+static bool conn_timed_out(const struct conn *c, int64_t now)
 {
-	return now - c->last_in > c->peers->conf.silent_ms;
+	return now - c->last_read > c->peers->conf.silent_ms;
 }
 
-/* Ping what we opened, replace what is silent, close what is not used. */
+/*
+ * Closes silent and unused connections, repeats connection attempts, and sends
+ * heartbeats on the connections that this process opened.
+ */
 static void on_timer(uv_timer_t *timer)
 {
 	struct dl_peers *peers = timer->data;
-	int64_t now = loop_now(peers);
+	int64_t now = peers_now(peers);
 	struct conn *c, *next;
 	char text[24];
 
 	for (c = peers->conns; c; c = next) {
 		next = c->next;
-		if (conn_silent(c, now)) {
+		if (conn_timed_out(c, now)) {
 			dl_count(DL_METRIC_peer_silent, 1);
 			dl_msg(DL_MSG_PEER_SILENT, "vm=%s",
 			       dl_vm_text(c->vm, text));
 			conn_close(c, UV_ETIMEDOUT);
-			/* down() may have closed others: start afresh */
+			/* down() may have closed others: restart the scan */
 			next = peers->conns;
 			continue;
 		}
 		if (!c->outgoing)
 			continue;
 		if (!c->connected) {
-			if (now - c->tried_at >= peers->conf.connect_ms) {
+			if (now - c->connect_started >=
+			    peers->conf.connect_ms) {
 				conn_retry(c);
 				next = peers->conns;
 			}
@@ -680,7 +699,7 @@
 	return rc;
 }
 
-/* Listen on the address in conf; ops must outlive the result. */
+/* Listens on conf->self, TCP and UDP; ops must outlive the result. */
 int dl_peers_open(uv_loop_t *loop, const struct dl_peers_conf *conf,
 		  const struct dl_peers_ops *ops, void *arg,
 		  struct dl_peers **out, struct dl_err *err)
@@ -716,13 +735,13 @@
 	return 0;
 }
 
-/* Close everything; the memory goes once the loop has run the closings. */
+/* Closes everything; frees peers once the loop has run. */
 void dl_peers_close(struct dl_peers *peers)
 {
 	peers->closing = true;
 	while (peers->conns)
 		conn_close(peers->conns, 0);
-	uv_close((uv_handle_t *)&peers->listener, on_own_closed);
-	uv_close((uv_handle_t *)&peers->udp, on_own_closed);
-	uv_close((uv_handle_t *)&peers->timer, on_own_closed);
+	uv_close((uv_handle_t *)&peers->listener, on_handle_closed);
+	uv_close((uv_handle_t *)&peers->udp, on_handle_closed);
+	uv_close((uv_handle_t *)&peers->timer, on_handle_closed);
 }
--- a/test/fake/link.c
+++ b/test/fake/link.c
@@ -1,4 +1,4 @@
-/* The network in memory: a heap of datagrams by the time they are due. */
+/* In-memory network: a heap of datagrams ordered by delivery time. */
 #include "link.h"
 
 #include <stdlib.h>
@@ -8,9 +8,9 @@
 
 #define PERMILLE 1000
 
-struct parcel {
+struct queued_datagram {
 	int64_t due;
-	uint64_t seq; /* keeps the order of datagrams due at one time */
+	uint64_t seq; /* keeps datagrams due at the same time in order */
 	int64_t sent;
 	uint64_t from;
 	uint64_t to;
@@ -32,22 +32,22 @@
 	struct fake_link_conf conf;
 	GRand *rand;
 	uint64_t seq;
-	GPtrArray *heap; /* of struct parcel */
+	GPtrArray *heap; /* of struct queued_datagram */
 	GArray *cuts;
 	GArray *pauses;
 	GHashTable *counts; /* vm to struct fake_link_count */
-	struct parcel *last;
+	struct queued_datagram *last;
 };
 
 static bool chance(struct fake_link *link, uint32_t permille);
-static struct fake_link_count *count_of(struct fake_link *link, uint64_t vm);
-static void push(struct fake_link *link, struct parcel *p);
-static struct parcel *pop(struct fake_link *link);
-static bool before(const GPtrArray *heap, guint a, guint b);
+static struct fake_link_count *counts_for(struct fake_link *link, uint64_t vm);
+static void push(struct fake_link *link, struct queued_datagram *p);
+static struct queued_datagram *pop(struct fake_link *link);
+static bool due_before(const GPtrArray *heap, guint a, guint b);
 static void swap(GPtrArray *heap, guint a, guint b);
 static int64_t paused_until(const struct fake_link *link, uint64_t vm);
 
-/* A network without cuts. */
+/* Creates a network without cuts. */
 struct fake_link *fake_link_new(const struct fake_link_conf *conf)
 {
 	struct fake_link *link = g_new0(struct fake_link, 1);
@@ -62,7 +62,7 @@
 	return link;
 }
 
-/* Free it with all that is under way. */
+/* Frees the network and all datagrams in flight. */
 void fake_link_free(struct fake_link *link)
 {
 	if (!link)
@@ -76,7 +76,7 @@
 	g_free(link);
 }
 
-/* Change loss, doubling and delay; the seed of conf is not looked at. */
+/* Changes loss, duplication and delay; conf->seed is ignored. */
 void fake_link_set(struct fake_link *link, const struct fake_link_conf *conf)
 {
 	link->conf = *conf;
@@ -89,7 +89,7 @@
 	return (uint32_t)g_rand_int_range(link->rand, 0, PERMILLE) < permille;
 }
 
-static struct fake_link_count *count_of(struct fake_link *link, uint64_t vm)
+static struct fake_link_count *counts_for(struct fake_link *link, uint64_t vm)
 {
 	struct fake_link_count *c = g_hash_table_lookup(link->counts, &vm);
 	uint64_t *key;
@@ -103,15 +103,15 @@
 	return c;
 }
 
-/* Send a copy of the datagram; it is lost, delayed or doubled by chance. */
+/* Sends a copy of the datagram, applying random loss, duplication and delay. */
 void fake_link_send(struct fake_link *link, uint64_t from, uint64_t to,
 		    struct dl_str data, int64_t now)
 {
 	int copies = chance(link, link->conf.dup_permille) ? 2 : 1;
 	bool lost = chance(link, link->conf.loss_permille) ||
 		    fake_link_is_cut(link, from, to);
-	struct fake_link_count *counts[] = { count_of(link, from),
-					     count_of(link, DL_VM_NONE) };
+	struct fake_link_count *counts[] = { counts_for(link, from),
+					     counts_for(link, DL_VM_NONE) };
 
 	for (int i = 0; i < 2; i++) {
 		counts[i]->msgs++;
@@ -121,7 +121,7 @@
 	if (lost)
 		return;
 	for (int i = 0; i < copies; i++) {
-		struct parcel *p = g_malloc(sizeof(*p) + data.n);
+		struct queued_datagram *p = g_malloc(sizeof(*p) + data.n);
 		uint32_t span =
 			link->conf.delay_max_ms - link->conf.delay_min_ms;
 
@@ -140,12 +140,12 @@
 	}
 }
 
-/* Take the next datagram that is due; those to paused VMs wait. */
+/* Returns the next datagram that is due, deferring those to paused VMs. */
 bool fake_link_next(struct fake_link *link, int64_t now,
 		    struct fake_datagram *out)
 {
 	while (link->heap->len) {
-		struct parcel *p = g_ptr_array_index(link->heap, 0);
+		struct queued_datagram *p = g_ptr_array_index(link->heap, 0);
 		int64_t until;
 
 		if (p->due > now)
@@ -172,15 +172,16 @@
 	return false;
 }
 
-/* When to look again. */
+/* Returns when the next datagram is due; INT64_MAX if there is none. */
 int64_t fake_link_wakeup(const struct fake_link *link)
 {
 	if (!link->heap->len)
 		return INT64_MAX;
-	return ((struct parcel *)g_ptr_array_index(link->heap, 0))->due;
+	return ((struct queued_datagram *)g_ptr_array_index(link->heap, 0))
+		->due;
 }
 
-/* Cut one direction; cutting twice is the same as once. */
+/* Cuts one direction of a link; repeated cuts have no further effect. */
 void fake_link_cut(struct fake_link *link, uint64_t from, uint64_t to)
 {
 	struct cut c = { from, to };
@@ -188,20 +189,20 @@
 	g_array_append_val(link->cuts, c);
 }
 
-/* Cut a VM off. */
+/* Cuts a VM off from all others, in both directions. */
 void fake_link_isolate(struct fake_link *link, uint64_t vm)
 {
 	fake_link_cut(link, vm, DL_VM_NONE);
 	fake_link_cut(link, DL_VM_NONE, vm);
 }
 
-/* Mend all. */
+/* Restores all links. */
 void fake_link_heal(struct fake_link *link)
 {
 	g_array_set_size(link->cuts, 0);
 }
 
-/* Whether nothing passes from one VM to another now. */
+/* Reports whether the link from one VM to another is cut. */
 bool fake_link_is_cut(const struct fake_link *link, uint64_t from, uint64_t to)
 {
 	for (guint i = 0; i < link->cuts->len; i++) {
@@ -214,7 +215,7 @@
 	return false;
 }
 
-/* Hold a VM's deliveries until then; a later call replaces an earlier one. */
+/* Defers deliveries to a VM until the given time; replaces an earlier pause. */
 void fake_link_pause(struct fake_link *link, uint64_t vm, int64_t until)
 {
 	struct pause new = { vm, until };
@@ -241,13 +242,13 @@
 	return INT64_MIN;
 }
 
-/* Whether a VM stands still now. */
+/* Reports whether a VM is paused. */
 bool fake_link_paused(const struct fake_link *link, uint64_t vm, int64_t now)
 {
 	return paused_until(link, vm) > now;
 }
 
-/* Counted datagrams; a doubled one counts once. */
+/* Returns the traffic counted for a VM; a duplicated datagram counts once. */
 struct fake_link_count fake_link_sent(const struct fake_link *link, uint64_t vm)
 {
 	struct fake_link_count *c = g_hash_table_lookup(link->counts, &vm);
@@ -255,10 +256,10 @@
 	return c ? *c : (struct fake_link_count){ 0 };
 }
 
-static bool before(const GPtrArray *heap, guint a, guint b)
+static bool due_before(const GPtrArray *heap, guint a, guint b)
 {
-	const struct parcel *x = g_ptr_array_index(heap, a);
-	const struct parcel *y = g_ptr_array_index(heap, b);
+	const struct queued_datagram *x = g_ptr_array_index(heap, a);
+	const struct queued_datagram *y = g_ptr_array_index(heap, b);
 
 	return x->due != y->due ? x->due < y->due : x->seq < y->seq;
 }
@@ -271,21 +272,21 @@
 	heap->pdata[b] = p;
 }
 
-static void push(struct fake_link *link, struct parcel *p)
+static void push(struct fake_link *link, struct queued_datagram *p)
 {
 	guint i = link->heap->len;
 
 	g_ptr_array_add(link->heap, p);
-	while (i && before(link->heap, i, (i - 1) / 2)) {
+	while (i && due_before(link->heap, i, (i - 1) / 2)) {
 		swap(link->heap, i, (i - 1) / 2);
 		i = (i - 1) / 2;
 	}
 }
 
-static struct parcel *pop(struct fake_link *link)
+static struct queued_datagram *pop(struct fake_link *link)
 {
 	GPtrArray *heap = link->heap;
-	struct parcel *top = g_ptr_array_index(heap, 0);
+	struct queued_datagram *top = g_ptr_array_index(heap, 0);
 	guint i = 0;
 
 	swap(heap, 0, heap->len - 1);
@@ -295,7 +296,7 @@
 		guint least = i;
 
 		for (guint child = 2 * i + 1; child <= 2 * i + 2; child++) {
-			if (child < heap->len && before(heap, child, least))
+			if (child < heap->len && due_before(heap, child, least))
 				least = child;
 		}
 		if (least == i)
--- a/test/tool_http.c
+++ b/test/tool_http.c
@@ -1,7 +1,8 @@
 /*
- * One HTTP request from the command line, for the test scripts.  Prints the
- * body, and with --head the head before it; exit status 0 where the status is
- * the one expected, 1 where it is another, 3 where no whole answer came.
+ * Sends one HTTP request, for the test scripts.  Prints the body, and with
+ * --head also the head.  Exit status: 0 if the response has the expected
+ * status, 1 if it has another, 2 for bad usage, 3 if the response is missing or
+ * incomplete.
  */
 #include <arpa/inet.h>
 #include <glib.h>
@@ -19,9 +20,9 @@
 
 enum tool_exit {
 	EXIT_EXPECTED = 0,
-	EXIT_OTHER = 1,
+	EXIT_UNEXPECTED = 1,
 	EXIT_BAD_USAGE = 2,
-	EXIT_NO_ANSWER = 3
+	EXIT_NO_RESPONSE = 3
 };
 
 static struct {
@@ -39,38 +40,39 @@
 } opt = { .method = "GET", .timeout_ms = 10000 };
 
 static const GOptionEntry options[] = {
-	{ "method", 'X', 0, G_OPTION_ARG_STRING, &opt.method, "method",
+	{ "method", 'X', 0, G_OPTION_ARG_STRING, &opt.method, "request method",
 	  "NAME" },
-	{ "header", 'H', 0, G_OPTION_ARG_STRING_ARRAY, &opt.headers, "header",
-	  "NAME:VALUE" },
-	{ "data", 'd', 0, G_OPTION_ARG_STRING, &opt.data, "body", "TEXT" },
-	{ "file", 'f', 0, G_OPTION_ARG_FILENAME, &opt.file, "body from",
-	  "FILE" },
+	{ "header", 'H', 0, G_OPTION_ARG_STRING_ARRAY, &opt.headers,
+	  "add a request header", "NAME:VALUE" },
+	{ "data", 'd', 0, G_OPTION_ARG_STRING, &opt.data, "request body",
+	  "TEXT" },
+	{ "file", 'f', 0, G_OPTION_ARG_FILENAME, &opt.file,
+	  "read the request body from", "FILE" },
 	{ "expect", 'e', 0, G_OPTION_ARG_INT, &opt.expect,
-	  "status expected; 0 for any of 200 to 299", "STATUS" },
-	{ "timeout", 't', 0, G_OPTION_ARG_INT, &opt.timeout_ms, "longest wait",
-	  "MS" },
+	  "expected status; 0 for any of 200 to 299", "STATUS" },
+	{ "timeout", 't', 0, G_OPTION_ARG_INT, &opt.timeout_ms,
+	  "response timeout", "MS" },
 	{ "stall", 0, 0, G_OPTION_ARG_INT, &opt.stall_ms,
-	  "read nothing for so long, then leave", "MS" },
+	  "read nothing for this long, then disconnect", "MS" },
 	{ "slow", 0, 0, G_OPTION_ARG_INT, &opt.slow_ms,
-	  "so long between the head and the body", "MS" },
+	  "delay between the head and the body", "MS" },
 	{ "key-file", 0, 0, G_OPTION_ARG_FILENAME, &opt.key_file,
 	  "sign with the key in this file", "FILE" },
 	{ "signed-ago", 0, 0, G_OPTION_ARG_INT, &opt.signed_ago,
-	  "as if it had been signed so long ago", "MS" },
-	{ "head", 'i', 0, G_OPTION_ARG_NONE, &opt.head, "print the head too",
-	  NULL },
+	  "set the time of the signature this far back", "MS" },
+	{ "head", 'i', 0, G_OPTION_ARG_NONE, &opt.head,
+	  "print the response head too", NULL },
 	{ NULL },
 };
 
-struct outcome {
+struct result {
 	int status;
 	enum fake_end end;
 };
 
 static void on_head(void *arg, int status, struct dl_str head)
 {
-	((struct outcome *)arg)->status = status;
+	((struct result *)arg)->status = status;
 	if (opt.head)
 		fwrite(head.s, 1, head.n, stdout);
 }
@@ -82,10 +84,10 @@
 
 static void on_end(void *arg, enum fake_end end)
 {
-	((struct outcome *)arg)->end = end;
+	((struct result *)arg)->end = end;
 }
 
-/* Split "NAME: VALUE" lines into headers; their number. */
+/* Splits "NAME: VALUE" options into headers; returns their number. */
 static int split_headers(struct fake_header *out)
 {
 	int n = 0;
@@ -104,7 +106,7 @@
 	return n;
 }
 
-/* Add the signature after n headers, where a key is given. */
+/* Adds a signature after n headers if a key is given; -1 on failure. */
 static int sign(const struct fake_call_req *req, struct fake_header *out, int n)
 {
 	static char signature[DL_SIGNATURE_MAX];
@@ -120,15 +122,15 @@
 	return 0;
 }
 
-static int verdict(const struct outcome *outcome)
+static int exit_status(const struct result *result)
 {
-	if (outcome->end != FAKE_END_WHOLE)
-		return EXIT_NO_ANSWER;
+	if (result->end != FAKE_END_COMPLETE)
+		return EXIT_NO_RESPONSE;
 	if (opt.expect)
-		return outcome->status == opt.expect ? EXIT_EXPECTED :
-						       EXIT_OTHER;
-	return outcome->status >= 200 && outcome->status < 300 ? EXIT_EXPECTED :
-								 EXIT_OTHER;
+		return result->status == opt.expect ? EXIT_EXPECTED :
+						      EXIT_UNEXPECTED;
+	return result->status >= 200 && result->status < 300 ? EXIT_EXPECTED :
+							       EXIT_UNEXPECTED;
 }
 
 static bool send_all(int fd, const char *s, size_t n)
@@ -136,7 +138,7 @@
 	return fd >= 0 && write(fd, s, n) == (ssize_t)n;
 }
 
-/* Connect and send the head of the request; the socket, or -1. */
+/* Connects and sends the head of the request; returns the socket, or -1. */
 static int send_head(const struct fake_call_req *req)
 {
 	struct sockaddr_in to = { .sin_family = AF_INET };
@@ -149,8 +151,8 @@
 	for (const struct fake_header *h = req->headers; h->name; h++)
 		g_string_append_printf(s, "%s: %s\r\n", h->name, h->value);
 	g_string_append_printf(s, "Content-Length: %zu\r\n\r\n", req->body.n);
-	to.sin_port = htons((uint16_t)(req->to & 0xffff));
-	to.sin_addr.s_addr = htonl((uint32_t)(req->to >> 16));
+	to.sin_port = htons((uint16_t)(req->address & 0xffff));
+	to.sin_addr.s_addr = htonl((uint32_t)(req->address >> 16));
 	sent = fd >= 0 &&
 	       connect(fd, (const struct sockaddr *)&to, sizeof(to)) == 0 &&
 	       send_all(fd, s->str, s->len);
@@ -162,8 +164,8 @@
 	return -1;
 }
 
-/* Send the request, read nothing, and leave: a caller that has hung. */
-static int stall(const struct fake_call_req *req)
+/* Simulates a client that hangs: sends the request, never reads, closes. */
+static int send_without_reading(const struct fake_call_req *req)
 {
 	int fd = send_head(req);
 	bool sent = send_all(fd, req->body.s, req->body.n);
@@ -172,10 +174,10 @@
 		g_usleep((gulong)opt.stall_ms * 1000);
 	if (fd >= 0)
 		close(fd);
-	return sent ? EXIT_EXPECTED : EXIT_NO_ANSWER;
+	return sent ? EXIT_EXPECTED : EXIT_NO_RESPONSE;
 }
 
-/* Send the body a while after the head, and read the answer to its end. */
+/* Sends the body after a delay, then reads the whole response. */
 static int send_slowly(const struct fake_call_req *req)
 {
 	int fd = send_head(req);
@@ -186,7 +188,7 @@
 
 	g_usleep((gulong)opt.slow_ms * 1000);
 	if (!send_all(fd, req->body.s, req->body.n))
-		return EXIT_NO_ANSWER;
+		return EXIT_NO_RESPONSE;
 	while (n < sizeof(text) - 1 &&
 	       (got = read(fd, text + n, sizeof(text) - 1 - n)) > 0)
 		n += (size_t)got;
@@ -194,8 +196,8 @@
 	text[n] = '\0';
 	fputs(text, stdout);
 	if (sscanf(text, "HTTP/1.1 %d", &status) != 1)
-		return EXIT_NO_ANSWER;
-	return status == opt.expect ? EXIT_EXPECTED : EXIT_OTHER;
+		return EXIT_NO_RESPONSE;
+	return status == opt.expect ? EXIT_EXPECTED : EXIT_UNEXPECTED;
 }
 
 int main(int argc, char **argv)
@@ -203,7 +205,7 @@
 	static const struct fake_call_ops ops = { on_head, on_body, on_end };
 	GOptionContext *ctx = g_option_context_new("IP:PORT PATH");
 	struct fake_header headers[HEADERS_MAX + 1];
-	struct outcome outcome = { 0 };
+	struct result result = { 0 };
 	struct fake_call_req req = { .headers = headers,
 				     .connect_ms = CONNECT_MS };
 	GError *err = NULL;
@@ -212,8 +214,10 @@
 	fake_ignore_sigpipe();
 	g_option_context_add_main_entries(ctx, options, NULL);
 	if (!g_option_context_parse(ctx, &argc, &argv, &err) || argc != 3 ||
-	    !dl_vm_parse(dl_str_of(argv[1]), &req.to)) {
-		fprintf(stderr, "http: %s\n", err ? err->message : "usage");
+	    !dl_vm_parse(dl_str_of(argv[1]), &req.address)) {
+		fprintf(stderr, "http: %s\n",
+			err ? err->message :
+			      "usage: tool_http [OPTION...] IP:PORT PATH");
 		return EXIT_BAD_USAGE;
 	}
 	g_option_context_free(ctx);
@@ -229,16 +233,16 @@
 		return EXIT_BAD_USAGE;
 	}
 	if (sign(&req, headers, n) < 0) {
-		fprintf(stderr, "http: the key file cannot be used\n");
+		fprintf(stderr, "http: cannot sign with the key file\n");
 		return EXIT_BAD_USAGE;
 	}
 	if (opt.stall_ms)
-		return stall(&req);
+		return send_without_reading(&req);
 	if (opt.slow_ms)
 		return send_slowly(&req);
-	fake_call_start(uv_default_loop(), &req, &ops, &outcome);
+	fake_call_start(uv_default_loop(), &req, &ops, &result);
 	uv_run(uv_default_loop(), UV_RUN_DEFAULT);
 	if (opt.file)
 		g_free((char *)req.body.s);
-	return verdict(&outcome);
+	return exit_status(&result);
 }
--- a/test/tool_runner.c
+++ b/test/tool_runner.c
@@ -1,8 +1,8 @@
 /*
- * An emulated endpoint of the platform's protocol: announces itself to the
- * replicas' doors, streams events that may be resumed, refuses what names
- * another start of it, breaks on order, ends under requests that it is told of
- * and starts again, and records all that it ran.
+ * Emulated endpoint that speaks the platform's protocol.  It announces itself
+ * to the replicas, streams resumable events, rejects requests addressed to
+ * another instance, shows faults on command, crashes and restarts under
+ * selected requests, and records every execution.
  */
 #include <fcntl.h>
 #include <glib.h>
@@ -16,13 +16,13 @@
 
 #include "fake/http.h"
 
-#define BEAT_MS	  300
-#define TICK_MS	  10
-#define CALL_MS	  600
-#define CONTROLS  8
-#define BROKEN_AT 3   /* the event at which a faulty one breaks off */
-#define DOWN_MS	  700 /* from a crash to the next start */
-/* How many starts there were before this one; outlives a crash. */
+#define HEARTBEAT_MS	 300
+#define TICK_MS		 10
+#define CALL_MS		 600
+#define CONTROLS_MAX	 8
+#define FAULT_EVENT	 3   /* event at which a fault interrupts the stream */
+#define RESTART_DELAY_MS 700 /* from a crash to the next start */
+/* Number of crashes so far; the environment survives execv(). */
 #define CRASHES_ENV "RUNNER_CRASHES"
 
 static struct {
@@ -40,72 +40,82 @@
 };
 
 static const GOptionEntry options[] = {
-	{ "listen", 0, 0, G_OPTION_ARG_STRING, &opt.listen, "address", "A" },
-	{ "control", 0, 0, G_OPTION_ARG_STRING, &opt.control, "doors", "A,B" },
-	{ "service", 0, 0, G_OPTION_ARG_STRING, &opt.service, "name", "S" },
-	{ "instance", 0, 0, G_OPTION_ARG_STRING, &opt.instance, "id", "I" },
+	{ "listen", 0, 0, G_OPTION_ARG_STRING, &opt.listen,
+	  "address to listen on", "A" },
+	{ "control", 0, 0, G_OPTION_ARG_STRING, &opt.control,
+	  "replica addresses", "A,B" },
+	{ "service", 0, 0, G_OPTION_ARG_STRING, &opt.service, "service name",
+	  "S" },
+	{ "instance", 0, 0, G_OPTION_ARG_STRING, &opt.instance, "instance id",
+	  "I" },
 	{ "zone", 0, 0, G_OPTION_ARG_STRING, &opt.zone, "zone", "Z" },
-	{ "record", 0, 0, G_OPTION_ARG_FILENAME, &opt.record, "file", "F" },
-	{ "slots", 0, 0, G_OPTION_ARG_INT, &opt.slots, "at once", "N" },
-	{ "events", 0, 0, G_OPTION_ARG_INT, &opt.events, "a stream", "N" },
-	{ "event-ms", 0, 0, G_OPTION_ARG_INT, &opt.event_ms, "apart", "MS" },
-	{ "plain", 0, 0, G_OPTION_ARG_NONE, &opt.plain, "no streams", NULL },
+	{ "record", 0, 0, G_OPTION_ARG_FILENAME, &opt.record,
+	  "append each execution to", "F" },
+	{ "slots", 0, 0, G_OPTION_ARG_INT, &opt.slots,
+	  "concurrent requests to announce", "N" },
+	{ "events", 0, 0, G_OPTION_ARG_INT, &opt.events, "events per stream",
+	  "N" },
+	{ "event-ms", 0, 0, G_OPTION_ARG_INT, &opt.event_ms,
+	  "time between events", "MS" },
+	{ "plain", 0, 0, G_OPTION_ARG_NONE, &opt.plain,
+	  "reply without streaming", NULL },
 	{ "abrupt", 0, 0, G_OPTION_ARG_NONE, &opt.abrupt,
-	  "leaves without announcing it before", NULL },
+	  "leave without announcing it first", NULL },
 	{ "unheard", 0, 0, G_OPTION_ARG_NONE, &opt.unheard,
-	  "says in its answers alone that it leaves", NULL },
+	  "announce leaving in responses only", NULL },
 	{ "shed", 0, 0, G_OPTION_ARG_FILENAME, &opt.shed,
-	  "while F is there turn all away, with the Retry-After in it", "F" },
+	  "while F exists, reject all with the Retry-After in it", "F" },
 	{ "crash-on", 0, 0, G_OPTION_ARG_STRING, &opt.crash_on,
-	  "crash under a request whose path holds this", "TEXT" },
+	  "crash on a request whose path contains this", "TEXT" },
 	{ "limit", 0, 0, G_OPTION_ARG_STRING, &opt.limit,
-	  "requests a second that answers name", "N" },
+	  "requests per second to announce in responses", "N" },
 	{ "arrivals", 0, 0, G_OPTION_ARG_FILENAME, &opt.arrivals,
-	  "Unix ms, instance, attempt and what came of each request", "F" },
+	  "append time, instance, attempt and result of each request", "F" },
 	{ "fault", 0, 0, G_OPTION_ARG_STRING, &opt.fault,
 	  "none, cut, silent, not-run, error or foreign", "KIND" },
 	{ NULL },
 };
 
-/* A stream under way. */
+/* An open stream. */
 struct job {
 	struct fake_request *req;
 	char attempt[64];
-	int next; /* the event sent next */
+	int next; /* number of the next event */
 	int64_t at;
 };
 
 static uv_loop_t *loop;
 static GPtrArray *jobs;
 static char **controls;
-static guint turn;
-static uint64_t stays_at = DL_VM_NONE; /* as told, until a call there fails */
+static guint next_control;
+/* from the last reply, until a call there fails */
+static uint64_t heartbeat_address = DL_VM_NONE;
 static uint64_t sequence;
-static int64_t born; /* when this start began, Unix ms */
+static int64_t started_ms; /* start time of this instance, Unix ms */
 static int record_fd = -1, arrivals_fd = -1;
-static bool leaving, gone;
-static int64_t beat_at;
+static bool leaving, deregistered;
+static int64_t next_heartbeat;
 
-/* A call failed: the next one goes elsewhere. */
-static void go_on(void)
+/* After a failed call, sends the next one to another replica. */
+static void try_next_control(void)
 {
-	stays_at = DL_VM_NONE;
-	turn++;
+	heartbeat_address = DL_VM_NONE;
+	next_control++;
 }
 
 static void on_call_end(void *arg, enum fake_end end)
 {
-	if (end != FAKE_END_WHOLE)
-		go_on();
+	if (end != FAKE_END_COMPLETE)
+		try_next_control();
 }
 
 static void on_call_head(void *arg, int status, struct dl_str head)
 {
 	if (status != 200)
-		go_on();
+		try_next_control();
 }
 
-/* The address after a name in a reply; DL_VM_NONE where there is none. */
+/* Reads the address for heartbeats from a reply, if it contains one. */
 static void on_call_body(void *arg, struct dl_str piece)
 {
 	static const char name[] = "\"heartbeat_addr\":\"";
@@ -117,8 +127,8 @@
 	at += sizeof(name) - 1;
 	quote = memchr(at, '"', (size_t)(end - at));
 	if (!quote || !dl_vm_parse((struct dl_str){ at, (size_t)(quote - at) },
-				   &stays_at))
-		stays_at = DL_VM_NONE;
+				   &heartbeat_address))
+		heartbeat_address = DL_VM_NONE;
 }
 
 static const struct fake_call_ops call_ops = { on_call_head, on_call_body,
@@ -133,9 +143,9 @@
 				     .timeout_ms = CALL_MS };
 	guint n = g_strv_length(controls);
 
-	req.to = stays_at;
-	if (stays_at != DL_VM_NONE ||
-	    dl_vm_parse(dl_str_of(controls[turn % n]), &req.to))
+	req.address = heartbeat_address;
+	if (heartbeat_address != DL_VM_NONE ||
+	    dl_vm_parse(dl_str_of(controls[next_control % n]), &req.address))
 		fake_call_start(loop, &req, &call_ops, NULL);
 }
 
@@ -151,7 +161,7 @@
 		 "\"seq\":%" PRIu64 ",\"born\":%" PRId64 "}",
 		 opt.service, opt.listen, opt.zone, opt.slots,
 		 leaving && !opt.unheard ? "draining" : "ready", ++sequence,
-		 born);
+		 started_ms);
 	call_control(path, body);
 }
 
@@ -160,8 +170,8 @@
 	return fake_request_header(req, name);
 }
 
-/* instance attempt path tenant last-event key, one line a run. */
-static void record(const struct fake_request *req)
+/* Writes one line: instance, attempt, path, tenant, last event id, API key. */
+static void record_execution(const struct fake_request *req)
 {
 	struct dl_str path = fake_request_path(req);
 	struct dl_str attempt = header(req, "daisyledge-attempt-id");
@@ -179,7 +189,7 @@
 		perror("record");
 }
 
-/* Refuse as not run; retry_after: "" for none. */
+/* Rejects a request as not executed; retry_after is "" for none. */
 static void refuse(struct fake_request *req, int status,
 		   const char *retry_after)
 {
@@ -196,7 +206,7 @@
 	fake_reply(req, status, headers, DL_STR(""));
 }
 
-/* What is to be named where requests are turned away now; false: they run. */
+/* Reports whether requests are rejected now, and with which Retry-After. */
 static bool is_shedding(char *retry_after, size_t size)
 {
 	FILE *f = opt.shed ? fopen(opt.shed, "r") : NULL;
@@ -211,7 +221,10 @@
 	return true;
 }
 
-/* End as by a crash: every socket closes, and the next start has a new name. */
+/*
+ * Simulates a crash and restart: execv() closes every socket, and the next
+ * instance gets a new id.
+ */
 static void crash(void)
 {
 	int crashes = opt.instance_crashes + 1;
@@ -232,8 +245,8 @@
 	       memmem(path.s, path.n, opt.crash_on, strlen(opt.crash_on));
 }
 
-/* A start after a crash: down for a while, then under another name. */
-static void come_back(char **argv)
+/* After a crash, delays the start and derives the new instance id. */
+static void restart_after_crash(char **argv)
 {
 	const char *crashes = getenv(CRASHES_ENV);
 
@@ -243,18 +256,18 @@
 	opt.instance_crashes = atoi(crashes);
 	opt.instance =
 		g_strdup_printf("%s-%d", opt.instance, opt.instance_crashes);
-	g_usleep((gulong)DOWN_MS * G_USEC_PER_SEC / 1000);
+	g_usleep((gulong)RESTART_DELAY_MS * G_USEC_PER_SEC / 1000);
 }
 
-/* What the endpoint says of itself in its answers: that it leaves, a limit. */
-static const char *said_name(void)
+/* Header by which responses announce that the endpoint leaves, or its limit. */
+static const char *notice_name(void)
 {
 	if (leaving)
 		return "Server-Leaving";
 	return opt.limit ? "Server-Limit" : NULL;
 }
 
-static const char *said_value(void)
+static const char *notice_value(void)
 {
 	return leaving ? "1" : opt.limit;
 }
@@ -265,7 +278,7 @@
 		{ "Content-Type", "text/event-stream" },
 		{ "Daisyledge-Attempt-Id", attempt },
 		{ "Daisyledge-Response-Stamp", opt.instance },
-		{ said_name(), said_value() },
+		{ notice_name(), notice_value() },
 		{ NULL, NULL },
 	};
 	struct dl_str last = header(req, "last-event-id");
@@ -281,12 +294,12 @@
 	fake_reply_begin(req, 200, headers);
 }
 
-static void answer_plain(struct fake_request *req, const char *attempt)
+static void reply_plain(struct fake_request *req, const char *attempt)
 {
 	const struct fake_header headers[] = {
 		{ "Daisyledge-Attempt-Id", attempt },
 		{ "Daisyledge-Response-Stamp", opt.instance },
-		{ said_name(), said_value() },
+		{ notice_name(), notice_value() },
 		{ NULL, NULL },
 	};
 	bool error = strcmp(opt.fault, "error") == 0;
@@ -295,10 +308,10 @@
 }
 
 /*
- * When a request came, and what of it: Unix ms, instance, attempt, and "shed"
- * with a Retry-After, "leaving", or "taken".
+ * Records the arrival of a request: Unix ms, instance, attempt, and "shed" with
+ * the Retry-After, "leaving" or "taken".
  */
-static void note_arrival(const struct fake_request *req, const char *what)
+static void record_arrival(const struct fake_request *req, const char *what)
 {
 	struct dl_str attempt = header(req, "daisyledge-attempt-id");
 	char line[256];
@@ -318,7 +331,7 @@
 	bool shed = is_shedding(retry_after, sizeof(retry_after));
 
 	snprintf(what, sizeof(what), "shed %s", retry_after);
-	note_arrival(req, shed ? what : leaving ? "leaving" : "taken");
+	record_arrival(req, shed ? what : leaving ? "leaving" : "taken");
 	if (target.n && !dl_str_eq(target, dl_str_of(opt.instance))) {
 		refuse(req, 421, "");
 		return;
@@ -327,19 +340,19 @@
 		refuse(req, 503, retry_after);
 		return;
 	}
-	record(req);
+	record_execution(req);
 	if (is_crashing(req))
 		crash();
 	snprintf(attempt, sizeof(attempt), "%.*s", (int)MIN(id.n, 60), id.s);
 	if (strcmp(opt.fault, "foreign") == 0)
 		snprintf(attempt, sizeof(attempt), "another");
 	if (opt.plain)
-		answer_plain(req, attempt);
+		reply_plain(req, attempt);
 	else
 		begin_stream(req, attempt);
 }
 
-static void on_gone(void *arg, struct fake_request *req)
+static void on_request_closed(void *arg, struct fake_request *req)
 {
 	struct job *job = fake_request_owner(req);
 
@@ -348,19 +361,20 @@
 	g_free(job);
 }
 
-static const struct fake_server_ops server_ops = { on_request, on_gone };
+static const struct fake_server_ops server_ops = { on_request,
+						   on_request_closed };
 
-/* One step of a stream; false where it has ended. */
-static bool step(struct job *job, int64_t now)
+/* Sends the next event of a stream if due; false once the stream has ended. */
+static bool send_due_event(struct job *job, int64_t now)
 {
 	char event[64];
 	int n;
 
 	if (now < job->at)
 		return true;
-	if (job->next == BROKEN_AT && strcmp(opt.fault, "silent") == 0)
+	if (job->next == FAULT_EVENT && strcmp(opt.fault, "silent") == 0)
 		return true;
-	if (job->next == BROKEN_AT && strcmp(opt.fault, "cut") == 0) {
+	if (job->next == FAULT_EVENT && strcmp(opt.fault, "cut") == 0) {
 		fake_request_set_owner(job->req, NULL);
 		fake_reply_write(job->req, DL_STR("id: 3\nda"));
 		fake_reply_abort(job->req);
@@ -383,14 +397,14 @@
 {
 	int64_t now = (int64_t)uv_now(loop);
 
-	if (now >= beat_at && !gone) {
-		beat_at = now + BEAT_MS;
+	if (now >= next_heartbeat && !deregistered) {
+		next_heartbeat = now + HEARTBEAT_MS;
 		announce();
 	}
 	for (guint i = jobs->len; i > 0; i--) {
 		struct job *job = jobs->pdata[i - 1];
 
-		if (step(job, now))
+		if (send_due_event(job, now))
 			continue;
 		g_ptr_array_remove_index(jobs, i - 1);
 		g_free(job);
@@ -398,8 +412,9 @@
 }
 
 /*
- * SIGUSR1: leave, and say so; one that is abrupt does not announce that it
- * drains before, and serves on without another word.  SIGTERM: end.
+ * SIGUSR1 announces draining, and the second one deregisters the instance,
+ * which continues to serve without heartbeats; with --abrupt, the first one
+ * deregisters.  SIGTERM exits.
  */
 static void on_signal(uv_signal_t *handle, int signum)
 {
@@ -408,14 +423,14 @@
 	if (signum == SIGTERM)
 		exit(0);
 	if (leaving || opt.abrupt) {
-		gone = true;
+		deregistered = true;
 		snprintf(path, sizeof(path), "/-/Instances.Deregister/%s",
 			 opt.instance);
 		call_control(path, "");
 		return;
 	}
 	leaving = true;
-	beat_at = 0;
+	next_heartbeat = 0;
 }
 
 int main(int argc, char **argv)
@@ -432,16 +447,16 @@
 	if (!g_option_context_parse(ctx, &argc, &argv, NULL) || !opt.listen ||
 	    !opt.control || !opt.service || !opt.instance ||
 	    !dl_vm_parse(dl_str_of(opt.listen), &address)) {
-		fprintf(stderr, "runner: usage: see --help\n");
+		fprintf(stderr, "runner: invalid options; see --help\n");
 		return 2;
 	}
 	g_option_context_free(ctx);
-	come_back(args);
+	restart_after_crash(args);
 	fake_ignore_sigpipe();
-	born = g_get_real_time() / 1000;
+	started_ms = g_get_real_time() / 1000;
 	loop = uv_default_loop();
 	jobs = g_ptr_array_new();
-	controls = g_strsplit(opt.control, ",", CONTROLS);
+	controls = g_strsplit(opt.control, ",", CONTROLS_MAX);
 	if (opt.record)
 		record_fd =
 			open(opt.record, O_WRONLY | O_APPEND | O_CREAT, 0600);
