--- a/src/main/entry_conf.c
+++ b/src/main/entry_conf.c
@@ -11,7 +11,7 @@
 #include "main/entry.h"
 #include "main/log.h"
 #include "protocol/conf_push.h"
-#include "protocol/squeeze.h"
+#include "protocol/deflate.h"
 
 /* A lost push is mended within a second. */
 #define PULL_EVERY_MS 500
@@ -122,8 +122,8 @@
 /* Inflate and parse what was pushed; beside the loop where it is large. */
 static void read_pushed(struct conf_reading *r)
 {
-	if (dl_unsqueeze((struct dl_str){ r->pushed, r->pushed_n }, TEXT_MAX,
-			 &r->text, &r->text_n)) {
+	if (dl_inflate((struct dl_str){ r->pushed, r->pushed_n }, TEXT_MAX,
+		       &r->text, &r->text_n)) {
 		r->text = NULL;
 		return;
 	}
--- a/src/main/replica.c
+++ b/src/main/replica.c
@@ -17,7 +17,7 @@
 #include "base/msg.h"
 #include "main/main.h"
 #include "protocol/rlog_codec.h"
-#include "protocol/squeeze.h"
+#include "protocol/deflate.h"
 
 /*
  * Longer than a restart or a short pause of a VM, shorter than the time after
@@ -27,7 +27,7 @@
 #define APPLY_BYTES   (64u << 10)
 #define VOTER_LOST_MS 2500
 /* Below this, deflating saves less than it takes. */
-#define SQUEEZE_FROM 4096
+#define DEFLATE_MIN_BYTES 4096
 /* A planned stop waits so long for its successor. */
 #define STOP_MS 1500
 
@@ -94,7 +94,7 @@
 	char *text;
 	size_t n;
 
-	if (dl_unsqueeze(body, DL_FRAME_BODY_MAX, &text, &n))
+	if (dl_inflate(body, DL_FRAME_BODY_MAX, &text, &n))
 		return;
 	on_rlog(r, from, (struct dl_str){ text, n });
 	free(text);
@@ -221,7 +221,7 @@
 	char *small;
 	size_t n;
 
-	if (body.n < SQUEEZE_FROM || dl_squeeze(body, &small, &n)) {
+	if (body.n < DEFLATE_MIN_BYTES || dl_deflate(body, &small, &n)) {
 		replica_send(r, to, DL_FRAME_RLOG, 0, body);
 		return;
 	}
--- a/src/main/replica_conf.c
+++ b/src/main/replica_conf.c
@@ -14,7 +14,7 @@
 #include "daisyledge/conf.h"
 #include "main/replica.h"
 #include "protocol/conf_push.h"
-#include "protocol/squeeze.h"
+#include "protocol/deflate.h"
 
 #define ENTRIES_MAX 1024
 /*
@@ -65,7 +65,7 @@
 	json_decref(root);
 	free(r->pushed);
 	r->pushed = NULL;
-	rc = dl_squeeze(plain ? dl_str_of(plain) : text, &r->pushed,
+	rc = dl_deflate(plain ? dl_str_of(plain) : text, &r->pushed,
 			&r->pushed_n);
 	free(plain);
 	if (rc)
--- a/src/protocol/squeeze.c
+++ b/src/protocol/deflate.c
@@ -3,7 +3,7 @@
  * order, and zlib's stream behind it.  A configuration of 1,300 routes shrinks
  * from 520 KB to a few tens, which a link of 20 Mbit/s carries in time.
  */
-#include "protocol/squeeze.h"
+#include "protocol/deflate.h"
 
 #include <errno.h>
 #include <stdlib.h>
@@ -14,7 +14,7 @@
 #define FAST	   1 /* a tenth of the time of the default, nearly as small */
 
 /* Deflate a body. */
-int dl_squeeze(struct dl_str body, char **out, size_t *n)
+int dl_deflate(struct dl_str body, char **out, size_t *n)
 {
 	uLongf room = compressBound((uLong)body.n);
 	uint64_t size = body.n;
@@ -37,16 +37,16 @@
 }
 
 /* Inflate it again. */
-int dl_unsqueeze(struct dl_str squeezed, size_t max, char **out, size_t *n)
+int dl_inflate(struct dl_str deflated, size_t max, char **out, size_t *n)
 {
 	uint64_t size = 0;
 	uLongf got;
 	char *to;
 
-	if (squeezed.n < SIZE_BYTES)
+	if (deflated.n < SIZE_BYTES)
 		return -EBADMSG;
 	for (int i = 0; i < SIZE_BYTES; i++)
-		size = size << 8 | (uint8_t)squeezed.s[i];
+		size = size << 8 | (uint8_t)deflated.s[i];
 	if (size > max)
 		return -EBADMSG;
 	to = malloc(size ? size : 1);
@@ -54,8 +54,8 @@
 		return -ENOMEM;
 	got = (uLongf)size;
 	if (uncompress((Bytef *)to, &got,
-		       (const Bytef *)squeezed.s + SIZE_BYTES,
-		       (uLong)(squeezed.n - SIZE_BYTES)) != Z_OK ||
+		       (const Bytef *)deflated.s + SIZE_BYTES,
+		       (uLong)(deflated.n - SIZE_BYTES)) != Z_OK ||
 	    got != size) {
 		free(to);
 		return -EBADMSG;
--- a/src/protocol/pool_codec.c
+++ b/src/protocol/pool_codec.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "protocol/squeeze.h"
+#include "protocol/deflate.h"
 
 /* Of a body of many announcements, inflated. */
 #define WORDS_MAX     ((size_t)4 << 20)
@@ -443,7 +443,7 @@
 	dl_packer_open(&p, count);
 	for (uint32_t i = 0; i < count; i++)
 		dl_pack_str(&p, words[i]);
-	rc = dl_squeeze(dl_packer_bytes(&p), out, n);
+	rc = dl_deflate(dl_packer_bytes(&p), out, n);
 	dl_packer_close(&p);
 	return rc;
 }
@@ -455,7 +455,7 @@
 	struct dl_reader r;
 	char *plain;
 	size_t n;
-	int rc = dl_unsqueeze(body, WORDS_MAX, &plain, &n);
+	int rc = dl_inflate(body, WORDS_MAX, &plain, &n);
 
 	if (rc)
 		return rc;
