--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -193,7 +193,7 @@
 void entry_announce_words(struct entry *e, uint64_t from,
 			  const struct dl_frame *f)
 {
-	int rc = dl_words_read(f->body, take_words, e);
+	int rc = dl_report_batch_read(f->body, take_words, e);
 
 	if (rc)
 		dl_msg(DL_MSG_ENDPOINT_REFUSED, "from=%lx bytes=%zu error=%d",
--- a/src/main/replica_alive.c
+++ b/src/main/replica_alive.c
@@ -70,7 +70,7 @@
 
 	for (uint32_t i = 0; i < count; i++)
 		words[i] = dl_reports_find(alive->reports, keys[i]);
-	return dl_words_pack(words, count, body, n);
+	return dl_report_batch_pack(words, count, body, n);
 }
 
 static void send_words(struct replica *r, const uint64_t *keys, uint32_t count)
--- a/src/protocol/pool_codec.c
+++ b/src/protocol/pool_codec.c
@@ -434,8 +434,8 @@
 }
 
 /* Pack the announcements of many endpoints. */
-int dl_words_pack(const struct dl_str *words, uint32_t count, char **out,
-		  size_t *n)
+int dl_report_batch_pack(const struct dl_str *words, uint32_t count, char **out,
+			 size_t *n)
 {
 	struct dl_packer p;
 	int rc;
@@ -449,8 +449,9 @@
 }
 
 /* Read them, one after the other. */
-int dl_words_read(struct dl_str body,
-		  void (*take)(void *arg, struct dl_str words), void *arg)
+int dl_report_batch_read(struct dl_str body,
+			 void (*take)(void *arg, struct dl_str words),
+			 void *arg)
 {
 	struct dl_reader r;
 	char *plain;
--- a/src/protocol/pool_codec.h
+++ b/src/protocol/pool_codec.h
@@ -75,14 +75,15 @@
  * Announcements of many endpoints in one body, each as dl_report_pack() made
  * it, deflated.  0 and *out, which the caller frees with free(), or -ENOMEM.
  */
-int dl_words_pack(const struct dl_str *words, uint32_t count, char **out,
-		  size_t *n);
+int dl_report_batch_pack(const struct dl_str *words, uint32_t count, char **out,
+			 size_t *n);
 /*
  * Read them again: take() is called for each.  -EBADMSG where the body is none,
  * which may show after some were taken.
  */
-int dl_words_read(struct dl_str body,
-		  void (*take)(void *arg, struct dl_str words), void *arg);
+int dl_report_batch_read(struct dl_str body,
+			 void (*take)(void *arg, struct dl_str words),
+			 void *arg);
 
 void dl_summary_pack(struct dl_packer *p, struct dl_str service,
 		     struct dl_str domain, const struct dl_pool_summary *s);
--- a/test/test_codec.c
+++ b/test/test_codec.c
@@ -141,16 +141,18 @@
 	char *body;
 	size_t n;
 
-	ck_assert_int_eq(dl_words_pack(words, 3, &body, &n), 0);
-	ck_assert_int_eq(
-		dl_words_read((struct dl_str){ body, n }, take_words, &got), 0);
+	ck_assert_int_eq(dl_report_batch_pack(words, 3, &body, &n), 0);
+	ck_assert_int_eq(dl_report_batch_read((struct dl_str){ body, n },
+					      take_words, &got),
+			 0);
 	ck_assert_uint_eq(got.count, 3);
 	ck_assert_str_eq(got.all, "onetwothree");
 	memset(&got, 0, sizeof(got));
 	for (size_t cut = 0; cut < n; cut++)
-		ck_assert_int_eq(dl_words_read((struct dl_str){ body, cut },
-					       take_words, &got),
-				 -EBADMSG);
+		ck_assert_int_eq(
+			dl_report_batch_read((struct dl_str){ body, cut },
+					     take_words, &got),
+			-EBADMSG);
 	ck_assert_uint_eq(got.count, 0);
 	free(body);
 }
