--- a/bench/control_load.h
+++ b/bench/control_load.h
@@ -298,19 +298,19 @@
 /* One frame for all grants of an entry at a pool, a third of a lease apart. */
 static inline void load_renew(struct load *l, uint32_t pool, uint32_t entry)
 {
-	uint64_t grants[DL_RENEWED_MAX];
+	uint64_t grants[DL_ID_LIST_MAX];
 	struct load_req *r = *load_renewed(l, pool, entry);
 	struct dl_packer pk;
 	uint32_t n = 0;
 
 	if (!r)
 		return;
-	for (; r && n < DL_RENEWED_MAX; r = r->peer) {
+	for (; r && n < DL_ID_LIST_MAX; r = r->peer) {
 		grants[n++] = r->grant;
 		dl_pool_renew(l->pools[pool], r->grant, l->now);
 		l->renewals++;
 	}
-	dl_numbers_pack(&pk, DL_STR("match-writer"), grants, n);
+	dl_id_list_pack(&pk, DL_STR("match-writer"), grants, n);
 	load_send(l, pool / l->conf.pools * l->conf.entries + entry,
 		  load_leader(l, pool), 23, 0, dl_packer_bytes(&pk).n);
 	dl_packer_close(&pk);
--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -237,12 +237,12 @@
 void entry_announce_alive(struct entry *e, uint64_t from,
 			  const struct dl_frame *f)
 {
-	uint64_t keys[DL_RENEWED_MAX];
+	uint64_t keys[DL_ID_LIST_MAX];
 	uint32_t count, unknown = 0;
 	struct dl_name none;
 	struct dl_packer pk;
 
-	if (dl_numbers_read(f->body, &none, keys, &count))
+	if (dl_id_list_read(f->body, &none, keys, &count))
 		return;
 	for (uint32_t i = 0; i < count; i++) {
 		struct dl_str words = dl_reports_find(e->reports, keys[i]);
@@ -256,7 +256,7 @@
 	}
 	if (unknown == 0)
 		return;
-	dl_numbers_pack(&pk, DL_STR(""), keys, unknown);
+	dl_id_list_pack(&pk, DL_STR(""), keys, unknown);
 	dl_peers_send(e->node.peers, from, DL_FRAME_WORDS_ASK, 0,
 		      dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -161,7 +161,7 @@
 {
 	struct dl_packer pk;
 
-	dl_number_pack(&pk, service_of(c), number);
+	dl_id_pack(&pk, service_of(c), number);
 	dl_peers_send(c->e->node.peers, c->dispatcher, kind, c->ask_id,
 		      dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
--- a/src/main/entry_pool.c
+++ b/src/main/entry_pool.c
@@ -408,7 +408,7 @@
 	struct entry_pool *p;
 	uint64_t request;
 
-	if (dl_number_read(f->body, &service, &request))
+	if (dl_id_read(f->body, &service, &request))
 		return;
 	p = entry_pool_find(e, dl_name_str(&service));
 	if (p)
@@ -417,13 +417,13 @@
 
 static void on_renew(struct entry *e, uint64_t from, const struct dl_frame *f)
 {
-	uint64_t grants[DL_RENEWED_MAX];
+	uint64_t grants[DL_ID_LIST_MAX];
 	uint32_t count, gone = 0;
 	struct dl_name service;
 	struct entry_pool *p;
 	struct dl_packer pk;
 
-	if (dl_numbers_read(f->body, &service, grants, &count))
+	if (dl_id_list_read(f->body, &service, grants, &count))
 		return;
 	p = entry_pool_find(e, dl_name_str(&service));
 	for (uint32_t i = 0; i < count; i++) {
@@ -432,7 +432,7 @@
 	}
 	if (gone == 0)
 		return;
-	dl_numbers_pack(&pk, dl_name_str(&service), grants, gone);
+	dl_id_list_pack(&pk, dl_name_str(&service), grants, gone);
 	dl_peers_send(e->node.peers, from, DL_FRAME_RENEW_GONE, 0,
 		      dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
@@ -458,7 +458,7 @@
 	struct entry_pool *p;
 	uint64_t grant;
 
-	if (dl_number_read(f->body, &service, &grant))
+	if (dl_id_read(f->body, &service, &grant))
 		return;
 	p = entry_pool_find(e, dl_name_str(&service));
 	if (p)
--- a/src/main/entry_renew.c
+++ b/src/main/entry_renew.c
@@ -44,12 +44,12 @@
 /* A dispatcher does not know grants that we renewed: tell it again. */
 void entry_renew_gone(struct entry *e, uint64_t from, struct dl_str body)
 {
-	uint64_t grants[DL_RENEWED_MAX];
+	uint64_t grants[DL_ID_LIST_MAX];
 	struct dl_name service;
 	struct call *c;
 	uint32_t count;
 
-	if (dl_numbers_read(body, &service, grants, &count))
+	if (dl_id_list_read(body, &service, grants, &count))
 		return;
 	for (c = e->calls; c; c = c->next) {
 		if (c->granted && c->dispatcher == from &&
@@ -74,19 +74,19 @@
 static void renew_there(struct call *due, int64_t now)
 {
 	struct entry *e = due->e;
-	uint64_t grants[DL_RENEWED_MAX];
+	uint64_t grants[DL_ID_LIST_MAX];
 	struct dl_packer pk;
 	uint32_t n = 0;
 	struct call *c;
 
-	for (c = due; c && n < DL_RENEWED_MAX; c = c->next) {
+	for (c = due; c && n < DL_ID_LIST_MAX; c = c->next) {
 		if (!c->granted || c->dispatcher != due->dispatcher ||
 		    !dl_name_eq(&c->service, dl_name_str(&due->service)))
 			continue;
 		grants[n++] = c->grant.grant;
 		call_note_renewed(c, now);
 	}
-	dl_numbers_pack(&pk, dl_name_str(&due->service), grants, n);
+	dl_id_list_pack(&pk, dl_name_str(&due->service), grants, n);
 	dl_peers_send(e->node.peers, due->dispatcher, DL_FRAME_RENEW, 0,
 		      dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
--- a/src/main/replica_alive.c
+++ b/src/main/replica_alive.c
@@ -32,7 +32,7 @@
 
 /* Keys that wait for others, and how what they stand for is told. */
 struct gathered {
-	uint64_t key[DL_RENEWED_MAX];
+	uint64_t key[DL_ID_LIST_MAX];
 	uint32_t count;
 	int64_t sent_at;
 	void (*send)(struct replica *r, const uint64_t *keys, uint32_t count);
@@ -66,7 +66,7 @@
 static int words_of(const struct replica_alive *alive, const uint64_t *keys,
 		    uint32_t count, char **body, size_t *n)
 {
-	struct dl_str words[DL_RENEWED_MAX];
+	struct dl_str words[DL_ID_LIST_MAX];
 
 	for (uint32_t i = 0; i < count; i++)
 		words[i] = dl_reports_find(alive->reports, keys[i]);
@@ -89,7 +89,7 @@
 {
 	struct dl_packer pk;
 
-	dl_numbers_pack(&pk, DL_STR(""), keys, count);
+	dl_id_list_pack(&pk, DL_STR(""), keys, count);
 	replica_to_members(r, false, DL_FRAME_ALIVE, dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
 }
@@ -116,7 +116,7 @@
 static void gather(struct replica *r, struct gathered *g, uint64_t key,
 		   int64_t now)
 {
-	if (g->count == DL_RENEWED_MAX)
+	if (g->count == DL_ID_LIST_MAX)
 		flush(r, g, now);
 	g->key[g->count++] = key;
 }
@@ -171,13 +171,13 @@
 {
 	struct dl_reports *reports = r->alive->reports;
 	int64_t since = replica_now(r) - TELL_MS;
-	uint64_t keys[DL_RENEWED_MAX];
+	uint64_t keys[DL_ID_LIST_MAX];
 	struct dl_name none;
 	uint32_t count, known = 0;
 	char *body;
 	size_t n;
 
-	if (dl_numbers_read(f->body, &none, keys, &count))
+	if (dl_id_list_read(f->body, &none, keys, &count))
 		return;
 	for (uint32_t i = 0; i < count; i++) {
 		if (dl_reports_received_since(reports, keys[i], since))
--- a/src/protocol/pool_codec.c
+++ b/src/protocol/pool_codec.c
@@ -263,7 +263,7 @@
 }
 
 /* Pack a service and grants of it. */
-void dl_numbers_pack(struct dl_packer *p, struct dl_str service,
+void dl_id_list_pack(struct dl_packer *p, struct dl_str service,
 		     const uint64_t *numbers, uint32_t count)
 {
 	dl_packer_open(p, 1 + count);
@@ -272,8 +272,8 @@
 		dl_pack_u64(p, numbers[i]);
 }
 
-/* Read them: numbers has room for DL_RENEWED_MAX. */
-int dl_numbers_read(struct dl_str body, struct dl_name *service,
+/* Read them: numbers has room for DL_ID_LIST_MAX. */
+int dl_id_list_read(struct dl_str body, struct dl_name *service,
 		    uint64_t *numbers, uint32_t *count)
 {
 	struct dl_reader r;
@@ -281,7 +281,7 @@
 	dl_reader_open(&r, body);
 	dl_read_name(&r, service);
 	*count = r.left;
-	if (r.left > DL_RENEWED_MAX)
+	if (r.left > DL_ID_LIST_MAX)
 		r.bad = true;
 	for (uint32_t i = 0; !r.bad && i < *count; i++)
 		numbers[i] = dl_read_u64(&r);
@@ -316,7 +316,7 @@
 }
 
 /* Pack a service and a number: a request. */
-void dl_number_pack(struct dl_packer *p, struct dl_str service, uint64_t number)
+void dl_id_pack(struct dl_packer *p, struct dl_str service, uint64_t number)
 {
 	dl_packer_open(p, 2);
 	dl_pack_str(p, service);
@@ -324,8 +324,7 @@
 }
 
 /* Read them. */
-int dl_number_read(struct dl_str body, struct dl_name *service,
-		   uint64_t *number)
+int dl_id_read(struct dl_str body, struct dl_name *service, uint64_t *number)
 {
 	struct dl_reader r;
 
--- a/src/protocol/pool_codec.h
+++ b/src/protocol/pool_codec.h
@@ -42,12 +42,12 @@
 		    uint64_t *grant, struct dl_usage *out);
 
 /* Grants renewed by one frame; an entry with more sends more frames. */
-#define DL_RENEWED_MAX 512
+#define DL_ID_LIST_MAX 512
 
 /* All grants of a service that an entry renews, or those that are gone. */
-void dl_numbers_pack(struct dl_packer *p, struct dl_str service,
+void dl_id_list_pack(struct dl_packer *p, struct dl_str service,
 		     const uint64_t *numbers, uint32_t count);
-int dl_numbers_read(struct dl_str body, struct dl_name *service,
+int dl_id_list_read(struct dl_str body, struct dl_name *service,
 		    uint64_t *numbers, uint32_t *count);
 
 /* What an endpoint named, on its way to the dispatcher. */
@@ -62,10 +62,8 @@
 int dl_limit_read(struct dl_str body, struct dl_limit_frame *out);
 
 /* For cancellations: a service and a number. */
-void dl_number_pack(struct dl_packer *p, struct dl_str service,
-		    uint64_t number);
-int dl_number_read(struct dl_str body, struct dl_name *service,
-		   uint64_t *number);
+void dl_id_pack(struct dl_packer *p, struct dl_str service, uint64_t number);
+int dl_id_read(struct dl_str body, struct dl_name *service, uint64_t *number);
 
 /* An announcement on its way to its dispatcher. */
 void dl_report_pack(struct dl_packer *p, const struct dl_announcement *a);
--- a/test/test_codec.c
+++ b/test/test_codec.c
@@ -224,7 +224,7 @@
 	dl_ask_read(body, &asked, 0);
 	dl_answer_read(body, &answer, 0);
 	dl_release_read(body, &service, &number, &usage);
-	dl_number_read(body, &service, &number);
+	dl_id_read(body, &service, &number);
 	dl_report_read(body, &report);
 	dl_summary_read(body, &service, &domain, &summary);
 	dl_adopt_read(body, &service, &grant, &ask, 0);
