--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -81,7 +81,7 @@
 static bool build_model_body(struct call *c)
 {
 	free(c->body_first);
-	c->body_first = dl_completion_first(&c->completion, &c->grant);
+	c->body_first = dl_completion_body_head(&c->completion, &c->grant);
 	return c->body_first != NULL;
 }
 
@@ -115,7 +115,7 @@
 		req.method = DL_STR("POST");
 		req.path = DL_STR("/v1/completions");
 		req.body_first = dl_str_of(c->body_first);
-		req.body = dl_completion_rest(&c->completion);
+		req.body = dl_completion_body_tail(&c->completion);
 		headers[n++] = (struct dl_header){ DL_STR("Content-Type"),
 						   DL_STR("application/json") };
 	}
--- a/src/protocol/api.c
+++ b/src/protocol/api.c
@@ -122,8 +122,8 @@
 }
 
 /* The begin of the body that goes to an endpoint: our keys, and a comma. */
-char *dl_completion_first(const struct dl_completion *c,
-			  const struct dl_answer *grant)
+char *dl_completion_body_head(const struct dl_completion *c,
+			      const struct dl_answer *grant)
 {
 	json_t *o = json_object();
 	char *text;
@@ -142,7 +142,7 @@
 }
 
 /* The rest of it: the caller's keys, and the closing brace. */
-struct dl_str dl_completion_rest(const struct dl_completion *c)
+struct dl_str dl_completion_body_tail(const struct dl_completion *c)
 {
 	return (struct dl_str){ c->rest + 1, c->rest_n - 1 };
 }
--- a/src/protocol/api.h
+++ b/src/protocol/api.h
@@ -34,13 +34,13 @@
 			struct dl_err *err);
 void dl_completion_free(struct dl_completion *c);
 /*
- * The body for an endpoint is what this returns followed by dl_completion_rest:
- * always streamed, with the priority and, for a group, its other members.
- * Owned by the caller; NULL without memory.
+ * The body for an endpoint is what this returns followed by
+ * dl_completion_body_tail: always streamed, with the priority and, for a group,
+ * its other members. Owned by the caller; NULL without memory.
  */
-char *dl_completion_first(const struct dl_completion *c,
-			  const struct dl_answer *grant);
-struct dl_str dl_completion_rest(const struct dl_completion *c);
+char *dl_completion_body_head(const struct dl_completion *c,
+			      const struct dl_answer *grant);
+struct dl_str dl_completion_body_tail(const struct dl_completion *c);
 
 /* What a chunk of a completion stream says. */
 struct dl_chunk {
--- a/test/test_codec.c
+++ b/test/test_codec.c
@@ -324,18 +324,18 @@
 						    "\"top_p\":1}"),
 					     &c, &err),
 			 0);
-	ck_assert(dl_str_eq(dl_completion_rest(&c),
+	ck_assert(dl_str_eq(dl_completion_body_tail(&c),
 			    DL_STR("\"model\":\"m\",\"prompt\":\"p\","
 				   "\"top_p\":1}")));
 	f.answer.priority = 2;
-	first = dl_completion_first(&c, &f.answer);
+	first = dl_completion_body_head(&c, &f.answer);
 	ck_assert_str_eq(first, "{\"stream\":true,\"max_tokens\":256,"
 				"\"priority\":2,"
 				"\"group\":[{\"address\":\"127.0.0.2:9000\","
 				"\"tokens\":1}],");
 	free(first);
 	f.answer.endpoints = 1;
-	first = dl_completion_first(&c, &f.answer);
+	first = dl_completion_body_head(&c, &f.answer);
 	ck_assert_ptr_null(strstr(first, "group"));
 	free(first);
 	dl_completion_free(&c);
