--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -115,7 +115,7 @@
 	memset(out, 0, sizeof(*out));
 	out->workspace = dl_name_str(&c->workspace);
 	out->instance = dl_name_str(&endpoint_of(c, 0)->instance);
-	out->left_ms = (uint32_t)MAX(left, 1);
+	out->deadline_ms = (uint32_t)MAX(left, 1);
 	out->resumes = c->route.resumes;
 	out->after_event = c->route.last_event_id;
 	out->priority = (uint8_t)MIN(c->grant.priority / 32, 9);
@@ -124,7 +124,7 @@
 
 		if (!is_available(c, i) && !c->reservations)
 			continue;
-		out->ticket[out->helpers] = entry_reservation_id(c, name);
+		out->reservation[out->helpers] = entry_reservation_id(c, name);
 		out->helper[out->helpers++] = name;
 	}
 }
--- a/src/main/entry_route.c
+++ b/src/main/entry_route.c
@@ -264,8 +264,8 @@
 
 	if (!authorize(c, in, &route))
 		return;
-	left = in->patience_ms ? MIN(in->patience_ms, route->timeout_ms) :
-				 route->timeout_ms;
+	left = in->timeout_ms ? MIN(in->timeout_ms, route->timeout_ms) :
+				route->timeout_ms;
 	c->deadline = c->arrived_at + left;
 	fill_route(c, route);
 	service = pick_service(c, route);
@@ -322,7 +322,7 @@
 	if (!dl_name_set(&c->route.attempt_id, in.attempt_id))
 		c->route.attempt_id.n = 0;
 	c->deadline = c->arrived_at + 1;
-	if (!entry_lease_holds(e) && wait_for_config(c, in.patience_ms))
+	if (!entry_lease_holds(e) && wait_for_config(c, in.timeout_ms))
 		return;
 	admit(c, &in);
 }
--- a/src/protocol/dialect.h
+++ b/src/protocol/dialect.h
@@ -14,7 +14,7 @@
 	struct dl_str host;
 	struct dl_str key;	  /* shows the workspace; empty for none */
 	struct dl_str attempt_id; /* the caller's own, unique for each try */
-	uint32_t patience_ms;	  /* how long the caller waits; 0: not said */
+	uint32_t timeout_ms;	  /* how long the caller waits; 0: not said */
 	uint64_t prompt_tokens;	  /* 0: not said */
 	uint64_t output_tokens;	  /* at most */
 	uint64_t prefix;	  /* hash of the shared part; 0 for none */
@@ -27,14 +27,15 @@
 struct dl_outbound {
 	struct dl_str workspace; /* empty for none */
 	struct dl_str instance; /* only this start of the endpoint may run it */
-	uint32_t left_ms;	/* how long it may take */
+	uint32_t deadline_ms;	/* how long it may take */
 	bool resumes;
 	uint64_t after_event;
 	uint8_t priority; /* 0 first */
 	/* Others that read the prompt with it; addresses. */
 	uint8_t helpers;
 	struct dl_str helper[DL_GROUP_MAX];
-	struct dl_str ticket[DL_GROUP_MAX]; /* memory there; empty for none */
+	struct dl_str
+		reservation[DL_GROUP_MAX]; /* memory there; empty for none */
 };
 
 /* Memory set aside on an engine for a part of a prompt. */
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -32,7 +32,7 @@
 	d->inbound(headers, 6, &in);
 	ck_assert(dl_str_eq(in.key, DL_STR("secret")));
 	ck_assert(dl_str_eq(in.attempt_id, DL_STR("9c41")));
-	ck_assert_uint_eq(in.patience_ms, 10000);
+	ck_assert_uint_eq(in.timeout_ms, 10000);
 	ck_assert_uint_eq(in.prompt_tokens, 1460);
 	ck_assert_uint_eq(in.output_tokens, 80);
 	ck_assert_uint_eq(in.prefix_tokens, 1210);
@@ -109,7 +109,7 @@
 	char text[DL_DIALECT_TEXT_MAX];
 	struct dl_outbound what = { .workspace = DL_STR("hule"),
 				    .instance = DL_STR("i-7f"),
-				    .left_ms = 900,
+				    .deadline_ms = 900,
 				    .priority = 3,
 				    .helpers = 2 };
 	size_t n;
