--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -264,7 +264,7 @@
 	for (size_t i = 0; i < head->headers_count; i++) {
 		const struct dl_header *h = &head->headers[i];
 
-		if (platform_dialect.passes(h->name))
+		if (platform_dialect.forwards_header(h->name))
 			call_headers_keep(c, h);
 	}
 	c->response_length = events ? SIZE_MAX : c->route.head.content_length;
@@ -291,10 +291,10 @@
 static void on_head(void *arg, const struct dl_httpc_head *head)
 {
 	struct call *c = arg;
-	struct dl_answer_head said;
+	struct dl_response_head said;
 
 	entry_call_span(c, "connect", c->attempt_at, c->grant.endpoint[0].s);
-	platform_dialect.answer(head->headers, head->headers_count, &said);
+	platform_dialect.response(head->headers, head->headers_count, &said);
 	c->status = head->status;
 	c->route.head.not_run = said.not_run ||
 				head->status == STATUS_MISDIRECTED;
--- a/src/main/entry_reservation.c
+++ b/src/main/entry_reservation.c
@@ -83,9 +83,9 @@
 {
 	struct reservation *r = arg;
 	struct call *c = r->set->c;
-	struct dl_answer_head said;
+	struct dl_response_head said;
 
-	platform_dialect.answer(head->headers, head->headers_count, &said);
+	platform_dialect.response(head->headers, head->headers_count, &said);
 	entry_backoff_named(c, &r->address,
 			    entry_endpoint_start(c->e, dl_name_str(&c->service),
 						 dl_name_str(&r->address)),
--- a/src/main/replica_door.c
+++ b/src/main/replica_door.c
@@ -162,7 +162,7 @@
 	 * time is new to each of them, and its words go to every VM each time;
 	 * and it comes over a new connection.
 	 */
-	n = platform_dialect.announced(
+	n = platform_dialect.announce_reply(
 		leave ? DL_VM_NONE : d->r->node.settings.operators, text);
 	reply_json(req, 200, (struct dl_str){ text, n });
 }
--- a/src/protocol/dialect.h
+++ b/src/protocol/dialect.h
@@ -47,7 +47,7 @@
 };
 
 /* What the head of an endpoint's answer says. */
-struct dl_answer_head {
+struct dl_response_head {
 	bool not_run; /* it has not run the request and never will */
 	struct dl_str attempt_id;
 	struct dl_str at_fault; /* the endpoint that is, where it is another */
@@ -84,10 +84,10 @@
 	size_t (*outbound)(const struct dl_header *callers, size_t n,
 			   const struct dl_outbound *what,
 			   struct dl_header *out, char *text);
-	void (*answer)(const struct dl_header *headers, size_t n,
-		       struct dl_answer_head *out);
+	void (*response)(const struct dl_header *headers, size_t n,
+			 struct dl_response_head *out);
 	/* Whether an endpoint's header may reach the caller. */
-	bool (*passes)(struct dl_str name);
+	bool (*forwards_header)(struct dl_str name);
 	/* Fill in the order about a reservation; values go into text. */
 	void (*reservation)(const struct dl_reservation *what,
 			    struct dl_httpc_req *req, struct dl_header *headers,
@@ -103,7 +103,7 @@
 	 * announce itself from now on, DL_VM_NONE for wherever it likes.
 	 * Returns its length in text, at most DL_DIALECT_TEXT_MAX.
 	 */
-	size_t (*announced)(uint64_t door, char *text);
+	size_t (*announce_reply)(uint64_t door, char *text);
 	/* That it leaves, without its address; the body may be empty. */
 	int (*leave)(struct dl_str id, struct dl_str body,
 		     struct dl_announcement *out, struct dl_err *err);
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -154,19 +154,19 @@
 		H("Content-Length", "12"),
 		H("At-Server", "10.2.64.3:8080"),
 	};
-	struct dl_answer_head head;
+	struct dl_response_head head;
 
-	d->answer(headers, 4, &head);
+	d->response(headers, 4, &head);
 	ck_assert(dl_str_eq(head.at_fault, DL_STR("10.2.64.3:8080")));
 	ck_assert(head.not_run);
 	ck_assert(dl_str_eq(head.attempt_id, DL_STR("9c41")));
 	ck_assert_uint_eq(head.length, 12);
-	d->answer(headers + 1, 1, &head);
+	d->response(headers + 1, 1, &head);
 	ck_assert(!head.not_run);
 	ck_assert_uint_eq(head.at_fault.n, 0);
 	ck_assert(head.length == SIZE_MAX);
-	ck_assert(d->passes(DL_STR("Daisyledge-Response-Stamp")));
-	ck_assert(!d->passes(DL_STR("Transfer-Encoding")));
+	ck_assert(d->forwards_header(DL_STR("Daisyledge-Response-Stamp")));
+	ck_assert(!d->forwards_header(DL_STR("Transfer-Encoding")));
 }
 END_TEST
 
@@ -190,16 +190,16 @@
 		{ "2/s", DL_UNLIMITED },
 		{ "1e3", DL_UNLIMITED },
 	};
-	struct dl_answer_head head;
+	struct dl_response_head head;
 
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		const struct dl_header said = { DL_STR("Server-Limit"),
 						dl_str_of(cases[i].text) };
 
-		d->answer(&said, 1, &head);
+		d->response(&said, 1, &head);
 		ck_assert_uint_eq(head.limit, cases[i].limit);
 	}
-	d->answer(NULL, 0, &head);
+	d->response(NULL, 0, &head);
 	ck_assert_uint_eq(head.limit, DL_UNLIMITED);
 }
 END_TEST
@@ -220,13 +220,13 @@
 		{ "server-leaving", "1", 0, true },
 		{ "Server-Leaving", "0", 0, false },
 	};
-	struct dl_answer_head head;
+	struct dl_response_head head;
 
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		const struct dl_header said = { dl_str_of(cases[i].name),
 						dl_str_of(cases[i].value) };
 
-		d->answer(&said, 1, &head);
+		d->response(&said, 1, &head);
 		ck_assert_uint_eq(head.retry_after_ms, cases[i].retry_after_ms);
 		ck_assert_int_eq(head.leaving, cases[i].leaving);
 	}
@@ -344,10 +344,10 @@
 	size_t n;
 
 	ck_assert(dl_vm_parse(DL_STR("10.0.0.9:80"), &door));
-	n = d->announced(door, text);
+	n = d->announce_reply(door, text);
 	ck_assert(dl_str_eq((struct dl_str){ text, n },
 			    DL_STR("{\"heartbeat_addr\":\"10.0.0.9:80\"}")));
-	n = d->announced(DL_VM_NONE, text);
+	n = d->announce_reply(DL_VM_NONE, text);
 	ck_assert(dl_str_eq((struct dl_str){ text, n }, DL_STR("{}")));
 }
 END_TEST
