--- a/bench/control_load.h
+++ b/bench/control_load.h
@@ -370,7 +370,7 @@
 	struct load_req *r = calloc(1, sizeof(*r));
 	struct dl_ask ask = { 0 };
 	struct dl_answer answer;
-	struct dl_ask_frame asked = { .settled = false }, read;
+	struct dl_ask_frame asked = { .no_spill = false }, read;
 	struct dl_packer pk;
 	char workspace[24] = "workspace-";
 	uint32_t number;
--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -44,7 +44,7 @@
 
 	memset(&c->ask, 0, sizeof(c->ask));
 	c->ask.service = c->service;
-	c->ask.settled = c->redirected || c->refused;
+	c->ask.no_spill = c->redirected || c->refused;
 	c->ask.standby = g_hash_table_size(c->e->unreachable_vms) > 0;
 	ask->request = c->ask_id;
 	ask->entry = c->e->node.self;
--- a/src/main/entry_pool.c
+++ b/src/main/entry_pool.c
@@ -366,7 +366,7 @@
 		hold(e, p, f);
 		return;
 	}
-	if (p->dispatching && !local && !f->settled && send_away(e, p, ask))
+	if (p->dispatching && !local && !f->no_spill && send_away(e, p, ask))
 		return;
 	if (p->dispatching || local) {
 		dl_pool_ask(p->pool, ask, entry_now(e), &answer);
--- a/src/protocol/pool_codec.c
+++ b/src/protocol/pool_codec.c
@@ -116,7 +116,7 @@
 	dl_packer_open(p, ASK_ITEMS);
 	dl_pack_str(p, dl_name_str(&f->service));
 	put_ask(p, &f->ask, now);
-	dl_pack_bool(p, f->settled);
+	dl_pack_bool(p, f->no_spill);
 	dl_pack_bool(p, f->standby);
 }
 
@@ -128,7 +128,7 @@
 	dl_reader_open(&r, body);
 	dl_read_name(&r, &out->service);
 	take_ask(&r, &out->ask, now);
-	out->settled = dl_read_bool(&r);
+	out->no_spill = dl_read_bool(&r);
 	out->standby = dl_read_bool(&r);
 	return finish(&r);
 }
--- a/src/protocol/pool_codec.h
+++ b/src/protocol/pool_codec.h
@@ -23,7 +23,7 @@
 struct dl_ask_frame {
 	struct dl_name service;
 	struct dl_ask ask;
-	bool settled; /* another pool was tried: do not send it elsewhere */
+	bool no_spill; /* another pool was tried: do not send it elsewhere */
 	bool standby; /* the VM that dispatches does not answer: do it for it */
 };
 
--- a/test/test_codec.c
+++ b/test/test_codec.c
@@ -70,7 +70,7 @@
 START_TEST(ask_times_are_what_is_left)
 {
 	struct dl_ask_frame f = { .ask = sample_ask(),
-				  .settled = true,
+				  .no_spill = true,
 				  .standby = true },
 			    got;
 	struct dl_ask ask = f.ask, back;
@@ -79,7 +79,7 @@
 	dl_ask_pack(&p, &f, 80000);
 	ck_assert_int_eq(dl_ask_read(dl_packer_bytes(&p), &got, 500), 0);
 	back = got.ask;
-	ck_assert(got.settled);
+	ck_assert(got.no_spill);
 	ck_assert(got.standby);
 	ck_assert_int_eq(back.deadline, 10500);
 	ck_assert_uint_eq(back.request, ask.request);
