--- a/src/main/entry_conf.c
+++ b/src/main/entry_conf.c
@@ -109,9 +109,9 @@
 
 static uint32_t read_rest(struct dl_reader *r, uint64_t *out)
 {
-	const msgpack_object *o = r->at;
+	const msgpack_object *o = r->next;
 
-	if (r->bad || r->left == 0 || o->type != MSGPACK_OBJECT_ARRAY ||
+	if (r->bad || r->remaining == 0 || o->type != MSGPACK_OBJECT_ARRAY ||
 	    o->via.array.size > RELAY_MAX)
 		return 0;
 	for (uint32_t i = 0; i < o->via.array.size; i++)
--- a/src/protocol/pack.c
+++ b/src/protocol/pack.c
@@ -9,16 +9,16 @@
 	size_t off = 0;
 
 	msgpack_unpacked_init(&r->unpacked);
-	r->at = NULL;
-	r->left = 0;
+	r->next = NULL;
+	r->remaining = 0;
 	r->bad = !dl_msgpack_sound(body) ||
 		 msgpack_unpack_next(&r->unpacked, body.s, body.n, &off) !=
 			 MSGPACK_UNPACK_SUCCESS ||
 		 off != body.n || r->unpacked.data.type != MSGPACK_OBJECT_ARRAY;
 	if (r->bad)
 		return;
-	r->at = r->unpacked.data.via.array.ptr;
-	r->left = r->unpacked.data.via.array.size;
+	r->next = r->unpacked.data.via.array.ptr;
+	r->remaining = r->unpacked.data.via.array.size;
 }
 
 /* Free what the reader holds; views of strings stay good. */
@@ -27,20 +27,20 @@
 	msgpack_unpacked_destroy(&r->unpacked);
 }
 
-static const msgpack_object *next(struct dl_reader *r)
+static const msgpack_object *take(struct dl_reader *r)
 {
-	if (r->bad || r->left == 0) {
+	if (r->bad || r->remaining == 0) {
 		r->bad = true;
 		return NULL;
 	}
-	r->left--;
-	return r->at++;
+	r->remaining--;
+	return r->next++;
 }
 
 /* The next item as a number that is not negative. */
 uint64_t dl_read_u64(struct dl_reader *r)
 {
-	const msgpack_object *o = next(r);
+	const msgpack_object *o = take(r);
 
 	if (!o)
 		return 0;
@@ -54,7 +54,7 @@
 /* The next item as a number. */
 int64_t dl_read_i64(struct dl_reader *r)
 {
-	const msgpack_object *o = next(r);
+	const msgpack_object *o = take(r);
 
 	if (!o)
 		return 0;
@@ -70,7 +70,7 @@
 /* The next item as a truth value. */
 bool dl_read_bool(struct dl_reader *r)
 {
-	const msgpack_object *o = next(r);
+	const msgpack_object *o = take(r);
 
 	if (!o)
 		return false;
@@ -84,7 +84,7 @@
 /* The next item as bytes; they stay in the body. */
 struct dl_str dl_read_str(struct dl_reader *r)
 {
-	const msgpack_object *o = next(r);
+	const msgpack_object *o = take(r);
 
 	if (o && o->type == MSGPACK_OBJECT_STR)
 		return (struct dl_str){ o->via.str.ptr, o->via.str.size };
--- a/src/protocol/pack.h
+++ b/src/protocol/pack.h
@@ -12,8 +12,8 @@
 
 struct dl_reader {
 	msgpack_unpacked unpacked;
-	const msgpack_object *at;
-	uint32_t left;
+	const msgpack_object *next;
+	uint32_t remaining;
 	bool bad;
 };
 
--- a/src/protocol/pool_codec.c
+++ b/src/protocol/pool_codec.c
@@ -41,14 +41,15 @@
 {
 	const msgpack_object *o;
 
-	if (r->bad || r->left == 0 || r->at->type != MSGPACK_OBJECT_ARRAY ||
-	    r->at->via.array.size > max) {
+	if (r->bad || r->remaining == 0 ||
+	    r->next->type != MSGPACK_OBJECT_ARRAY ||
+	    r->next->via.array.size > max) {
 		r->bad = true;
 		return 0;
 	}
-	o = r->at;
-	r->at++;
-	r->left--;
+	o = r->next;
+	r->next++;
+	r->remaining--;
 	for (uint32_t i = 0; i < o->via.array.size; i++) {
 		const msgpack_object *s = &o->via.array.ptr[i];
 
@@ -157,14 +158,15 @@
 {
 	const msgpack_object *o;
 
-	if (r->bad || r->left == 0 || r->at->type != MSGPACK_OBJECT_ARRAY ||
-	    r->at->via.array.size != out->endpoints) {
+	if (r->bad || r->remaining == 0 ||
+	    r->next->type != MSGPACK_OBJECT_ARRAY ||
+	    r->next->via.array.size != out->endpoints) {
 		r->bad = true;
 		return;
 	}
-	o = r->at;
-	r->at++;
-	r->left--;
+	o = r->next;
+	r->next++;
+	r->remaining--;
 	for (uint32_t i = 0; i < out->endpoints; i++) {
 		if (o->via.array.ptr[i].type != MSGPACK_OBJECT_POSITIVE_INTEGER)
 			r->bad = true;
@@ -280,8 +282,8 @@
 
 	dl_reader_open(&r, body);
 	dl_read_name(&r, service);
-	*count = r.left;
-	if (r.left > DL_ID_LIST_MAX)
+	*count = r.remaining;
+	if (r.remaining > DL_ID_LIST_MAX)
 		r.bad = true;
 	for (uint32_t i = 0; !r.bad && i < *count; i++)
 		numbers[i] = dl_read_u64(&r);
@@ -345,16 +347,16 @@
 
 static void take_events(struct dl_reader *r, struct dl_announcement *out)
 {
-	const msgpack_object *o = r->at;
+	const msgpack_object *o = r->next;
 	uint32_t n;
 
-	if (r->bad || r->left == 0 || o->type != MSGPACK_OBJECT_ARRAY ||
+	if (r->bad || r->remaining == 0 || o->type != MSGPACK_OBJECT_ARRAY ||
 	    o->via.array.size > 2 * DL_CACHE_EVENTS_MAX) {
 		r->bad = true;
 		return;
 	}
-	r->at++;
-	r->left--;
+	r->next++;
+	r->remaining--;
 	n = o->via.array.size / 2;
 	for (uint32_t i = 0; i < n; i++) {
 		const msgpack_object *pair = &o->via.array.ptr[(size_t)i * 2];
@@ -460,7 +462,7 @@
 	if (rc)
 		return rc;
 	dl_reader_open(&r, (struct dl_str){ plain, n });
-	while (!r.bad && r.left) {
+	while (!r.bad && r.remaining) {
 		struct dl_str words = dl_read_str(&r);
 
 		if (!r.bad)
--- a/src/protocol/quarantine_codec.c
+++ b/src/protocol/quarantine_codec.c
@@ -33,8 +33,8 @@
 	bool bad;
 
 	dl_reader_open(&r, body);
-	*count = r.left / CRASH_ITEMS;
-	if (r.left % CRASH_ITEMS || *count > DL_CRASHES_MAX)
+	*count = r.remaining / CRASH_ITEMS;
+	if (r.remaining % CRASH_ITEMS || *count > DL_CRASHES_MAX)
 		r.bad = true;
 	for (uint32_t i = 0; !r.bad && i < *count; i++) {
 		out[i].request = dl_read_u64(&r);
--- a/test/test_reports.c
+++ b/test/test_reports.c
@@ -141,9 +141,9 @@
 		dl_reader_open(&r, dl_packer_bytes(&pk));
 		ck_assert_uint_eq(dl_read_u64(&r), 7);
 		ck_assert(dl_str_eq(dl_read_str(&r), DL_STR("text")));
-		n = r.at->via.array.size;
+		n = r.next->via.array.size;
 		for (uint32_t k = 0; k < n; k++)
-			rest[k] = r.at->via.array.ptr[k].via.u64;
+			rest[k] = r.next->via.array.ptr[k].via.u64;
 		dl_reader_close(&r);
 		dl_packer_close(&pk);
 		out->times[index_of(all, to)]++;
