--- a/src/protocol/api.c
+++ b/src/protocol/api.c
@@ -1,4 +1,4 @@
-/* JSON of callers and endpoints. */
+/* Parsing and encoding of the native JSON API. */
 #include "protocol/api.h"
 
 #include <errno.h>
@@ -26,7 +26,7 @@
 		return NULL;
 	}
 	if (!json_is_object(root)) {
-		BAD(err, "the body is not an object");
+		BAD(err, "the body is not a JSON object");
 		json_decref(root);
 		return NULL;
 	}
@@ -46,7 +46,10 @@
 	return 0;
 }
 
-/* The keys that an entry sets itself; what the caller said of them is read. */
+/*
+ * Keys that the entry sets in the request to the endpoint. The caller's values
+ * are not forwarded.
+ */
 static const char *const own_keys[] = { "stream", "max_tokens", "priority",
 					"group" };
 
@@ -60,7 +63,7 @@
 	if (!json_is_string(model) || !dl_name_set(&c->model, json_str(model)))
 		return BAD(err, "model must be a name");
 	if (!json_is_string(prompt) || json_string_length(prompt) == 0)
-		return BAD(err, "prompt must be a string that is not empty");
+		return BAD(err, "prompt must be a non-empty string");
 	if (stream && !json_is_boolean(stream))
 		return BAD(err, "stream must be true or false");
 	if (read_max_tokens(json_object_get(root, "max_tokens"),
@@ -73,7 +76,7 @@
 	return 0;
 }
 
-/* Read a caller's request; free it only after success. */
+/* Parses a caller's request; dl_completion_free() is due only on success. */
 int dl_completion_parse(struct dl_str body, struct dl_completion *out,
 			struct dl_err *err)
 {
@@ -96,14 +99,16 @@
 	return rc;
 }
 
-/* Free what was parsed. */
 void dl_completion_free(struct dl_completion *c)
 {
 	free(c->rest);
 	c->rest = NULL;
 }
 
-/* The other members of a group, and what each is to hold of the prompt. */
+/*
+ * Returns the other members of a group with the number of prompt tokens that
+ * each holds.
+ */
 static json_t *group_of(const struct dl_answer *grant)
 {
 	json_t *group = json_array();
@@ -121,7 +126,7 @@
 	return group;
 }
 
-/* The begin of the body that goes to an endpoint: our keys, and a comma. */
+/* Returns the start of an endpoint's request body: own_keys and a comma. */
 char *dl_completion_body_head(const struct dl_completion *c,
 			      const struct dl_answer *grant)
 {
@@ -141,7 +146,7 @@
 	return text;
 }
 
-/* The rest of it: the caller's keys, and the closing brace. */
+/* Returns the end of that body: the caller's keys and the closing brace. */
 struct dl_str dl_completion_body_tail(const struct dl_completion *c)
 {
 	return (struct dl_str){ c->rest + 1, c->rest_n - 1 };
@@ -173,9 +178,9 @@
 }
 
 /*
- * Read one event.  Most chunks are passed on unread: only a chunk that may
- * hold the usage is parsed, unless the text itself is wanted.  *text is a new
- * reference, or NULL.
+ * Reads one event. Most chunks are forwarded without parsing: unless the text
+ * is wanted, only a chunk that may contain the usage is parsed. *text is a new
+ * reference or NULL.
  */
 int dl_chunk_parse(struct dl_str data, bool want_text, struct dl_chunk *out,
 		   json_t **text)
@@ -230,7 +235,7 @@
 	r->takes_groups = json_is_true(json_object_get(root, "takes_groups"));
 }
 
-/* The name of a prompt's start; see the header. */
+/* Hashes the first DL_PREFIX_BYTES bytes of a prompt. */
 uint64_t dl_prefix_hash(struct dl_str prompt)
 {
 	if (prompt.n < DL_PREFIX_BYTES)
@@ -238,7 +243,10 @@
 	return XXH64(prompt.s, DL_PREFIX_BYTES, 0);
 }
 
-/* Events that make no sense are passed over: they are hints, no more. */
+/*
+ * Reads the last DL_CACHE_EVENTS_MAX cache events. Events without a prefix are
+ * skipped rather than rejected, since cache events are only hints.
+ */
 static void read_events(const json_t *root, struct dl_announcement *out)
 {
 	const json_t *list = json_object_get(root, "cache_events");
@@ -261,7 +269,7 @@
 	}
 }
 
-/* More models than can be told apart are passed over. */
+/* Reads the models; those beyond DL_ANNOUNCED_MODELS_MAX are ignored. */
 static void read_models(const json_t *root, struct dl_announcement *out)
 {
 	const json_t *list = json_object_get(root, "models");
@@ -278,7 +286,7 @@
 	}
 }
 
-/* Read an endpoint's announcement. */
+/* Parses an endpoint's announcement. */
 int dl_announcement_parse(struct dl_str body, struct dl_announcement *out,
 			  struct dl_err *err)
 {
@@ -296,7 +304,7 @@
 		rc = BAD(err, "failure_domain must be a name");
 	else if (read_name(root, "address", true, &out->report.id) ||
 		 !dl_vm_parse(dl_name_str(&out->report.id), &address))
-		rc = BAD(err, "address must be an IP number and a port");
+		rc = BAD(err, "address must be an IP address and a port");
 	read_report(root, &out->report);
 	out->order_fence = read_count(root, "order_fence");
 	read_events(root, out);
@@ -310,7 +318,7 @@
 	return rc;
 }
 
-/* Write the body of a refusal or an error. */
+/* Encodes the body of a response that reports a refusal or an error. */
 char *dl_error_body(const char *reason, const char *step, const char *peer,
 		    uint32_t retry_after_ms, const char *text, size_t *n)
 {
--- a/src/protocol/api.h
+++ b/src/protocol/api.h
@@ -1,6 +1,6 @@
 /*
- * What callers and endpoints say in JSON, as typed messages.  daisyledge-api(7)
- * and daisyledge-endpoint(7) describe it.
+ * JSON messages of callers and endpoints. daisyledge-api(7) and
+ * daisyledge-endpoint(7) specify them.
  */
 #ifndef DL_PROTOCOL_API_H
 #define DL_PROTOCOL_API_H
@@ -10,8 +10,8 @@
 #include "daisyledge/pool.h"
 
 /*
- * A caller's completion request, checked.  What it holds is its own: the body
- * may go once it is parsed.
+ * A validated completion request of a caller. It owns its data, so the body may
+ * be freed once it is parsed.
  */
 struct dl_completion {
 	struct dl_name model;
@@ -19,7 +19,7 @@
 	bool stream;
 	uint64_t prompt_bytes;
 	uint64_t prefix; /* dl_prefix_hash() of the prompt */
-	char *rest;	 /* the JSON object without the keys that we set */
+	char *rest;	 /* the JSON object without the keys the entry sets */
 	size_t rest_n;
 };
 
@@ -27,44 +27,46 @@
 #define DL_MAX_TOKENS_MAX     1000000
 
 /*
- * 0, or -EINVAL and why.  Takes some 25 ms a megabyte and touches nothing
- * shared, so that a long prompt may be parsed beside the loop.
+ * Returns 0, or -EINVAL and the reason in err. It takes about 25 ms per
+ * megabyte and accesses no shared state, so a long prompt may be parsed on a
+ * worker thread rather than on the event loop.
  */
 int dl_completion_parse(struct dl_str body, struct dl_completion *out,
 			struct dl_err *err);
 void dl_completion_free(struct dl_completion *c);
 /*
- * The body for an endpoint is what this returns followed by
- * dl_completion_body_tail: always streamed, with the priority and, for a group,
- * its other members. Owned by the caller; NULL without memory.
+ * An endpoint's request body is this head followed by
+ * dl_completion_body_tail(). It always asks for a stream and carries the
+ * priority and, for a group, the other members. The caller frees the head; NULL
+ * if out of memory.
  */
 char *dl_completion_body_head(const struct dl_completion *c,
 			      const struct dl_answer *grant);
 struct dl_str dl_completion_body_tail(const struct dl_completion *c);
 
-/* What a chunk of a completion stream says. */
+/* One chunk of a completion stream. */
 struct dl_chunk {
-	bool done; /* the end mark */
+	bool done; /* the "[DONE]" that ends the stream */
 	bool has_text;
 	bool has_usage;
 	uint64_t prompt_tokens;
 	uint64_t completion_tokens;
 };
 
-/* Read the data of one event; -EBADMSG where it is not a chunk. */
+/* Reads the data of one event; -EBADMSG if it is not a chunk. */
 int dl_chunk_parse(struct dl_str data, bool want_text, struct dl_chunk *out,
 		   json_t **text);
 
 /*
- * How prompts and cache events name the start of a prompt that others may
- * share: XXH64 without a seed over its first DL_PREFIX_BYTES bytes.  0 for a
- * prompt that is shorter.
+ * The hash by which requests and cache events identify a prompt prefix that
+ * several prompts may share: XXH64 with seed 0 over the first DL_PREFIX_BYTES
+ * bytes. It is 0 for a shorter prompt.
  */
 #define DL_PREFIX_BYTES ((size_t)4096)
 
 uint64_t dl_prefix_hash(struct dl_str prompt);
 
-/* What an engine says of its cache, at most so many in one announcement. */
+/* Events of an engine's prefix cache in one announcement. */
 #define DL_CACHE_EVENTS_MAX 32
 
 struct dl_cache_event {
@@ -78,13 +80,16 @@
 struct dl_announcement {
 	struct dl_name service;
 	struct dl_endpoint_report report;
-	/* One start of the endpoint; empty: report.incarnation tells starts. */
+	/*
+	 * Identifies the endpoint instance; if empty, report.incarnation tells
+	 * instances apart.
+	 */
 	struct dl_name instance;
-	uint64_t sequence; /* grows with each announcement of a start */
-	uint64_t born; /* when that start began, by the endpoint's clock; 0: not
-			  said */
+	uint64_t sequence; /* increases with each announcement of an instance */
+	uint64_t born; /* start time of the instance by the endpoint's clock; 0:
+			  unknown */
 	uint64_t order_fence;
-	/* What orders are about; empty where it tells none. */
+	/* What orders change; empty if the endpoint announces none of it. */
 	struct dl_name models[DL_ANNOUNCED_MODELS_MAX];
 	uint32_t models_count;
 	struct dl_name version;
@@ -96,7 +101,7 @@
 int dl_announcement_parse(struct dl_str body, struct dl_announcement *out,
 			  struct dl_err *err);
 
-/* A refusal or an error as its JSON body; owned by the caller. */
+/* The JSON body of a refusal or an error; the caller frees it. */
 char *dl_error_body(const char *reason, const char *step, const char *peer,
 		    uint32_t retry_after_ms, const char *text, size_t *n);
 
--- a/src/protocol/cmd.c
+++ b/src/protocol/cmd.c
@@ -1,4 +1,4 @@
-/* Replies to commands as one msgpack array each. */
+/* Replies to commands, each encoded as one msgpack array. */
 #include "protocol/cmd.h"
 
 #include <errno.h>
@@ -10,8 +10,8 @@
 #define REPLY_FIELDS 10
 
 /*
- * Encode a reply and the address of the leader into *out, which the caller
- * frees with free().  0 or -ENOMEM.
+ * Encodes a reply and the address of the leader into *out, which the caller
+ * frees with free(). Returns 0 or -ENOMEM.
  */
 int dl_reply_encode(const struct dl_cstore_reply *reply, uint64_t leader,
 		    char **out, size_t *n)
@@ -41,7 +41,7 @@
 	return 0;
 }
 
-/* Decode a reply; its outcome points into body.  0 or -EBADMSG. */
+/* Decodes a reply, whose outcome points into body. Returns 0 or -EBADMSG. */
 int dl_reply_decode(struct dl_str body, struct dl_cstore_reply *out,
 		    uint64_t *leader)
 {
--- a/src/protocol/conf_push.c
+++ b/src/protocol/conf_push.c
@@ -1,17 +1,18 @@
-/* The tree in which versions are pushed; see the header. */
+/* The tree along which configuration versions are pushed; see the header. */
 #include "protocol/conf_push.h"
 
-/* How many VMs of a list are sent to directly. */
+/* Returns to how many VMs of a list the sender pushes directly. */
 uint32_t dl_conf_push_children(uint32_t count)
 {
 	return count < DL_CONF_PUSH_FAN_OUT ? count : DL_CONF_PUSH_FAN_OUT;
 }
 
 /*
- * Each child gets a run of the list, of which it is the first.  Lists are in
- * order of addresses, and VMs of one network are neighbours in it: a text
- * crosses from one to another some ten times, not once for most VMs (295 VMs
- * in five networks: 236 times when every eighth VM was one's share).
+ * Packs the push to one child and returns its address. Each child gets a
+ * contiguous range of the list and is the first VM of it. Lists are sorted by
+ * address, which makes VMs of one network neighbours: a text crosses from one
+ * network to another about ten times instead of once for most VMs (236 times
+ * for 295 VMs in five networks, when each child got every eighth VM).
  */
 uint64_t dl_conf_push_pack(struct dl_packer *pk, uint64_t version,
 			   struct dl_str text, const uint64_t *vms,
--- a/src/protocol/conf_push.h
+++ b/src/protocol/conf_push.h
@@ -1,17 +1,17 @@
 /*
- * A version of the configuration on its way down a tree of VMs: each passes it
- * on to a few, and names to each of those the ones that it is to reach in turn.
+ * Pushes of a configuration version along a tree of VMs: each VM forwards the
+ * version to a few children and sends each of them the list of VMs below it.
  */
 #ifndef DL_PROTOCOL_CONF_PUSH_H
 #define DL_PROTOCOL_CONF_PUSH_H
 
 #include "protocol/pack.h"
 
-/* How many VMs one sends a version to. */
+/* The largest number of children of a VM in the tree. */
 #define DL_CONF_PUSH_FAN_OUT 8
 
 uint32_t dl_conf_push_children(uint32_t count);
-/* Pack what the child of this number gets; the VM that it is. */
+/* Packs the push to the child with this index; returns the child's address. */
 uint64_t dl_conf_push_pack(struct dl_packer *pk, uint64_t version,
 			   struct dl_str text, const uint64_t *vms,
 			   uint32_t count, uint32_t child);
--- a/src/protocol/pack.c
+++ b/src/protocol/pack.c
@@ -1,9 +1,9 @@
-/* Small readers and writers over msgpack-c. */
+/* Wrappers around msgpack-c that read and write arrays. */
 #include "protocol/pack.h"
 
 #include "base/sound.h"
 
-/* Open a body; bad where it is not one whole array. */
+/* Opens a body; the reader becomes bad unless the body is exactly one array. */
 void dl_reader_open(struct dl_reader *r, struct dl_str body)
 {
 	size_t off = 0;
@@ -21,7 +21,7 @@
 	r->remaining = r->unpacked.data.via.array.size;
 }
 
-/* Free what the reader holds; views of strings stay good. */
+/* Frees the reader; strings that were read stay valid within the body. */
 void dl_reader_close(struct dl_reader *r)
 {
 	msgpack_unpacked_destroy(&r->unpacked);
@@ -37,7 +37,7 @@
 	return r->next++;
 }
 
-/* The next item as a number that is not negative. */
+/* Reads a non-negative integer. */
 uint64_t dl_read_u64(struct dl_reader *r)
 {
 	const msgpack_object *o = take(r);
@@ -51,7 +51,7 @@
 	return o->via.u64;
 }
 
-/* The next item as a number. */
+/* Reads a signed integer; the reader becomes bad above INT64_MAX. */
 int64_t dl_read_i64(struct dl_reader *r)
 {
 	const msgpack_object *o = take(r);
@@ -67,7 +67,6 @@
 	return 0;
 }
 
-/* The next item as a truth value. */
 bool dl_read_bool(struct dl_reader *r)
 {
 	const msgpack_object *o = take(r);
@@ -81,7 +80,7 @@
 	return o->via.boolean;
 }
 
-/* The next item as bytes; they stay in the body. */
+/* Reads a string or binary; the result points into the body. */
 struct dl_str dl_read_str(struct dl_reader *r)
 {
 	const msgpack_object *o = take(r);
@@ -94,7 +93,7 @@
 	return (struct dl_str){ "", 0 };
 }
 
-/* The next item as a name; bad where it is too long. */
+/* Reads a name; the reader becomes bad if it is too long. */
 void dl_read_name(struct dl_reader *r, struct dl_name *out)
 {
 	if (!dl_name_set(out, dl_read_str(r))) {
@@ -103,7 +102,7 @@
 	}
 }
 
-/* Begin an array of so many items. */
+/* Starts an array of the given number of items. */
 void dl_packer_open(struct dl_packer *p, uint32_t items)
 {
 	msgpack_sbuffer_init(&p->buf);
@@ -111,31 +110,27 @@
 	msgpack_pack_array(&p->pk, items);
 }
 
-/* Free the bytes. */
 void dl_packer_close(struct dl_packer *p)
 {
 	msgpack_sbuffer_destroy(&p->buf);
 }
 
-/* A view of what was packed. */
+/* Returns the packed bytes, which the packer owns. */
 struct dl_str dl_packer_bytes(const struct dl_packer *p)
 {
 	return (struct dl_str){ p->buf.data, p->buf.size };
 }
 
-/* Add a number. */
 void dl_pack_u64(struct dl_packer *p, uint64_t v)
 {
 	msgpack_pack_uint64(&p->pk, v);
 }
 
-/* Add a number that may be negative. */
 void dl_pack_i64(struct dl_packer *p, int64_t v)
 {
 	msgpack_pack_int64(&p->pk, v);
 }
 
-/* Add a truth value. */
 void dl_pack_bool(struct dl_packer *p, bool v)
 {
 	if (v)
@@ -144,7 +139,7 @@
 		msgpack_pack_false(&p->pk);
 }
 
-/* Add bytes. */
+/* Adds a string; it is encoded as a msgpack binary. */
 void dl_pack_str(struct dl_packer *p, struct dl_str s)
 {
 	msgpack_pack_bin(&p->pk, s.n);
--- a/src/protocol/pack.h
+++ b/src/protocol/pack.h
@@ -1,7 +1,7 @@
 /*
- * Reading msgpack arrays item by item.  A wrong type or a missing item makes
- * the reader bad and every later read empty, so a decoder reads all its
- * fields and checks once.
+ * Reads msgpack arrays item by item. A wrong type or a missing item sets the
+ * reader's bad flag, after which every read returns an empty value. A decoder
+ * can thus read all fields and check for errors once.
  */
 #ifndef DL_PROTOCOL_PACK_H
 #define DL_PROTOCOL_PACK_H
@@ -17,18 +17,18 @@
 	bool bad;
 };
 
-/* Open a body that must be one array; close it whatever came of it. */
+/* The body must be one array. dl_reader_close() is due even if it is not. */
 void dl_reader_open(struct dl_reader *r, struct dl_str body);
 void dl_reader_close(struct dl_reader *r);
 
 uint64_t dl_read_u64(struct dl_reader *r);
 int64_t dl_read_i64(struct dl_reader *r);
 bool dl_read_bool(struct dl_reader *r);
-/* Strings and binaries alike; points into the body. */
+/* Accepts strings and binaries; the result points into the body. */
 struct dl_str dl_read_str(struct dl_reader *r);
 void dl_read_name(struct dl_reader *r, struct dl_name *out);
 
-/* A packer with its buffer. */
+/* A msgpack packer and the buffer that it writes to. */
 struct dl_packer {
 	msgpack_sbuffer buf;
 	msgpack_packer pk;
