--- a/src/protocol/deflate.c
+++ b/src/protocol/deflate.c
@@ -1,7 +1,7 @@
 /*
- * Deflated bodies: eight bytes with the size of what was put in, in network
- * order, and zlib's stream behind it.  A configuration of 1,300 routes shrinks
- * from 520 KB to a few tens, which a link of 20 Mbit/s carries in time.
+ * Deflated bodies: eight bytes with the uncompressed size in network byte
+ * order, followed by a zlib stream. A configuration of 1,300 routes shrinks
+ * from 520 KB to a few tens of KB, which a 20 Mbit/s link carries in time.
  */
 #include "protocol/deflate.h"
 
@@ -13,7 +13,7 @@
 #define SIZE_BYTES 8
 #define FAST	   1 /* a tenth of the time of the default, nearly as small */
 
-/* Deflate a body. */
+/* Deflates a body into a new buffer. */
 int dl_deflate(struct dl_str body, char **out, size_t *n)
 {
 	uLongf room = compressBound((uLong)body.n);
@@ -36,7 +36,11 @@
 	return 0;
 }
 
-/* Inflate it again. */
+/*
+ * Inflates a body into a new buffer. The declared size is checked before the
+ * buffer is allocated, so that a sender cannot make this process allocate more
+ * than max.
+ */
 int dl_inflate(struct dl_str deflated, size_t max, char **out, size_t *n)
 {
 	uint64_t size = 0;
--- a/src/protocol/pool_codec.c
+++ b/src/protocol/pool_codec.c
@@ -1,4 +1,4 @@
-/* Packing and reading what entries and dispatchers say to each other. */
+/* Encoding of the frames between entries and dispatchers. */
 #include "protocol/pool_codec.h"
 
 #include <errno.h>
@@ -7,7 +7,7 @@
 
 #include "protocol/deflate.h"
 
-/* Of a body of many announcements, inflated. */
+/* Largest inflated size of a batch of announcements. */
 #define WORDS_MAX     ((size_t)4 << 20)
 #define ASK_ITEMS     17
 #define ANSWER_ITEMS  15
@@ -16,7 +16,7 @@
 #define SUMMARY_ITEMS 9
 #define LIMIT_ITEMS   4
 #define ADOPT_ITEMS   28
-/* Stands for no time at all where what is left of one is told. */
+/* Encodes an unset time in place of the time that remains. */
 #define NEVER_MS INT64_MIN
 
 static int finish(struct dl_reader *r)
@@ -35,7 +35,7 @@
 		dl_pack_str(p, dl_name_str(&names[i]));
 }
 
-/* Read an inner array of names, at most max of them. */
+/* Reads a nested array of at most max names; returns their number. */
 static uint32_t take_names(struct dl_reader *r, struct dl_name *out,
 			   uint32_t max)
 {
@@ -111,7 +111,7 @@
 		out->class = (enum dl_class) class;
 }
 
-/* Pack a request for an endpoint of a service. */
+/* Packs a request for a grant. */
 void dl_ask_pack(struct dl_packer *p, const struct dl_ask_frame *f, int64_t now)
 {
 	dl_packer_open(p, ASK_ITEMS);
@@ -121,7 +121,7 @@
 	dl_pack_bool(p, f->standby);
 }
 
-/* Read it; the workspace points into the body. */
+/* Reads a request for a grant; its workspace points into the body. */
 int dl_ask_read(struct dl_str body, struct dl_ask_frame *out, int64_t now)
 {
 	struct dl_reader r;
@@ -201,7 +201,6 @@
 	out->reason = (enum dl_reason)reason;
 }
 
-/* Pack a dispatcher's answer. */
 void dl_answer_pack(struct dl_packer *p, const struct dl_answer_frame *f,
 		    int64_t now)
 {
@@ -211,7 +210,6 @@
 	put_names(p, f->spill, f->spill_count);
 }
 
-/* Read it. */
 int dl_answer_read(struct dl_str body, struct dl_answer_frame *out, int64_t now)
 {
 	struct dl_reader r;
@@ -223,7 +221,7 @@
 	return finish(&r);
 }
 
-/* Pack the end of a grant. */
+/* Packs the release of a grant with the usage of the request. */
 void dl_release_pack(struct dl_packer *p, struct dl_str service, uint64_t grant,
 		     const struct dl_usage *usage)
 {
@@ -242,7 +240,6 @@
 	dl_pack_u64(p, usage->backoff_ms);
 }
 
-/* Read it. */
 int dl_release_read(struct dl_str body, struct dl_name *service,
 		    uint64_t *grant, struct dl_usage *out)
 {
@@ -264,7 +261,7 @@
 	return finish(&r);
 }
 
-/* Pack a service and grants of it. */
+/* Packs a service and a list of ids. */
 void dl_id_list_pack(struct dl_packer *p, struct dl_str service,
 		     const uint64_t *numbers, uint32_t count)
 {
@@ -274,7 +271,7 @@
 		dl_pack_u64(p, numbers[i]);
 }
 
-/* Read them: numbers has room for DL_ID_LIST_MAX. */
+/* Reads a service and a list of ids into an array of DL_ID_LIST_MAX. */
 int dl_id_list_read(struct dl_str body, struct dl_name *service,
 		    uint64_t *numbers, uint32_t *count)
 {
@@ -290,7 +287,7 @@
 	return finish(&r);
 }
 
-/* Pack what an endpoint named. */
+/* Packs the request limit that an endpoint announced in a response. */
 void dl_limit_pack(struct dl_packer *p, const struct dl_limit_frame *f)
 {
 	dl_packer_open(p, LIMIT_ITEMS);
@@ -300,7 +297,6 @@
 	dl_pack_u64(p, f->limit);
 }
 
-/* Read it. */
 int dl_limit_read(struct dl_str body, struct dl_limit_frame *out)
 {
 	struct dl_reader r;
@@ -317,7 +313,7 @@
 	return finish(&r);
 }
 
-/* Pack a service and a number: a request. */
+/* Packs a service and one id. */
 void dl_id_pack(struct dl_packer *p, struct dl_str service, uint64_t number)
 {
 	dl_packer_open(p, 2);
@@ -325,7 +321,6 @@
 	dl_pack_u64(p, number);
 }
 
-/* Read them. */
 int dl_id_read(struct dl_str body, struct dl_name *service, uint64_t *number)
 {
 	struct dl_reader r;
@@ -372,7 +367,7 @@
 	out->events_count = n;
 }
 
-/* Pack an endpoint's announcement for its dispatcher. */
+/* Packs an endpoint's announcement. */
 void dl_report_pack(struct dl_packer *p, const struct dl_announcement *a)
 {
 	const struct dl_endpoint_report *r = &a->report;
@@ -401,7 +396,6 @@
 	put_events(p, a);
 }
 
-/* Read it. */
 int dl_report_read(struct dl_str body, struct dl_announcement *out)
 {
 	struct dl_endpoint_report *report = &out->report;
@@ -434,7 +428,7 @@
 	return finish(&r);
 }
 
-/* Pack the announcements of many endpoints. */
+/* Packs and deflates the encoded announcements of several endpoints. */
 int dl_report_batch_pack(const struct dl_str *words, uint32_t count, char **out,
 			 size_t *n)
 {
@@ -449,7 +443,7 @@
 	return rc;
 }
 
-/* Read them, one after the other. */
+/* Inflates a batch and passes each announcement in it to take(). */
 int dl_report_batch_read(struct dl_str body,
 			 void (*take)(void *arg, struct dl_str words),
 			 void *arg)
@@ -473,7 +467,7 @@
 	return rc;
 }
 
-/* Pack a pool in one line. */
+/* Packs the summary of a pool. */
 void dl_summary_pack(struct dl_packer *p, struct dl_str service,
 		     struct dl_str domain, const struct dl_pool_summary *s)
 {
@@ -489,7 +483,6 @@
 	dl_pack_u64(p, s->grants);
 }
 
-/* Read it. */
 int dl_summary_read(struct dl_str body, struct dl_name *service,
 		    struct dl_name *domain, struct dl_pool_summary *out)
 {
@@ -508,7 +501,10 @@
 	return finish(&r);
 }
 
-/* Pack a grant of an earlier dispatcher, and what it was asked for. */
+/*
+ * Packs a grant of the previous dispatcher with the request that it answered,
+ * so that the new dispatcher can adopt it.
+ */
 void dl_adopt_pack(struct dl_packer *p, struct dl_str service,
 		   const struct dl_answer *grant, const struct dl_ask *ask,
 		   int64_t now)
@@ -519,7 +515,6 @@
 	put_ask(p, ask, now);
 }
 
-/* Read them. */
 int dl_adopt_read(struct dl_str body, struct dl_name *service,
 		  struct dl_answer *grant, struct dl_ask *ask, int64_t now)
 {
--- a/src/protocol/pool_codec.h
+++ b/src/protocol/pool_codec.h
@@ -1,6 +1,6 @@
 /*
- * The frames between entries and the dispatchers of pools.  Times cross as
- * what is left of them, since the clocks of two VMs share nothing.
+ * The frames between entries and the dispatchers of pools. Times are sent as
+ * the time that remains, since VMs have no common clock.
  */
 #ifndef DL_PROTOCOL_POOL_CODEC_H
 #define DL_PROTOCOL_POOL_CODEC_H
@@ -9,7 +9,7 @@
 #include "protocol/api.h"
 #include "protocol/pack.h"
 
-/* Other failure domains that a refused request may try, best first. */
+/* Other failure domains that a refused request may try, the best first. */
 #define DL_SPILL_MAX 4
 
 struct dl_answer_frame {
@@ -19,12 +19,12 @@
 	struct dl_name spill[DL_SPILL_MAX];
 };
 
-/* Each packer must be closed by the caller. */
+/* Every dl_*_pack() initialises its packer; the caller closes it. */
 struct dl_ask_frame {
 	struct dl_name service;
 	struct dl_ask ask;
-	bool no_spill; /* another pool was tried: do not send it elsewhere */
-	bool standby; /* the VM that dispatches does not answer: do it for it */
+	bool no_spill; /* another pool was tried; do not redirect it again */
+	bool standby;  /* the dispatcher does not answer; act in its place */
 };
 
 void dl_ask_pack(struct dl_packer *p, const struct dl_ask_frame *f,
@@ -41,43 +41,47 @@
 int dl_release_read(struct dl_str body, struct dl_name *service,
 		    uint64_t *grant, struct dl_usage *out);
 
-/* Grants renewed by one frame; an entry with more sends more frames. */
+/* Ids in one frame; a sender with more splits them over several frames. */
 #define DL_ID_LIST_MAX 512
 
-/* All grants of a service that an entry renews, or those that are gone. */
+/*
+ * Ids of one service: the grants that an entry renews or that the dispatcher
+ * does not know; or, with an empty service, keys of announcements.
+ */
 void dl_id_list_pack(struct dl_packer *p, struct dl_str service,
 		     const uint64_t *numbers, uint32_t count);
 int dl_id_list_read(struct dl_str body, struct dl_name *service,
 		    uint64_t *numbers, uint32_t *count);
 
-/* What an endpoint named, on its way to the dispatcher. */
+/* A request limit of an endpoint, which the entry forwards to the dispatcher.
+ */
 struct dl_limit_frame {
 	struct dl_name service;
 	struct dl_name endpoint;
-	uint64_t start; /* number of the start that named it */
-	uint32_t limit; /* as dl_pool_set_endpoint_limit() takes it */
+	uint64_t start; /* identifies the instance that set the limit */
+	uint32_t limit; /* in the unit of dl_pool_set_endpoint_limit() */
 };
 
 void dl_limit_pack(struct dl_packer *p, const struct dl_limit_frame *f);
 int dl_limit_read(struct dl_str body, struct dl_limit_frame *out);
 
-/* For cancellations: a service and a number. */
+/* A service and the id of a request or grant, for instance to cancel it. */
 void dl_id_pack(struct dl_packer *p, struct dl_str service, uint64_t number);
 int dl_id_read(struct dl_str body, struct dl_name *service, uint64_t *number);
 
-/* An announcement on its way to its dispatcher. */
+/* An announcement, as forwarded to the dispatcher. */
 void dl_report_pack(struct dl_packer *p, const struct dl_announcement *a);
 int dl_report_read(struct dl_str body, struct dl_announcement *out);
 
 /*
- * Announcements of many endpoints in one body, each as dl_report_pack() made
- * it, deflated.  0 and *out, which the caller frees with free(), or -ENOMEM.
+ * A deflated batch of announcements, each encoded by dl_report_pack(). Returns
+ * 0 and *out, which the caller frees with free(), or -ENOMEM.
  */
 int dl_report_batch_pack(const struct dl_str *words, uint32_t count, char **out,
 			 size_t *n);
 /*
- * Read them again: take() is called for each.  -EBADMSG where the body is none,
- * which may show after some were taken.
+ * Calls take() for each announcement of a batch. Returns -EBADMSG if the body
+ * is malformed, possibly after take() was called for some.
  */
 int dl_report_batch_read(struct dl_str body,
 			 void (*take)(void *arg, struct dl_str words),
--- a/src/protocol/quarantine_codec.c
+++ b/src/protocol/quarantine_codec.c
@@ -1,11 +1,11 @@
-/* Crashes of endpoints, four items each in one array. */
+/* Encoding of endpoint crashes: one flat array with four items per crash. */
 #include "protocol/quarantine_codec.h"
 
 #include <errno.h>
 
 #define CRASH_ITEMS 4
 
-/* Pack crashes, DL_CRASHES_MAX at most. */
+/* Packs at most DL_CRASHES_MAX crashes. */
 void dl_crashes_pack(struct dl_packer *p, const struct dl_crash *crashes,
 		     uint32_t count)
 {
@@ -18,7 +18,7 @@
 	}
 }
 
-/* A number that is cut to what it can be. */
+/* Reads an integer; larger values are clamped to UINT32_MAX. */
 static uint32_t read_u32(struct dl_reader *r)
 {
 	uint64_t v = dl_read_u64(r);
@@ -26,7 +26,7 @@
 	return v < UINT32_MAX ? (uint32_t)v : UINT32_MAX;
 }
 
-/* Read them again. */
+/* Reads at most DL_CRASHES_MAX crashes. */
 int dl_crashes_read(struct dl_str body, struct dl_crash *out, uint32_t *count)
 {
 	struct dl_reader r;
--- a/src/protocol/rlog_codec.c
+++ b/src/protocol/rlog_codec.c
@@ -1,4 +1,4 @@
-/* Log messages to msgpack and back; what comes in is checked field by field. */
+/* Msgpack encoding of log messages; decoding validates every field. */
 #include "protocol/rlog_codec.h"
 
 #include <errno.h>
@@ -9,7 +9,8 @@
 
 /*
  * [kind, cluster, from id, to id, term, index, index term, commit, stamp,
- * flags, rest]; rest is nil, the entries, the members, or a snapshot's piece.
+ * flags, payload]; the payload is nil, the entries, the members or a chunk of a
+ * snapshot.
  */
 #define MSG_FIELDS    11
 #define ENTRY_FIELDS  4
@@ -20,7 +21,7 @@
 #define FLAG_FRESH    2u
 #define FLAG_TRANSFER 4u
 
-/* What a message kind carries at its end. */
+/* The type of the payload of each message kind. */
 enum rest {
 	REST_NONE,
 	REST_ENTRIES,
@@ -91,7 +92,7 @@
 	pack_str(pk, msg->snapshot.data);
 }
 
-/* Append the message to out. */
+/* Appends the encoded message to out. */
 void dl_rlog_encode(const struct dl_rlog_msg *msg, msgpack_sbuffer *out)
 {
 	unsigned flags = (msg->ok ? FLAG_OK : 0) |
@@ -249,7 +250,7 @@
 	return true;
 }
 
-/* Read a message; the caller sets from_vm, which only the frame knows. */
+/* Decodes a message; the caller sets from_vm, which only the frame carries. */
 int dl_rlog_decode(struct dl_str body, struct dl_rlog_decoded *out)
 {
 	const msgpack_object *f;
@@ -267,7 +268,6 @@
 	return -EINVAL;
 }
 
-/* Free what a decoded message points to. */
 void dl_rlog_decoded_free(struct dl_rlog_decoded *decoded)
 {
 	free(decoded->entries);
--- a/src/protocol/sign.c
+++ b/src/protocol/sign.c
@@ -1,4 +1,4 @@
-/* Signatures by HMAC-SHA256 from the crypto library. */
+/* HMAC-SHA256 signatures by libcrypto. */
 #include "protocol/sign.h"
 
 #include <errno.h>
@@ -13,7 +13,10 @@
 
 #define MAC_BYTES ((size_t)32)
 #define MAC_HEX	  (MAC_BYTES * 2)
-/* Clocks of VMs differ by seconds; a captured request is stale soon. */
+/*
+ * Larger than the difference between the clocks of two VMs, which is seconds;
+ * short enough to limit the replay of a captured request.
+ */
 #define AGE_MAX_MS 120000
 
 static bool mac(const struct dl_key *key, const struct dl_signed *what,
@@ -42,7 +45,7 @@
 		snprintf(out + i * 2, 3, "%02x", bytes[i]);
 }
 
-/* Sign what is about to be sent. */
+/* Signs a request that is about to be sent. */
 int dl_sign(const struct dl_key *key, const struct dl_signed *what,
 	    int64_t wall_ms, char out[DL_SIGNATURE_MAX])
 {
@@ -57,7 +60,7 @@
 	return 0;
 }
 
-/* Split "TIME HEX" and check that the time is near. */
+/* Splits "TIME HEX" and checks that TIME is within AGE_MAX_MS of wall_ms. */
 static bool split(struct dl_str signature, int64_t wall_ms, char when[24],
 		  struct dl_str *hex)
 {
@@ -77,7 +80,10 @@
 	return llabs((int64_t)then - wall_ms) <= AGE_MAX_MS;
 }
 
-/* Check a signature against every valid key, in constant time for each. */
+/*
+ * Verifies a signature against every valid key. Each comparison takes constant
+ * time, and a match does not end the loop early.
+ */
 int dl_sign_check(const struct dl_keys *keys, const struct dl_signed *what,
 		  struct dl_str signature, int64_t wall_ms)
 {
--- a/src/protocol/sign.h
+++ b/src/protocol/sign.h
@@ -1,9 +1,10 @@
 /*
- * Who may do what: a shared secret signs what operators and endpoints send.
+ * Authentication of operators and endpoints by a shared secret that signs their
+ * requests.
  * The header Daisyledge-Signature is "TIME HEX": TIME is the sender's wall
  * clock in milliseconds, HEX the HMAC-SHA256 of method, path, TIME and body,
- * each but the last followed by a newline.  Two keys may be valid at a time, so
- * that keys are exchanged without a gap.
+ * each but the last followed by a newline. Two keys may be valid at a time, so
+ * that keys can be rotated without rejecting requests.
  */
 #ifndef DL_PROTOCOL_SIGN_H
 #define DL_PROTOCOL_SIGN_H
@@ -20,7 +21,7 @@
 };
 
 struct dl_keys {
-	uint32_t count; /* 0: the door is open */
+	uint32_t count; /* 0: no signature is required */
 	struct dl_key key[DL_KEYS_MAX];
 };
 
@@ -28,12 +29,12 @@
 	struct dl_str method, path, body;
 };
 
-/* Write a signature made at a time, terminated, into out. */
+/* Writes a null-terminated signature made at wall_ms; 0 or -ENOMEM. */
 int dl_sign(const struct dl_key *key, const struct dl_signed *what,
 	    int64_t wall_ms, char out[DL_SIGNATURE_MAX]);
 /*
- * 0 where one of the keys made the signature within the last minutes; -EACCES
- * else, also where the clock differs too much.
+ * Returns 0 if one of the keys made the signature and its time is within two
+ * minutes of wall_ms; -EACCES otherwise.
  */
 int dl_sign_check(const struct dl_keys *keys, const struct dl_signed *what,
 		  struct dl_str signature, int64_t wall_ms);
--- a/src/protocol/sse.c
+++ b/src/protocol/sse.c
@@ -1,4 +1,4 @@
-/* Server-sent events, as far as completions use them: "data:" lines. */
+/* Parser of the subset of server-sent events that completions use: "data:". */
 #include "protocol/sse.h"
 
 #include <errno.h>
@@ -7,20 +7,18 @@
 
 #define FIRST_SIZE 1024
 
-/* Start with nothing read. */
 void dl_sse_open(struct dl_sse *sse)
 {
 	memset(sse, 0, sizeof(*sse));
 }
 
-/* Free the buffer. */
 void dl_sse_close(struct dl_sse *sse)
 {
 	free(sse->buf);
 	memset(sse, 0, sizeof(*sse));
 }
 
-/* Drop what dl_sse_next() has handed out. */
+/* Removes the events that dl_sse_next() has returned from the buffer. */
 static void drop_seen(struct dl_sse *sse)
 {
 	if (sse->seen == 0)
@@ -30,7 +28,7 @@
 	sse->seen = 0;
 }
 
-/* Add bytes of the stream. */
+/* Appends bytes of the stream; data from dl_sse_next() becomes invalid. */
 int dl_sse_feed(struct dl_sse *sse, struct dl_str piece)
 {
 	drop_seen(sse);
@@ -64,7 +62,7 @@
 	return s;
 }
 
-/* Hand out the next event's data; comments and other fields are passed over. */
+/* Returns the next event's data; comments and other fields are skipped. */
 bool dl_sse_next(struct dl_sse *sse, struct dl_str *data)
 {
 	while (sse->seen < sse->n) {
