--- a/src/protocol/api.c
+++ b/src/protocol/api.c
@@ -7,7 +7,8 @@
 
 #include <xxhash.h>
 
-#define BAD(err, ...) dl_err_set(err, -EINVAL, DL_STEP_CHECK, NULL, __VA_ARGS__)
+#define INVALID(err, ...)                                                      \
+	dl_err_set(err, -EINVAL, DL_STEP_CHECK, NULL, __VA_ARGS__)
 
 static struct dl_str json_str(const json_t *value)
 {
@@ -17,16 +18,17 @@
 
 static json_t *load_object(struct dl_str body, struct dl_err *err)
 {
-	json_error_t fault;
+	json_error_t parse_error;
 	json_t *root;
 
-	root = json_loadb(body.s, body.n, JSON_REJECT_DUPLICATES, &fault);
+	root = json_loadb(body.s, body.n, JSON_REJECT_DUPLICATES, &parse_error);
 	if (!root) {
-		BAD(err, "line %d: %.100s", fault.line, fault.text);
+		INVALID(err, "line %d: %.100s", parse_error.line,
+			parse_error.text);
 		return NULL;
 	}
 	if (!json_is_object(root)) {
-		BAD(err, "the body is not a JSON object");
+		INVALID(err, "the body is not a JSON object");
 		json_decref(root);
 		return NULL;
 	}
@@ -50,8 +52,8 @@
  * Keys that the entry sets in the request to the endpoint. The caller's values
  * are not forwarded.
  */
-static const char *const own_keys[] = { "stream", "max_tokens", "priority",
-					"group" };
+static const char *const entry_keys[] = { "stream", "max_tokens", "priority",
+					  "group" };
 
 static int read_completion(const json_t *root, struct dl_completion *c,
 			   struct dl_err *err)
@@ -61,15 +63,15 @@
 	const json_t *stream = json_object_get(root, "stream");
 
 	if (!json_is_string(model) || !dl_name_set(&c->model, json_str(model)))
-		return BAD(err, "model must be a name");
+		return INVALID(err, "model must be a name");
 	if (!json_is_string(prompt) || json_string_length(prompt) == 0)
-		return BAD(err, "prompt must be a non-empty string");
+		return INVALID(err, "prompt must be a non-empty string");
 	if (stream && !json_is_boolean(stream))
-		return BAD(err, "stream must be true or false");
+		return INVALID(err, "stream must be true or false");
 	if (read_max_tokens(json_object_get(root, "max_tokens"),
 			    &c->max_tokens))
-		return BAD(err, "max_tokens must be from 1 to %d",
-			   DL_MAX_TOKENS_MAX);
+		return INVALID(err, "max_tokens must be from 1 to %d",
+			       DL_MAX_TOKENS_MAX);
 	c->prompt_bytes = json_string_length(prompt);
 	c->prefix = dl_prefix_hash(json_str(prompt));
 	c->stream = json_is_true(stream);
@@ -87,12 +89,12 @@
 	if (!root)
 		return -EINVAL;
 	rc = read_completion(root, out, err);
-	for (size_t i = 0; i < sizeof(own_keys) / sizeof(own_keys[0]); i++)
-		json_object_del(root, own_keys[i]);
+	for (size_t i = 0; i < sizeof(entry_keys) / sizeof(entry_keys[0]); i++)
+		json_object_del(root, entry_keys[i]);
 	if (!rc) {
 		out->rest = json_dumps(root, JSON_COMPACT);
 		if (!out->rest)
-			rc = BAD(err, "out of memory");
+			rc = INVALID(err, "out of memory");
 	}
 	json_decref(root);
 	out->rest_n = rc ? 0 : strlen(out->rest);
@@ -109,7 +111,7 @@
  * Returns the other members of a group with the number of prompt tokens that
  * each holds.
  */
-static json_t *group_of(const struct dl_answer *grant)
+static json_t *group_json(const struct dl_answer *grant)
 {
 	json_t *group = json_array();
 
@@ -126,7 +128,7 @@
 	return group;
 }
 
-/* Returns the start of an endpoint's request body: own_keys and a comma. */
+/* Returns the start of an endpoint's request body: entry_keys and a comma. */
 char *dl_completion_body_head(const struct dl_completion *c,
 			      const struct dl_answer *grant)
 {
@@ -138,7 +140,7 @@
 			    json_integer((json_int_t)c->max_tokens));
 	json_object_set_new(o, "priority", json_integer(grant->priority));
 	if (grant->endpoints > 1)
-		json_object_set_new(o, "group", group_of(grant));
+		json_object_set_new(o, "group", group_json(grant));
 	text = json_dumps(o, JSON_COMPACT);
 	json_decref(o);
 	if (text)
@@ -298,22 +300,22 @@
 	if (!root)
 		return -EINVAL;
 	if (read_name(root, "service", true, &out->service))
-		rc = BAD(err, "service must be a name");
+		rc = INVALID(err, "service must be a name");
 	else if (read_name(root, "failure_domain", false,
 			   &out->report.failure_domain))
-		rc = BAD(err, "failure_domain must be a name");
+		rc = INVALID(err, "failure_domain must be a name");
 	else if (read_name(root, "address", true, &out->report.id) ||
 		 !dl_vm_parse(dl_name_str(&out->report.id), &address))
-		rc = BAD(err, "address must be an IP address and a port");
+		rc = INVALID(err, "address must be an IP address and a port");
 	read_report(root, &out->report);
 	out->order_fence = read_count(root, "order_fence");
 	read_events(root, out);
 	read_models(root, out);
 	if (read_name(root, "version", false, &out->version) ||
 	    read_name(root, "role", false, &out->role))
-		rc = BAD(err, "version and role must be names");
+		rc = INVALID(err, "version and role must be names");
 	if (!rc && out->report.slots == 0)
-		rc = BAD(err, "slots must be at least 1");
+		rc = INVALID(err, "slots must be at least 1");
 	json_decref(root);
 	return rc;
 }
--- a/src/protocol/deflate.c
+++ b/src/protocol/deflate.c
@@ -11,28 +11,30 @@
 #include <zlib.h>
 
 #define SIZE_BYTES 8
-#define FAST	   1 /* a tenth of the time of the default, nearly as small */
+/* Takes a tenth of the time of the default level; nearly as small. */
+#define COMPRESSION_LEVEL 1
 
 /* Deflates a body into a new buffer. */
 int dl_deflate(struct dl_str body, char **out, size_t *n)
 {
-	uLongf room = compressBound((uLong)body.n);
+	uLongf deflated_n = compressBound((uLong)body.n);
 	uint64_t size = body.n;
-	char *to = malloc(SIZE_BYTES + room);
+	char *buf = malloc(SIZE_BYTES + deflated_n);
 
-	if (!to)
+	if (!buf)
 		return -ENOMEM;
-	if (compress2((Bytef *)to + SIZE_BYTES, &room, (const Bytef *)body.s,
-		      (uLong)body.n, FAST) != Z_OK) {
-		free(to);
+	if (compress2((Bytef *)buf + SIZE_BYTES, &deflated_n,
+		      (const Bytef *)body.s, (uLong)body.n,
+		      COMPRESSION_LEVEL) != Z_OK) {
+		free(buf);
 		return -ENOMEM;
 	}
 	for (int i = SIZE_BYTES - 1; i >= 0; i--) {
-		to[i] = (char)(size & UINT8_MAX);
+		buf[i] = (char)(size & UINT8_MAX);
 		size >>= 8;
 	}
-	*out = to;
-	*n = SIZE_BYTES + room;
+	*out = buf;
+	*n = SIZE_BYTES + deflated_n;
 	return 0;
 }
 
@@ -44,8 +46,8 @@
 int dl_inflate(struct dl_str deflated, size_t max, char **out, size_t *n)
 {
 	uint64_t size = 0;
-	uLongf got;
-	char *to;
+	uLongf inflated_n;
+	char *buf;
 
 	if (deflated.n < SIZE_BYTES)
 		return -EBADMSG;
@@ -53,18 +55,18 @@
 		size = size << 8 | (uint8_t)deflated.s[i];
 	if (size > max)
 		return -EBADMSG;
-	to = malloc(size ? size : 1);
-	if (!to)
+	buf = malloc(size ? size : 1);
+	if (!buf)
 		return -ENOMEM;
-	got = (uLongf)size;
-	if (uncompress((Bytef *)to, &got,
+	inflated_n = (uLongf)size;
+	if (uncompress((Bytef *)buf, &inflated_n,
 		       (const Bytef *)deflated.s + SIZE_BYTES,
 		       (uLong)(deflated.n - SIZE_BYTES)) != Z_OK ||
-	    got != size) {
-		free(to);
+	    inflated_n != size) {
+		free(buf);
 		return -EBADMSG;
 	}
-	*out = to;
+	*out = buf;
 	*n = size;
 	return 0;
 }
--- a/src/protocol/dialect.h
+++ b/src/protocol/dialect.h
@@ -100,11 +100,11 @@
 	int (*announce)(struct dl_str id, struct dl_str body,
 			struct dl_announcement *out, struct dl_err *err);
 	/*
-	 * Writes the response to an announcement. door is the address to which
-	 * the endpoint sends its next announcements; DL_VM_NONE leaves the
-	 * choice to it. Returns the length, at most DL_DIALECT_TEXT_MAX.
+	 * Writes the response to an announcement. next_address is the address
+	 * to which the endpoint sends its next announcements; DL_VM_NONE leaves
+	 * the choice to it. Returns the length, at most DL_DIALECT_TEXT_MAX.
 	 */
-	size_t (*announce_reply)(uint64_t door, char *text);
+	size_t (*announce_reply)(uint64_t next_address, char *text);
 	/*
 	 * Parses a deregistration, which does not carry the endpoint's
 	 * address; the body may be empty.
--- a/src/protocol/pool_codec.c
+++ b/src/protocol/pool_codec.c
@@ -8,18 +8,18 @@
 #include "protocol/deflate.h"
 
 /* Largest inflated size of a batch of announcements. */
-#define WORDS_MAX     ((size_t)4 << 20)
-#define ASK_ITEMS     17
-#define ANSWER_ITEMS  15
-#define RELEASE_ITEMS 12
-#define REPORT_ITEMS  21
-#define SUMMARY_ITEMS 9
-#define LIMIT_ITEMS   4
-#define ADOPT_ITEMS   28
+#define BATCH_BYTES_MAX ((size_t)4 << 20)
+#define ASK_ITEMS	17
+#define ANSWER_ITEMS	15
+#define RELEASE_ITEMS	12
+#define REPORT_ITEMS	21
+#define SUMMARY_ITEMS	9
+#define LIMIT_ITEMS	4
+#define ADOPT_ITEMS	28
 /* Encodes an unset time in place of the time that remains. */
-#define NEVER_MS INT64_MIN
+#define UNSET_MS INT64_MIN
 
-static int finish(struct dl_reader *r)
+static int close_reader(struct dl_reader *r)
 {
 	bool bad = r->bad;
 
@@ -27,8 +27,8 @@
 	return bad ? -EBADMSG : 0;
 }
 
-static void put_names(struct dl_packer *p, const struct dl_name *names,
-		      uint32_t count)
+static void pack_names(struct dl_packer *p, const struct dl_name *names,
+		       uint32_t count)
 {
 	msgpack_pack_array(&p->pk, count);
 	for (uint32_t i = 0; i < count; i++)
@@ -36,7 +36,7 @@
 }
 
 /* Reads a nested array of at most max names; returns their number. */
-static uint32_t take_names(struct dl_reader *r, struct dl_name *out,
+static uint32_t read_names(struct dl_reader *r, struct dl_name *out,
 			   uint32_t max)
 {
 	const msgpack_object *o;
@@ -63,7 +63,7 @@
 	return o->via.array.size;
 }
 
-static void put_ask(struct dl_packer *p, const struct dl_ask *ask, int64_t now)
+static void pack_ask(struct dl_packer *p, const struct dl_ask *ask, int64_t now)
 {
 	dl_pack_u64(p, ask->request);
 	dl_pack_u64(p, ask->entry);
@@ -79,11 +79,11 @@
 	dl_pack_u64(p, ask->gap_ms);
 	dl_pack_i64(p, ask->first_event_deadline ?
 			       ask->first_event_deadline - now :
-			       NEVER_MS);
-	put_names(p, ask->tried_ids, ask->tried);
+			       UNSET_MS);
+	pack_names(p, ask->tried_ids, ask->tried);
 }
 
-static void take_ask(struct dl_reader *r, struct dl_ask *out, int64_t now)
+static void read_ask(struct dl_reader *r, struct dl_ask *out, int64_t now)
 {
 	uint64_t class;
 
@@ -101,10 +101,10 @@
 	out->target_ms = (uint32_t)dl_read_u64(r);
 	out->gap_ms = (uint32_t)dl_read_u64(r);
 	out->first_event_deadline = dl_read_i64(r);
-	out->first_event_deadline = out->first_event_deadline == NEVER_MS ?
+	out->first_event_deadline = out->first_event_deadline == UNSET_MS ?
 					    0 :
 					    now + out->first_event_deadline;
-	out->tried = (uint8_t)take_names(r, out->tried_ids, 3);
+	out->tried = (uint8_t)read_names(r, out->tried_ids, 3);
 	if (class >= DL_CLASS_COUNT || out->workspace.n > DL_NAME_MAX)
 		r->bad = true;
 	else
@@ -116,7 +116,7 @@
 {
 	dl_packer_open(p, ASK_ITEMS);
 	dl_pack_str(p, dl_name_str(&f->service));
-	put_ask(p, &f->ask, now);
+	pack_ask(p, &f->ask, now);
 	dl_pack_bool(p, f->no_spill);
 	dl_pack_bool(p, f->standby);
 }
@@ -128,14 +128,14 @@
 
 	dl_reader_open(&r, body);
 	dl_read_name(&r, &out->service);
-	take_ask(&r, &out->ask, now);
+	read_ask(&r, &out->ask, now);
 	out->no_spill = dl_read_bool(&r);
 	out->standby = dl_read_bool(&r);
-	return finish(&r);
+	return close_reader(&r);
 }
 
-static void put_answer(struct dl_packer *p, const struct dl_answer *a,
-		       int64_t now)
+static void pack_answer(struct dl_packer *p, const struct dl_answer *a,
+			int64_t now)
 {
 	dl_pack_u64(p, a->request);
 	dl_pack_u64(p, a->entry);
@@ -148,13 +148,13 @@
 	dl_pack_u64(p, a->predicted_ttft_ms);
 	dl_pack_u64(p, a->away);
 	dl_pack_bool(p, a->limited);
-	put_names(p, a->endpoint, a->endpoints);
+	pack_names(p, a->endpoint, a->endpoints);
 	msgpack_pack_array(&p->pk, a->endpoints);
 	for (uint32_t i = 0; i < a->endpoints; i++)
 		dl_pack_u64(p, a->share_tokens[i]);
 }
 
-static void take_shares(struct dl_reader *r, struct dl_answer *out)
+static void read_shares(struct dl_reader *r, struct dl_answer *out)
 {
 	const msgpack_object *o;
 
@@ -175,7 +175,7 @@
 	}
 }
 
-static void take_answer(struct dl_reader *r, struct dl_answer *out, int64_t now)
+static void read_answer(struct dl_reader *r, struct dl_answer *out, int64_t now)
 {
 	uint64_t verdict, reason;
 
@@ -191,8 +191,8 @@
 	out->predicted_ttft_ms = (uint32_t)dl_read_u64(r);
 	out->away = (uint8_t)dl_read_u64(r);
 	out->limited = dl_read_bool(r);
-	out->endpoints = (uint8_t)take_names(r, out->endpoint, DL_GROUP_MAX);
-	take_shares(r, out);
+	out->endpoints = (uint8_t)read_names(r, out->endpoint, DL_GROUP_MAX);
+	read_shares(r, out);
 	if (verdict > DL_REFUSED || reason >= DL_REASON_COUNT) {
 		r->bad = true;
 		return;
@@ -206,8 +206,8 @@
 {
 	dl_packer_open(p, ANSWER_ITEMS);
 	dl_pack_str(p, dl_name_str(&f->service));
-	put_answer(p, &f->answer, now);
-	put_names(p, f->spill, f->spill_count);
+	pack_answer(p, &f->answer, now);
+	pack_names(p, f->spill, f->spill_count);
 }
 
 int dl_answer_read(struct dl_str body, struct dl_answer_frame *out, int64_t now)
@@ -216,9 +216,9 @@
 
 	dl_reader_open(&r, body);
 	dl_read_name(&r, &out->service);
-	take_answer(&r, &out->answer, now);
-	out->spill_count = take_names(&r, out->spill, DL_SPILL_MAX);
-	return finish(&r);
+	read_answer(&r, &out->answer, now);
+	out->spill_count = read_names(&r, out->spill, DL_SPILL_MAX);
+	return close_reader(&r);
 }
 
 /* Packs the release of a grant with the usage of the request. */
@@ -258,22 +258,22 @@
 	dl_read_name(&r, &out->at_fault);
 	dl_read_name(&r, &out->backoff_endpoint);
 	out->backoff_ms = (uint32_t)dl_read_u64(&r);
-	return finish(&r);
+	return close_reader(&r);
 }
 
 /* Packs a service and a list of ids. */
 void dl_id_list_pack(struct dl_packer *p, struct dl_str service,
-		     const uint64_t *numbers, uint32_t count)
+		     const uint64_t *ids, uint32_t count)
 {
 	dl_packer_open(p, 1 + count);
 	dl_pack_str(p, service);
 	for (uint32_t i = 0; i < count; i++)
-		dl_pack_u64(p, numbers[i]);
+		dl_pack_u64(p, ids[i]);
 }
 
 /* Reads a service and a list of ids into an array of DL_ID_LIST_MAX. */
-int dl_id_list_read(struct dl_str body, struct dl_name *service,
-		    uint64_t *numbers, uint32_t *count)
+int dl_id_list_read(struct dl_str body, struct dl_name *service, uint64_t *ids,
+		    uint32_t *count)
 {
 	struct dl_reader r;
 
@@ -283,8 +283,8 @@
 	if (r.remaining > DL_ID_LIST_MAX)
 		r.bad = true;
 	for (uint32_t i = 0; !r.bad && i < *count; i++)
-		numbers[i] = dl_read_u64(&r);
-	return finish(&r);
+		ids[i] = dl_read_u64(&r);
+	return close_reader(&r);
 }
 
 /* Packs the request limit that an endpoint announced in a response. */
@@ -310,28 +310,28 @@
 	if (limit > DL_UNLIMITED)
 		r.bad = true;
 	out->limit = (uint32_t)limit;
-	return finish(&r);
+	return close_reader(&r);
 }
 
 /* Packs a service and one id. */
-void dl_id_pack(struct dl_packer *p, struct dl_str service, uint64_t number)
+void dl_id_pack(struct dl_packer *p, struct dl_str service, uint64_t id)
 {
 	dl_packer_open(p, 2);
 	dl_pack_str(p, service);
-	dl_pack_u64(p, number);
+	dl_pack_u64(p, id);
 }
 
-int dl_id_read(struct dl_str body, struct dl_name *service, uint64_t *number)
+int dl_id_read(struct dl_str body, struct dl_name *service, uint64_t *id)
 {
 	struct dl_reader r;
 
 	dl_reader_open(&r, body);
 	dl_read_name(&r, service);
-	*number = dl_read_u64(&r);
-	return finish(&r);
+	*id = dl_read_u64(&r);
+	return close_reader(&r);
 }
 
-static void put_events(struct dl_packer *p, const struct dl_announcement *a)
+static void pack_events(struct dl_packer *p, const struct dl_announcement *a)
 {
 	msgpack_pack_array(&p->pk, (size_t)a->events_count * 2);
 	for (uint32_t i = 0; i < a->events_count; i++) {
@@ -340,7 +340,7 @@
 	}
 }
 
-static void take_events(struct dl_reader *r, struct dl_announcement *out)
+static void read_events(struct dl_reader *r, struct dl_announcement *out)
 {
 	const msgpack_object *o = r->next;
 	uint32_t n;
@@ -390,10 +390,10 @@
 	dl_pack_str(p, dl_name_str(&a->instance));
 	dl_pack_u64(p, a->sequence);
 	dl_pack_u64(p, a->born);
-	put_names(p, a->models, a->models_count);
+	pack_names(p, a->models, a->models_count);
 	dl_pack_str(p, dl_name_str(&a->version));
 	dl_pack_str(p, dl_name_str(&a->role));
-	put_events(p, a);
+	pack_events(p, a);
 }
 
 int dl_report_read(struct dl_str body, struct dl_announcement *out)
@@ -421,48 +421,48 @@
 	out->sequence = dl_read_u64(&r);
 	out->born = dl_read_u64(&r);
 	out->models_count =
-		take_names(&r, out->models, DL_ANNOUNCED_MODELS_MAX);
+		read_names(&r, out->models, DL_ANNOUNCED_MODELS_MAX);
 	dl_read_name(&r, &out->version);
 	dl_read_name(&r, &out->role);
-	take_events(&r, out);
-	return finish(&r);
+	read_events(&r, out);
+	return close_reader(&r);
 }
 
 /* Packs and deflates the encoded announcements of several endpoints. */
-int dl_report_batch_pack(const struct dl_str *words, uint32_t count, char **out,
-			 size_t *n)
+int dl_report_batch_pack(const struct dl_str *reports, uint32_t count,
+			 char **out, size_t *n)
 {
 	struct dl_packer p;
 	int rc;
 
 	dl_packer_open(&p, count);
 	for (uint32_t i = 0; i < count; i++)
-		dl_pack_str(&p, words[i]);
+		dl_pack_str(&p, reports[i]);
 	rc = dl_deflate(dl_packer_bytes(&p), out, n);
 	dl_packer_close(&p);
 	return rc;
 }
 
-/* Inflates a batch and passes each announcement in it to take(). */
+/* Inflates a batch and passes each announcement in it to on_report(). */
 int dl_report_batch_read(struct dl_str body,
-			 void (*take)(void *arg, struct dl_str words),
+			 void (*on_report)(void *arg, struct dl_str report),
 			 void *arg)
 {
 	struct dl_reader r;
 	char *plain;
 	size_t n;
-	int rc = dl_inflate(body, WORDS_MAX, &plain, &n);
+	int rc = dl_inflate(body, BATCH_BYTES_MAX, &plain, &n);
 
 	if (rc)
 		return rc;
 	dl_reader_open(&r, (struct dl_str){ plain, n });
 	while (!r.bad && r.remaining) {
-		struct dl_str words = dl_read_str(&r);
+		struct dl_str report = dl_read_str(&r);
 
 		if (!r.bad)
-			take(arg, words);
+			on_report(arg, report);
 	}
-	rc = finish(&r);
+	rc = close_reader(&r);
 	free(plain);
 	return rc;
 }
@@ -498,7 +498,7 @@
 	out->free_tokens = dl_read_u64(&r);
 	out->backlog_ms = dl_read_u64(&r);
 	out->grants = dl_read_u64(&r);
-	return finish(&r);
+	return close_reader(&r);
 }
 
 /*
@@ -511,8 +511,8 @@
 {
 	dl_packer_open(p, ADOPT_ITEMS);
 	dl_pack_str(p, service);
-	put_answer(p, grant, now);
-	put_ask(p, ask, now);
+	pack_answer(p, grant, now);
+	pack_ask(p, ask, now);
 }
 
 int dl_adopt_read(struct dl_str body, struct dl_name *service,
@@ -522,7 +522,7 @@
 
 	dl_reader_open(&r, body);
 	dl_read_name(&r, service);
-	take_answer(&r, grant, now);
-	take_ask(&r, ask, now);
-	return finish(&r);
+	read_answer(&r, grant, now);
+	read_ask(&r, ask, now);
+	return close_reader(&r);
 }
--- a/src/protocol/pool_codec.h
+++ b/src/protocol/pool_codec.h
@@ -49,12 +49,11 @@
  * does not know; or, with an empty service, keys of announcements.
  */
 void dl_id_list_pack(struct dl_packer *p, struct dl_str service,
-		     const uint64_t *numbers, uint32_t count);
-int dl_id_list_read(struct dl_str body, struct dl_name *service,
-		    uint64_t *numbers, uint32_t *count);
+		     const uint64_t *ids, uint32_t count);
+int dl_id_list_read(struct dl_str body, struct dl_name *service, uint64_t *ids,
+		    uint32_t *count);
 
-/* A request limit of an endpoint, which the entry forwards to the dispatcher.
- */
+/* An endpoint's request limit, forwarded by the entry to the dispatcher. */
 struct dl_limit_frame {
 	struct dl_name service;
 	struct dl_name endpoint;
@@ -66,8 +65,8 @@
 int dl_limit_read(struct dl_str body, struct dl_limit_frame *out);
 
 /* A service and the id of a request or grant, for instance to cancel it. */
-void dl_id_pack(struct dl_packer *p, struct dl_str service, uint64_t number);
-int dl_id_read(struct dl_str body, struct dl_name *service, uint64_t *number);
+void dl_id_pack(struct dl_packer *p, struct dl_str service, uint64_t id);
+int dl_id_read(struct dl_str body, struct dl_name *service, uint64_t *id);
 
 /* An announcement, as forwarded to the dispatcher. */
 void dl_report_pack(struct dl_packer *p, const struct dl_announcement *a);
@@ -77,14 +76,14 @@
  * A deflated batch of announcements, each encoded by dl_report_pack(). Returns
  * 0 and *out, which the caller frees with free(), or -ENOMEM.
  */
-int dl_report_batch_pack(const struct dl_str *words, uint32_t count, char **out,
-			 size_t *n);
+int dl_report_batch_pack(const struct dl_str *reports, uint32_t count,
+			 char **out, size_t *n);
 /*
- * Calls take() for each announcement of a batch. Returns -EBADMSG if the body
- * is malformed, possibly after take() was called for some.
+ * Calls on_report() for each announcement of a batch. Returns -EBADMSG if the
+ * body is malformed, possibly after on_report() was called for some.
  */
 int dl_report_batch_read(struct dl_str body,
-			 void (*take)(void *arg, struct dl_str words),
+			 void (*on_report)(void *arg, struct dl_str report),
 			 void *arg);
 
 void dl_summary_pack(struct dl_packer *p, struct dl_str service,
--- a/src/protocol/quarantine_codec.h
+++ b/src/protocol/quarantine_codec.h
@@ -1,5 +1,4 @@
-/* The body of DL_FRAME_CRASHES: endpoint crashes while a request was running.
- */
+/* The body of DL_FRAME_CRASHES: crashes of endpoints that ran a request. */
 #ifndef DL_PROTOCOL_QUARANTINE_CODEC_H
 #define DL_PROTOCOL_QUARANTINE_CODEC_H
 
--- a/src/protocol/rlog_codec.c
+++ b/src/protocol/rlog_codec.c
@@ -15,40 +15,40 @@
 #define MSG_FIELDS    11
 #define ENTRY_FIELDS  4
 #define MEMBER_FIELDS 3
-#define PIECE_FIELDS  6
+#define CHUNK_FIELDS  6
 
 #define FLAG_OK	      1u
 #define FLAG_FRESH    2u
 #define FLAG_TRANSFER 4u
 
 /* The type of the payload of each message kind. */
-enum rest {
-	REST_NONE,
-	REST_ENTRIES,
-	REST_MEMBERS,
-	REST_PIECE
+enum payload {
+	PAYLOAD_NONE,
+	PAYLOAD_ENTRIES,
+	PAYLOAD_MEMBERS,
+	PAYLOAD_CHUNK
 };
 
-static const enum rest rest_of[DL_RLOG_MSG_KIND_COUNT] = {
-	[DL_RLOG_BOOTSTRAP] = REST_MEMBERS,
-	[DL_RLOG_APPEND] = REST_ENTRIES,
-	[DL_RLOG_SNAPSHOT] = REST_PIECE,
-	[DL_RLOG_SNAPSHOT_REPLY] = REST_PIECE,
+static const enum payload payload_of[DL_RLOG_MSG_KIND_COUNT] = {
+	[DL_RLOG_BOOTSTRAP] = PAYLOAD_MEMBERS,
+	[DL_RLOG_APPEND] = PAYLOAD_ENTRIES,
+	[DL_RLOG_SNAPSHOT] = PAYLOAD_CHUNK,
+	[DL_RLOG_SNAPSHOT_REPLY] = PAYLOAD_CHUNK,
 };
 
 static void pack_str(msgpack_packer *pk, struct dl_str s);
 static void pack_members(msgpack_packer *pk, const struct dl_rlog_members *m);
 static void pack_entries(msgpack_packer *pk, const struct dl_rlog_msg *msg);
-static void pack_piece(msgpack_packer *pk, const struct dl_rlog_msg *msg);
-static bool fields(const msgpack_object *o, uint32_t n,
-		   const msgpack_object **out);
-static bool number(const msgpack_object *o, uint64_t *out);
-static bool bytes(const msgpack_object *o, struct dl_str *out);
-static bool take_members(const msgpack_object *o, struct dl_rlog_members *out);
-static bool take_entries(const msgpack_object *o, struct dl_rlog_decoded *out);
-static bool take_piece(const msgpack_object *o, struct dl_rlog_msg *msg);
-static bool take_rest(const msgpack_object *o, struct dl_rlog_decoded *out);
-static bool take_head(const msgpack_object *f, struct dl_rlog_msg *msg);
+static void pack_chunk(msgpack_packer *pk, const struct dl_rlog_msg *msg);
+static bool read_array(const msgpack_object *o, uint32_t n,
+		       const msgpack_object **out);
+static bool read_u64(const msgpack_object *o, uint64_t *out);
+static bool read_bytes(const msgpack_object *o, struct dl_str *out);
+static bool read_members(const msgpack_object *o, struct dl_rlog_members *out);
+static bool read_entries(const msgpack_object *o, struct dl_rlog_decoded *out);
+static bool read_chunk(const msgpack_object *o, struct dl_rlog_msg *msg);
+static bool read_payload(const msgpack_object *o, struct dl_rlog_decoded *out);
+static bool read_header(const msgpack_object *f, struct dl_rlog_msg *msg);
 
 static void pack_str(msgpack_packer *pk, struct dl_str s)
 {
@@ -81,9 +81,9 @@
 	}
 }
 
-static void pack_piece(msgpack_packer *pk, const struct dl_rlog_msg *msg)
+static void pack_chunk(msgpack_packer *pk, const struct dl_rlog_msg *msg)
 {
-	msgpack_pack_array(pk, PIECE_FIELDS);
+	msgpack_pack_array(pk, CHUNK_FIELDS);
 	msgpack_pack_uint64(pk, msg->snapshot.index);
 	msgpack_pack_uint64(pk, msg->snapshot.term);
 	pack_members(pk, &msg->snapshot.members);
@@ -112,23 +112,23 @@
 	msgpack_pack_uint64(&pk, msg->commit);
 	msgpack_pack_int64(&pk, msg->stamp);
 	msgpack_pack_uint64(&pk, flags);
-	switch (rest_of[msg->kind]) {
-	case REST_ENTRIES:
+	switch (payload_of[msg->kind]) {
+	case PAYLOAD_ENTRIES:
 		pack_entries(&pk, msg);
 		break;
-	case REST_MEMBERS:
+	case PAYLOAD_MEMBERS:
 		pack_members(&pk, &msg->snapshot.members);
 		break;
-	case REST_PIECE:
-		pack_piece(&pk, msg);
+	case PAYLOAD_CHUNK:
+		pack_chunk(&pk, msg);
 		break;
 	default:
 		msgpack_pack_nil(&pk);
 	}
 }
 
-static bool fields(const msgpack_object *o, uint32_t n,
-		   const msgpack_object **out)
+static bool read_array(const msgpack_object *o, uint32_t n,
+		       const msgpack_object **out)
 {
 	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != n)
 		return false;
@@ -136,7 +136,7 @@
 	return true;
 }
 
-static bool number(const msgpack_object *o, uint64_t *out)
+static bool read_u64(const msgpack_object *o, uint64_t *out)
 {
 	if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER)
 		return false;
@@ -144,7 +144,7 @@
 	return true;
 }
 
-static bool bytes(const msgpack_object *o, struct dl_str *out)
+static bool read_bytes(const msgpack_object *o, struct dl_str *out)
 {
 	if (o->type != MSGPACK_OBJECT_BIN)
 		return false;
@@ -152,7 +152,7 @@
 	return true;
 }
 
-static bool take_members(const msgpack_object *o, struct dl_rlog_members *out)
+static bool read_members(const msgpack_object *o, struct dl_rlog_members *out)
 {
 	if (o->type != MSGPACK_OBJECT_ARRAY ||
 	    o->via.array.size > DL_RLOG_MEMBERS_MAX)
@@ -162,16 +162,17 @@
 		const msgpack_object *f;
 		uint64_t voter;
 
-		if (!fields(&o->via.array.ptr[i], MEMBER_FIELDS, &f) ||
-		    !number(&f[0], &out->at[i].vm) ||
-		    !number(&f[1], &out->at[i].id) || !number(&f[2], &voter))
+		if (!read_array(&o->via.array.ptr[i], MEMBER_FIELDS, &f) ||
+		    !read_u64(&f[0], &out->at[i].vm) ||
+		    !read_u64(&f[1], &out->at[i].id) ||
+		    !read_u64(&f[2], &voter))
 			return false;
 		out->at[i].voter = voter != 0;
 	}
 	return true;
 }
 
-static bool take_entries(const msgpack_object *o, struct dl_rlog_decoded *out)
+static bool read_entries(const msgpack_object *o, struct dl_rlog_decoded *out)
 {
 	uint32_t n;
 
@@ -188,10 +189,10 @@
 		const msgpack_object *f;
 		uint64_t kind;
 
-		if (!fields(&o->via.array.ptr[i], ENTRY_FIELDS, &f) ||
-		    !number(&f[0], &e->index) || !number(&f[1], &e->term) ||
-		    !number(&f[2], &kind) || kind > DL_RLOG_MEMBERS ||
-		    !bytes(&f[3], &e->data))
+		if (!read_array(&o->via.array.ptr[i], ENTRY_FIELDS, &f) ||
+		    !read_u64(&f[0], &e->index) || !read_u64(&f[1], &e->term) ||
+		    !read_u64(&f[2], &kind) || kind > DL_RLOG_MEMBERS ||
+		    !read_bytes(&f[3], &e->data))
 			return false;
 		if (e->index != out->msg.index + 1 + i)
 			return false;
@@ -202,42 +203,42 @@
 	return true;
 }
 
-static bool take_piece(const msgpack_object *o, struct dl_rlog_msg *msg)
+static bool read_chunk(const msgpack_object *o, struct dl_rlog_msg *msg)
 {
 	const msgpack_object *f;
 
-	return fields(o, PIECE_FIELDS, &f) &&
-	       number(&f[0], &msg->snapshot.index) &&
-	       number(&f[1], &msg->snapshot.term) &&
-	       take_members(&f[2], &msg->snapshot.members) &&
-	       number(&f[3], &msg->offset) && number(&f[4], &msg->total) &&
-	       bytes(&f[5], &msg->snapshot.data);
+	return read_array(o, CHUNK_FIELDS, &f) &&
+	       read_u64(&f[0], &msg->snapshot.index) &&
+	       read_u64(&f[1], &msg->snapshot.term) &&
+	       read_members(&f[2], &msg->snapshot.members) &&
+	       read_u64(&f[3], &msg->offset) && read_u64(&f[4], &msg->total) &&
+	       read_bytes(&f[5], &msg->snapshot.data);
 }
 
-static bool take_rest(const msgpack_object *o, struct dl_rlog_decoded *out)
+static bool read_payload(const msgpack_object *o, struct dl_rlog_decoded *out)
 {
-	switch (rest_of[out->msg.kind]) {
-	case REST_ENTRIES:
-		return take_entries(o, out);
-	case REST_MEMBERS:
-		return take_members(o, &out->msg.snapshot.members);
-	case REST_PIECE:
-		return take_piece(o, &out->msg);
+	switch (payload_of[out->msg.kind]) {
+	case PAYLOAD_ENTRIES:
+		return read_entries(o, out);
+	case PAYLOAD_MEMBERS:
+		return read_members(o, &out->msg.snapshot.members);
+	case PAYLOAD_CHUNK:
+		return read_chunk(o, &out->msg);
 	default:
 		return o->type == MSGPACK_OBJECT_NIL;
 	}
 }
 
-static bool take_head(const msgpack_object *f, struct dl_rlog_msg *msg)
+static bool read_header(const msgpack_object *f, struct dl_rlog_msg *msg)
 {
 	uint64_t kind, flags;
 
-	if (!number(&f[0], &kind) || kind == 0 ||
-	    kind >= DL_RLOG_MSG_KIND_COUNT || !number(&f[1], &msg->cluster) ||
-	    !number(&f[2], &msg->from_id) || !number(&f[3], &msg->to_id) ||
-	    !number(&f[4], &msg->term) || !number(&f[5], &msg->index) ||
-	    !number(&f[6], &msg->index_term) || !number(&f[7], &msg->commit) ||
-	    !number(&f[9], &flags))
+	if (!read_u64(&f[0], &kind) || kind == 0 ||
+	    kind >= DL_RLOG_MSG_KIND_COUNT || !read_u64(&f[1], &msg->cluster) ||
+	    !read_u64(&f[2], &msg->from_id) || !read_u64(&f[3], &msg->to_id) ||
+	    !read_u64(&f[4], &msg->term) || !read_u64(&f[5], &msg->index) ||
+	    !read_u64(&f[6], &msg->index_term) ||
+	    !read_u64(&f[7], &msg->commit) || !read_u64(&f[9], &flags))
 		return false;
 	if (f[8].type != MSGPACK_OBJECT_POSITIVE_INTEGER &&
 	    f[8].type != MSGPACK_OBJECT_NEGATIVE_INTEGER)
@@ -261,8 +262,8 @@
 	if (dl_msgpack_sound(body) &&
 	    msgpack_unpack_next(&out->unpacked, body.s, body.n, NULL) ==
 		    MSGPACK_UNPACK_SUCCESS &&
-	    fields(&out->unpacked.data, MSG_FIELDS, &f) &&
-	    take_head(f, &out->msg) && take_rest(&f[MSG_FIELDS - 1], out))
+	    read_array(&out->unpacked.data, MSG_FIELDS, &f) &&
+	    read_header(f, &out->msg) && read_payload(&f[MSG_FIELDS - 1], out))
 		return 0;
 	dl_rlog_decoded_free(out);
 	return -EINVAL;
--- a/src/protocol/sign.c
+++ b/src/protocol/sign.c
@@ -19,10 +19,10 @@
  */
 #define AGE_MAX_MS 120000
 
-static bool mac(const struct dl_key *key, const struct dl_signed *what,
-		const char *when, unsigned char out[MAC_BYTES])
+static bool compute_mac(const struct dl_key *key, const struct dl_signed *what,
+			const char *time_text, unsigned char out[MAC_BYTES])
 {
-	size_t n = what->method.n + what->path.n + strlen(when) + 3;
+	size_t n = what->method.n + what->path.n + strlen(time_text) + 3;
 	char *text = malloc(n + what->body.n + 1);
 	unsigned int out_n = MAC_BYTES;
 	bool ok;
@@ -30,7 +30,7 @@
 	if (!text)
 		return false;
 	snprintf(text, n + 1, "%.*s\n%.*s\n%s\n", (int)what->method.n,
-		 what->method.s, (int)what->path.n, what->path.s, when);
+		 what->method.s, (int)what->path.n, what->path.s, time_text);
 	if (what->body.n)
 		memcpy(text + n, what->body.s, what->body.n);
 	ok = HMAC(EVP_sha256(), key->s, key->n, (unsigned char *)text,
@@ -50,19 +50,19 @@
 	    int64_t wall_ms, char out[DL_SIGNATURE_MAX])
 {
 	unsigned char bytes[MAC_BYTES];
-	char when[24], hex[MAC_HEX + 1];
+	char time_text[24], hex[MAC_HEX + 1];
 
-	snprintf(when, sizeof(when), "%" PRId64, wall_ms);
-	if (!mac(key, what, when, bytes))
+	snprintf(time_text, sizeof(time_text), "%" PRId64, wall_ms);
+	if (!compute_mac(key, what, time_text, bytes))
 		return -ENOMEM;
 	to_hex(bytes, hex);
-	snprintf(out, DL_SIGNATURE_MAX, "%s %s", when, hex);
+	snprintf(out, DL_SIGNATURE_MAX, "%s %s", time_text, hex);
 	return 0;
 }
 
 /* Splits "TIME HEX" and checks that TIME is within AGE_MAX_MS of wall_ms. */
-static bool split(struct dl_str signature, int64_t wall_ms, char when[24],
-		  struct dl_str *hex)
+static bool parse_signature(struct dl_str signature, int64_t wall_ms,
+			    char time_text[24], struct dl_str *hex)
 {
 	const char *space = memchr(signature.s, ' ', signature.n);
 	uint64_t then;
@@ -74,8 +74,8 @@
 	if (n >= 24 || signature.n != n + 1 + MAC_HEX ||
 	    !dl_str_to_u64((struct dl_str){ signature.s, n }, &then))
 		return false;
-	memcpy(when, signature.s, n);
-	when[n] = '\0';
+	memcpy(time_text, signature.s, n);
+	time_text[n] = '\0';
 	*hex = (struct dl_str){ space + 1, MAC_HEX };
 	return llabs((int64_t)then - wall_ms) <= AGE_MAX_MS;
 }
@@ -87,18 +87,18 @@
 int dl_sign_check(const struct dl_keys *keys, const struct dl_signed *what,
 		  struct dl_str signature, int64_t wall_ms)
 {
-	char when[24], hex[MAC_HEX + 1];
+	char time_text[24], hex[MAC_HEX + 1];
 	unsigned char bytes[MAC_BYTES];
-	struct dl_str theirs;
-	int same = 0;
+	struct dl_str received;
+	int matches = 0;
 
-	if (!split(signature, wall_ms, when, &theirs))
+	if (!parse_signature(signature, wall_ms, time_text, &received))
 		return -EACCES;
 	for (uint32_t i = 0; i < keys->count; i++) {
-		if (!mac(&keys->key[i], what, when, bytes))
+		if (!compute_mac(&keys->key[i], what, time_text, bytes))
 			return -EACCES;
 		to_hex(bytes, hex);
-		same |= CRYPTO_memcmp(hex, theirs.s, MAC_HEX) == 0;
+		matches |= CRYPTO_memcmp(hex, received.s, MAC_HEX) == 0;
 	}
-	return same ? 0 : -EACCES;
+	return matches ? 0 : -EACCES;
 }
--- a/src/protocol/sse.c
+++ b/src/protocol/sse.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_SIZE 1024
+#define INITIAL_SIZE 1024
 
 void dl_sse_open(struct dl_sse *sse)
 {
@@ -19,26 +19,26 @@
 }
 
 /* Removes the events that dl_sse_next() has returned from the buffer. */
-static void drop_seen(struct dl_sse *sse)
+static void discard_consumed(struct dl_sse *sse)
 {
-	if (sse->seen == 0)
+	if (sse->consumed == 0)
 		return;
-	memmove(sse->buf, sse->buf + sse->seen, sse->n - sse->seen);
-	sse->n -= sse->seen;
-	sse->seen = 0;
+	memmove(sse->buf, sse->buf + sse->consumed, sse->n - sse->consumed);
+	sse->n -= sse->consumed;
+	sse->consumed = 0;
 }
 
 /* Appends bytes of the stream; data from dl_sse_next() becomes invalid. */
-int dl_sse_feed(struct dl_sse *sse, struct dl_str piece)
+int dl_sse_feed(struct dl_sse *sse, struct dl_str bytes)
 {
-	drop_seen(sse);
-	if (sse->n + piece.n > DL_SSE_EVENT_MAX)
+	discard_consumed(sse);
+	if (sse->n + bytes.n > DL_SSE_EVENT_MAX)
 		return -EMSGSIZE;
-	if (sse->n + piece.n > sse->size) {
-		size_t size = sse->size ? sse->size : FIRST_SIZE;
+	if (sse->n + bytes.n > sse->size) {
+		size_t size = sse->size ? sse->size : INITIAL_SIZE;
 		char *grown;
 
-		while (size < sse->n + piece.n)
+		while (size < sse->n + bytes.n)
 			size *= 2;
 		grown = realloc(sse->buf, size);
 		if (!grown)
@@ -46,8 +46,8 @@
 		sse->buf = grown;
 		sse->size = size;
 	}
-	memcpy(sse->buf + sse->n, piece.s, piece.n);
-	sse->n += piece.n;
+	memcpy(sse->buf + sse->n, bytes.s, bytes.n);
+	sse->n += bytes.n;
 	return 0;
 }
 
@@ -65,15 +65,16 @@
 /* Returns the next event's data; comments and other fields are skipped. */
 bool dl_sse_next(struct dl_sse *sse, struct dl_str *data)
 {
-	while (sse->seen < sse->n) {
-		const char *from = sse->buf + sse->seen;
-		const char *end = memmem(from, sse->n - sse->seen, "\n\n", 2);
+	while (sse->consumed < sse->n) {
+		const char *from = sse->buf + sse->consumed;
+		const char *end =
+			memmem(from, sse->n - sse->consumed, "\n\n", 2);
 		struct dl_str event;
 
 		if (!end)
 			return false;
 		event = trim((struct dl_str){ from, (size_t)(end - from) });
-		sse->seen += (size_t)(end - from) + 2;
+		sse->consumed += (size_t)(end - from) + 2;
 		if (event.n < 5 || memcmp(event.s, "data:", 5) != 0)
 			continue;
 		event.s += 5;
--- a/src/protocol/sse.h
+++ b/src/protocol/sse.h
@@ -10,13 +10,13 @@
 struct dl_sse {
 	char *buf;
 	size_t n, size;
-	size_t seen; /* bytes of events that dl_sse_next() has returned */
+	size_t consumed; /* bytes of events that dl_sse_next() has returned */
 };
 
 void dl_sse_open(struct dl_sse *sse);
 void dl_sse_close(struct dl_sse *sse);
 /* Appends bytes; -EMSGSIZE if an event exceeds DL_SSE_EVENT_MAX. */
-int dl_sse_feed(struct dl_sse *sse, struct dl_str piece);
+int dl_sse_feed(struct dl_sse *sse, struct dl_str bytes);
 /* Returns the data of the next complete event, valid until the next feed. */
 bool dl_sse_next(struct dl_sse *sse, struct dl_str *data);
 
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -340,11 +340,11 @@
 START_TEST(answers_to_announcements)
 {
 	char text[DL_DIALECT_TEXT_MAX];
-	uint64_t door;
+	uint64_t next_address;
 	size_t n;
 
-	ck_assert(dl_vm_parse(DL_STR("10.0.0.9:80"), &door));
-	n = d->announce_reply(door, text);
+	ck_assert(dl_vm_parse(DL_STR("10.0.0.9:80"), &next_address));
+	n = d->announce_reply(next_address, text);
 	ck_assert(dl_str_eq((struct dl_str){ text, n },
 			    DL_STR("{\"heartbeat_addr\":\"10.0.0.9:80\"}")));
 	n = d->announce_reply(DL_VM_NONE, text);
