--- a/test/test_codec.c
+++ b/test/test_codec.c
@@ -1,6 +1,7 @@
 /*
- * Codecs of the frames between entries and dispatchers, of callers' JSON and
- * of event streams: what goes in comes out, and no damage gets past them.
+ * Codecs of the frames between entries and dispatchers, of the JSON API, event
+ * streams, settings and signatures: round trips, and rejection of malformed
+ * input.
  */
 #include <check.h>
 #include <errno.h>
@@ -132,7 +133,7 @@
 	strncat(t->all, words.s, words.n);
 }
 
-/* Many announcements in one body; damaged ones are refused, none is made up. */
+/* A truncated batch of announcements is rejected without reading any of it. */
 START_TEST(words_of_many_round_trip)
 {
 	struct dl_str words[] = { DL_STR("one"), DL_STR("two"),
@@ -208,7 +209,10 @@
 }
 END_TEST
 
-/* Every reader sees every damaged body; none may crash or read past it. */
+/*
+ * Decodes a damaged body as each kind of frame; no decoder may crash or read
+ * past its end.
+ */
 static void read_all(struct dl_str body)
 {
 	struct dl_announcement report;
@@ -230,7 +234,10 @@
 	dl_adopt_read(body, &service, &grant, &ask, 0);
 }
 
-/* Change, cut or lengthen a copy that is exactly as long as it says. */
+/*
+ * Alters one to three bytes of a copy and may truncate it. buf has exactly the
+ * size of the body, so that sanitizers detect reads past its end.
+ */
 static struct dl_str damage(GRand *rnd, struct dl_str good, char *buf)
 {
 	size_t n = good.n;
@@ -310,7 +317,7 @@
 }
 END_TEST
 
-/* What an engine is sent, to the letter. */
+/* The exact body that an endpoint is sent. */
 START_TEST(endpoint_body)
 {
 	struct dl_answer_frame f = sample_answer();
@@ -443,7 +450,7 @@
 }
 END_TEST
 
-/* Without a region the VMs of a failure domain dispatch together. */
+/* Pools span a region if one is set, and a failure domain otherwise. */
 START_TEST(settings_name_the_pools_domain)
 {
 	struct dl_settings out;
@@ -474,7 +481,10 @@
 	return key;
 }
 
-/* Only the same bytes, under a valid key, now, are let in. */
+/*
+ * A signature is accepted only for the same bytes, by a valid key and within
+ * the allowed age.
+ */
 START_TEST(signatures)
 {
 	struct dl_signed what = { DL_STR("POST"), DL_STR("/v1/config"),
--- a/test/test_deflate.c
+++ b/test/test_deflate.c
@@ -1,4 +1,4 @@
-/* Deflated bodies, and bytes that are none. */
+/* Deflated bodies: round trips, truncated and altered input, declared sizes. */
 #include <check.h>
 #include <errno.h>
 #include <stdlib.h>
@@ -44,7 +44,10 @@
 }
 END_TEST
 
-/* Eight bytes must not make a process take the memory that they name. */
+/*
+ * A body may declare any size in its first eight bytes. A size above the limit
+ * must be rejected before that much memory is allocated.
+ */
 START_TEST(declared_size_is_bounded)
 {
 	char *text;
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -1,6 +1,6 @@
 /*
- * The platform's dialect, call by call: what its words become, and what becomes
- * of words that are cut short, doubled, of a wrong type or not known.
+ * The platform's dialect: how each message is translated, and how truncated,
+ * duplicated, unknown and wrongly typed input is handled.
  */
 #include <check.h>
 #include <stdlib.h>
@@ -45,7 +45,7 @@
 	const char *name, *value;
 };
 
-/* None of these may do more than leave its field empty or cut. */
+/* Malformed headers; each may only leave its field empty or truncated. */
 static const struct odd odds[] = {
 	{ "daisyledge-deadline-ms", "" },
 	{ "daisyledge-deadline-ms", "soon" },
@@ -274,7 +274,10 @@
 	int rc;
 };
 
-/* What another writer may send: it names no endpoint to use. */
+/*
+ * Announcements as other implementations may send them; those with -22
+ * (-EINVAL) lack what is needed to use the endpoint.
+ */
 static const struct beat beats[] = {
 	{ FULL("\"ready\"", "4") ",\"born\":1764728000123,\"new\":{}}", 0 },
 	{ FULL("\"ready\"", "4") "}", 0 },
@@ -336,7 +339,7 @@
 }
 END_TEST
 
-/* Where an endpoint is to announce itself later, if anywhere. */
+/* The reply names the address for the next announcements, if any. */
 START_TEST(answers_to_announcements)
 {
 	char text[DL_DIALECT_TEXT_MAX];
--- a/test/test_rlog_codec.c
+++ b/test/test_rlog_codec.c
@@ -1,4 +1,4 @@
-/* The codec of log messages: there and back, and anything else is refused. */
+/* The codec of log messages: round trips, and rejection of malformed input. */
 #include <check.h>
 #include <errno.h>
 #include <stdlib.h>
@@ -82,7 +82,10 @@
 }
 END_TEST
 
-/* Cut anywhere it is refused; changed anywhere it is read or refused. */
+/*
+ * Every truncated message is rejected. A message with an altered byte may
+ * decode or not, but the decoder must not access memory outside of it.
+ */
 START_TEST(cut_and_changed)
 {
 	GRand *rand = g_rand_new_with_seed((guint32)_i);
