--- a/test/test_codec.c
+++ b/test/test_codec.c
@@ -68,7 +68,7 @@
 	return f;
 }
 
-START_TEST(ask_times_are_what_is_left)
+START_TEST(ask_times_are_relative)
 {
 	struct dl_ask_frame f = { .ask = sample_ask(),
 				  .no_spill = true,
@@ -119,32 +119,32 @@
 }
 END_TEST
 
-struct words_taken {
+struct reports_read {
 	uint32_t count;
 	char all[64];
 };
 
-static void take_words(void *arg, struct dl_str words)
+static void on_report(void *arg, struct dl_str reports)
 {
-	struct words_taken *t = arg;
+	struct reports_read *t = arg;
 
 	t->count++;
-	ck_assert_uint_lt(strlen(t->all) + words.n, sizeof(t->all));
-	strncat(t->all, words.s, words.n);
+	ck_assert_uint_lt(strlen(t->all) + reports.n, sizeof(t->all));
+	strncat(t->all, reports.s, reports.n);
 }
 
 /* A truncated batch of announcements is rejected without reading any of it. */
-START_TEST(words_of_many_round_trip)
+START_TEST(report_batch_round_trip)
 {
-	struct dl_str words[] = { DL_STR("one"), DL_STR("two"),
-				  DL_STR("three") };
-	struct words_taken got = { 0 };
+	struct dl_str reports[] = { DL_STR("one"), DL_STR("two"),
+				    DL_STR("three") };
+	struct reports_read got = { 0 };
 	char *body;
 	size_t n;
 
-	ck_assert_int_eq(dl_report_batch_pack(words, 3, &body, &n), 0);
+	ck_assert_int_eq(dl_report_batch_pack(reports, 3, &body, &n), 0);
 	ck_assert_int_eq(dl_report_batch_read((struct dl_str){ body, n },
-					      take_words, &got),
+					      on_report, &got),
 			 0);
 	ck_assert_uint_eq(got.count, 3);
 	ck_assert_str_eq(got.all, "onetwothree");
@@ -152,7 +152,7 @@
 	for (size_t cut = 0; cut < n; cut++)
 		ck_assert_int_eq(
 			dl_report_batch_read((struct dl_str){ body, cut },
-					     take_words, &got),
+					     on_report, &got),
 			-EBADMSG);
 	ck_assert_uint_eq(got.count, 0);
 	free(body);
@@ -374,7 +374,7 @@
 }
 END_TEST
 
-START_TEST(events_in_any_pieces)
+START_TEST(events_in_any_fragments)
 {
 	static const char stream[] = ": hello\n\ndata: {\"a\":1}\n\n"
 				     "event: x\ndata: y\n\ndata: [DONE]\n\n";
@@ -402,7 +402,7 @@
 }
 END_TEST
 
-START_TEST(an_event_is_bounded)
+START_TEST(event_size_is_bounded)
 {
 	static char block[65536];
 	struct dl_sse sse;
@@ -451,7 +451,7 @@
 END_TEST
 
 /* Pools span a region if one is set, and a failure domain otherwise. */
-START_TEST(settings_name_the_pools_domain)
+START_TEST(pool_domain_is_region_or_failure_domain)
 {
 	struct dl_settings out;
 	struct dl_err err = { 0 };
@@ -492,7 +492,7 @@
 	struct dl_signed other = { DL_STR("POST"), DL_STR("/v1/config"),
 				   DL_STR("{ }") };
 	struct dl_keys keys = { .count = 2 };
-	struct dl_key strange = key_of("another secret of length");
+	struct dl_key unknown = key_of("another secret of length");
 	char out[DL_SIGNATURE_MAX];
 
 	keys.key[0] = key_of("the old secret, still valid");
@@ -509,7 +509,7 @@
 					       1200000),
 				 -EACCES);
 	}
-	ck_assert_int_eq(dl_sign(&strange, &what, 1000000, out), 0);
+	ck_assert_int_eq(dl_sign(&unknown, &what, 1000000, out), 0);
 	ck_assert_int_eq(dl_sign_check(&keys, &what, dl_str_of(out), 1000000),
 			 -EACCES);
 	ck_assert_int_eq(dl_sign_check(&keys, &what, DL_STR(""), 1000000),
@@ -526,18 +526,18 @@
 
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 120);
-	tcase_add_test(t, ask_times_are_what_is_left);
+	tcase_add_test(t, ask_times_are_relative);
 	tcase_add_test(t, answer_and_adopt_round_trip);
-	tcase_add_test(t, words_of_many_round_trip);
+	tcase_add_test(t, report_batch_round_trip);
 	tcase_add_test(t, report_release_summary_round_trip);
 	tcase_add_test(t, damaged_frames);
 	tcase_add_loop_test(t, completions, 0, CASES(completion_cases));
 	tcase_add_test(t, endpoint_body);
 	tcase_add_loop_test(t, announcements, 0, CASES(announcement_cases));
-	tcase_add_test(t, events_in_any_pieces);
-	tcase_add_test(t, an_event_is_bounded);
+	tcase_add_test(t, events_in_any_fragments);
+	tcase_add_test(t, event_size_is_bounded);
 	tcase_add_test(t, signatures);
 	tcase_add_loop_test(t, settings, 0, CASES(settings_cases));
-	tcase_add_test(t, settings_name_the_pools_domain);
+	tcase_add_test(t, pool_domain_is_region_or_failure_domain);
 	return suite_run(s);
 }
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -17,7 +17,7 @@
 
 static const struct dl_dialect *const d = &platform_dialect;
 
-START_TEST(callers_words_are_read)
+START_TEST(request_headers_are_parsed)
 {
 	const struct dl_header headers[] = {
 		H("X-Api-Key", "secret"),
@@ -41,12 +41,12 @@
 }
 END_TEST
 
-struct odd {
+struct header_case {
 	const char *name, *value;
 };
 
 /* Malformed headers; each may only leave its field empty or truncated. */
-static const struct odd odds[] = {
+static const struct header_case malformed_headers[] = {
 	{ "daisyledge-deadline-ms", "" },
 	{ "daisyledge-deadline-ms", "soon" },
 	{ "daisyledge-deadline-ms", "99999999999999999999999" },
@@ -63,10 +63,10 @@
 	{ "x-api-key", "" },
 };
 
-START_TEST(odd_words_do_no_harm)
+START_TEST(malformed_headers_are_ignored)
 {
-	struct dl_header h = { dl_str_of(odds[_i].name),
-			       dl_str_of(odds[_i].value) };
+	struct dl_header h = { dl_str_of(malformed_headers[_i].name),
+			       dl_str_of(malformed_headers[_i].value) };
 	struct dl_inbound in;
 
 	d->inbound(&h, 1, &in);
@@ -90,7 +90,7 @@
 	return found;
 }
 
-START_TEST(endpoints_are_told)
+START_TEST(outbound_headers)
 {
 	const struct dl_header callers[] = {
 		H("daisyledge-model", "m"),
@@ -134,7 +134,7 @@
 }
 END_TEST
 
-START_TEST(a_forged_resumption_is_replaced)
+START_TEST(forged_last_event_id_is_replaced)
 {
 	const struct dl_header callers[] = { H("last-event-id", "3") };
 	struct dl_header out[DL_DIALECT_HEADERS_MAX + 8];
@@ -146,7 +146,7 @@
 }
 END_TEST
 
-START_TEST(answers_are_read)
+START_TEST(response_headers_are_parsed)
 {
 	const struct dl_header headers[] = {
 		H("Daisyledge-Not-Executed", "1"),
@@ -170,7 +170,7 @@
 }
 END_TEST
 
-START_TEST(limits_are_read)
+START_TEST(limits_are_parsed)
 {
 	static const struct {
 		const char *text;
@@ -193,10 +193,10 @@
 	struct dl_response_head head;
 
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-		const struct dl_header said = { DL_STR("Server-Limit"),
-						dl_str_of(cases[i].text) };
+		const struct dl_header header = { DL_STR("Server-Limit"),
+						  dl_str_of(cases[i].text) };
 
-		d->response(&said, 1, &head);
+		d->response(&header, 1, &head);
 		ck_assert_uint_eq(head.limit, cases[i].limit);
 	}
 	d->response(NULL, 0, &head);
@@ -204,7 +204,7 @@
 }
 END_TEST
 
-START_TEST(what_endpoints_ask_of_a_vm_is_read)
+START_TEST(retry_after_and_leaving_are_parsed)
 {
 	static const struct {
 		const char *name, *value;
@@ -223,23 +223,23 @@
 	struct dl_response_head head;
 
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-		const struct dl_header said = { dl_str_of(cases[i].name),
-						dl_str_of(cases[i].value) };
+		const struct dl_header header = { dl_str_of(cases[i].name),
+						  dl_str_of(cases[i].value) };
 
-		d->response(&said, 1, &head);
+		d->response(&header, 1, &head);
 		ck_assert_uint_eq(head.retry_after_ms, cases[i].retry_after_ms);
 		ck_assert_int_eq(head.leaving, cases[i].leaving);
 	}
 }
 END_TEST
 
-struct path {
+struct path_case {
 	const char *method, *path;
 	enum dl_control_call call;
 	const char *arg;
 };
 
-static const struct path paths[] = {
+static const struct path_case path_cases[] = {
 	{ "POST", "/-/Instances.Heartbeat/i-7", DL_CONTROL_ANNOUNCE, "i-7" },
 	{ "POST", "/-/Instances.Deregister/i-7", DL_CONTROL_LEAVE, "i-7" },
 	{ "POST", "/-/Config.Put", DL_CONTROL_APPLY, "" },
@@ -253,7 +253,7 @@
 
 START_TEST(control_calls)
 {
-	const struct path *p = &paths[_i];
+	const struct path_case *p = &path_cases[_i];
 	struct dl_str arg = { "", 0 };
 
 	ck_assert_int_eq(d->control(dl_str_of(p->method), dl_str_of(p->path),
@@ -264,12 +264,13 @@
 }
 END_TEST
 
-#define BEAT(more)                                                             \
+#define ANNOUNCEMENT(more)                                                     \
 	"{\"service\":\"w\",\"address\":\"10.0.0.9:80\",\"zone\":\"z\"," more
-#define FULL(state, seq)                                                       \
-	BEAT("\"version\":\"v1\",\"slots\":16,\"state\":" state ",\"seq\":" seq)
+#define ANNOUNCEMENT_WITH(state, seq)                                          \
+	ANNOUNCEMENT("\"version\":\"v1\",\"slots\":16,\"state\":" state        \
+		     ",\"seq\":" seq)
 
-struct beat {
+struct body_case {
 	const char *body;
 	int rc;
 };
@@ -278,30 +279,37 @@
  * Announcements as other implementations may send them; those with -22
  * (-EINVAL) lack what is needed to use the endpoint.
  */
-static const struct beat beats[] = {
-	{ FULL("\"ready\"", "4") ",\"born\":1764728000123,\"new\":{}}", 0 },
-	{ FULL("\"ready\"", "4") "}", 0 },
-	{ FULL("\"draining\"", "4") "}", 0 },
-	{ FULL("\"ready\"", "4") ",\"models\":7}", 0 },
-	{ FULL("\"asleep\"", "4") "}", -22 },
-	{ FULL("\"\"", "4") "}", -22 },
-	{ FULL("7", "4") "}", -22 },
-	{ FULL("null", "4") "}", -22 },
-	{ FULL("\"ready\"", "-4") "}", -22 },
-	{ FULL("\"ready\"", "\"4\"") "}", -22 },
-	{ FULL("\"ready\"", "4.5") "}", -22 },
-	{ FULL("\"ready\"", "4") ",\"born\":\"1764728000123\"}", -22 },
-	{ FULL("\"ready\"", "4") ",\"born\":1764728000123.5}", -22 },
-	{ FULL("\"ready\"", "4") ",\"born\":-1}", -22 },
-	{ FULL("\"ready\"", "4") ",\"born\":null}", -22 },
-	{ BEAT("\"version\":\"v1\",\"slots\":16,\"seq\":4}"), -22 },
-	{ BEAT("\"version\":\"v1\",\"slots\":16,\"state\":\"ready\"}"), -22 },
-	{ BEAT("\"version\":\"v1\",\"state\":\"ready\",\"seq\":4}"), -22 },
-	{ BEAT("\"slots\":16,\"state\":\"ready\",\"seq\":4}"), -22 },
-	{ BEAT("\"version\":1,\"slots\":16,\"state\":\"ready\",\"seq\":4}"),
+static const struct body_case announcement_cases[] = {
+	{ ANNOUNCEMENT_WITH("\"ready\"",
+			    "4") ",\"born\":1764728000123,\"new\":{}}",
+	  0 },
+	{ ANNOUNCEMENT_WITH("\"ready\"", "4") "}", 0 },
+	{ ANNOUNCEMENT_WITH("\"draining\"", "4") "}", 0 },
+	{ ANNOUNCEMENT_WITH("\"ready\"", "4") ",\"models\":7}", 0 },
+	{ ANNOUNCEMENT_WITH("\"asleep\"", "4") "}", -22 },
+	{ ANNOUNCEMENT_WITH("\"\"", "4") "}", -22 },
+	{ ANNOUNCEMENT_WITH("7", "4") "}", -22 },
+	{ ANNOUNCEMENT_WITH("null", "4") "}", -22 },
+	{ ANNOUNCEMENT_WITH("\"ready\"", "-4") "}", -22 },
+	{ ANNOUNCEMENT_WITH("\"ready\"", "\"4\"") "}", -22 },
+	{ ANNOUNCEMENT_WITH("\"ready\"", "4.5") "}", -22 },
+	{ ANNOUNCEMENT_WITH("\"ready\"", "4") ",\"born\":\"1764728000123\"}",
 	  -22 },
-	{ BEAT("\"version\":\"v1\",\"slots\":\"x\",\"state\":\"ready\","
-	       "\"seq\":4}"),
+	{ ANNOUNCEMENT_WITH("\"ready\"", "4") ",\"born\":1764728000123.5}",
+	  -22 },
+	{ ANNOUNCEMENT_WITH("\"ready\"", "4") ",\"born\":-1}", -22 },
+	{ ANNOUNCEMENT_WITH("\"ready\"", "4") ",\"born\":null}", -22 },
+	{ ANNOUNCEMENT("\"version\":\"v1\",\"slots\":16,\"seq\":4}"), -22 },
+	{ ANNOUNCEMENT("\"version\":\"v1\",\"slots\":16,\"state\":\"ready\"}"),
+	  -22 },
+	{ ANNOUNCEMENT("\"version\":\"v1\",\"state\":\"ready\",\"seq\":4}"),
+	  -22 },
+	{ ANNOUNCEMENT("\"slots\":16,\"state\":\"ready\",\"seq\":4}"), -22 },
+	{ ANNOUNCEMENT(
+		  "\"version\":1,\"slots\":16,\"state\":\"ready\",\"seq\":4}"),
+	  -22 },
+	{ ANNOUNCEMENT("\"version\":\"v1\",\"slots\":\"x\",\"state\":\"ready\","
+		       "\"seq\":4}"),
 	  -22 },
 	{ "{\"service\":\"w\",\"address\":\"10.0.0.9:80\",\"zone\":7,"
 	  "\"version\":\"v1\",\"slots\":16,\"state\":\"ready\",\"seq\":4}",
@@ -325,9 +333,10 @@
 	struct dl_announcement a;
 	struct dl_err err;
 
-	ck_assert_int_eq(d->announce(DL_STR("i-7"), dl_str_of(beats[_i].body),
-				     &a, &err),
-			 beats[_i].rc);
+	ck_assert_int_eq(d->announce(DL_STR("i-7"),
+				     dl_str_of(announcement_cases[_i].body), &a,
+				     &err),
+			 announcement_cases[_i].rc);
 	if (_i)
 		return;
 	ck_assert(dl_name_eq(&a.instance, DL_STR("i-7")));
@@ -340,7 +349,7 @@
 END_TEST
 
 /* The reply names the address for the next announcements, if any. */
-START_TEST(answers_to_announcements)
+START_TEST(announcement_replies)
 {
 	char text[DL_DIALECT_TEXT_MAX];
 	uint64_t next_address;
@@ -355,7 +364,7 @@
 }
 END_TEST
 
-static const struct beat leavings[] = {
+static const struct body_case deregistration_cases[] = {
 	{ "", 0 },
 	{ "{}", 0 },
 	{ "{\"born\":1764728000123}", 0 },
@@ -365,15 +374,16 @@
 	{ "{", -22 },
 };
 
-START_TEST(words_of_leaving)
+START_TEST(deregistrations)
 {
 	struct dl_announcement a;
 	struct dl_err err;
 
-	ck_assert_int_eq(d->leave(DL_STR("i-7"), dl_str_of(leavings[_i].body),
-				  &a, &err),
-			 leavings[_i].rc);
-	if (leavings[_i].rc)
+	ck_assert_int_eq(d->leave(DL_STR("i-7"),
+				  dl_str_of(deregistration_cases[_i].body), &a,
+				  &err),
+			 deregistration_cases[_i].rc);
+	if (deregistration_cases[_i].rc)
 		return;
 	ck_assert(a.report.leaving);
 	ck_assert(dl_name_eq(&a.instance, DL_STR("i-7")));
@@ -385,7 +395,7 @@
 #define ROUTE(more)                                                            \
 	"{\"name\":\"r\",\"host\":\"h.example\",\"path_prefix\":\"/p/\","      \
 	"\"kind\":\"stream\",\"service\":\"w\"," more "}"
-#define TEXT(version, routes)                                                  \
+#define CONFIG(version, routes)                                                \
 	"{\"version\":" version ",\"routes\":[" routes                         \
 	"],\"services\":[{\"name\":\"w\",\"max_conns\":9,\"engine\":{"         \
 	"\"slots\":16,\"kv_capacity\":315000,\"stride\":51,\"step_ms\":0.85,"  \
@@ -394,26 +404,27 @@
 	"\"limits\":{\"idle_timeout_ms\":15000},\"tenants\":[{\"name\":"       \
 	"\"t\",\"api_keys\":[\"k1\",\"k2\"],\"priority\":1}]}"
 
-struct text {
+struct config_case {
 	const char *body;
 	bool valid;
 };
 
-static const struct text texts[] = {
-	{ TEXT("7", ROUTE("\"timeout_ms\":10000,\"gap_target_ms\":250")),
+static const struct config_case config_cases[] = {
+	{ CONFIG("7", ROUTE("\"timeout_ms\":10000,\"gap_target_ms\":250")),
 	  true },
-	{ TEXT("7", ""), true },
-	{ TEXT("7", ROUTE("\"timeout_ms\":10000.5")), true },
-	{ TEXT("7", ROUTE("\"timeout_ms\":0")), false },
-	{ TEXT("7",
-	       ROUTE("\"timeout_ms\":1000") "," ROUTE("\"timeout_ms\":1000")),
+	{ CONFIG("7", ""), true },
+	{ CONFIG("7", ROUTE("\"timeout_ms\":10000.5")), true },
+	{ CONFIG("7", ROUTE("\"timeout_ms\":0")), false },
+	{ CONFIG("7",
+		 ROUTE("\"timeout_ms\":1000") "," ROUTE("\"timeout_ms\":1000")),
 	  false },
-	{ TEXT("7", "{\"name\":\"r\",\"host\":\"h\",\"path_prefix\":\"/p/\","
-		    "\"kind\":\"stream\",\"timeout_ms\":9,\"service\":\"x\"}"),
+	{ CONFIG("7",
+		 "{\"name\":\"r\",\"host\":\"h\",\"path_prefix\":\"/p/\","
+		 "\"kind\":\"stream\",\"timeout_ms\":9,\"service\":\"x\"}"),
 	  false },
-	{ TEXT("7", "{\"name\":\"r\",\"host\":\"h\",\"path_prefix\":\"/p/\","
-		    "\"kind\":\"stream\",\"timeout_ms\":9,\"traffic_split\":"
-		    "[{\"service\":\"w\",\"weight\":0}]}"),
+	{ CONFIG("7", "{\"name\":\"r\",\"host\":\"h\",\"path_prefix\":\"/p/\","
+		      "\"kind\":\"stream\",\"timeout_ms\":9,\"traffic_split\":"
+		      "[{\"service\":\"w\",\"weight\":0}]}"),
 	  false },
 	{ "{\"routes\":[]}", false },
 	{ "{\"version\":\"7\"}", false },
@@ -433,9 +444,11 @@
 	char *text = NULL;
 	bool ok;
 
-	ok = d->configuration(dl_str_of(texts[_i].body), &text, &err) == 0 &&
+	ok = d->configuration(dl_str_of(config_cases[_i].body), &text, &err) ==
+		     0 &&
 	     dl_conf_parse(dl_str_of(text), &conf, &faults) == 0;
-	ck_assert_msg(ok == texts[_i].valid, "%s", texts[_i].body);
+	ck_assert_msg(ok == config_cases[_i].valid, "%s",
+		      config_cases[_i].body);
 	if (_i == 0) {
 		const struct dl_route_conf *r;
 
@@ -463,22 +476,25 @@
 	TCase *t = tcase_create("platform");
 
 	suite_add_tcase(s, t);
-	tcase_add_test(t, callers_words_are_read);
-	tcase_add_loop_test(t, odd_words_do_no_harm, 0,
-			    sizeof(odds) / sizeof(odds[0]));
-	tcase_add_test(t, endpoints_are_told);
-	tcase_add_test(t, a_forged_resumption_is_replaced);
-	tcase_add_test(t, answers_are_read);
-	tcase_add_test(t, limits_are_read);
-	tcase_add_test(t, what_endpoints_ask_of_a_vm_is_read);
+	tcase_add_test(t, request_headers_are_parsed);
+	tcase_add_loop_test(t, malformed_headers_are_ignored, 0,
+			    sizeof(malformed_headers) /
+				    sizeof(malformed_headers[0]));
+	tcase_add_test(t, outbound_headers);
+	tcase_add_test(t, forged_last_event_id_is_replaced);
+	tcase_add_test(t, response_headers_are_parsed);
+	tcase_add_test(t, limits_are_parsed);
+	tcase_add_test(t, retry_after_and_leaving_are_parsed);
 	tcase_add_loop_test(t, control_calls, 0,
-			    sizeof(paths) / sizeof(paths[0]));
-	tcase_add_loop_test(t, words_of_leaving, 0,
-			    sizeof(leavings) / sizeof(leavings[0]));
+			    sizeof(path_cases) / sizeof(path_cases[0]));
+	tcase_add_loop_test(t, deregistrations, 0,
+			    sizeof(deregistration_cases) /
+				    sizeof(deregistration_cases[0]));
 	tcase_add_loop_test(t, announcements, 0,
-			    sizeof(beats) / sizeof(beats[0]));
-	tcase_add_test(t, answers_to_announcements);
+			    sizeof(announcement_cases) /
+				    sizeof(announcement_cases[0]));
+	tcase_add_test(t, announcement_replies);
 	tcase_add_loop_test(t, configurations, 0,
-			    sizeof(texts) / sizeof(texts[0]));
+			    sizeof(config_cases) / sizeof(config_cases[0]));
 	return suite_run(s);
 }
--- a/test/test_rlog_codec.c
+++ b/test/test_rlog_codec.c
@@ -49,7 +49,7 @@
 	return a->vm == b->vm && a->id == b->id && a->voter == b->voter;
 }
 
-START_TEST(there_and_back)
+START_TEST(round_trip)
 {
 	const struct dl_rlog_msg *m = &messages[_i];
 	struct dl_rlog_decoded d;
@@ -86,7 +86,7 @@
  * Every truncated message is rejected. A message with an altered byte may
  * decode or not, but the decoder must not access memory outside of it.
  */
-START_TEST(cut_and_changed)
+START_TEST(truncated_and_altered)
 {
 	GRand *rand = g_rand_new_with_seed((guint32)_i);
 	struct dl_rlog_decoded d;
@@ -118,7 +118,8 @@
 	TCase *t = tcase_create("codec");
 
 	suite_add_tcase(s, t);
-	tcase_add_loop_test(t, there_and_back, 0, G_N_ELEMENTS(messages));
-	tcase_add_loop_test(t, cut_and_changed, 0, G_N_ELEMENTS(messages));
+	tcase_add_loop_test(t, round_trip, 0, G_N_ELEMENTS(messages));
+	tcase_add_loop_test(t, truncated_and_altered, 0,
+			    G_N_ELEMENTS(messages));
 	return suite_run(s);
 }
