--- a/src/main/cli_explain.c
+++ b/src/main/cli_explain.c
@@ -39,7 +39,7 @@
 
 	if (dl_logline_read(line, &l))
 		return file;
-	s = l.before;
+	s = l.prefix;
 	while (s.n && s.s[s.n - 1] == ' ')
 		s.n--;
 	blank = s.n ? memrchr(s.s, ' ', s.n) : NULL;
@@ -105,12 +105,12 @@
 
 static void take_first(void *arg, struct dl_str node, struct dl_str line)
 {
-	explain_one_take(arg, node, line, true);
+	explain_one_add_line(arg, node, line, true);
 }
 
 static void take_again(void *arg, struct dl_str node, struct dl_str line)
 {
-	explain_one_take(arg, node, line, false);
+	explain_one_add_line(arg, node, line, false);
 }
 
 static const char *text_in(const json_t *o, const char *key)
@@ -186,7 +186,7 @@
 
 static void take_sum(void *arg, struct dl_str node, struct dl_str line)
 {
-	explain_sum_take(arg, line);
+	explain_sum_add_line(arg, line);
 }
 
 static void print_sum(const json_t *sum)
--- a/src/protocol/explain.c
+++ b/src/protocol/explain.c
@@ -79,12 +79,12 @@
 
 static bool is(const struct dl_logline *l, const char *key, const char *value)
 {
-	return dl_str_eq(dl_logline_word(l, key), dl_str_of(value));
+	return dl_str_eq(dl_logline_field(l, key), dl_str_of(value));
 }
 
 static struct dl_str word(const struct dl_logline *l, const char *key)
 {
-	return dl_logline_word(l, key);
+	return dl_logline_field(l, key);
 }
 
 /* Whether a line tells what became of a request. */
--- a/src/protocol/explain.h
+++ b/src/protocol/explain.h
@@ -47,8 +47,8 @@
  * Hand in each line twice, the whole log by first_pass and again without: which
  * requests the id stands for is known after the first.
  */
-void explain_one_take(struct explain_one *one, struct dl_str node,
-		      struct dl_str line, bool first_pass);
+void explain_one_add_line(struct explain_one *one, struct dl_str node,
+			  struct dl_str line, bool first_pass);
 /* All lines that concern it, by time, as an array of objects. */
 json_t *explain_one_json(struct explain_one *one);
 
@@ -58,7 +58,7 @@
 /* step_ms: how long a moment lasts that losses are counted by. */
 struct explain_sum *explain_sum_new(int64_t step_ms);
 void explain_sum_free(struct explain_sum *sum);
-void explain_sum_take(struct explain_sum *sum, struct dl_str line);
+void explain_sum_add_line(struct explain_sum *sum, struct dl_str line);
 /* {"requests":.., "lost":[..], "late":[..]} */
 json_t *explain_sum_json(struct explain_sum *sum);
 
--- a/src/protocol/explain_one.c
+++ b/src/protocol/explain_one.c
@@ -76,26 +76,26 @@
 /* Whether a line names the id, as whatever it is. */
 static bool names(const struct explain_one *one, const struct dl_logline *l)
 {
-	return dl_str_eq(dl_logline_word(l, "request"), one->id) ||
-	       dl_str_eq(dl_logline_word(l, "attempt"), one->id) ||
-	       dl_str_eq(dl_logline_word(l, "content"), one->id);
+	return dl_str_eq(dl_logline_field(l, "request"), one->id) ||
+	       dl_str_eq(dl_logline_field(l, "attempt"), one->id) ||
+	       dl_str_eq(dl_logline_field(l, "content"), one->id);
 }
 
 static bool concerns(const struct explain_one *one, const struct dl_logline *l)
 {
-	if (has(one->requests, dl_logline_word(l, "request")))
+	if (has(one->requests, dl_logline_field(l, "request")))
 		return true;
 	/* Of a request that is held back, on whichever VM. */
-	return dl_logline_word(l, "request").n == 0 &&
-	       has(one->contents, dl_logline_word(l, "content"));
+	return dl_logline_field(l, "request").n == 0 &&
+	       has(one->contents, dl_logline_field(l, "content"));
 }
 
 static json_t *words_json(const struct dl_logline *l)
 {
 	json_t *o = json_object();
 
-	for (uint32_t i = 0; i < l->words; i++) {
-		const struct dl_logword *w = &l->word[i];
+	for (uint32_t i = 0; i < l->fields; i++) {
+		const struct dl_logfield *w = &l->field[i];
 
 		json_object_setn_new(o, w->key.s, w->key.n,
 				     json_stringn(w->value.s, w->value.n));
@@ -124,8 +124,8 @@
 }
 
 /* Find out what the id stands for, or keep what concerns that. */
-void explain_one_take(struct explain_one *one, struct dl_str node,
-		      struct dl_str line, bool first_pass)
+void explain_one_add_line(struct explain_one *one, struct dl_str node,
+			  struct dl_str line, bool first_pass)
 {
 	struct dl_logline l;
 
@@ -138,8 +138,8 @@
 	}
 	if (!names(one, &l))
 		return;
-	add(one->requests, dl_logline_word(&l, "request"));
-	add(one->contents, dl_logline_word(&l, "content"));
+	add(one->requests, dl_logline_field(&l, "request"));
+	add(one->contents, dl_logline_field(&l, "content"));
 }
 
 static gint by_time(gconstpointer a, gconstpointer b)
--- a/src/protocol/explain_sum.c
+++ b/src/protocol/explain_sum.c
@@ -75,7 +75,7 @@
 
 static char *text_of(const struct dl_logline *l, const char *key)
 {
-	struct dl_str s = dl_logline_word(l, key);
+	struct dl_str s = dl_logline_field(l, key);
 
 	return g_strndup(s.s, s.n);
 }
@@ -83,9 +83,9 @@
 /* Why it was lost: the reason that is named, or else the status. */
 static char *why(const struct dl_logline *l)
 {
-	struct dl_str status = dl_logline_word(l, "status");
+	struct dl_str status = dl_logline_field(l, "status");
 
-	if (!dl_str_eq(dl_logline_word(l, "reason"), DL_STR("none")))
+	if (!dl_str_eq(dl_logline_field(l, "reason"), DL_STR("none")))
 		return text_of(l, "reason");
 	return g_strdup_printf("status %.*s", (int)status.n, status.s);
 }
@@ -139,14 +139,14 @@
 }
 
 /* Count a line, where it is of a request's end. */
-void explain_sum_take(struct explain_sum *sum, struct dl_str line)
+void explain_sum_add_line(struct explain_sum *sum, struct dl_str line)
 {
 	struct dl_logline l;
 
 	if (dl_logline_read(line, &l) || !explain_is_end(&l))
 		return;
 	sum->requests++;
-	if (!dl_str_eq(dl_logline_word(&l, "outcome"), DL_STR("done"))) {
+	if (!dl_str_eq(dl_logline_field(&l, "outcome"), DL_STR("done"))) {
 		count_lost(sum, &l);
 		return;
 	}
--- a/src/protocol/logline.c
+++ b/src/protocol/logline.c
@@ -84,7 +84,7 @@
 	*out = (struct dl_str){ begin, (size_t)(end - begin) };
 }
 
-static void take_word(struct rest *r, size_t key_n, struct dl_logword *out)
+static void take_word(struct rest *r, size_t key_n, struct dl_logfield *out)
 {
 	const char *value, *end;
 	bool quoted;
@@ -111,7 +111,7 @@
 		r.at++;
 	if (r.at + STAMP_LEN > r.end)
 		return -EINVAL;
-	out->before = (struct dl_str){ line.s, (size_t)(r.at - line.s) };
+	out->prefix = (struct dl_str){ line.s, (size_t)(r.at - line.s) };
 	out->at = stamp_ms(r.at);
 	r.at += STAMP_LEN;
 	skip_blanks(&r);
@@ -122,19 +122,19 @@
 		return -EINVAL;
 	skip_blanks(&r);
 	take_sentence(&r, &out->sentence);
-	while (out->words < DL_LOGLINE_WORDS_MAX && (n = key_length(&r))) {
-		take_word(&r, n, &out->word[out->words++]);
+	while (out->fields < DL_LOGLINE_FIELDS_MAX && (n = key_length(&r))) {
+		take_word(&r, n, &out->field[out->fields++]);
 		skip_blanks(&r);
 	}
 	return 0;
 }
 
 /* The value of the first word with a key. */
-struct dl_str dl_logline_word(const struct dl_logline *l, const char *key)
+struct dl_str dl_logline_field(const struct dl_logline *l, const char *key)
 {
-	for (uint32_t i = 0; i < l->words; i++) {
-		if (dl_str_eq(l->word[i].key, dl_str_of(key)))
-			return l->word[i].value;
+	for (uint32_t i = 0; i < l->fields; i++) {
+		if (dl_str_eq(l->field[i].key, dl_str_of(key)))
+			return l->field[i].value;
 	}
 	return DL_STR("");
 }
@@ -143,7 +143,7 @@
 int64_t dl_logline_number(const struct dl_logline *l, const char *key,
 			  int64_t otherwise)
 {
-	struct dl_str s = dl_logline_word(l, key);
+	struct dl_str s = dl_logline_field(l, key);
 	bool negative = s.n && s.s[0] == '-';
 	uint64_t v;
 
--- a/test/test_explain.c
+++ b/test/test_explain.c
@@ -31,15 +31,15 @@
 		"WARN  relay: An attempt broke. request=7-a "
 		"why=\"no byte in the time\" at_fault= granted_ms=-1 events=46");
 
-	ck_assert(is(l.before, "  1.5 vm-a "));
+	ck_assert(is(l.prefix, "  1.5 vm-a "));
 	ck_assert_int_eq(l.at, 1796296916017);
 	ck_assert(is(l.level, "WARN"));
 	ck_assert(is(l.part, "relay"));
 	ck_assert(is(l.sentence, "An attempt broke."));
-	ck_assert_uint_eq(l.words, 5);
-	ck_assert(is(dl_logline_word(&l, "why"), "no byte in the time"));
-	ck_assert(is(dl_logline_word(&l, "at_fault"), ""));
-	ck_assert(is(dl_logline_word(&l, "none"), ""));
+	ck_assert_uint_eq(l.fields, 5);
+	ck_assert(is(dl_logline_field(&l, "why"), "no byte in the time"));
+	ck_assert(is(dl_logline_field(&l, "at_fault"), ""));
+	ck_assert(is(dl_logline_field(&l, "none"), ""));
 	ck_assert_int_eq(dl_logline_number(&l, "granted_ms", 0), -1);
 	ck_assert_int_eq(dl_logline_number(&l, "events", 0), 46);
 	ck_assert_int_eq(dl_logline_number(&l, "request", 5), 5);
@@ -183,8 +183,8 @@
 
 	for (int pass = 0; pass < 2; pass++) {
 		for (size_t i = 0; i < G_N_ELEMENTS(lines); i++)
-			explain_one_take(one, DL_STR("vm"), dl_str_of(lines[i]),
-					 pass == 0);
+			explain_one_add_line(one, DL_STR("vm"),
+					     dl_str_of(lines[i]), pass == 0);
 	}
 	all = explain_one_json(one);
 	explain_one_free(one);
