--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -1,4 +1,4 @@
-/* Reading a process's settings: a table of keys, each with its reader. */
+/* Parser of a process's settings, by a table of keys with a reader for each. */
 #include "protocol/settings.h"
 
 #include <errno.h>
@@ -161,7 +161,7 @@
 			      &s->replicas_count);
 }
 
-/* Seconds, also parts of one, as milliseconds. */
+/* Reads seconds, which may be fractional, as milliseconds. */
 static int read_seconds(const json_t *value, void *to)
 {
 	double s = json_number_value(value);
@@ -180,13 +180,19 @@
 	return 0;
 }
 
-/* Doors of replicas; the port of their peers' door is set at the end. */
+/*
+ * Reads addresses of replicas. dl_settings_parse() replaces their ports by our
+ * own peer port once all keys are read.
+ */
 static int read_seeds(const json_t *value, void *to)
 {
 	return read_replicas(value, to);
 }
 
-/* Secrets: long enough not to be guessed, and never in a message. */
+/*
+ * Reads secret keys. They must be too long to guess, and their values must
+ * never appear in an error message.
+ */
 static int read_keys(const json_t *value, void *to)
 {
 	struct dl_keys *out = to;
@@ -240,7 +246,7 @@
 	return 0;
 }
 
-/* Read settings from a text. */
+/* Parses settings from a JSON text. */
 int dl_settings_parse(struct dl_str text, struct dl_settings *out,
 		      struct dl_err *err)
 {
@@ -270,7 +276,7 @@
 	return rc;
 }
 
-/* Read settings from a file. */
+/* Reads settings from a file. */
 int dl_settings_load(const char *path, struct dl_settings *out,
 		     struct dl_err *err)
 {
@@ -293,8 +299,8 @@
 }
 
 /*
- * Whose VMs dispatch together: those of a region where one is set, since a long
- * prompt may need engines of several failure domains; else those of the failure
+ * Returns the domain whose VMs share pools: the region if one is set, since a
+ * long prompt may need engines of several failure domains, or else the failure
  * domain.
  */
 const struct dl_name *dl_settings_pool_domain(const struct dl_settings *s)
