--- a/src/protocol/explain.c
+++ b/src/protocol/explain.c
@@ -1,4 +1,4 @@
-/* What the log says of requests; see the header. */
+/* Analysis of single log lines; see the header. */
 #include "protocol/explain.h"
 
 #include <glib.h>
@@ -11,35 +11,35 @@
 
 #define ENDED "A request ended."
 
-/* Why a request was refused, as its caller may be told. */
+/* Why a request was refused; each completes "refused after 7 ms". */
 static const char *const reason_texts[DL_REASON_COUNT] = {
-	[DL_REASON_NONE] = "for no reason that is named",
-	[DL_REASON_DEADLINE] = "since no endpoint could end it in its time",
-	[DL_REASON_QUEUE_FULL] = "since the queue is full",
-	[DL_REASON_NO_ENDPOINT] = "since no endpoint is left to be tried",
-	[DL_REASON_TOO_LONG] = "since no group of endpoints can hold it",
-	[DL_REASON_RATE] = "by its workspace's limit on requests a second",
-	[DL_REASON_CONCURRENCY] = "by its workspace's limit on those at once",
-	[DL_REASON_SHED] = "to make room for one that can end in time",
-	[DL_REASON_DRAINING] = "since the VM, or each endpoint, is stopping",
-	[DL_REASON_RETRY_BUDGET] = "since the budget of retries is used up",
-	[DL_REASON_NO_QUORUM] = "since no replica's word is fresh enough",
-	[DL_REASON_IN_PROGRESS] = "since its idempotency key is in use",
-	[DL_REASON_NO_DISPATCHER] = "since no VM dispatches there",
-	[DL_REASON_BUSY] = "since the VM holds as many bytes as it may",
-	[DL_REASON_QUARANTINED] = "since endpoints crash under it",
-	[DL_REASON_BACKOFF] = "since every endpoint has asked the VM to wait",
+	[DL_REASON_NONE] = "for no reason that was logged",
+	[DL_REASON_DEADLINE] = "because no endpoint could finish it in time",
+	[DL_REASON_QUEUE_FULL] = "because the queue is full",
+	[DL_REASON_NO_ENDPOINT] = "because no endpoint is left to try",
+	[DL_REASON_TOO_LONG] = "because no group of endpoints can hold it",
+	[DL_REASON_RATE] = "by its workspace's limit on requests per second",
+	[DL_REASON_CONCURRENCY] = "by its workspace's limit on concurrency",
+	[DL_REASON_SHED] = "to make room for one that can finish in time",
+	[DL_REASON_DRAINING] = "because the VM or every endpoint is stopping",
+	[DL_REASON_RETRY_BUDGET] = "because the retry budget is used up",
+	[DL_REASON_NO_QUORUM] = "because no replica was heard recently enough",
+	[DL_REASON_IN_PROGRESS] = "because its idempotency key is in use",
+	[DL_REASON_NO_DISPATCHER] = "because no VM dispatches there",
+	[DL_REASON_BUSY] = "because the VM's limit on held bytes is reached",
+	[DL_REASON_QUARANTINED] = "because endpoints crash when they run it",
+	[DL_REASON_BACKOFF] = "because every endpoint asked the VM to wait",
 };
 
-/* How an attempt broke, by the number in the log. */
+/* How an attempt failed, by the number in the log. */
 static const char *const broke_texts[DL_FAILURE_COUNT] = {
 	[DL_FAILURE_NONE] = "answered with an error",
 	[DL_FAILURE_CONNECT] = "could not be reached",
 	[DL_FAILURE_RESET] = "closed the connection",
 	[DL_FAILURE_IDLE_TIMEOUT] = "was silent for too long",
-	[DL_FAILURE_DEADLINE] = "had not answered at the deadline",
-	[DL_FAILURE_CALLER_GONE] = "was given up, since the caller left",
-	[DL_FAILURE_BAD_RESPONSE] = "sent what is no answer to it",
+	[DL_FAILURE_DEADLINE] = "did not finish before the deadline",
+	[DL_FAILURE_CALLER_GONE] = "was cancelled because the caller left",
+	[DL_FAILURE_BAD_RESPONSE] = "sent an invalid response",
 };
 
 static const char *const part_names[EXPLAIN_PARTS] = {
@@ -58,7 +58,7 @@
 static void say_unsure(const struct dl_logline *l, char *out);
 static void say_memory(const struct dl_logline *l, char *out);
 
-/* The messages that stand for a decision about one request. */
+/* The log messages that record a decision about one request. */
 static const struct {
 	const char *sentence;
 	void (*say)(const struct dl_logline *l, char *out);
@@ -71,7 +71,6 @@
 	{ "Memory was not to be had.", say_memory },
 };
 
-/* The name of a part of a request's time. */
 const char *explain_part_name(enum explain_part part)
 {
 	return part_names[part];
@@ -87,13 +86,16 @@
 	return dl_logline_field(l, key);
 }
 
-/* Whether a line tells what became of a request. */
+/* Whether a line reports the outcome of a request. */
 bool explain_is_end(const struct dl_logline *l)
 {
 	return dl_str_eq(l->sentence, DL_STR(ENDED));
 }
 
-/* The first event of a stream, or the whole of another answer. */
+/*
+ * Returns the time to which the target applies: that of the first event of a
+ * stream, or of the whole response otherwise.
+ */
 static int64_t answered_ms(const struct dl_logline *end)
 {
 	int64_t first = dl_logline_number(end, "first_ms", -1);
@@ -110,7 +112,7 @@
 	return gap > 0 && dl_logline_number(end, "pause_ms", 0) > gap;
 }
 
-/* Late: its target was missed, or one of its pauses was too long. */
+/* Whether a served request missed its target or had too long a pause. */
 bool explain_is_late(const struct dl_logline *end)
 {
 	int64_t target = dl_logline_number(end, "target_ms", 0);
@@ -121,7 +123,10 @@
 	       (target > 0 && answered_ms(end) > target);
 }
 
-/* Share a request's time out among the parts, and find the largest. */
+/*
+ * Divides the time of a request among its parts and returns the largest part. A
+ * pause is returned alone if the first event was on time.
+ */
 enum explain_part explain_where(const struct dl_logline *end,
 				int64_t ms[EXPLAIN_PARTS])
 {
@@ -143,7 +148,7 @@
 	if (ms[EXPLAIN_WAY] < 0)
 		ms[EXPLAIN_WAY] = 0;
 	target = dl_logline_number(end, "target_ms", 0);
-	/* Its first event was on time: only a pause made it late. */
+	/* If the first event was on time, only a pause made it late. */
 	if (paused_too_long(end)) {
 		ms[EXPLAIN_PAUSE] = dl_logline_number(end, "pause_ms", 0);
 		if (!target || all <= target)
@@ -181,13 +186,13 @@
 	if (most == EXPLAIN_PAUSE)
 		snprintf(out, EXPLAIN_TEXT_MAX,
 			 "served by %.*s, late: a pause of its stream took "
-			 "%" PRId64 " ms, where %" PRId64 " are borne",
+			 "%" PRId64 " ms, and the limit is %" PRId64,
 			 (int)endpoint.n, endpoint.s, ms[most],
 			 dl_logline_number(l, "gap_ms", 0));
 	else
 		snprintf(out, EXPLAIN_TEXT_MAX,
 			 "served by %.*s, late: of %" PRId64 " ms %" PRId64
-			 " were spent %s, and its target is %" PRId64,
+			 " were spent %s, and the target is %" PRId64,
 			 (int)endpoint.n, endpoint.s, answered_ms(l), ms[most],
 			 part_names[most],
 			 dl_logline_number(l, "target_ms", 0));
@@ -203,23 +208,24 @@
 	if (is(l, "outcome", "done")) {
 		say_done(l, out);
 	} else if (is(l, "outcome", "not-run") && reason != DL_REASON_NONE) {
-		snprintf(out, EXPLAIN_TEXT_MAX,
-			 "refused after %" PRId64
-			 " ms %s; it has not run, and may come back in %" PRId64
-			 " ms",
-			 dl_logline_number(l, "ms", 0), reason_texts[reason],
-			 retry);
+		snprintf(
+			out, EXPLAIN_TEXT_MAX,
+			"refused after %" PRId64
+			" ms %s; it did not run, and may be retried in %" PRId64
+			" ms",
+			dl_logline_number(l, "ms", 0), reason_texts[reason],
+			retry);
 	} else if (is(l, "outcome", "not-run")) {
 		snprintf(out, EXPLAIN_TEXT_MAX,
-			 "ended with %" PRId64 " before it ran", status);
+			 "ended with status %" PRId64 " before it ran", status);
 	} else if (is(l, "outcome", "failed")) {
 		snprintf(out, EXPLAIN_TEXT_MAX,
-			 "it ran at %.*s and ended with %" PRId64,
+			 "it ran at %.*s and ended with status %" PRId64,
 			 (int)endpoint.n, endpoint.s, status);
 	} else {
 		snprintf(out, EXPLAIN_TEXT_MAX,
-			 "it was sent to %.*s and may have run: no whole "
-			 "answer came, its caller got %" PRId64,
+			 "it was sent to %.*s and may have run: no complete "
+			 "response came, the caller got status %" PRId64,
 			 (int)endpoint.n, endpoint.s, status);
 	}
 }
@@ -242,7 +248,7 @@
 			      ", it did not run there");
 	if (wait)
 		n += snprintf(out + n, EXPLAIN_TEXT_MAX - (size_t)n,
-			      "; the VM is to wait %" PRId64 " ms", wait);
+			      "; it asked the VM to wait %" PRId64 " ms", wait);
 	if (at_fault.n)
 		snprintf(out + n, EXPLAIN_TEXT_MAX - (size_t)n,
 			 "; %.*s is at fault", (int)at_fault.n, at_fault.s);
@@ -253,8 +259,8 @@
 	struct dl_str endpoint = word(l, "endpoint");
 
 	snprintf(out, EXPLAIN_TEXT_MAX,
-		 "%.*s was granted, but wants nothing from this VM for %" PRId64
-		 " ms more: another place is asked for",
+		 "%.*s was granted, but asked this VM to wait for %" PRId64
+		 " ms more: another grant is requested",
 		 (int)endpoint.n, endpoint.s,
 		 dl_logline_number(l, "left_ms", 0));
 }
@@ -262,8 +268,8 @@
 static void say_unsure(const struct dl_logline *l, char *out)
 {
 	snprintf(out, EXPLAIN_TEXT_MAX,
-		 "it waits %" PRId64 " ms at most for a replica's word, the "
-		 "last of which came %" PRId64 " ms before",
+		 "it waits at most %" PRId64 " ms for a replica's message; the "
+		 "last one came %" PRId64 " ms before",
 		 dl_logline_number(l, "for_ms", 0),
 		 dl_logline_number(l, "heard_ms", 0));
 }
@@ -274,12 +280,12 @@
 
 	snprintf(out, EXPLAIN_TEXT_MAX,
 		 "%.*s had no memory for %" PRId64
-		 " tokens of its prompt: another group is asked for",
+		 " tokens of its prompt: another group is requested",
 		 (int)endpoint.n, endpoint.s,
 		 dl_logline_number(l, "tokens", 0));
 }
 
-/* What a line says was decided; its own sentence where it is none of these. */
+/* Describes the decision of a line; the line's own message if it has none. */
 void explain_line(const struct dl_logline *l, char out[EXPLAIN_TEXT_MAX])
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(decisions); i++) {
--- a/src/protocol/explain_one.c
+++ b/src/protocol/explain_one.c
@@ -1,6 +1,7 @@
 /*
- * The lines of one request, from the logs of all VMs: those that name it, and
- * those that name what it has in common with its repeats.
+ * Collects the lines of one request from the logs of all VMs: those with its
+ * request id, and those without one that have the content hash which it shares
+ * with its repetitions.
  */
 #include "protocol/explain.h"
 
@@ -10,16 +11,16 @@
 
 struct explain_one {
 	struct dl_str id;
-	GHashTable *requests; /* ids of ours, owned */
-	GHashTable *contents;
-	GPtrArray *lines; /* struct kept */
+	GHashTable *requests; /* request ids, owned */
+	GHashTable *contents; /* content hashes, owned */
+	GPtrArray *lines;     /* struct kept */
 	uint64_t taken;
 };
 
-/* A line that concerns it. */
+/* A collected line. */
 struct kept {
 	int64_t at;
-	uint64_t order; /* as it was handed in, for those of one moment */
+	uint64_t order; /* in which lines of equal time were added */
 	json_t *json;
 };
 
@@ -31,7 +32,7 @@
 	g_free(k);
 }
 
-/* Nothing of it is known. */
+/* Creates an empty collection. */
 struct explain_one *explain_one_new(struct dl_str id)
 {
 	struct explain_one *one = g_new0(struct explain_one, 1);
@@ -45,7 +46,7 @@
 	return one;
 }
 
-/* Release it; NULL is nothing to do. */
+/* Frees a collection; NULL is allowed. */
 void explain_one_free(struct explain_one *one)
 {
 	if (!one)
@@ -73,7 +74,7 @@
 	return g_hash_table_contains(set, text);
 }
 
-/* Whether a line names the id, as whatever it is. */
+/* Whether a line has the id as its request, attempt or content. */
 static bool names(const struct explain_one *one, const struct dl_logline *l)
 {
 	return dl_str_eq(dl_logline_field(l, "request"), one->id) ||
@@ -85,7 +86,7 @@
 {
 	if (has(one->requests, dl_logline_field(l, "request")))
 		return true;
-	/* Of a request that is held back, on whichever VM. */
+	/* The line of a quarantined request, from any VM. */
 	return dl_logline_field(l, "request").n == 0 &&
 	       has(one->contents, dl_logline_field(l, "content"));
 }
@@ -123,7 +124,7 @@
 		g_free(k);
 }
 
-/* Find out what the id stands for, or keep what concerns that. */
+/* Finds the requests that the id refers to, or collects their lines. */
 void explain_one_add_line(struct explain_one *one, struct dl_str node,
 			  struct dl_str line, bool first_pass)
 {
@@ -152,7 +153,7 @@
 	return (x->order > y->order) - (x->order < y->order);
 }
 
-/* All that was kept, in order. */
+/* Returns all collected lines in order of time. */
 json_t *explain_one_json(struct explain_one *one)
 {
 	json_t *all = json_array();
--- a/src/protocol/explain_sum.c
+++ b/src/protocol/explain_sum.c
@@ -1,6 +1,6 @@
 /*
- * Counts over many requests: what was lost, by service, moment and reason, and
- * where the time of those that were late went.
+ * Statistics over many requests: the lost ones by service, interval and reason,
+ * and where the late ones spent their time.
  */
 #include "protocol/explain.h"
 
@@ -8,30 +8,30 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One more would tell a reader nothing; the rest is counted as one. */
+/* More rows would not help a reader; losses beyond them are only counted. */
 #define ROWS_MAX 4096
 
-/* Requests of one service that ended alike in one moment. */
+/* Requests of one service that ended in one interval for the same reason. */
 struct lost {
-	int64_t at; /* when the moment begins, Unix ms */
+	int64_t at; /* start of the interval, Unix ms */
 	char *service, *outcome, *reason;
 	uint64_t count;
 };
 
-/* Late requests of one service, whose time went to one part for the most. */
+/* Late requests of one service that spent most of their time in one part. */
 struct late {
 	char *service;
 	enum explain_part part;
 	uint64_t count;
-	int64_t ms; /* that went there, in all */
+	int64_t ms; /* total time spent in that part */
 };
 
 struct explain_sum {
 	int64_t step_ms;
 	uint64_t requests, served, late;
-	GHashTable *lost;     /* text to struct lost */
-	GHashTable *lates;    /* text to struct late */
-	uint64_t lost_beyond; /* rows */
+	GHashTable *lost;     /* "TIME SERVICE OUTCOME REASON" to struct lost */
+	GHashTable *lates;    /* "SERVICE PART" to struct late */
+	uint64_t lost_beyond; /* lost requests beyond ROWS_MAX rows */
 };
 
 static void lost_free(gpointer p)
@@ -50,7 +50,7 @@
 	g_free(p);
 }
 
-/* Nothing is counted yet. */
+/* Creates empty statistics. */
 struct explain_sum *explain_sum_new(int64_t step_ms)
 {
 	struct explain_sum *sum = g_new0(struct explain_sum, 1);
@@ -63,7 +63,7 @@
 	return sum;
 }
 
-/* Release it; NULL is nothing to do. */
+/* Frees statistics; NULL is allowed. */
 void explain_sum_free(struct explain_sum *sum)
 {
 	if (!sum)
@@ -80,7 +80,7 @@
 	return g_strndup(s.s, s.n);
 }
 
-/* Why it was lost: the reason that is named, or else the status. */
+/* Returns why a request was lost: the logged reason, or else the status. */
 static char *why(const struct dl_logline *l)
 {
 	struct dl_str status = dl_logline_field(l, "status");
@@ -138,7 +138,7 @@
 	known->ms += ms[most];
 }
 
-/* Count a line, where it is of a request's end. */
+/* Counts a line if it reports the end of a request. */
 void explain_sum_add_line(struct explain_sum *sum, struct dl_str line)
 {
 	struct dl_logline l;
@@ -216,7 +216,7 @@
 	return all;
 }
 
-/* All counts. */
+/* Returns all statistics as one object. */
 json_t *explain_sum_json(struct explain_sum *sum)
 {
 	return json_pack("{s:I, s:I, s:I, s:I, s:o, s:o}", "requests",
--- a/src/protocol/logline.c
+++ b/src/protocol/logline.c
@@ -1,11 +1,11 @@
-/* Lines of our own log, read back. */
+/* Parser of the project's log lines. */
 #include "protocol/logline.h"
 
 #include <errno.h>
 #include <glib.h>
 #include <string.h>
 
-/* What is left of a line. */
+/* The part of a line that is still to be parsed. */
 struct rest {
 	const char *at, *end;
 };
@@ -46,7 +46,7 @@
 		r->at++;
 }
 
-/* The text up to a character, which is skipped; -EINVAL where it is missing. */
+/* Reads the text up to a delimiter and skips that; -EINVAL if it is missing. */
 static int take_until(struct rest *r, char c, struct dl_str *out)
 {
 	const char *at = memchr(r->at, c, (size_t)(r->end - r->at));
@@ -58,7 +58,7 @@
 	return 0;
 }
 
-/* The length of the key that a text begins with, up to its '='; 0: none. */
+/* Returns the length of the key before the next '='; 0 if no key follows. */
 static size_t key_length(const struct rest *r)
 {
 	const char *at = r->at;
@@ -69,7 +69,7 @@
 	return at < r->end && *at == '=' ? (size_t)(at - r->at) : 0;
 }
 
-/* The sentence goes on until the first word. */
+/* Reads the message, which ends at the first key=value field. */
 static void take_sentence(struct rest *r, struct dl_str *out)
 {
 	const char *begin = r->at, *end = r->end;
@@ -100,7 +100,7 @@
 	r->at = MIN(end + quoted, r->end);
 }
 
-/* Read a line; what stands behind a word that is none is left out. */
+/* Parses a line. Anything after the last well-formed field is ignored. */
 int dl_logline_read(struct dl_str line, struct dl_logline *out)
 {
 	struct rest r = { line.s, line.s + line.n };
@@ -129,7 +129,7 @@
 	return 0;
 }
 
-/* The value of the first word with a key. */
+/* Returns the value of the first field with the given key. */
 struct dl_str dl_logline_field(const struct dl_logline *l, const char *key)
 {
 	for (uint32_t i = 0; i < l->fields; i++) {
@@ -139,7 +139,7 @@
 	return DL_STR("");
 }
 
-/* A word as a whole number, which may be negative. */
+/* Returns the value of a field as a signed integer. */
 int64_t dl_logline_number(const struct dl_logline *l, const char *key,
 			  int64_t otherwise)
 {
