--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -193,7 +193,7 @@
 void entry_announce_words(struct entry *e, uint64_t from,
 			  const struct dl_frame *f)
 {
-	int rc = dl_words_read(f->body, take_words, e);
+	int rc = dl_report_batch_read(f->body, take_words, e);
 
 	if (rc)
 		dl_msg(DL_MSG_ENDPOINT_REFUSED, "from=%lx bytes=%zu error=%d",
@@ -237,12 +237,12 @@
 void entry_announce_alive(struct entry *e, uint64_t from,
 			  const struct dl_frame *f)
 {
-	uint64_t keys[DL_RENEWED_MAX];
+	uint64_t keys[DL_ID_LIST_MAX];
 	uint32_t count, unknown = 0;
 	struct dl_name none;
 	struct dl_packer pk;
 
-	if (dl_numbers_read(f->body, &none, keys, &count))
+	if (dl_id_list_read(f->body, &none, keys, &count))
 		return;
 	for (uint32_t i = 0; i < count; i++) {
 		struct dl_str words = dl_reports_find(e->reports, keys[i]);
@@ -256,7 +256,7 @@
 	}
 	if (unknown == 0)
 		return;
-	dl_numbers_pack(&pk, DL_STR(""), keys, unknown);
+	dl_id_list_pack(&pk, DL_STR(""), keys, unknown);
 	dl_peers_send(e->node.peers, from, DL_FRAME_REPORTS_REQUEST, 0,
 		      dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
--- a/src/main/entry_conf.c
+++ b/src/main/entry_conf.c
@@ -11,7 +11,7 @@
 #include "main/entry.h"
 #include "main/log.h"
 #include "protocol/conf_push.h"
-#include "protocol/squeeze.h"
+#include "protocol/deflate.h"
 
 /* A lost push is mended within a second. */
 #define PULL_EVERY_MS 500
@@ -109,9 +109,9 @@
 
 static uint32_t read_rest(struct dl_reader *r, uint64_t *out)
 {
-	const msgpack_object *o = r->at;
+	const msgpack_object *o = r->next;
 
-	if (r->bad || r->left == 0 || o->type != MSGPACK_OBJECT_ARRAY ||
+	if (r->bad || r->remaining == 0 || o->type != MSGPACK_OBJECT_ARRAY ||
 	    o->via.array.size > RELAY_MAX)
 		return 0;
 	for (uint32_t i = 0; i < o->via.array.size; i++)
@@ -122,8 +122,8 @@
 /* Inflate and parse what was pushed; beside the loop where it is large. */
 static void read_pushed(struct conf_reading *r)
 {
-	if (dl_unsqueeze((struct dl_str){ r->pushed, r->pushed_n }, TEXT_MAX,
-			 &r->text, &r->text_n)) {
+	if (dl_inflate((struct dl_str){ r->pushed, r->pushed_n }, TEXT_MAX,
+		       &r->text, &r->text_n)) {
 		r->text = NULL;
 		return;
 	}
--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -44,7 +44,7 @@
 
 	memset(&c->ask, 0, sizeof(c->ask));
 	c->ask.service = c->service;
-	c->ask.settled = c->redirected || c->refused;
+	c->ask.no_spill = c->redirected || c->refused;
 	c->ask.standby = g_hash_table_size(c->e->unreachable_vms) > 0;
 	ask->request = c->ask_id;
 	ask->entry = c->e->node.self;
@@ -161,7 +161,7 @@
 {
 	struct dl_packer pk;
 
-	dl_number_pack(&pk, service_of(c), number);
+	dl_id_pack(&pk, service_of(c), number);
 	dl_peers_send(c->e->node.peers, c->dispatcher, kind, c->ask_id,
 		      dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
--- a/src/protocol/api.c
+++ b/src/protocol/api.c
@@ -1,4 +1,4 @@
-/* JSON of callers and endpoints. */
+/* Parsing and encoding of the native JSON API. */
 #include "protocol/api.h"
 
 #include <errno.h>
@@ -7,7 +7,8 @@
 
 #include <xxhash.h>
 
-#define BAD(err, ...) dl_err_set(err, -EINVAL, DL_STEP_CHECK, NULL, __VA_ARGS__)
+#define INVALID(err, ...)                                                      \
+	dl_err_set(err, -EINVAL, DL_STEP_CHECK, NULL, __VA_ARGS__)
 
 static struct dl_str json_str(const json_t *value)
 {
@@ -17,16 +18,17 @@
 
 static json_t *load_object(struct dl_str body, struct dl_err *err)
 {
-	json_error_t fault;
+	json_error_t parse_error;
 	json_t *root;
 
-	root = json_loadb(body.s, body.n, JSON_REJECT_DUPLICATES, &fault);
+	root = json_loadb(body.s, body.n, JSON_REJECT_DUPLICATES, &parse_error);
 	if (!root) {
-		BAD(err, "line %d: %.100s", fault.line, fault.text);
+		INVALID(err, "line %d: %.100s", parse_error.line,
+			parse_error.text);
 		return NULL;
 	}
 	if (!json_is_object(root)) {
-		BAD(err, "the body is not an object");
+		INVALID(err, "the body is not a JSON object");
 		json_decref(root);
 		return NULL;
 	}
@@ -46,9 +48,12 @@
 	return 0;
 }
 
-/* The keys that an entry sets itself; what the caller said of them is read. */
-static const char *const own_keys[] = { "stream", "max_tokens", "priority",
-					"group" };
+/*
+ * Keys that the entry sets in the request to the endpoint. The caller's values
+ * are not forwarded.
+ */
+static const char *const entry_keys[] = { "stream", "max_tokens", "priority",
+					  "group" };
 
 static int read_completion(const json_t *root, struct dl_completion *c,
 			   struct dl_err *err)
@@ -58,22 +63,22 @@
 	const json_t *stream = json_object_get(root, "stream");
 
 	if (!json_is_string(model) || !dl_name_set(&c->model, json_str(model)))
-		return BAD(err, "model must be a name");
+		return INVALID(err, "model must be a name");
 	if (!json_is_string(prompt) || json_string_length(prompt) == 0)
-		return BAD(err, "prompt must be a string that is not empty");
+		return INVALID(err, "prompt must be a non-empty string");
 	if (stream && !json_is_boolean(stream))
-		return BAD(err, "stream must be true or false");
+		return INVALID(err, "stream must be true or false");
 	if (read_max_tokens(json_object_get(root, "max_tokens"),
 			    &c->max_tokens))
-		return BAD(err, "max_tokens must be from 1 to %d",
-			   DL_MAX_TOKENS_MAX);
+		return INVALID(err, "max_tokens must be from 1 to %d",
+			       DL_MAX_TOKENS_MAX);
 	c->prompt_bytes = json_string_length(prompt);
 	c->prefix = dl_prefix_hash(json_str(prompt));
 	c->stream = json_is_true(stream);
 	return 0;
 }
 
-/* Read a caller's request; free it only after success. */
+/* Parses a caller's request; dl_completion_free() is due only on success. */
 int dl_completion_parse(struct dl_str body, struct dl_completion *out,
 			struct dl_err *err)
 {
@@ -84,27 +89,29 @@
 	if (!root)
 		return -EINVAL;
 	rc = read_completion(root, out, err);
-	for (size_t i = 0; i < sizeof(own_keys) / sizeof(own_keys[0]); i++)
-		json_object_del(root, own_keys[i]);
+	for (size_t i = 0; i < sizeof(entry_keys) / sizeof(entry_keys[0]); i++)
+		json_object_del(root, entry_keys[i]);
 	if (!rc) {
 		out->rest = json_dumps(root, JSON_COMPACT);
 		if (!out->rest)
-			rc = BAD(err, "out of memory");
+			rc = INVALID(err, "out of memory");
 	}
 	json_decref(root);
 	out->rest_n = rc ? 0 : strlen(out->rest);
 	return rc;
 }
 
-/* Free what was parsed. */
 void dl_completion_free(struct dl_completion *c)
 {
 	free(c->rest);
 	c->rest = NULL;
 }
 
-/* The other members of a group, and what each is to hold of the prompt. */
-static json_t *group_of(const struct dl_answer *grant)
+/*
+ * Returns the other members of a group with the number of prompt tokens that
+ * each holds.
+ */
+static json_t *group_json(const struct dl_answer *grant)
 {
 	json_t *group = json_array();
 
@@ -121,9 +128,9 @@
 	return group;
 }
 
-/* The begin of the body that goes to an endpoint: our keys, and a comma. */
-char *dl_completion_first(const struct dl_completion *c,
-			  const struct dl_answer *grant)
+/* Returns the start of an endpoint's request body: entry_keys and a comma. */
+char *dl_completion_body_head(const struct dl_completion *c,
+			      const struct dl_answer *grant)
 {
 	json_t *o = json_object();
 	char *text;
@@ -133,7 +140,7 @@
 			    json_integer((json_int_t)c->max_tokens));
 	json_object_set_new(o, "priority", json_integer(grant->priority));
 	if (grant->endpoints > 1)
-		json_object_set_new(o, "group", group_of(grant));
+		json_object_set_new(o, "group", group_json(grant));
 	text = json_dumps(o, JSON_COMPACT);
 	json_decref(o);
 	if (text)
@@ -141,8 +148,8 @@
 	return text;
 }
 
-/* The rest of it: the caller's keys, and the closing brace. */
-struct dl_str dl_completion_rest(const struct dl_completion *c)
+/* Returns the end of that body: the caller's keys and the closing brace. */
+struct dl_str dl_completion_body_tail(const struct dl_completion *c)
 {
 	return (struct dl_str){ c->rest + 1, c->rest_n - 1 };
 }
@@ -173,9 +180,9 @@
 }
 
 /*
- * Read one event.  Most chunks are passed on unread: only a chunk that may
- * hold the usage is parsed, unless the text itself is wanted.  *text is a new
- * reference, or NULL.
+ * Reads one event. Most chunks are forwarded without parsing: unless the text
+ * is wanted, only a chunk that may contain the usage is parsed. *text is a new
+ * reference or NULL.
  */
 int dl_chunk_parse(struct dl_str data, bool want_text, struct dl_chunk *out,
 		   json_t **text)
@@ -230,7 +237,7 @@
 	r->takes_groups = json_is_true(json_object_get(root, "takes_groups"));
 }
 
-/* The name of a prompt's start; see the header. */
+/* Hashes the first DL_PREFIX_BYTES bytes of a prompt. */
 uint64_t dl_prefix_hash(struct dl_str prompt)
 {
 	if (prompt.n < DL_PREFIX_BYTES)
@@ -238,7 +245,10 @@
 	return XXH64(prompt.s, DL_PREFIX_BYTES, 0);
 }
 
-/* Events that make no sense are passed over: they are hints, no more. */
+/*
+ * Reads the last DL_CACHE_EVENTS_MAX cache events. Events without a prefix are
+ * skipped rather than rejected, since cache events are only hints.
+ */
 static void read_events(const json_t *root, struct dl_announcement *out)
 {
 	const json_t *list = json_object_get(root, "cache_events");
@@ -261,7 +271,7 @@
 	}
 }
 
-/* More models than can be told apart are passed over. */
+/* Reads the models; those beyond DL_ANNOUNCED_MODELS_MAX are ignored. */
 static void read_models(const json_t *root, struct dl_announcement *out)
 {
 	const json_t *list = json_object_get(root, "models");
@@ -278,7 +288,7 @@
 	}
 }
 
-/* Read an endpoint's announcement. */
+/* Parses an endpoint's announcement. */
 int dl_announcement_parse(struct dl_str body, struct dl_announcement *out,
 			  struct dl_err *err)
 {
@@ -290,27 +300,27 @@
 	if (!root)
 		return -EINVAL;
 	if (read_name(root, "service", true, &out->service))
-		rc = BAD(err, "service must be a name");
+		rc = INVALID(err, "service must be a name");
 	else if (read_name(root, "failure_domain", false,
 			   &out->report.failure_domain))
-		rc = BAD(err, "failure_domain must be a name");
+		rc = INVALID(err, "failure_domain must be a name");
 	else if (read_name(root, "address", true, &out->report.id) ||
 		 !dl_vm_parse(dl_name_str(&out->report.id), &address))
-		rc = BAD(err, "address must be an IP number and a port");
+		rc = INVALID(err, "address must be an IP address and a port");
 	read_report(root, &out->report);
 	out->order_fence = read_count(root, "order_fence");
 	read_events(root, out);
 	read_models(root, out);
 	if (read_name(root, "version", false, &out->version) ||
 	    read_name(root, "role", false, &out->role))
-		rc = BAD(err, "version and role must be names");
+		rc = INVALID(err, "version and role must be names");
 	if (!rc && out->report.slots == 0)
-		rc = BAD(err, "slots must be at least 1");
+		rc = INVALID(err, "slots must be at least 1");
 	json_decref(root);
 	return rc;
 }
 
-/* Write the body of a refusal or an error. */
+/* Encodes the body of a response that reports a refusal or an error. */
 char *dl_error_body(const char *reason, const char *step, const char *peer,
 		    uint32_t retry_after_ms, const char *text, size_t *n)
 {
--- a/src/protocol/explain_one.c
+++ b/src/protocol/explain_one.c
@@ -1,6 +1,7 @@
 /*
- * The lines of one request, from the logs of all VMs: those that name it, and
- * those that name what it has in common with its repeats.
+ * Collects the lines of one request from the logs of all VMs: those with its
+ * request id, and those without one that have the content hash which it shares
+ * with its repetitions.
  */
 #include "protocol/explain.h"
 
@@ -10,28 +11,28 @@
 
 struct explain_one {
 	struct dl_str id;
-	GHashTable *requests; /* ids of ours, owned */
-	GHashTable *contents;
-	GPtrArray *lines; /* struct kept */
-	uint64_t taken;
+	GHashTable *requests; /* request ids, owned */
+	GHashTable *contents; /* content hashes, owned */
+	GPtrArray *lines;     /* struct kept */
+	uint64_t added;
 };
 
-/* A line that concerns it. */
-struct kept {
+/* A collected line. */
+struct collected_line {
 	int64_t at;
-	uint64_t order; /* as it was handed in, for those of one moment */
+	uint64_t order; /* in which lines of equal time were added */
 	json_t *json;
 };
 
-static void kept_free(gpointer p)
+static void collected_line_free(gpointer p)
 {
-	struct kept *k = p;
+	struct collected_line *k = p;
 
 	json_decref(k->json);
 	g_free(k);
 }
 
-/* Nothing of it is known. */
+/* Creates an empty collection. */
 struct explain_one *explain_one_new(struct dl_str id)
 {
 	struct explain_one *one = g_new0(struct explain_one, 1);
@@ -41,11 +42,11 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	one->contents =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	one->lines = g_ptr_array_new_with_free_func(kept_free);
+	one->lines = g_ptr_array_new_with_free_func(collected_line_free);
 	return one;
 }
 
-/* Release it; NULL is nothing to do. */
+/* Frees a collection; NULL is allowed. */
 void explain_one_free(struct explain_one *one)
 {
 	if (!one)
@@ -73,29 +74,29 @@
 	return g_hash_table_contains(set, text);
 }
 
-/* Whether a line names the id, as whatever it is. */
-static bool names(const struct explain_one *one, const struct dl_logline *l)
+/* Whether a line has the id as its request, attempt or content. */
+static bool has_id(const struct explain_one *one, const struct dl_logline *l)
 {
-	return dl_str_eq(dl_logline_word(l, "request"), one->id) ||
-	       dl_str_eq(dl_logline_word(l, "attempt"), one->id) ||
-	       dl_str_eq(dl_logline_word(l, "content"), one->id);
+	return dl_str_eq(dl_logline_field(l, "request"), one->id) ||
+	       dl_str_eq(dl_logline_field(l, "attempt"), one->id) ||
+	       dl_str_eq(dl_logline_field(l, "content"), one->id);
 }
 
 static bool concerns(const struct explain_one *one, const struct dl_logline *l)
 {
-	if (has(one->requests, dl_logline_word(l, "request")))
+	if (has(one->requests, dl_logline_field(l, "request")))
 		return true;
-	/* Of a request that is held back, on whichever VM. */
-	return dl_logline_word(l, "request").n == 0 &&
-	       has(one->contents, dl_logline_word(l, "content"));
+	/* The line of a quarantined request, from any VM. */
+	return dl_logline_field(l, "request").n == 0 &&
+	       has(one->contents, dl_logline_field(l, "content"));
 }
 
-static json_t *words_json(const struct dl_logline *l)
+static json_t *fields_json(const struct dl_logline *l)
 {
 	json_t *o = json_object();
 
-	for (uint32_t i = 0; i < l->words; i++) {
-		const struct dl_logword *w = &l->word[i];
+	for (uint32_t i = 0; i < l->fields; i++) {
+		const struct dl_logfield *w = &l->field[i];
 
 		json_object_setn_new(o, w->key.s, w->key.n,
 				     json_stringn(w->value.s, w->value.n));
@@ -103,29 +104,29 @@
 	return o;
 }
 
-static void keep(struct explain_one *one, struct dl_str node,
-		 const struct dl_logline *l)
+static void collect(struct explain_one *one, struct dl_str node,
+		    const struct dl_logline *l)
 {
 	char text[EXPLAIN_TEXT_MAX];
-	struct kept *k = g_new0(struct kept, 1);
+	struct collected_line *k = g_new0(struct collected_line, 1);
 
 	explain_line(l, text);
 	k->at = l->at;
-	k->order = one->taken++;
+	k->order = one->added++;
 	k->json = json_pack("{s:I, s:s%, s:s%, s:s%, s:s, s:o}", "at_ms",
 			    (json_int_t)l->at, "node", node.s, node.n, "part",
 			    l->part.s, l->part.n, "sentence", l->sentence.s,
 			    l->sentence.n, "decision", text, "words",
-			    words_json(l));
+			    fields_json(l));
 	if (k->json)
 		g_ptr_array_add(one->lines, k);
 	else
 		g_free(k);
 }
 
-/* Find out what the id stands for, or keep what concerns that. */
-void explain_one_take(struct explain_one *one, struct dl_str node,
-		      struct dl_str line, bool first_pass)
+/* Finds the requests that the id refers to, or collects their lines. */
+void explain_one_add_line(struct explain_one *one, struct dl_str node,
+			  struct dl_str line, bool first_pass)
 {
 	struct dl_logline l;
 
@@ -133,33 +134,33 @@
 		return;
 	if (!first_pass) {
 		if (concerns(one, &l))
-			keep(one, node, &l);
+			collect(one, node, &l);
 		return;
 	}
-	if (!names(one, &l))
+	if (!has_id(one, &l))
 		return;
-	add(one->requests, dl_logline_word(&l, "request"));
-	add(one->contents, dl_logline_word(&l, "content"));
+	add(one->requests, dl_logline_field(&l, "request"));
+	add(one->contents, dl_logline_field(&l, "content"));
 }
 
 static gint by_time(gconstpointer a, gconstpointer b)
 {
-	const struct kept *x = *(struct kept *const *)a;
-	const struct kept *y = *(struct kept *const *)b;
+	const struct collected_line *x = *(struct collected_line *const *)a;
+	const struct collected_line *y = *(struct collected_line *const *)b;
 
 	if (x->at != y->at)
 		return x->at < y->at ? -1 : 1;
 	return (x->order > y->order) - (x->order < y->order);
 }
 
-/* All that was kept, in order. */
+/* Returns all collected lines in order of time. */
 json_t *explain_one_json(struct explain_one *one)
 {
 	json_t *all = json_array();
 
 	g_ptr_array_sort(one->lines, by_time);
 	for (guint i = 0; i < one->lines->len; i++) {
-		const struct kept *k = one->lines->pdata[i];
+		const struct collected_line *k = one->lines->pdata[i];
 
 		json_array_append(all, k->json);
 	}
--- a/src/protocol/pool_codec.c
+++ b/src/protocol/pool_codec.c
@@ -1,25 +1,25 @@
-/* Packing and reading what entries and dispatchers say to each other. */
+/* Encoding of the frames between entries and dispatchers. */
 #include "protocol/pool_codec.h"
 
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "protocol/squeeze.h"
-
-/* Of a body of many announcements, inflated. */
-#define WORDS_MAX     ((size_t)4 << 20)
-#define ASK_ITEMS     17
-#define ANSWER_ITEMS  15
-#define RELEASE_ITEMS 12
-#define REPORT_ITEMS  21
-#define SUMMARY_ITEMS 9
-#define LIMIT_ITEMS   4
-#define ADOPT_ITEMS   28
-/* Stands for no time at all where what is left of one is told. */
-#define NEVER_MS INT64_MIN
-
-static int finish(struct dl_reader *r)
+#include "protocol/deflate.h"
+
+/* Largest inflated size of a batch of announcements. */
+#define BATCH_BYTES_MAX ((size_t)4 << 20)
+#define ASK_ITEMS	17
+#define ANSWER_ITEMS	15
+#define RELEASE_ITEMS	12
+#define REPORT_ITEMS	21
+#define SUMMARY_ITEMS	9
+#define LIMIT_ITEMS	4
+#define ADOPT_ITEMS	28
+/* Encodes an unset time in place of the time that remains. */
+#define UNSET_MS INT64_MIN
+
+static int close_reader(struct dl_reader *r)
 {
 	bool bad = r->bad;
 
@@ -27,28 +27,29 @@
 	return bad ? -EBADMSG : 0;
 }
 
-static void put_names(struct dl_packer *p, const struct dl_name *names,
-		      uint32_t count)
+static void pack_names(struct dl_packer *p, const struct dl_name *names,
+		       uint32_t count)
 {
 	msgpack_pack_array(&p->pk, count);
 	for (uint32_t i = 0; i < count; i++)
 		dl_pack_str(p, dl_name_str(&names[i]));
 }
 
-/* Read an inner array of names, at most max of them. */
-static uint32_t take_names(struct dl_reader *r, struct dl_name *out,
+/* Reads a nested array of at most max names; returns their number. */
+static uint32_t read_names(struct dl_reader *r, struct dl_name *out,
 			   uint32_t max)
 {
 	const msgpack_object *o;
 
-	if (r->bad || r->left == 0 || r->at->type != MSGPACK_OBJECT_ARRAY ||
-	    r->at->via.array.size > max) {
+	if (r->bad || r->remaining == 0 ||
+	    r->next->type != MSGPACK_OBJECT_ARRAY ||
+	    r->next->via.array.size > max) {
 		r->bad = true;
 		return 0;
 	}
-	o = r->at;
-	r->at++;
-	r->left--;
+	o = r->next;
+	r->next++;
+	r->remaining--;
 	for (uint32_t i = 0; i < o->via.array.size; i++) {
 		const msgpack_object *s = &o->via.array.ptr[i];
 
@@ -62,7 +63,7 @@
 	return o->via.array.size;
 }
 
-static void put_ask(struct dl_packer *p, const struct dl_ask *ask, int64_t now)
+static void pack_ask(struct dl_packer *p, const struct dl_ask *ask, int64_t now)
 {
 	dl_pack_u64(p, ask->request);
 	dl_pack_u64(p, ask->entry);
@@ -78,11 +79,11 @@
 	dl_pack_u64(p, ask->gap_ms);
 	dl_pack_i64(p, ask->first_event_deadline ?
 			       ask->first_event_deadline - now :
-			       NEVER_MS);
-	put_names(p, ask->tried_ids, ask->tried);
+			       UNSET_MS);
+	pack_names(p, ask->tried_ids, ask->tried);
 }
 
-static void take_ask(struct dl_reader *r, struct dl_ask *out, int64_t now)
+static void read_ask(struct dl_reader *r, struct dl_ask *out, int64_t now)
 {
 	uint64_t class;
 
@@ -100,41 +101,41 @@
 	out->target_ms = (uint32_t)dl_read_u64(r);
 	out->gap_ms = (uint32_t)dl_read_u64(r);
 	out->first_event_deadline = dl_read_i64(r);
-	out->first_event_deadline = out->first_event_deadline == NEVER_MS ?
+	out->first_event_deadline = out->first_event_deadline == UNSET_MS ?
 					    0 :
 					    now + out->first_event_deadline;
-	out->tried = (uint8_t)take_names(r, out->tried_ids, 3);
+	out->tried = (uint8_t)read_names(r, out->tried_ids, 3);
 	if (class >= DL_CLASS_COUNT || out->workspace.n > DL_NAME_MAX)
 		r->bad = true;
 	else
 		out->class = (enum dl_class) class;
 }
 
-/* Pack a request for an endpoint of a service. */
+/* Packs a request for a grant. */
 void dl_ask_pack(struct dl_packer *p, const struct dl_ask_frame *f, int64_t now)
 {
 	dl_packer_open(p, ASK_ITEMS);
 	dl_pack_str(p, dl_name_str(&f->service));
-	put_ask(p, &f->ask, now);
-	dl_pack_bool(p, f->settled);
+	pack_ask(p, &f->ask, now);
+	dl_pack_bool(p, f->no_spill);
 	dl_pack_bool(p, f->standby);
 }
 
-/* Read it; the workspace points into the body. */
+/* Reads a request for a grant; its workspace points into the body. */
 int dl_ask_read(struct dl_str body, struct dl_ask_frame *out, int64_t now)
 {
 	struct dl_reader r;
 
 	dl_reader_open(&r, body);
 	dl_read_name(&r, &out->service);
-	take_ask(&r, &out->ask, now);
-	out->settled = dl_read_bool(&r);
+	read_ask(&r, &out->ask, now);
+	out->no_spill = dl_read_bool(&r);
 	out->standby = dl_read_bool(&r);
-	return finish(&r);
+	return close_reader(&r);
 }
 
-static void put_answer(struct dl_packer *p, const struct dl_answer *a,
-		       int64_t now)
+static void pack_answer(struct dl_packer *p, const struct dl_answer *a,
+			int64_t now)
 {
 	dl_pack_u64(p, a->request);
 	dl_pack_u64(p, a->entry);
@@ -147,24 +148,25 @@
 	dl_pack_u64(p, a->predicted_ttft_ms);
 	dl_pack_u64(p, a->away);
 	dl_pack_bool(p, a->limited);
-	put_names(p, a->endpoint, a->endpoints);
+	pack_names(p, a->endpoint, a->endpoints);
 	msgpack_pack_array(&p->pk, a->endpoints);
 	for (uint32_t i = 0; i < a->endpoints; i++)
 		dl_pack_u64(p, a->share_tokens[i]);
 }
 
-static void take_shares(struct dl_reader *r, struct dl_answer *out)
+static void read_shares(struct dl_reader *r, struct dl_answer *out)
 {
 	const msgpack_object *o;
 
-	if (r->bad || r->left == 0 || r->at->type != MSGPACK_OBJECT_ARRAY ||
-	    r->at->via.array.size != out->endpoints) {
+	if (r->bad || r->remaining == 0 ||
+	    r->next->type != MSGPACK_OBJECT_ARRAY ||
+	    r->next->via.array.size != out->endpoints) {
 		r->bad = true;
 		return;
 	}
-	o = r->at;
-	r->at++;
-	r->left--;
+	o = r->next;
+	r->next++;
+	r->remaining--;
 	for (uint32_t i = 0; i < out->endpoints; i++) {
 		if (o->via.array.ptr[i].type != MSGPACK_OBJECT_POSITIVE_INTEGER)
 			r->bad = true;
@@ -173,7 +175,7 @@
 	}
 }
 
-static void take_answer(struct dl_reader *r, struct dl_answer *out, int64_t now)
+static void read_answer(struct dl_reader *r, struct dl_answer *out, int64_t now)
 {
 	uint64_t verdict, reason;
 
@@ -189,8 +191,8 @@
 	out->predicted_ttft_ms = (uint32_t)dl_read_u64(r);
 	out->away = (uint8_t)dl_read_u64(r);
 	out->limited = dl_read_bool(r);
-	out->endpoints = (uint8_t)take_names(r, out->endpoint, DL_GROUP_MAX);
-	take_shares(r, out);
+	out->endpoints = (uint8_t)read_names(r, out->endpoint, DL_GROUP_MAX);
+	read_shares(r, out);
 	if (verdict > DL_REFUSED || reason >= DL_REASON_COUNT) {
 		r->bad = true;
 		return;
@@ -199,29 +201,27 @@
 	out->reason = (enum dl_reason)reason;
 }
 
-/* Pack a dispatcher's answer. */
 void dl_answer_pack(struct dl_packer *p, const struct dl_answer_frame *f,
 		    int64_t now)
 {
 	dl_packer_open(p, ANSWER_ITEMS);
 	dl_pack_str(p, dl_name_str(&f->service));
-	put_answer(p, &f->answer, now);
-	put_names(p, f->spill, f->spill_count);
+	pack_answer(p, &f->answer, now);
+	pack_names(p, f->spill, f->spill_count);
 }
 
-/* Read it. */
 int dl_answer_read(struct dl_str body, struct dl_answer_frame *out, int64_t now)
 {
 	struct dl_reader r;
 
 	dl_reader_open(&r, body);
 	dl_read_name(&r, &out->service);
-	take_answer(&r, &out->answer, now);
-	out->spill_count = take_names(&r, out->spill, DL_SPILL_MAX);
-	return finish(&r);
+	read_answer(&r, &out->answer, now);
+	out->spill_count = read_names(&r, out->spill, DL_SPILL_MAX);
+	return close_reader(&r);
 }
 
-/* Pack the end of a grant. */
+/* Packs the release of a grant with the usage of the request. */
 void dl_release_pack(struct dl_packer *p, struct dl_str service, uint64_t grant,
 		     const struct dl_usage *usage)
 {
@@ -240,7 +240,6 @@
 	dl_pack_u64(p, usage->backoff_ms);
 }
 
-/* Read it. */
 int dl_release_read(struct dl_str body, struct dl_name *service,
 		    uint64_t *grant, struct dl_usage *out)
 {
@@ -259,36 +258,36 @@
 	dl_read_name(&r, &out->at_fault);
 	dl_read_name(&r, &out->backoff_endpoint);
 	out->backoff_ms = (uint32_t)dl_read_u64(&r);
-	return finish(&r);
+	return close_reader(&r);
 }
 
-/* Pack a service and grants of it. */
-void dl_numbers_pack(struct dl_packer *p, struct dl_str service,
-		     const uint64_t *numbers, uint32_t count)
+/* Packs a service and a list of ids. */
+void dl_id_list_pack(struct dl_packer *p, struct dl_str service,
+		     const uint64_t *ids, uint32_t count)
 {
 	dl_packer_open(p, 1 + count);
 	dl_pack_str(p, service);
 	for (uint32_t i = 0; i < count; i++)
-		dl_pack_u64(p, numbers[i]);
+		dl_pack_u64(p, ids[i]);
 }
 
-/* Read them: numbers has room for DL_RENEWED_MAX. */
-int dl_numbers_read(struct dl_str body, struct dl_name *service,
-		    uint64_t *numbers, uint32_t *count)
+/* Reads a service and a list of ids into an array of DL_ID_LIST_MAX. */
+int dl_id_list_read(struct dl_str body, struct dl_name *service, uint64_t *ids,
+		    uint32_t *count)
 {
 	struct dl_reader r;
 
 	dl_reader_open(&r, body);
 	dl_read_name(&r, service);
-	*count = r.left;
-	if (r.left > DL_RENEWED_MAX)
+	*count = r.remaining;
+	if (r.remaining > DL_ID_LIST_MAX)
 		r.bad = true;
 	for (uint32_t i = 0; !r.bad && i < *count; i++)
-		numbers[i] = dl_read_u64(&r);
-	return finish(&r);
+		ids[i] = dl_read_u64(&r);
+	return close_reader(&r);
 }
 
-/* Pack what an endpoint named. */
+/* Packs the request limit that an endpoint announced in a response. */
 void dl_limit_pack(struct dl_packer *p, const struct dl_limit_frame *f)
 {
 	dl_packer_open(p, LIMIT_ITEMS);
@@ -298,7 +297,6 @@
 	dl_pack_u64(p, f->limit);
 }
 
-/* Read it. */
 int dl_limit_read(struct dl_str body, struct dl_limit_frame *out)
 {
 	struct dl_reader r;
@@ -312,30 +310,28 @@
 	if (limit > DL_UNLIMITED)
 		r.bad = true;
 	out->limit = (uint32_t)limit;
-	return finish(&r);
+	return close_reader(&r);
 }
 
-/* Pack a service and a number: a request. */
-void dl_number_pack(struct dl_packer *p, struct dl_str service, uint64_t number)
+/* Packs a service and one id. */
+void dl_id_pack(struct dl_packer *p, struct dl_str service, uint64_t id)
 {
 	dl_packer_open(p, 2);
 	dl_pack_str(p, service);
-	dl_pack_u64(p, number);
+	dl_pack_u64(p, id);
 }
 
-/* Read them. */
-int dl_number_read(struct dl_str body, struct dl_name *service,
-		   uint64_t *number)
+int dl_id_read(struct dl_str body, struct dl_name *service, uint64_t *id)
 {
 	struct dl_reader r;
 
 	dl_reader_open(&r, body);
 	dl_read_name(&r, service);
-	*number = dl_read_u64(&r);
-	return finish(&r);
+	*id = dl_read_u64(&r);
+	return close_reader(&r);
 }
 
-static void put_events(struct dl_packer *p, const struct dl_announcement *a)
+static void pack_events(struct dl_packer *p, const struct dl_announcement *a)
 {
 	msgpack_pack_array(&p->pk, (size_t)a->events_count * 2);
 	for (uint32_t i = 0; i < a->events_count; i++) {
@@ -344,18 +340,18 @@
 	}
 }
 
-static void take_events(struct dl_reader *r, struct dl_announcement *out)
+static void read_events(struct dl_reader *r, struct dl_announcement *out)
 {
-	const msgpack_object *o = r->at;
+	const msgpack_object *o = r->next;
 	uint32_t n;
 
-	if (r->bad || r->left == 0 || o->type != MSGPACK_OBJECT_ARRAY ||
+	if (r->bad || r->remaining == 0 || o->type != MSGPACK_OBJECT_ARRAY ||
 	    o->via.array.size > 2 * DL_CACHE_EVENTS_MAX) {
 		r->bad = true;
 		return;
 	}
-	r->at++;
-	r->left--;
+	r->next++;
+	r->remaining--;
 	n = o->via.array.size / 2;
 	for (uint32_t i = 0; i < n; i++) {
 		const msgpack_object *pair = &o->via.array.ptr[(size_t)i * 2];
@@ -371,7 +367,7 @@
 	out->events_count = n;
 }
 
-/* Pack an endpoint's announcement for its dispatcher. */
+/* Packs an endpoint's announcement. */
 void dl_report_pack(struct dl_packer *p, const struct dl_announcement *a)
 {
 	const struct dl_endpoint_report *r = &a->report;
@@ -394,13 +390,12 @@
 	dl_pack_str(p, dl_name_str(&a->instance));
 	dl_pack_u64(p, a->sequence);
 	dl_pack_u64(p, a->born);
-	put_names(p, a->models, a->models_count);
+	pack_names(p, a->models, a->models_count);
 	dl_pack_str(p, dl_name_str(&a->version));
 	dl_pack_str(p, dl_name_str(&a->role));
-	put_events(p, a);
+	pack_events(p, a);
 }
 
-/* Read it. */
 int dl_report_read(struct dl_str body, struct dl_announcement *out)
 {
 	struct dl_endpoint_report *report = &out->report;
@@ -426,52 +421,53 @@
 	out->sequence = dl_read_u64(&r);
 	out->born = dl_read_u64(&r);
 	out->models_count =
-		take_names(&r, out->models, DL_ANNOUNCED_MODELS_MAX);
+		read_names(&r, out->models, DL_ANNOUNCED_MODELS_MAX);
 	dl_read_name(&r, &out->version);
 	dl_read_name(&r, &out->role);
-	take_events(&r, out);
-	return finish(&r);
+	read_events(&r, out);
+	return close_reader(&r);
 }
 
-/* Pack the announcements of many endpoints. */
-int dl_words_pack(const struct dl_str *words, uint32_t count, char **out,
-		  size_t *n)
+/* Packs and deflates the encoded announcements of several endpoints. */
+int dl_report_batch_pack(const struct dl_str *reports, uint32_t count,
+			 char **out, size_t *n)
 {
 	struct dl_packer p;
 	int rc;
 
 	dl_packer_open(&p, count);
 	for (uint32_t i = 0; i < count; i++)
-		dl_pack_str(&p, words[i]);
-	rc = dl_squeeze(dl_packer_bytes(&p), out, n);
+		dl_pack_str(&p, reports[i]);
+	rc = dl_deflate(dl_packer_bytes(&p), out, n);
 	dl_packer_close(&p);
 	return rc;
 }
 
-/* Read them, one after the other. */
-int dl_words_read(struct dl_str body,
-		  void (*take)(void *arg, struct dl_str words), void *arg)
+/* Inflates a batch and passes each announcement in it to on_report(). */
+int dl_report_batch_read(struct dl_str body,
+			 void (*on_report)(void *arg, struct dl_str report),
+			 void *arg)
 {
 	struct dl_reader r;
 	char *plain;
 	size_t n;
-	int rc = dl_unsqueeze(body, WORDS_MAX, &plain, &n);
+	int rc = dl_inflate(body, BATCH_BYTES_MAX, &plain, &n);
 
 	if (rc)
 		return rc;
 	dl_reader_open(&r, (struct dl_str){ plain, n });
-	while (!r.bad && r.left) {
-		struct dl_str words = dl_read_str(&r);
+	while (!r.bad && r.remaining) {
+		struct dl_str report = dl_read_str(&r);
 
 		if (!r.bad)
-			take(arg, words);
+			on_report(arg, report);
 	}
-	rc = finish(&r);
+	rc = close_reader(&r);
 	free(plain);
 	return rc;
 }
 
-/* Pack a pool in one line. */
+/* Packs the summary of a pool. */
 void dl_summary_pack(struct dl_packer *p, struct dl_str service,
 		     struct dl_str domain, const struct dl_pool_summary *s)
 {
@@ -487,7 +483,6 @@
 	dl_pack_u64(p, s->grants);
 }
 
-/* Read it. */
 int dl_summary_read(struct dl_str body, struct dl_name *service,
 		    struct dl_name *domain, struct dl_pool_summary *out)
 {
@@ -503,21 +498,23 @@
 	out->free_tokens = dl_read_u64(&r);
 	out->backlog_ms = dl_read_u64(&r);
 	out->grants = dl_read_u64(&r);
-	return finish(&r);
+	return close_reader(&r);
 }
 
-/* Pack a grant of an earlier dispatcher, and what it was asked for. */
+/*
+ * Packs a grant of the previous dispatcher with the request that it answered,
+ * so that the new dispatcher can adopt it.
+ */
 void dl_adopt_pack(struct dl_packer *p, struct dl_str service,
 		   const struct dl_answer *grant, const struct dl_ask *ask,
 		   int64_t now)
 {
 	dl_packer_open(p, ADOPT_ITEMS);
 	dl_pack_str(p, service);
-	put_answer(p, grant, now);
-	put_ask(p, ask, now);
+	pack_answer(p, grant, now);
+	pack_ask(p, ask, now);
 }
 
-/* Read them. */
 int dl_adopt_read(struct dl_str body, struct dl_name *service,
 		  struct dl_answer *grant, struct dl_ask *ask, int64_t now)
 {
@@ -525,7 +522,7 @@
 
 	dl_reader_open(&r, body);
 	dl_read_name(&r, service);
-	take_answer(&r, grant, now);
-	take_ask(&r, ask, now);
-	return finish(&r);
+	read_answer(&r, grant, now);
+	read_ask(&r, ask, now);
+	return close_reader(&r);
 }
--- a/test/test_codec.c
+++ b/test/test_codec.c
@@ -1,6 +1,7 @@
 /*
- * Codecs of the frames between entries and dispatchers, of callers' JSON and
- * of event streams: what goes in comes out, and no damage gets past them.
+ * Codecs of the frames between entries and dispatchers, of the JSON API, event
+ * streams, settings and signatures: round trips, and rejection of malformed
+ * input.
  */
 #include <check.h>
 #include <errno.h>
@@ -67,10 +68,10 @@
 	return f;
 }
 
-START_TEST(ask_times_are_what_is_left)
+START_TEST(ask_times_are_relative)
 {
 	struct dl_ask_frame f = { .ask = sample_ask(),
-				  .settled = true,
+				  .no_spill = true,
 				  .standby = true },
 			    got;
 	struct dl_ask ask = f.ask, back;
@@ -79,7 +80,7 @@
 	dl_ask_pack(&p, &f, 80000);
 	ck_assert_int_eq(dl_ask_read(dl_packer_bytes(&p), &got, 500), 0);
 	back = got.ask;
-	ck_assert(got.settled);
+	ck_assert(got.no_spill);
 	ck_assert(got.standby);
 	ck_assert_int_eq(back.deadline, 10500);
 	ck_assert_uint_eq(back.request, ask.request);
@@ -118,39 +119,41 @@
 }
 END_TEST
 
-struct words_taken {
+struct reports_read {
 	uint32_t count;
 	char all[64];
 };
 
-static void take_words(void *arg, struct dl_str words)
+static void on_report(void *arg, struct dl_str reports)
 {
-	struct words_taken *t = arg;
+	struct reports_read *t = arg;
 
 	t->count++;
-	ck_assert_uint_lt(strlen(t->all) + words.n, sizeof(t->all));
-	strncat(t->all, words.s, words.n);
+	ck_assert_uint_lt(strlen(t->all) + reports.n, sizeof(t->all));
+	strncat(t->all, reports.s, reports.n);
 }
 
-/* Many announcements in one body; damaged ones are refused, none is made up. */
-START_TEST(words_of_many_round_trip)
+/* A truncated batch of announcements is rejected without reading any of it. */
+START_TEST(report_batch_round_trip)
 {
-	struct dl_str words[] = { DL_STR("one"), DL_STR("two"),
-				  DL_STR("three") };
-	struct words_taken got = { 0 };
+	struct dl_str reports[] = { DL_STR("one"), DL_STR("two"),
+				    DL_STR("three") };
+	struct reports_read got = { 0 };
 	char *body;
 	size_t n;
 
-	ck_assert_int_eq(dl_words_pack(words, 3, &body, &n), 0);
-	ck_assert_int_eq(
-		dl_words_read((struct dl_str){ body, n }, take_words, &got), 0);
+	ck_assert_int_eq(dl_report_batch_pack(reports, 3, &body, &n), 0);
+	ck_assert_int_eq(dl_report_batch_read((struct dl_str){ body, n },
+					      on_report, &got),
+			 0);
 	ck_assert_uint_eq(got.count, 3);
 	ck_assert_str_eq(got.all, "onetwothree");
 	memset(&got, 0, sizeof(got));
 	for (size_t cut = 0; cut < n; cut++)
-		ck_assert_int_eq(dl_words_read((struct dl_str){ body, cut },
-					       take_words, &got),
-				 -EBADMSG);
+		ck_assert_int_eq(
+			dl_report_batch_read((struct dl_str){ body, cut },
+					     on_report, &got),
+			-EBADMSG);
 	ck_assert_uint_eq(got.count, 0);
 	free(body);
 }
@@ -206,7 +209,10 @@
 }
 END_TEST
 
-/* Every reader sees every damaged body; none may crash or read past it. */
+/*
+ * Decodes a damaged body as each kind of frame; no decoder may crash or read
+ * past its end.
+ */
 static void read_all(struct dl_str body)
 {
 	struct dl_announcement report;
@@ -222,13 +228,16 @@
 	dl_ask_read(body, &asked, 0);
 	dl_answer_read(body, &answer, 0);
 	dl_release_read(body, &service, &number, &usage);
-	dl_number_read(body, &service, &number);
+	dl_id_read(body, &service, &number);
 	dl_report_read(body, &report);
 	dl_summary_read(body, &service, &domain, &summary);
 	dl_adopt_read(body, &service, &grant, &ask, 0);
 }
 
-/* Change, cut or lengthen a copy that is exactly as long as it says. */
+/*
+ * Alters one to three bytes of a copy and may truncate it. buf has exactly the
+ * size of the body, so that sanitizers detect reads past its end.
+ */
 static struct dl_str damage(GRand *rnd, struct dl_str good, char *buf)
 {
 	size_t n = good.n;
@@ -308,7 +317,7 @@
 }
 END_TEST
 
-/* What an engine is sent, to the letter. */
+/* The exact body that an endpoint is sent. */
 START_TEST(endpoint_body)
 {
 	struct dl_answer_frame f = sample_answer();
@@ -322,18 +331,18 @@
 						    "\"top_p\":1}"),
 					     &c, &err),
 			 0);
-	ck_assert(dl_str_eq(dl_completion_rest(&c),
+	ck_assert(dl_str_eq(dl_completion_body_tail(&c),
 			    DL_STR("\"model\":\"m\",\"prompt\":\"p\","
 				   "\"top_p\":1}")));
 	f.answer.priority = 2;
-	first = dl_completion_first(&c, &f.answer);
+	first = dl_completion_body_head(&c, &f.answer);
 	ck_assert_str_eq(first, "{\"stream\":true,\"max_tokens\":256,"
 				"\"priority\":2,"
 				"\"group\":[{\"address\":\"127.0.0.2:9000\","
 				"\"tokens\":1}],");
 	free(first);
 	f.answer.endpoints = 1;
-	first = dl_completion_first(&c, &f.answer);
+	first = dl_completion_body_head(&c, &f.answer);
 	ck_assert_ptr_null(strstr(first, "group"));
 	free(first);
 	dl_completion_free(&c);
@@ -365,7 +374,7 @@
 }
 END_TEST
 
-START_TEST(events_in_any_pieces)
+START_TEST(events_in_any_fragments)
 {
 	static const char stream[] = ": hello\n\ndata: {\"a\":1}\n\n"
 				     "event: x\ndata: y\n\ndata: [DONE]\n\n";
@@ -393,7 +402,7 @@
 }
 END_TEST
 
-START_TEST(an_event_is_bounded)
+START_TEST(event_size_is_bounded)
 {
 	static char block[65536];
 	struct dl_sse sse;
@@ -441,8 +450,8 @@
 }
 END_TEST
 
-/* Without a region the VMs of a failure domain dispatch together. */
-START_TEST(settings_name_the_pools_domain)
+/* Pools span a region if one is set, and a failure domain otherwise. */
+START_TEST(pool_domain_is_region_or_failure_domain)
 {
 	struct dl_settings out;
 	struct dl_err err = { 0 };
@@ -472,7 +481,10 @@
 	return key;
 }
 
-/* Only the same bytes, under a valid key, now, are let in. */
+/*
+ * A signature is accepted only for the same bytes, by a valid key and within
+ * the allowed age.
+ */
 START_TEST(signatures)
 {
 	struct dl_signed what = { DL_STR("POST"), DL_STR("/v1/config"),
@@ -480,7 +492,7 @@
 	struct dl_signed other = { DL_STR("POST"), DL_STR("/v1/config"),
 				   DL_STR("{ }") };
 	struct dl_keys keys = { .count = 2 };
-	struct dl_key strange = key_of("another secret of length");
+	struct dl_key unknown = key_of("another secret of length");
 	char out[DL_SIGNATURE_MAX];
 
 	keys.key[0] = key_of("the old secret, still valid");
@@ -497,7 +509,7 @@
 					       1200000),
 				 -EACCES);
 	}
-	ck_assert_int_eq(dl_sign(&strange, &what, 1000000, out), 0);
+	ck_assert_int_eq(dl_sign(&unknown, &what, 1000000, out), 0);
 	ck_assert_int_eq(dl_sign_check(&keys, &what, dl_str_of(out), 1000000),
 			 -EACCES);
 	ck_assert_int_eq(dl_sign_check(&keys, &what, DL_STR(""), 1000000),
@@ -514,18 +526,18 @@
 
 	suite_add_tcase(s, t);
 	tcase_set_timeout(t, 120);
-	tcase_add_test(t, ask_times_are_what_is_left);
+	tcase_add_test(t, ask_times_are_relative);
 	tcase_add_test(t, answer_and_adopt_round_trip);
-	tcase_add_test(t, words_of_many_round_trip);
+	tcase_add_test(t, report_batch_round_trip);
 	tcase_add_test(t, report_release_summary_round_trip);
 	tcase_add_test(t, damaged_frames);
 	tcase_add_loop_test(t, completions, 0, CASES(completion_cases));
 	tcase_add_test(t, endpoint_body);
 	tcase_add_loop_test(t, announcements, 0, CASES(announcement_cases));
-	tcase_add_test(t, events_in_any_pieces);
-	tcase_add_test(t, an_event_is_bounded);
+	tcase_add_test(t, events_in_any_fragments);
+	tcase_add_test(t, event_size_is_bounded);
 	tcase_add_test(t, signatures);
 	tcase_add_loop_test(t, settings, 0, CASES(settings_cases));
-	tcase_add_test(t, settings_name_the_pools_domain);
+	tcase_add_test(t, pool_domain_is_region_or_failure_domain);
 	return suite_run(s);
 }
