--- a/src/base/sound.c
+++ b/src/base/msgpack_check.c
@@ -1,5 +1,5 @@
 /* One pass over msgpack's type bytes, with a count of the objects to come. */
-#include "base/sound.h"
+#include "base/msgpack_check.h"
 
 /* What follows a type byte. */
 enum shape {
@@ -104,7 +104,7 @@
 }
 
 /* Every object to come takes a byte at least; more cannot be meant. */
-bool dl_msgpack_sound(struct dl_str s)
+bool dl_msgpack_well_formed(struct dl_str s)
 {
 	struct walk w = { (const uint8_t *)s.s, s.n, 1 };
 
--- a/src/protocol/pack.c
+++ b/src/protocol/pack.c
@@ -1,7 +1,7 @@
 /* Small readers and writers over msgpack-c. */
 #include "protocol/pack.h"
 
-#include "base/sound.h"
+#include "base/msgpack_check.h"
 
 /* Open a body; bad where it is not one whole array. */
 void dl_reader_open(struct dl_reader *r, struct dl_str body)
@@ -11,7 +11,7 @@
 	msgpack_unpacked_init(&r->unpacked);
 	r->at = NULL;
 	r->left = 0;
-	r->bad = !dl_msgpack_sound(body) ||
+	r->bad = !dl_msgpack_well_formed(body) ||
 		 msgpack_unpack_next(&r->unpacked, body.s, body.n, &off) !=
 			 MSGPACK_UNPACK_SUCCESS ||
 		 off != body.n || r->unpacked.data.type != MSGPACK_OBJECT_ARRAY;
--- a/src/protocol/rlog_codec.c
+++ b/src/protocol/rlog_codec.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "base/sound.h"
+#include "base/msgpack_check.h"
 
 /*
  * [kind, cluster, from id, to id, term, index, index term, commit, stamp,
@@ -257,7 +257,7 @@
 	memset(&out->msg, 0, sizeof(out->msg));
 	out->entries = NULL;
 	msgpack_unpacked_init(&out->unpacked);
-	if (dl_msgpack_sound(body) &&
+	if (dl_msgpack_well_formed(body) &&
 	    msgpack_unpack_next(&out->unpacked, body.s, body.n, NULL) ==
 		    MSGPACK_UNPACK_SUCCESS &&
 	    fields(&out->unpacked.data, MSG_FIELDS, &f) &&
--- a/src/transport/peers.c
+++ b/src/transport/peers.c
@@ -14,7 +14,7 @@
 
 #include "base/metric.h"
 #include "base/msg.h"
-#include "base/sound.h"
+#include "base/msgpack_check.h"
 
 #define LENGTH_BYTES   4
 #define FRAME_ITEMS    4
@@ -304,7 +304,7 @@
 	const msgpack_object *item;
 	size_t off = 0;
 
-	if (!dl_msgpack_sound((struct dl_str){ p, n }) ||
+	if (!dl_msgpack_well_formed((struct dl_str){ p, n }) ||
 	    msgpack_unpack_next(u, p, n, &off) != MSGPACK_UNPACK_SUCCESS)
 		return false;
 	if (off != n || u->data.type != MSGPACK_OBJECT_ARRAY ||
