--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -117,8 +117,8 @@
 	const struct dl_directory_entry *d, *left;
 	uint64_t before = entry_endpoint_start(e, dl_name_str(&a->service),
 					       dl_name_str(&a->report.id));
-	enum dl_directory_result heard =
-		dl_node_hear(e->directory, a, entry_now(e), &d, &left);
+	enum dl_directory_result heard = dl_node_apply_announcement(
+		e->directory, a, entry_now(e), &d, &left);
 
 	if (heard == DL_DIRECTORY_STALE)
 		return false;
@@ -126,7 +126,7 @@
 		entry_quarantine_crashed(e, before);
 	if (left)
 		forget_earlier(e, left);
-	dl_node_complete(a, d);
+	dl_node_fill_announcement(a, d);
 	a->report.incarnation = d->incarnation;
 	return true;
 }
--- a/src/main/node.h
+++ b/src/main/node.h
@@ -55,14 +55,14 @@
 char *dl_node_metrics(void);
 int dl_node_metrics_open(struct dl_node *node, struct dl_err *err);
 
-/* node_hear.c */
-enum dl_directory_result dl_node_hear(struct dl_directory *directory,
-				      const struct dl_announcement *a,
-				      int64_t now,
-				      const struct dl_directory_entry **entry,
-				      const struct dl_directory_entry **left);
-void dl_node_complete(struct dl_announcement *a,
-		      const struct dl_directory_entry *start);
+/* node_announce.c */
+enum dl_directory_result
+dl_node_apply_announcement(struct dl_directory *directory,
+			   const struct dl_announcement *a, int64_t now,
+			   const struct dl_directory_entry **entry,
+			   const struct dl_directory_entry **left);
+void dl_node_fill_announcement(struct dl_announcement *a,
+			       const struct dl_directory_entry *start);
 
 /* The monotonic time of the loop, in milliseconds. */
 int64_t dl_node_now(const struct dl_node *node);
--- a/src/main/node_hear.c
+++ b/src/main/node_announce.c
@@ -7,11 +7,11 @@
  * is the start that is known at its address then, or NULL, and left an earlier
  * start of its name at another address, which is gone, or NULL.
  */
-enum dl_directory_result dl_node_hear(struct dl_directory *directory,
-				      const struct dl_announcement *a,
-				      int64_t now,
-				      const struct dl_directory_entry **entry,
-				      const struct dl_directory_entry **left)
+enum dl_directory_result
+dl_node_apply_announcement(struct dl_directory *directory,
+			   const struct dl_announcement *a, int64_t now,
+			   const struct dl_directory_entry **entry,
+			   const struct dl_directory_entry **left)
 {
 	struct dl_directory_update word = {
 		.address = dl_name_str(&a->report.id),
@@ -42,8 +42,8 @@
  * that comes later would make it known as ready to a VM that has just started.
  * And one that only leaves names no address or service.
  */
-void dl_node_complete(struct dl_announcement *a,
-		      const struct dl_directory_entry *start)
+void dl_node_fill_announcement(struct dl_announcement *a,
+			       const struct dl_directory_entry *start)
 {
 	a->report.id = start->address;
 	a->service = start->service;
--- a/src/main/replica_door.c
+++ b/src/main/replica_door.c
@@ -152,10 +152,10 @@
 		reply_error(req, 400, err.text);
 		return;
 	}
-	heard = dl_node_hear(d->directory, &a, replica_now(d->r), &entry,
-			     &left);
+	heard = dl_node_apply_announcement(d->directory, &a, replica_now(d->r),
+					   &entry, &left);
 	if (heard != DL_DIRECTORY_STALE)
-		dl_node_complete(&a, entry);
+		dl_node_fill_announcement(&a, entry);
 	replica_alive_pass(d->r, &a);
 	/*
 	 * An endpoint stays with this replica.  One that goes to another each
@@ -341,8 +341,8 @@
 	const struct dl_directory_entry *entry, *left;
 
 	if (r->door)
-		dl_node_hear(r->door->directory, a, replica_now(r), &entry,
-			     &left);
+		dl_node_apply_announcement(r->door->directory, a,
+					   replica_now(r), &entry, &left);
 }
 
 /* Forget endpoints that are long gone. */
