--- a/src/base/msg.h
+++ b/src/base/msg.h
@@ -67,12 +67,12 @@
 	X(PEER_UP, DL_DEBUG, "peers", "Connected.")                            \
 	X(PEER_DOWN, DL_INFO, "peers", "Connection lost.")                     \
 	X(PEER_SILENT, DL_WARN, "peers", "Connection silent, replaced.")       \
-	X(PEER_BAD, DL_WARN, "peers", "Bad frame, connection closed.")         \
+	X(PEER_BAD_FRAME, DL_WARN, "peers", "Bad frame, connection closed.")   \
 	/* pool */                                                             \
-	X(POOL_LEAD, DL_INFO, "pool", "Dispatching begins here.")              \
-	X(POOL_SILENT, DL_WARN, "pool",                                        \
+	X(POOL_DISPATCHING, DL_INFO, "pool", "Dispatching begins here.")       \
+	X(POOL_ENDPOINTS_SILENT, DL_WARN, "pool",                              \
 	  "No endpoint is heard, those known are kept.")                       \
-	X(POOL_HEARD, DL_INFO, "pool", "Endpoints are heard again.")           \
+	X(POOL_ENDPOINTS_HEARD, DL_INFO, "pool", "Endpoints are heard again.") \
 	X(POOL_ENDPOINT_UP, DL_INFO, "pool", "An endpoint came.")              \
 	X(POOL_ENDPOINT_GONE, DL_INFO, "pool", "An endpoint went.")            \
 	/* replica */                                                          \
@@ -80,7 +80,7 @@
 	X(REPLICA_LEADER, DL_INFO, "replica", "Leading.")                      \
 	X(REPLICA_FOLLOWER, DL_INFO, "replica", "Following.")                  \
 	X(REPLICA_DAMAGED, DL_ERROR, "replica", "Stored state damaged.")       \
-	X(REPLICA_DISK, DL_ERROR, "replica", "The disk failed.")
+	X(REPLICA_DISK_FAILED, DL_ERROR, "replica", "The disk failed.")
 
 enum dl_msg {
 #define X(name, level, part, text) DL_MSG_##name,
--- a/src/main/entry_pool.c
+++ b/src/main/entry_pool.c
@@ -112,7 +112,7 @@
 
 	if (leading && !p->dispatching) {
 		p->dispatching_since = entry_now(e);
-		dl_msg(DL_MSG_POOL_LEAD, "service=%s", p->service.s);
+		dl_msg(DL_MSG_POOL_DISPATCHING, "service=%s", p->service.s);
 		dl_pool_start_dispatching(p->pool, entry_now(e));
 	}
 	if (leading == p->dispatching)
@@ -520,7 +520,8 @@
 	if (silent == p->all_silent)
 		return;
 	p->all_silent = silent;
-	dl_msg(silent ? DL_MSG_POOL_SILENT : DL_MSG_POOL_HEARD,
+	dl_msg(silent ? DL_MSG_POOL_ENDPOINTS_SILENT :
+			DL_MSG_POOL_ENDPOINTS_HEARD,
 	       "service=%s leading=%d", p->service.s, p->dispatching);
 }
 
--- a/src/main/replica.c
+++ b/src/main/replica.c
@@ -248,7 +248,7 @@
 {
 	bool damaged = strstr(s->halt_reason, "damaged") != NULL;
 
-	dl_msg(damaged ? DL_MSG_REPLICA_DAMAGED : DL_MSG_REPLICA_DISK,
+	dl_msg(damaged ? DL_MSG_REPLICA_DAMAGED : DL_MSG_REPLICA_DISK_FAILED,
 	       "reason=\"%s\"", s->halt_reason);
 }
 
--- a/src/transport/peers.c
+++ b/src/transport/peers.c
@@ -381,7 +381,7 @@
 	char text[24];
 
 	dl_count(DL_METRIC_peer_bad_frames, 1);
-	dl_msg(DL_MSG_PEER_BAD, "vm=%s", dl_vm_text(c->vm, text));
+	dl_msg(DL_MSG_PEER_BAD_FRAME, "vm=%s", dl_vm_text(c->vm, text));
 	conn_close(c, UV_EPROTO);
 }
 
