--- a/src/base/logring.c
+++ b/src/base/logring.c
@@ -4,10 +4,10 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SECOND_MS    1000
-#define DROPPED_TEXT 80
+#define RATE_WINDOW_MS	   1000
+#define DROPPED_NOTICE_MAX 80
 
-static void add(struct dl_logring *ring, struct dl_str s)
+static void append(struct dl_logring *ring, struct dl_str s)
 {
 	for (size_t i = 0; i < s.n; i++)
 		ring->bytes[(ring->first + ring->count + i) %
@@ -18,19 +18,19 @@
 static bool within_rate(struct dl_logring *ring, enum dl_level level, size_t n,
 			int64_t now)
 {
-	if (now - ring->second_at >= SECOND_MS) {
-		ring->second_at = now;
-		ring->in_second = 0;
+	if (now - ring->window_start >= RATE_WINDOW_MS) {
+		ring->window_start = now;
+		ring->window_bytes = 0;
 	}
 	if (level >= DL_WARN)
 		return true;
-	return ring->in_second + n <= DL_LOGRING_RATE;
+	return ring->window_bytes + n <= DL_LOGRING_RATE;
 }
 
 /* Say how many lines were dropped, before the first that fits again. */
-static void tell_dropped(struct dl_logring *ring)
+static void add_dropped_notice(struct dl_logring *ring)
 {
-	char text[DROPPED_TEXT];
+	char text[DROPPED_NOTICE_MAX];
 	int n;
 
 	if (!ring->dropped)
@@ -38,7 +38,7 @@
 	n = snprintf(text, sizeof(text),
 		     "WARN  log: Lines dropped. count=%lu\n",
 		     (unsigned long)ring->dropped);
-	add(ring, (struct dl_str){ text, (size_t)n });
+	append(ring, (struct dl_str){ text, (size_t)n });
 	ring->dropped = 0;
 }
 
@@ -48,15 +48,15 @@
 {
 	size_t room = DL_LOGRING_BYTES - ring->count;
 
-	if (line.n + DROPPED_TEXT > room ||
+	if (line.n + DROPPED_NOTICE_MAX > room ||
 	    !within_rate(ring, level, line.n, now)) {
 		ring->dropped++;
 		ring->dropped_total++;
 		return false;
 	}
-	tell_dropped(ring);
-	add(ring, line);
-	ring->in_second += line.n;
+	add_dropped_notice(ring);
+	append(ring, line);
+	ring->window_bytes += line.n;
 	return true;
 }
 
--- a/src/base/logring.h
+++ b/src/base/logring.h
@@ -21,8 +21,8 @@
 	size_t first, count;
 	uint64_t dropped; /* since the last line that fitted */
 	uint64_t dropped_total;
-	int64_t second_at; /* begin of the second that is counted */
-	size_t in_second;
+	int64_t window_start; /* begin of the second that is counted */
+	size_t window_bytes;
 };
 
 /* Add a line with its end; false where it was dropped. */
--- a/src/base/msgpack_check.c
+++ b/src/base/msgpack_check.c
@@ -3,12 +3,12 @@
 
 /* What follows a type byte. */
 enum shape {
-	SHAPE_PLAIN, /* so many bytes */
+	SHAPE_FIXED, /* so many bytes */
 	SHAPE_BYTES, /* a length of so many bytes, and as many */
 	SHAPE_EXT,   /* the same, and a type byte */
 	SHAPE_ARRAY, /* a count of so many bytes, and as many objects */
 	SHAPE_MAP,   /* the same, twice as many */
-	SHAPE_BAD,
+	SHAPE_INVALID,
 };
 
 struct type {
@@ -21,96 +21,96 @@
 
 /* The types from 0xc0 (nil) to 0xdf (map 32). */
 static const struct type types[LAST_TYPE - FIRST_TYPE + 1] = {
-	{ SHAPE_PLAIN, 0 },  { SHAPE_BAD, 0 },	 { SHAPE_PLAIN, 0 },
-	{ SHAPE_PLAIN, 0 },  { SHAPE_BYTES, 1 }, { SHAPE_BYTES, 2 },
-	{ SHAPE_BYTES, 4 },  { SHAPE_EXT, 1 },	 { SHAPE_EXT, 2 },
-	{ SHAPE_EXT, 4 },    { SHAPE_PLAIN, 4 }, { SHAPE_PLAIN, 8 },
-	{ SHAPE_PLAIN, 1 },  { SHAPE_PLAIN, 2 }, { SHAPE_PLAIN, 4 },
-	{ SHAPE_PLAIN, 8 },  { SHAPE_PLAIN, 1 }, { SHAPE_PLAIN, 2 },
-	{ SHAPE_PLAIN, 4 },  { SHAPE_PLAIN, 8 }, { SHAPE_PLAIN, 2 },
-	{ SHAPE_PLAIN, 3 },  { SHAPE_PLAIN, 5 }, { SHAPE_PLAIN, 9 },
-	{ SHAPE_PLAIN, 17 }, { SHAPE_BYTES, 1 }, { SHAPE_BYTES, 2 },
-	{ SHAPE_BYTES, 4 },  { SHAPE_ARRAY, 2 }, { SHAPE_ARRAY, 4 },
+	{ SHAPE_FIXED, 0 },  { SHAPE_INVALID, 0 }, { SHAPE_FIXED, 0 },
+	{ SHAPE_FIXED, 0 },  { SHAPE_BYTES, 1 },   { SHAPE_BYTES, 2 },
+	{ SHAPE_BYTES, 4 },  { SHAPE_EXT, 1 },	   { SHAPE_EXT, 2 },
+	{ SHAPE_EXT, 4 },    { SHAPE_FIXED, 4 },   { SHAPE_FIXED, 8 },
+	{ SHAPE_FIXED, 1 },  { SHAPE_FIXED, 2 },   { SHAPE_FIXED, 4 },
+	{ SHAPE_FIXED, 8 },  { SHAPE_FIXED, 1 },   { SHAPE_FIXED, 2 },
+	{ SHAPE_FIXED, 4 },  { SHAPE_FIXED, 8 },   { SHAPE_FIXED, 2 },
+	{ SHAPE_FIXED, 3 },  { SHAPE_FIXED, 5 },   { SHAPE_FIXED, 9 },
+	{ SHAPE_FIXED, 17 }, { SHAPE_BYTES, 1 },   { SHAPE_BYTES, 2 },
+	{ SHAPE_BYTES, 4 },  { SHAPE_ARRAY, 2 },   { SHAPE_ARRAY, 4 },
 	{ SHAPE_MAP, 2 },    { SHAPE_MAP, 4 },
 };
 
-struct walk {
+struct cursor {
 	const uint8_t *at;
-	uint64_t bytes;	  /* that are left */
-	uint64_t objects; /* that are to come */
+	uint64_t bytes_left;   /* that are left */
+	uint64_t objects_left; /* that are to come */
 };
 
-static bool skip(struct walk *w, uint64_t n)
+static bool skip(struct cursor *c, uint64_t n)
 {
-	if (n > w->bytes)
+	if (n > c->bytes_left)
 		return false;
-	w->at += n;
-	w->bytes -= n;
+	c->at += n;
+	c->bytes_left -= n;
 	return true;
 }
 
 /* Read a big-endian number of n bytes. */
-static bool number(struct walk *w, uint8_t n, uint64_t *out)
+static bool read_number(struct cursor *c, uint8_t n, uint64_t *out)
 {
-	const uint8_t *p = w->at;
+	const uint8_t *p = c->at;
 
 	*out = 0;
-	if (!skip(w, n))
+	if (!skip(c, n))
 		return false;
 	for (uint8_t i = 0; i < n; i++)
 		*out = *out << 8 | p[i];
 	return true;
 }
 
-static bool typed(struct walk *w, struct type type)
+static bool read_typed(struct cursor *c, struct type type)
 {
 	uint64_t n;
 
-	if (type.shape == SHAPE_PLAIN)
-		return skip(w, type.n);
-	if (type.shape == SHAPE_BAD || !number(w, type.n, &n))
+	if (type.shape == SHAPE_FIXED)
+		return skip(c, type.n);
+	if (type.shape == SHAPE_INVALID || !read_number(c, type.n, &n))
 		return false;
 	switch (type.shape) {
 	case SHAPE_BYTES:
-		return skip(w, n);
+		return skip(c, n);
 	case SHAPE_EXT:
-		return skip(w, n + 1);
+		return skip(c, n + 1);
 	case SHAPE_ARRAY:
-		w->objects += n;
+		c->objects_left += n;
 		return true;
 	default:
-		w->objects += 2 * n;
+		c->objects_left += 2 * n;
 		return true;
 	}
 }
 
-static bool object(struct walk *w)
+static bool read_object(struct cursor *c)
 {
-	uint8_t b = *w->at;
+	uint8_t b = *c->at;
 
-	skip(w, 1);
-	w->objects--;
+	skip(c, 1);
+	c->objects_left--;
 	if (b < 0x80 || b >= 0xe0)
 		return true;
 	if (b < 0x90)
-		w->objects += 2 * (uint64_t)(b & 0x0f);
+		c->objects_left += 2 * (uint64_t)(b & 0x0f);
 	else if (b < 0xa0)
-		w->objects += b & 0x0f;
+		c->objects_left += b & 0x0f;
 	else if (b < FIRST_TYPE)
-		return skip(w, b & 0x1f);
+		return skip(c, b & 0x1f);
 	else
-		return typed(w, types[b - FIRST_TYPE]);
+		return read_typed(c, types[b - FIRST_TYPE]);
 	return true;
 }
 
 /* Every object to come takes a byte at least; more cannot be meant. */
 bool dl_msgpack_well_formed(struct dl_str s)
 {
-	struct walk w = { (const uint8_t *)s.s, s.n, 1 };
+	struct cursor c = { (const uint8_t *)s.s, s.n, 1 };
 
-	while (w.objects) {
-		if (w.objects > w.bytes || !object(&w))
+	while (c.objects_left) {
+		if (c.objects_left > c.bytes_left || !read_object(&c))
 			return false;
 	}
-	return w.bytes == 0;
+	return c.bytes_left == 0;
 }
--- a/test/test_logring.c
+++ b/test/test_logring.c
@@ -8,7 +8,7 @@
 
 static struct dl_logring ring;
 
-static void begin(void)
+static void setup(void)
 {
 	memset(&ring, 0, sizeof(ring));
 }
@@ -29,7 +29,7 @@
 	return n;
 }
 
-START_TEST(lines_come_out_in_order)
+START_TEST(lines_are_read_in_order)
 {
 	char out[64] = "";
 
@@ -40,7 +40,7 @@
 }
 END_TEST
 
-START_TEST(a_log_that_is_not_read_is_bounded)
+START_TEST(unread_log_is_bounded_in_bytes)
 {
 	static char line[1000];
 	static char out[DL_LOGRING_BYTES + 1];
@@ -65,7 +65,7 @@
 END_TEST
 
 /* Information is bounded in a second, warnings still pass. */
-START_TEST(a_flood_is_bounded_in_a_second)
+START_TEST(flood_is_bounded_per_second)
 {
 	static char line[1000];
 	static char out[DL_LOGRING_BYTES];
@@ -91,9 +91,9 @@
 	TCase *t = tcase_create("logring");
 
 	suite_add_tcase(s, t);
-	tcase_add_checked_fixture(t, begin, NULL);
-	tcase_add_test(t, lines_come_out_in_order);
-	tcase_add_test(t, a_log_that_is_not_read_is_bounded);
-	tcase_add_test(t, a_flood_is_bounded_in_a_second);
+	tcase_add_checked_fixture(t, setup, NULL);
+	tcase_add_test(t, lines_are_read_in_order);
+	tcase_add_test(t, unread_log_is_bounded_in_bytes);
+	tcase_add_test(t, flood_is_bounded_per_second);
 	return suite_run(s);
 }
