--- a/src/main/entry_conf.c
+++ b/src/main/entry_conf.c
@@ -81,7 +81,7 @@
 	e->version = r->version;
 	entry_pool_configure(e);
 	apply_drain(e);
-	dl_main_log_level(conf->log_level);
+	dl_main_log_set_level(conf->log_level);
 	dl_memb_update_self(e->node.memb, e->draining, r->version,
 			    entry_now(e));
 	dl_gauge(DL_METRIC_config_version, (int64_t)r->version);
--- a/src/main/log.c
+++ b/src/main/log.c
@@ -13,11 +13,11 @@
 
 #include "base/logring.h"
 
-#define LINE_MAX_BYTES 1280
+#define LINE_BYTES_MAX 1280
 #define NS_PER_MS      1000000
 #define MS_PER_S       1000
 /* Of PIPE_BUF bytes each, at one look: no turn of the loop is kept longer. */
-#define CHUNKS_MAX 32
+#define WRITES_PER_FLUSH 32
 
 static enum dl_level level_of(int priority)
 {
@@ -45,13 +45,13 @@
 };
 
 static log4c_category_t *category;
-static enum dl_level level_now;
+static enum dl_level current_level;
 static struct dl_logring ring;
 static int log_fd = STDOUT_FILENO;
 
 static int on_append(log4c_appender_t *self, const log4c_logging_event_t *event)
 {
-	char when[32], line[LINE_MAX_BYTES];
+	char when[32], line[LINE_BYTES_MAX];
 	struct timespec ts;
 	struct tm tm;
 	int n;
@@ -85,7 +85,7 @@
 	struct dl_str next;
 	ssize_t n;
 
-	for (int i = 0; i < CHUNKS_MAX; i++) {
+	for (int i = 0; i < WRITES_PER_FLUSH; i++) {
 		next = dl_logring_next(&ring);
 		if (next.n == 0 || poll(&p, 1, 0) != 1 ||
 		    !(p.revents & POLLOUT))
@@ -98,8 +98,8 @@
 	}
 }
 
-static void on_line(void *arg, enum dl_level level, const char *part,
-		    const char *text)
+static void on_message(void *arg, enum dl_level level, const char *part,
+		       const char *text)
 {
 	log4c_category_log(category, priorities[level], "%s: %s", part, text);
 }
@@ -124,22 +124,22 @@
 	category = log4c_category_get("daisyledge");
 	log4c_category_set_appender(category, appender);
 	log4c_category_set_additivity(category, 0);
-	dl_main_log_level(level);
-	dl_log_set_sink((struct dl_log_sink){ on_line, NULL });
+	dl_main_log_set_level(level);
+	dl_log_set_sink((struct dl_log_sink){ on_message, NULL });
 	return 0;
 }
 
 /* Say only what is at least this loud. */
-void dl_main_log_level(enum dl_level level)
+void dl_main_log_set_level(enum dl_level level)
 {
-	level_now = level;
+	current_level = level;
 	log4c_category_set_priority(category, priorities[level]);
 }
 
 /* Step through the levels; an operator sends a signal for it. */
-void dl_main_log_louder(void)
+void dl_main_log_cycle_level(void)
 {
-	dl_main_log_level(level_now == DL_DEBUG ?
-				  DL_ERROR :
-				  (enum dl_level)(level_now - 1));
+	dl_main_log_set_level(current_level == DL_DEBUG ?
+				      DL_ERROR :
+				      (enum dl_level)(current_level - 1));
 }
--- a/src/main/node.c
+++ b/src/main/node.c
@@ -16,7 +16,7 @@
 #define INCARNATION_SHIFT 10
 #define NS_PER_S	  1000000000
 /* Changed settings are in force within this and a moment. */
-#define LOOK_EVERY_MS 1000
+#define SETTINGS_POLL_MS 1000
 
 static void on_frame(void *arg, uint64_t from, const struct dl_frame *frame);
 static void on_up(void *arg, uint64_t vm);
@@ -101,7 +101,7 @@
 }
 
 /* For tests: cut off the peers that the file names; none without it. */
-static void read_cut(struct dl_node *node)
+static void read_cut_file(struct dl_node *node)
 {
 	FILE *f = fopen(node->settings.cut_file, "re");
 	uint64_t vms[DL_PEERS_CUT_MAX];
@@ -119,7 +119,7 @@
 }
 
 /* When the file was last changed, 0 where it cannot be told. */
-static int64_t file_time(const char *path)
+static int64_t file_mtime(const char *path)
 {
 	struct stat st;
 
@@ -149,7 +149,7 @@
 	struct dl_settings next;
 	struct dl_err err;
 
-	node->settings_read = file_time(node->settings_path);
+	node->settings_mtime = file_mtime(node->settings_path);
 	if (dl_settings_load(node->settings_path, &next, &err)) {
 		dl_msg(DL_MSG_RELOAD_FAILED, "reason=\"%s\"", err.text);
 		return;
@@ -163,12 +163,12 @@
 }
 
 /* The file may change without a signal. */
-static void look_at_settings(struct dl_node *node, int64_t now)
+static void poll_settings(struct dl_node *node, int64_t now)
 {
-	if (now - node->looked_at < LOOK_EVERY_MS)
+	if (now - node->settings_polled_at < SETTINGS_POLL_MS)
 		return;
-	node->looked_at = now;
-	if (file_time(node->settings_path) != node->settings_read)
+	node->settings_polled_at = now;
+	if (file_mtime(node->settings_path) != node->settings_mtime)
 		reload(node);
 }
 
@@ -176,10 +176,10 @@
 {
 	struct dl_node *node = timer->data;
 
-	look_at_settings(node, dl_node_now(node));
+	poll_settings(node, dl_node_now(node));
 
 	if (node->settings.cut_file[0])
-		read_cut(node);
+		read_cut_file(node);
 
 	dl_node_pump(node);
 	if (node->ops->tick)
@@ -190,23 +190,23 @@
 static void on_signal(uv_signal_t *handle, int signum)
 {
 	struct dl_node *node = handle->data;
-	bool again = node->stopping;
+	bool repeated = node->stopping;
 
 	if (signum == SIGHUP) {
 		reload(node);
 		return;
 	}
 	if (signum == SIGUSR1) {
-		dl_main_log_louder();
+		dl_main_log_cycle_level();
 		return;
 	}
 	/* A supervisor may repeat itself; only a person's interrupt hurries. */
-	if (again && signum == SIGTERM) {
+	if (repeated && signum == SIGTERM) {
 		dl_msg(DL_MSG_STOP_REPEATED, "signal=%d", signum);
 		return;
 	}
 	node->stopping = true;
-	node->ops->stop(node->arg, again);
+	node->ops->stop(node->arg, repeated);
 }
 
 static void start_signal(struct dl_node *node, uv_signal_t *handle, int signum)
@@ -262,7 +262,7 @@
 	node->ops = ops;
 	node->arg = arg;
 	node->settings_path = strdup(settings_path);
-	node->settings_read = file_time(settings_path);
+	node->settings_mtime = file_mtime(settings_path);
 	rc = dl_settings_load(settings_path, &node->settings, err);
 	if (rc)
 		return rc;
--- a/src/main/node.h
+++ b/src/main/node.h
@@ -28,7 +28,7 @@
 	/* The settings were read again; those that changed are in force. */
 	void (*reload)(void *arg);
 	/* SIGTERM or SIGINT; again: SIGINT to a process that stops. */
-	void (*stop)(void *arg, bool again);
+	void (*stop)(void *arg, bool repeated);
 };
 
 #define DL_NODE_TICK_MS 20
@@ -46,8 +46,8 @@
 	uv_timer_t timer;
 	uv_signal_t sigterm, sigint, sigusr1, sighup;
 	char *settings_path;
-	int64_t settings_read; /* the file's own time, in ns */
-	int64_t looked_at;
+	int64_t settings_mtime; /* the file's own time, in ns */
+	int64_t settings_polled_at;
 	bool stopping;
 };
 
@@ -60,7 +60,7 @@
 dl_node_apply_announcement(struct dl_directory *directory,
 			   const struct dl_announcement *a, int64_t now,
 			   const struct dl_directory_entry **entry,
-			   const struct dl_directory_entry **left);
+			   const struct dl_directory_entry **superseded);
 void dl_node_fill_announcement(struct dl_announcement *a,
 			       const struct dl_directory_entry *start);
 
--- a/src/main/node_announce.c
+++ b/src/main/node_announce.c
@@ -11,9 +11,9 @@
 dl_node_apply_announcement(struct dl_directory *directory,
 			   const struct dl_announcement *a, int64_t now,
 			   const struct dl_directory_entry **entry,
-			   const struct dl_directory_entry **left)
+			   const struct dl_directory_entry **superseded)
 {
-	struct dl_directory_update word = {
+	struct dl_directory_update update = {
 		.address = dl_name_str(&a->report.id),
 		.instance = dl_name_str(&a->instance),
 		.service = dl_name_str(&a->service),
@@ -21,20 +21,20 @@
 		.born = a->born,
 		.leaving = a->report.leaving,
 	};
-	enum dl_directory_result heard =
-		dl_directory_apply(directory, &word, now, entry, left);
+	enum dl_directory_result result =
+		dl_directory_apply(directory, &update, now, entry, superseded);
 
-	if (heard == DL_DIRECTORY_NEW || heard == DL_DIRECTORY_LEAVING)
-		dl_msg(heard == DL_DIRECTORY_NEW ? DL_MSG_ENDPOINT_NEW :
-						   DL_MSG_ENDPOINT_LEAVING,
+	if (result == DL_DIRECTORY_NEW || result == DL_DIRECTORY_LEAVING)
+		dl_msg(result == DL_DIRECTORY_NEW ? DL_MSG_ENDPOINT_NEW :
+						    DL_MSG_ENDPOINT_LEAVING,
 		       "endpoint=%s instance=%s born=%lu", (*entry)->address.s,
 		       (*entry)->instance.s, (unsigned long)(*entry)->born);
-	if (*left)
+	if (*superseded)
 		dl_msg(DL_MSG_ENDPOINT_LEAVING,
 		       "endpoint=%s instance=%s born=%lu now_at=%s",
-		       (*left)->address.s, (*left)->instance.s,
-		       (unsigned long)(*left)->born, (*entry)->address.s);
-	return heard;
+		       (*superseded)->address.s, (*superseded)->instance.s,
+		       (unsigned long)(*superseded)->born, (*entry)->address.s);
+	return result;
 }
 
 /*
--- a/src/main/node_metrics.c
+++ b/src/main/node_metrics.c
@@ -7,16 +7,16 @@
 #include "main/node.h"
 #include "transport/httpd.h"
 
-#define CONNS_MAX 16
-#define IDLE_MS	  5000
-#define BODY_MAX  1024
+#define CONNS_MAX	16
+#define READ_TIMEOUT_MS 5000
+#define BODY_MAX	1024
 
 static void on_request(void *arg, struct dl_httpd_req *req);
-static void on_nothing(void *arg, struct dl_httpd_req *req);
+static void on_ignored(void *arg, struct dl_httpd_req *req);
 
-static const struct dl_httpd_ops ops = { on_request, on_nothing, on_nothing };
+static const struct dl_httpd_ops ops = { on_request, on_ignored, on_ignored };
 
-static void put_counters(GString *out)
+static void append_counters(GString *out)
 {
 	for (int i = 0; i < DL_METRIC_COUNT; i++) {
 		enum dl_metric m = (enum dl_metric)i;
@@ -29,7 +29,7 @@
 	}
 }
 
-static void put_histogram(GString *out, enum dl_hist h)
+static void append_histogram(GString *out, enum dl_hist h)
 {
 	const char *name = dl_hist_name(h);
 	int last = DL_HIST_BUCKETS - 1;
@@ -55,9 +55,9 @@
 {
 	GString *out = g_string_new(NULL);
 
-	put_counters(out);
+	append_counters(out);
 	for (int i = 0; i < DL_HIST_COUNT; i++)
-		put_histogram(out, (enum dl_hist)i);
+		append_histogram(out, (enum dl_hist)i);
 	return g_string_free(out, FALSE);
 }
 
@@ -71,7 +71,7 @@
 	g_free(text);
 }
 
-static void on_nothing(void *arg, struct dl_httpd_req *req)
+static void on_ignored(void *arg, struct dl_httpd_req *req)
 {
 }
 
@@ -82,7 +82,7 @@
 		.address = node->settings.metrics,
 		.body_max = BODY_MAX,
 		.conns_max = CONNS_MAX,
-		.read_ms = IDLE_MS,
+		.read_ms = READ_TIMEOUT_MS,
 	};
 
 	if (conf.address == DL_VM_NONE)
--- a/src/main/rescue.c
+++ b/src/main/rescue.c
@@ -91,13 +91,13 @@
 		.term = r->last_term,
 		.members = { 1, { { r->settings.peer, r->image.id, true } } },
 	};
-	struct dl_rlog_record unit = {
+	struct dl_rlog_record record = {
 		.term = r->image.term + 1,
 		.base_index = r->last,
 		.base_term = r->last_term,
 		.snapshot = &snap,
 	};
-	uint64_t seed[] = { r->image.cluster, r->image.id, unit.term };
+	uint64_t seed[] = { r->image.cluster, r->image.id, record.term };
 	char *data;
 	size_t n;
 
@@ -105,9 +105,9 @@
 		return dl_err_set(err, -ENOMEM, DL_STEP_STORE, NULL,
 				  "out of memory");
 	snap.data = (struct dl_str){ data, n };
-	unit.cluster =
+	record.cluster =
 		dl_hash((struct dl_str){ (const char *)seed, sizeof(seed) }, 0);
-	dl_rlog_store_write(r->store, &unit,
+	dl_rlog_store_write(r->store, &record,
 			    (struct dl_disk_done){ on_written, r });
 	uv_run(uv_default_loop(), UV_RUN_DEFAULT);
 	free(data);
