--- a/src/main/cli.h
+++ b/src/main/cli.h
@@ -14,7 +14,7 @@
 
 #define CLI_ENTRIES_MAX 32
 /* In place of a number of words: the subcommand looks at them itself. */
-#define CLI_ANY_WORDS UINT32_MAX
+#define CLI_ANY_ARGS UINT32_MAX
 
 /* Options of every subcommand that speaks with an entry. */
 struct cli {
@@ -24,8 +24,8 @@
 	int timeout_s;
 	struct dl_key key; /* signs each request; n is 0 for none */
 	char *key_file;
-	char **words; /* --entry as given */
-	char **rest;  /* what is no option */
+	char **entry_args; /* --entry as given */
+	char **args;	   /* what is no option */
 };
 
 struct cli_text {
@@ -39,7 +39,7 @@
  * or the exit status.
  */
 int cli_options(struct cli *cli, const GOptionEntry *own, const char *usage,
-		unsigned files, bool online, int argc, char **argv);
+		unsigned args_count, bool online, int argc, char **argv);
 void cli_free(struct cli *cli);
 
 /* One request; body may be NULL. */
@@ -69,7 +69,7 @@
 void cli_sleep_ms(unsigned ms);
 
 /* Tell an answer that is no success, and return the exit status. */
-int cli_fail(const struct cli *cli, const struct cli_answer *answer);
+int cli_report_failure(const struct cli *cli, const struct cli_answer *answer);
 void cli_print_json(const json_t *json);
 void cli_print_faults(FILE *to, const char *file,
 		      const struct dl_faults *faults);
@@ -82,9 +82,9 @@
 	bool is_time; /* milliseconds since 1970 */
 };
 
-void cli_table(const json_t *rows, const struct cli_column *columns,
-	       size_t count);
-void cli_cell(const json_t *value, bool is_time, char out[80]);
+void cli_print_table(const json_t *rows, const struct cli_column *columns,
+		     size_t count);
+void cli_format_cell(const json_t *value, bool is_time, char out[80]);
 
 int cli_read_file(const char *path, struct cli_text *out);
 
--- a/src/main/cli_apply.c
+++ b/src/main/cli_apply.c
@@ -17,17 +17,17 @@
 	gboolean confirm;
 	gboolean dry_run;
 	gboolean wait;
-	int64_t end_ms; /* of --timeout, on the monotonic clock */
+	int64_t deadline_ms; /* of --timeout, on the monotonic clock */
 };
 
 static int read_options(struct apply *a, int argc, char **argv);
 static char *read_body(struct apply *a, int *rc);
 static int send_text(struct apply *a, const char *body, json_t **answer);
 static void print_answer(const struct apply *a, const json_t *answer);
-static json_t *behind(const json_t *status, json_int_t version);
-static int wait_all(struct apply *a, json_t *answer);
+static json_t *vms_behind(const json_t *status, json_int_t version);
+static int wait_in_force(struct apply *a, json_t *answer);
 static int finish(struct apply *a, json_t *answer);
-static int64_t left_ms(const struct apply *a);
+static int64_t remaining_ms(const struct apply *a);
 
 /* Read the options and fill in what was left out. */
 static int read_options(struct apply *a, int argc, char **argv)
@@ -57,21 +57,21 @@
 		a->change_id = g_uuid_string_random();
 	if (!a->author)
 		a->author = g_strdup(g_get_user_name());
-	a->end_ms = cli_now_ms() + (int64_t)a->cli.timeout_s * MS_PER_S;
+	a->deadline_ms = cli_now_ms() + (int64_t)a->cli.timeout_s * MS_PER_S;
 	return DL_EXIT_OK;
 }
 
 /* What is left of --timeout. */
-static int64_t left_ms(const struct apply *a)
+static int64_t remaining_ms(const struct apply *a)
 {
-	return MAX(a->end_ms - cli_now_ms(), 0);
+	return MAX(a->deadline_ms - cli_now_ms(), 0);
 }
 
 /* Read and check the file; the body of the request, or NULL and *rc. */
 static char *read_body(struct apply *a, int *rc)
 {
 	static struct dl_faults faults;
-	const char *file = a->cli.rest[0];
+	const char *file = a->cli.args[0];
 	struct cli_text text;
 	struct dl_conf *conf;
 	json_t *json;
@@ -115,9 +115,9 @@
 	struct cli_answer got;
 	int rc = DL_EXIT_OK;
 
-	cli_call(&a->cli, &req, left_ms(a), &got);
+	cli_call(&a->cli, &req, remaining_ms(a), &got);
 	if (got.status != OK || !json_is_object(got.json))
-		rc = cli_fail(&a->cli, &got);
+		rc = cli_report_failure(&a->cli, &got);
 	else
 		*answer = json_incref(got.json);
 	cli_answer_free(&got);
@@ -135,7 +135,7 @@
 	if (diff && *diff)
 		printf("%s%s", diff,
 		       diff[strlen(diff) - 1] == '\n' ? "" : "\n");
-	cli_cell(json_object_get(answer, "version"), false, version);
+	cli_format_cell(json_object_get(answer, "version"), false, version);
 	if (a->dry_run)
 		printf("nothing was changed; version %s is in force%s\n",
 		       version,
@@ -150,7 +150,7 @@
 }
 
 /* The live VMs that do not show a version. */
-static json_t *behind(const json_t *status, json_int_t version)
+static json_t *vms_behind(const json_t *status, json_int_t version)
 {
 	json_t *list = json_array(), *vm;
 	size_t i;
@@ -171,7 +171,7 @@
 }
 
 /* Ask for the status until nobody is behind or the time is over. */
-static int wait_all(struct apply *a, json_t *answer)
+static int wait_in_force(struct apply *a, json_t *answer)
 {
 	json_int_t version =
 		json_integer_value(json_object_get(answer, "version"));
@@ -182,17 +182,17 @@
 	do {
 		struct cli_answer got;
 
-		cli_call(&a->cli, &req, MAX(left_ms(a), 1), &got);
+		cli_call(&a->cli, &req, MAX(remaining_ms(a), 1), &got);
 		if (got.status == OK &&
 		    json_array_size(json_object_get(got.json, "vms"))) {
 			json_decref(waiting);
-			waiting = behind(got.json, version);
+			waiting = vms_behind(got.json, version);
 		}
 		cli_answer_free(&got);
 		if (json_is_array(waiting) && json_array_size(waiting) == 0)
 			break;
-		cli_sleep_ms((unsigned)MIN(POLL_MS, left_ms(a)));
-	} while (left_ms(a) > 0);
+		cli_sleep_ms((unsigned)MIN(POLL_MS, remaining_ms(a)));
+	} while (remaining_ms(a) > 0);
 	json_object_set(answer, "waiting", waiting);
 	if (json_is_null(waiting))
 		fprintf(stderr, "no entry told its status\n");
@@ -200,8 +200,8 @@
 	{
 		char name[80], has[80];
 
-		cli_cell(json_object_get(vm, "vm"), false, name);
-		cli_cell(json_object_get(vm, "version"), false, has);
+		cli_format_cell(json_object_get(vm, "vm"), false, name);
+		cli_format_cell(json_object_get(vm, "version"), false, has);
 		fprintf(stderr, "not yet in force at %s, which has %s\n", name,
 			has);
 	}
@@ -217,7 +217,7 @@
 
 	print_answer(a, answer);
 	if (a->wait && !a->dry_run)
-		rc = wait_all(a, answer);
+		rc = wait_in_force(a, answer);
 	if (rc == DL_EXIT_OK && a->wait && !a->dry_run && !a->cli.json)
 		printf("in force on every live VM\n");
 	if (a->cli.json) {
--- a/src/main/cli_check.c
+++ b/src/main/cli_check.c
@@ -14,7 +14,7 @@
 
 	if (!cli->json) {
 		printf("%s: good; %u services, %u workspaces, %u replicas\n",
-		       cli->rest[0], conf->services_count,
+		       cli->args[0], conf->services_count,
 		       conf->workspaces_count, conf->replicas_count);
 		return;
 	}
@@ -37,9 +37,9 @@
 		cli_free(&cli);
 		return rc;
 	}
-	rc = cli_read_file(cli.rest[0], &text);
+	rc = cli_read_file(cli.args[0], &text);
 	if (rc) {
-		fprintf(stderr, "%s: %s\n", cli.rest[0], strerror(-rc));
+		fprintf(stderr, "%s: %s\n", cli.args[0], strerror(-rc));
 		cli_free(&cli);
 		return DL_EXIT_FAULT;
 	}
@@ -54,7 +54,7 @@
 		cli_print_json(json);
 		json_decref(json);
 	} else {
-		cli_print_faults(stdout, cli.rest[0], &faults);
+		cli_print_faults(stdout, cli.args[0], &faults);
 	}
 	cli_free(&cli);
 	return rc ? DL_EXIT_FAULT : DL_EXIT_OK;
--- a/src/main/cli_explain.c
+++ b/src/main/cli_explain.c
@@ -25,13 +25,13 @@
 };
 
 /* Whoever is handed the lines of the logs. */
-struct taker {
-	void (*take)(void *arg, struct dl_str node, struct dl_str line);
+struct line_handler {
+	void (*handle)(void *arg, struct dl_str node, struct dl_str line);
 	void *arg;
 };
 
 /* The VM that a line is of: the last word before its stamp, or its file. */
-static struct dl_str node_of(struct dl_str line, struct dl_str file)
+static struct dl_str get_node(struct dl_str line, struct dl_str file)
 {
 	struct dl_logline l;
 	struct dl_str s;
@@ -49,36 +49,36 @@
 	return s.n ? s : file;
 }
 
-static void take_line(const struct taker *t, struct dl_str file,
-		      struct dl_str line)
+static void handle_line(const struct line_handler *handler, struct dl_str file,
+			struct dl_str line)
 {
 	char *valid;
 
 	if (g_utf8_validate(line.s, (gssize)line.n, NULL)) {
-		t->take(t->arg, node_of(line, file), line);
+		handler->handle(handler->arg, get_node(line, file), line);
 		return;
 	}
 	valid = g_utf8_make_valid(line.s, (gssize)line.n);
 	line = dl_str_of(valid);
-	t->take(t->arg, node_of(line, file), line);
+	handler->handle(handler->arg, get_node(line, file), line);
 	g_free(valid);
 }
 
-static void take_lines(const struct taker *t, struct dl_str file,
-		       struct dl_str text)
+static void handle_lines(const struct line_handler *handler, struct dl_str file,
+			 struct dl_str text)
 {
 	while (text.n) {
 		const char *end = memchr(text.s, '\n', text.n);
 		size_t n = end ? (size_t)(end - text.s) : text.n;
 
-		take_line(t, file, (struct dl_str){ text.s, n });
+		handle_line(handler, file, (struct dl_str){ text.s, n });
 		n += end != NULL;
 		text = (struct dl_str){ text.s + n, text.n - n };
 	}
 }
 
 /* Hand in the lines of every file; DL_EXIT_FAULT where one cannot be read. */
-static int take_files(char *const *paths, const struct taker *t)
+static int read_files(char *const *paths, const struct line_handler *handler)
 {
 	for (; *paths; paths++) {
 		GError *error = NULL;
@@ -94,33 +94,34 @@
 		name = g_path_get_basename(*paths);
 		if (g_str_has_suffix(name, ".log"))
 			name[strlen(name) - strlen(".log")] = '\0';
-		take_lines(t, dl_str_of(name),
-			   (struct dl_str){ g_mapped_file_get_contents(file),
-					    g_mapped_file_get_length(file) });
+		handle_lines(handler, dl_str_of(name),
+			     (struct dl_str){ g_mapped_file_get_contents(file),
+					      g_mapped_file_get_length(file) });
 		g_free(name);
 		g_mapped_file_unref(file);
 	}
 	return DL_EXIT_OK;
 }
 
-static void take_first(void *arg, struct dl_str node, struct dl_str line)
+static void handle_first_pass(void *arg, struct dl_str node, struct dl_str line)
 {
 	explain_one_take(arg, node, line, true);
 }
 
-static void take_again(void *arg, struct dl_str node, struct dl_str line)
+static void handle_second_pass(void *arg, struct dl_str node,
+			       struct dl_str line)
 {
 	explain_one_take(arg, node, line, false);
 }
 
-static const char *text_in(const json_t *o, const char *key)
+static const char *get_text(const json_t *o, const char *key)
 {
 	const char *s = json_string_value(json_object_get(o, key));
 
 	return s ? s : "";
 }
 
-static int64_t number_in(const json_t *o, const char *key)
+static int64_t get_number(const json_t *o, const char *key)
 {
 	return json_integer_value(json_object_get(o, key));
 }
@@ -138,45 +139,46 @@
 }
 
 /* A line of the log, and under it what was decided. */
-static void print_one(const json_t *lines)
+static void print_request(const json_t *lines)
 {
 	const json_t *l;
-	int64_t begun = 0;
+	int64_t start = 0;
 	size_t i;
 
 	json_array_foreach(lines, i, l)
 	{
-		int64_t at = number_in(l, "at_ms");
+		int64_t at = get_number(l, "at_ms");
 
 		if (i == 0)
-			begun = at;
+			start = at;
 		print_stamp(at, true);
-		printf("  +%-6" PRId64 " %-24s %s: %s\n", at - begun,
-		       text_in(l, "node"), text_in(l, "part"),
-		       text_in(l, "sentence"));
-		if (strcmp(text_in(l, "decision"), text_in(l, "sentence")) != 0)
-			printf("%21s%s\n", "", text_in(l, "decision"));
+		printf("  +%-6" PRId64 " %-24s %s: %s\n", at - start,
+		       get_text(l, "node"), get_text(l, "part"),
+		       get_text(l, "sentence"));
+		if (strcmp(get_text(l, "decision"), get_text(l, "sentence")) !=
+		    0)
+			printf("%21s%s\n", "", get_text(l, "decision"));
 	}
 }
 
 static int explain_one(struct cli *cli)
 {
-	struct explain_one *one = explain_one_new(dl_str_of(cli->rest[0]));
-	struct taker t = { take_first, one };
-	int rc = take_files(cli->rest + 1, &t);
+	struct explain_one *one = explain_one_new(dl_str_of(cli->args[0]));
+	struct line_handler handler = { handle_first_pass, one };
+	int rc = read_files(cli->args + 1, &handler);
 	json_t *lines;
 
-	t.take = take_again;
+	handler.handle = handle_second_pass;
 	if (rc == DL_EXIT_OK)
-		rc = take_files(cli->rest + 1, &t);
+		rc = read_files(cli->args + 1, &handler);
 	lines = explain_one_json(one);
 	if (rc == DL_EXIT_OK && cli->json)
 		cli_print_json(lines);
 	else if (rc == DL_EXIT_OK)
-		print_one(lines);
+		print_request(lines);
 	if (rc == DL_EXIT_OK && json_array_size(lines) == 0) {
 		fprintf(stderr, "daisyledge explain: no line names %s\n",
-			cli->rest[0]);
+			cli->args[0]);
 		rc = DL_EXIT_FAULT;
 	}
 	json_decref(lines);
@@ -184,29 +186,29 @@
 	return rc;
 }
 
-static void take_sum(void *arg, struct dl_str node, struct dl_str line)
+static void handle_summary(void *arg, struct dl_str node, struct dl_str line)
 {
 	explain_sum_take(arg, line);
 }
 
-static void print_sum(const json_t *sum)
+static void print_summary(const json_t *sum)
 {
 	const json_t *row;
 	size_t i;
 
 	printf("%" PRId64 " requests, %" PRId64 " served, %" PRId64
 	       " of them late\n",
-	       number_in(sum, "requests"), number_in(sum, "served"),
-	       number_in(sum, "served_late"));
+	       get_number(sum, "requests"), get_number(sum, "served"),
+	       get_number(sum, "served_late"));
 	json_array_foreach(json_object_get(sum, "lost"), i, row)
 	{
 		if (i == 0)
 			printf("\nlost: from, how many, service, outcome, "
 			       "reason\n");
-		print_stamp(number_in(row, "at_ms"), false);
+		print_stamp(get_number(row, "at_ms"), false);
 		printf(" %6" PRId64 "  %-24s %-8s %s\n",
-		       number_in(row, "count"), text_in(row, "service"),
-		       text_in(row, "outcome"), text_in(row, "reason"));
+		       get_number(row, "count"), get_text(row, "service"),
+		       get_text(row, "outcome"), get_text(row, "reason"));
 	}
 	json_array_foreach(json_object_get(sum, "late"), i, row)
 	{
@@ -214,25 +216,25 @@
 			printf("\nlate: how many, service, where most of the "
 			       "time went, ms there on average\n");
 		printf("%6" PRId64 "  %-24s %-36s %" PRId64 "\n",
-		       number_in(row, "count"), text_in(row, "service"),
-		       text_in(row, "where"), number_in(row, "mean_ms"));
+		       get_number(row, "count"), get_text(row, "service"),
+		       get_text(row, "where"), get_number(row, "mean_ms"));
 	}
-	if (number_in(sum, "lost_not_listed"))
+	if (get_number(sum, "lost_not_listed"))
 		printf("\n%" PRId64 " more are lost than are listed\n",
-		       number_in(sum, "lost_not_listed"));
+		       get_number(sum, "lost_not_listed"));
 }
 
 static int explain_all(struct cli *cli)
 {
 	struct explain_sum *sum = explain_sum_new((int64_t)step_s * MS_PER_S);
-	struct taker t = { take_sum, sum };
-	int rc = take_files(cli->rest, &t);
+	struct line_handler handler = { handle_summary, sum };
+	int rc = read_files(cli->args, &handler);
 	json_t *counts = explain_sum_json(sum);
 
 	if (rc == DL_EXIT_OK && cli->json)
 		cli_print_json(counts);
 	else if (rc == DL_EXIT_OK)
-		print_sum(counts);
+		print_summary(counts);
 	json_decref(counts);
 	explain_sum_free(sum);
 	return rc;
@@ -242,16 +244,16 @@
 int dl_main_explain(int argc, char **argv)
 {
 	struct cli cli;
-	guint words;
+	guint args_count;
 	int rc;
 
 	summary = FALSE;
 	step_s = STEP_S_DEFAULT;
 	rc = cli_options(&cli, own_options, "ID LOG... or --summary LOG...",
-			 CLI_ANY_WORDS, false, argc, argv);
-	words = rc == DL_EXIT_OK && cli.rest ? g_strv_length(cli.rest) : 0;
-	if (rc == DL_EXIT_OK && (words < (summary ? 1U : 2U) || step_s < 1 ||
-				 step_s > STEP_S_MAX)) {
+			 CLI_ANY_ARGS, false, argc, argv);
+	args_count = rc == DL_EXIT_OK && cli.args ? g_strv_length(cli.args) : 0;
+	if (rc == DL_EXIT_OK && (args_count < (summary ? 1U : 2U) ||
+				 step_s < 1 || step_s > STEP_S_MAX)) {
 		fprintf(stderr, "daisyledge explain: name an id and logs, or "
 				"--summary and logs; --step is 1 to 86400\n");
 		rc = DL_EXIT_USAGE;
--- a/src/main/cli_get.c
+++ b/src/main/cli_get.c
@@ -16,20 +16,20 @@
 	{ .key = "change_id", .title = "CHANGE ID" },
 };
 
-static int ask(const struct cli *cli, const char *path,
-	       struct cli_answer *answer);
+static int fetch(const struct cli *cli, const char *path,
+		 struct cli_answer *answer);
 static int print_text(const struct cli *cli, const json_t *json);
 
 /* Ask for a document and tell a failure. */
-static int ask(const struct cli *cli, const char *path,
-	       struct cli_answer *answer)
+static int fetch(const struct cli *cli, const char *path,
+		 struct cli_answer *answer)
 {
 	struct cli_request req = { "GET", path, NULL, true };
 
 	cli_call(cli, &req, (int64_t)cli->timeout_s * 1000, answer);
 	if (answer->status == OK && answer->json)
 		return DL_EXIT_OK;
-	return cli_fail(cli, answer);
+	return cli_report_failure(cli, answer);
 }
 
 /* Print a text; one that is no longer kept, or was never made, is a fault. */
@@ -67,7 +67,7 @@
 		snprintf(path, sizeof(path), "/v1/config?version=%" PRId64,
 			 (int64_t)version);
 	if (rc == DL_EXIT_OK)
-		rc = ask(&cli, path, &answer);
+		rc = fetch(&cli, path, &answer);
 	if (rc == DL_EXIT_OK)
 		rc = print_text(&cli, answer.json);
 	cli_answer_free(&answer);
@@ -83,13 +83,14 @@
 	int rc = cli_options(&cli, NULL, NULL, 0, true, argc, argv);
 
 	if (rc == DL_EXIT_OK)
-		rc = ask(&cli, "/v1/config/history", &answer);
+		rc = fetch(&cli, "/v1/config/history", &answer);
 	if (rc == DL_EXIT_OK && cli.json)
 		cli_print_json(answer.json);
 	else if (rc == DL_EXIT_OK)
-		cli_table(json_object_get(answer.json, "changes"),
-			  history_columns,
-			  sizeof(history_columns) / sizeof(history_columns[0]));
+		cli_print_table(json_object_get(answer.json, "changes"),
+				history_columns,
+				sizeof(history_columns) /
+					sizeof(history_columns[0]));
 	cli_answer_free(&answer);
 	cli_free(&cli);
 	return rc;
--- a/src/main/cli_http.c
+++ b/src/main/cli_http.c
@@ -4,22 +4,22 @@
 #include "main/cli.h"
 #include "transport/httpc.h"
 
-#define CONNECT_MS  2000
-#define GAP_MS	    10000
-#define ROUND_MS    200 /* between rounds, so that nobody is hammered */
-#define ATTEMPT_MS  20	/* less time than this is none for an attempt */
-#define ANSWER_MAX  (64u << 20)
-#define NS_PER_MS   1000000
-#define UNAVAILABLE 503
-#define US_PER_MS   1000
-#define HEADERS_MAX 2
+#define CONNECT_MS     2000
+#define GAP_MS	       10000
+#define ROUND_DELAY_MS 200 /* between rounds, so that nobody is hammered */
+#define ATTEMPT_MIN_MS 20  /* less time than this is none for an attempt */
+#define ANSWER_MAX     (64u << 20)
+#define NS_PER_MS      1000000
+#define UNAVAILABLE    503
+#define US_PER_MS      1000
+#define HEADERS_MAX    2
 
 /* One call while it runs. */
 struct attempt {
 	GString *body;
 	int status;
 	bool ended;
-	bool whole;
+	bool complete;
 	struct dl_err err;
 };
 
@@ -27,9 +27,9 @@
 static bool on_body(void *arg, struct dl_str piece);
 static void on_end(void *arg, const struct dl_attempt *attempt,
 		   const struct dl_err *err);
-static void try_one(const struct cli *cli, uint64_t to,
-		    const struct cli_request *req, int64_t timeout_ms,
-		    struct cli_answer *out);
+static void try_entry(const struct cli *cli, uint64_t to,
+		      const struct cli_request *req, int64_t timeout_ms,
+		      struct cli_answer *out);
 
 static const struct dl_httpc_ops ops = { on_head, on_body, on_end, NULL };
 
@@ -67,7 +67,7 @@
 	struct attempt *a = arg;
 
 	a->ended = true;
-	a->whole = attempt->failure == DL_FAILURE_NONE;
+	a->complete = attempt->failure == DL_FAILURE_NONE;
 	a->err = *err;
 }
 
@@ -95,9 +95,9 @@
 }
 
 /* Ask one entry and wait for its answer on a loop of its own. */
-static void try_one(const struct cli *cli, uint64_t to,
-		    const struct cli_request *req, int64_t timeout_ms,
-		    struct cli_answer *out)
+static void try_entry(const struct cli *cli, uint64_t to,
+		      const struct cli_request *req, int64_t timeout_ms,
+		      struct cli_answer *out)
 {
 	struct dl_header headers[HEADERS_MAX];
 	char signature[DL_SIGNATURE_MAX];
@@ -128,8 +128,8 @@
 	uv_loop_close(&loop);
 	out->from = to;
 	out->err = a.err;
-	out->status = a.whole ? a.status : 0;
-	if (a.whole)
+	out->status = a.complete ? a.status : 0;
+	if (a.complete)
 		out->json = json_loadb(a.body->str, a.body->len, 0, NULL);
 	g_string_free(a.body, TRUE);
 }
@@ -150,11 +150,11 @@
 		struct cli_answer next = { 0 };
 
 		if (i && i % cli->entries == 0)
-			cli_sleep_ms((unsigned)CLAMP(left, 0, ROUND_MS));
+			cli_sleep_ms((unsigned)CLAMP(left, 0, ROUND_DELAY_MS));
 		left = end - cli_now_ms();
-		if (i && left < ATTEMPT_MS)
+		if (i && left < ATTEMPT_MIN_MS)
 			return;
-		try_one(cli, cli->entry[i % cli->entries], req, left, &next);
+		try_entry(cli, cli->entry[i % cli->entries], req, left, &next);
 		if (next.status == 0 && out->status)
 			continue;
 		cli_answer_free(out);
--- a/src/main/cli_opt.c
+++ b/src/main/cli_opt.c
@@ -47,7 +47,7 @@
 	char **words;
 	int rc = DL_EXIT_OK;
 
-	for (char **w = cli->words; w && *w && rc == DL_EXIT_OK; w++)
+	for (char **w = cli->entry_args; w && *w && rc == DL_EXIT_OK; w++)
 		rc = add_entry(cli, name, *w);
 	if (rc != DL_EXIT_OK || cli->entries || !env)
 		return rc;
@@ -87,17 +87,17 @@
 
 /* Read the options of a subcommand. */
 int cli_options(struct cli *cli, const GOptionEntry *own, const char *usage,
-		unsigned files, bool online, int argc, char **argv)
+		unsigned args_count, bool online, int argc, char **argv)
 {
 	const GOptionEntry common[] = {
 		{ "json", 0, 0, G_OPTION_ARG_NONE, &cli->json,
 		  "print JSON for programs", NULL },
 		{ G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_FILENAME_ARRAY,
-		  &cli->rest, NULL, NULL },
+		  &cli->args, NULL, NULL },
 		{ NULL },
 	};
-	const GOptionEntry reach[] = {
-		{ "entry", 0, 0, G_OPTION_ARG_STRING_ARRAY, &cli->words,
+	const GOptionEntry connection[] = {
+		{ "entry", 0, 0, G_OPTION_ARG_STRING_ARRAY, &cli->entry_args,
 		  "an entry to ask; several are asked in order (or "
 		  "$" ENTRY_ENV ")",
 		  "IP:PORT" },
@@ -121,7 +121,7 @@
 	if (own)
 		g_option_context_add_main_entries(context, own, NULL);
 	if (online)
-		g_option_context_add_main_entries(context, reach, NULL);
+		g_option_context_add_main_entries(context, connection, NULL);
 	g_option_context_add_main_entries(context, common, NULL);
 	if (!g_option_context_parse(context, &argc, &argv, &error)) {
 		rc = usage_error(argv[0], error->message);
@@ -130,9 +130,10 @@
 	g_option_context_free(context);
 	if (rc != DL_EXIT_OK)
 		return rc;
-	if (files != CLI_ANY_WORDS &&
-	    (cli->rest ? g_strv_length(cli->rest) : 0) != files)
-		return usage_error(argv[0], files ? "name one file" :
+	if (args_count != CLI_ANY_ARGS &&
+	    (cli->args ? g_strv_length(cli->args) : 0) != args_count)
+		return usage_error(argv[0], args_count ?
+						    "name one file" :
 						    "no words beside options");
 	if (!online)
 		return DL_EXIT_OK;
@@ -151,8 +152,8 @@
 void cli_free(struct cli *cli)
 {
 	g_free(cli->key_file);
-	g_strfreev(cli->words);
-	g_strfreev(cli->rest);
+	g_strfreev(cli->entry_args);
+	g_strfreev(cli->args);
 }
 
 /*
--- a/src/main/cli_print.c
+++ b/src/main/cli_print.c
@@ -15,26 +15,27 @@
 	int exit;
 };
 
-static const struct status_exit exits[] = {
+static const struct status_exit status_exits[] = {
 	{ 400, DL_EXIT_FAULT },	    { 401, DL_EXIT_FAULT },
 	{ 404, DL_EXIT_FAULT },	    { 409, DL_EXIT_CONFLICT },
 	{ 412, DL_EXIT_FAULT },	    { 413, DL_EXIT_FAULT },
 	{ 503, DL_EXIT_UNREACHED }, { 0, DL_EXIT_UNREACHED },
 };
 
-static int exit_of(int status);
-static const char *reason_of(const json_t *json);
+static int exit_status(int status);
+static const char *get_reason(const json_t *json);
 static void print_line(const struct cli_column *columns, size_t count,
 		       char cells[][CELL_MAX], const size_t *width);
 static void print_member(const char *label, const json_t *json,
 			 const char *key);
 
 /* The exit status for an HTTP status. */
-static int exit_of(int status)
+static int exit_status(int status)
 {
-	for (size_t i = 0; i < sizeof(exits) / sizeof(exits[0]); i++) {
-		if (exits[i].status == status)
-			return exits[i].exit;
+	for (size_t i = 0; i < sizeof(status_exits) / sizeof(status_exits[0]);
+	     i++) {
+		if (status_exits[i].status == status)
+			return status_exits[i].exit;
 	}
 	return DL_EXIT_FAULT;
 }
@@ -87,13 +88,13 @@
 	if (json_is_string(value) && json_string_length(value)) {
 		fprintf(stderr, "%s%s\n", label, json_string_value(value));
 	} else if (json_is_integer(value)) {
-		cli_cell(value, false, cell);
+		cli_format_cell(value, false, cell);
 		fprintf(stderr, "%s%s\n", label, cell);
 	}
 }
 
 /* Why: a text of the operators' door, or the object that every door sends. */
-static const char *reason_of(const json_t *json)
+static const char *get_reason(const json_t *json)
 {
 	const json_t *error = json_object_get(json, "error");
 	const json_t *message = json_object_get(error, "message");
@@ -106,9 +107,9 @@
 }
 
 /* Tell an answer that is no success, and return the exit status. */
-int cli_fail(const struct cli *cli, const struct cli_answer *answer)
+int cli_report_failure(const struct cli *cli, const struct cli_answer *answer)
 {
-	const char *error = reason_of(answer->json);
+	const char *error = get_reason(answer->json);
 	const char *diff =
 		json_string_value(json_object_get(answer->json, "diff"));
 	json_t *fault;
@@ -116,7 +117,7 @@
 
 	if (cli->json && answer->json) {
 		cli_print_json(answer->json);
-		return exit_of(answer->status);
+		return exit_status(answer->status);
 	}
 	if (answer->status == 0)
 		fprintf(stderr, "no entry answered; last: %s: %s: %s\n",
@@ -134,16 +135,16 @@
 	{
 		char line[CELL_MAX];
 
-		cli_cell(json_object_get(fault, "line"), false, line);
+		cli_format_cell(json_object_get(fault, "line"), false, line);
 		fprintf(stderr, "line %s: ", line);
 		print_member("", fault, "path");
 		print_member("  ", fault, "text");
 	}
-	return exit_of(answer->status);
+	return exit_status(answer->status);
 }
 
 /* One value as people read it. */
-void cli_cell(const json_t *value, bool is_time, char out[CELL_MAX])
+void cli_format_cell(const json_t *value, bool is_time, char out[CELL_MAX])
 {
 	GDateTime *time;
 	char *text;
@@ -185,8 +186,8 @@
 }
 
 /* Print a list of objects as a table with a line of titles. */
-void cli_table(const json_t *rows, const struct cli_column *columns,
-	       size_t count)
+void cli_print_table(const json_t *rows, const struct cli_column *columns,
+		     size_t count)
 {
 	char cells[COLUMNS_MAX][CELL_MAX];
 	size_t width[COLUMNS_MAX], r;
@@ -197,8 +198,8 @@
 	json_array_foreach(rows, r, row)
 	{
 		for (size_t i = 0; i < count; i++) {
-			cli_cell(json_object_get(row, columns[i].key),
-				 columns[i].is_time, cells[i]);
+			cli_format_cell(json_object_get(row, columns[i].key),
+					columns[i].is_time, cells[i]);
 			width[i] = MAX(width[i], strlen(cells[i]));
 		}
 	}
@@ -206,8 +207,8 @@
 	json_array_foreach(rows, r, row)
 	{
 		for (size_t i = 0; i < count; i++)
-			cli_cell(json_object_get(row, columns[i].key),
-				 columns[i].is_time, cells[i]);
+			cli_format_cell(json_object_get(row, columns[i].key),
+					columns[i].is_time, cells[i]);
 		print_line(columns, count, cells, width);
 	}
 }
--- a/src/main/cli_status.c
+++ b/src/main/cli_status.c
@@ -41,13 +41,13 @@
 };
 
 /* A list of the status, under its title. */
-struct part {
+struct section {
 	const char *key;
 	const struct cli_column *columns;
 	size_t count;
 };
 
-static const struct part parts[] = {
+static const struct section sections[] = {
 	{ "vms", vm_columns, COUNT(vm_columns) },
 	{ "pools", pool_columns, COUNT(pool_columns) },
 	{ "endpoints", endpoint_columns, COUNT(endpoint_columns) },
@@ -55,7 +55,7 @@
 
 static void print_status(const json_t *json);
 static void print_value(const char *key, const json_t *value, int depth);
-static void print_replicas(const json_t *json, int depth);
+static void print_values(const json_t *json, int depth);
 
 /* Print one value after its key, or what is in it on lines of its own. */
 static void print_value(const char *key, const json_t *value, int depth)
@@ -64,16 +64,16 @@
 
 	if (json_is_object(value) || json_is_array(value)) {
 		printf("%*s%s:\n", depth * 2, "", key);
-		print_replicas(value, depth + 1);
+		print_values(value, depth + 1);
 		return;
 	}
-	cli_cell(value, false, cell);
+	cli_format_cell(value, false, cell);
 	printf("%*s%s: %s\n", depth * 2, "", key,
 	       json_is_false(value) ? "no" : cell);
 }
 
 /* Print what the replicas say: whatever it is, one line a value. */
-static void print_replicas(const json_t *json, int depth)
+static void print_values(const json_t *json, int depth)
 {
 	const char *key;
 	json_t *value;
@@ -96,20 +96,20 @@
 {
 	char cell[80];
 
-	cli_cell(json_object_get(json, "version"), false, cell);
+	cli_format_cell(json_object_get(json, "version"), false, cell);
 	printf("version in force: %s\n", cell);
-	for (size_t i = 0; i < COUNT(parts); i++) {
-		const json_t *list = json_object_get(json, parts[i].key);
+	for (size_t i = 0; i < COUNT(sections); i++) {
+		const json_t *list = json_object_get(json, sections[i].key);
 
 		if (json_array_size(list) == 0)
 			continue;
 		putchar('\n');
-		cli_table(list, parts[i].columns, parts[i].count);
+		cli_print_table(list, sections[i].columns, sections[i].count);
 	}
 	if (json_object_size(json_object_get(json, "replicas")) == 0)
 		return;
 	printf("\nreplicas:\n");
-	print_replicas(json_object_get(json, "replicas"), 1);
+	print_values(json_object_get(json, "replicas"), 1);
 }
 
 /* Print the status that an entry sees. */
@@ -123,7 +123,7 @@
 	if (rc == DL_EXIT_OK) {
 		cli_call(&cli, &req, (int64_t)cli.timeout_s * 1000, &answer);
 		if (answer.status != OK || !answer.json)
-			rc = cli_fail(&cli, &answer);
+			rc = cli_report_failure(&cli, &answer);
 		else if (cli.json)
 			cli_print_json(answer.json);
 		else
