--- a/src/main/log.c
+++ b/src/main/log.c
@@ -1,4 +1,5 @@
-/* The way from the library's messages to log4c. */
+/* Passes the library's log messages to log4c and its output to a ring buffer.
+ */
 #include "main/log.h"
 
 #include <errno.h>
@@ -16,7 +17,8 @@
 #define LINE_BYTES_MAX 1280
 #define NS_PER_MS      1000000
 #define MS_PER_S       1000
-/* Of PIPE_BUF bytes each, at one look: no turn of the loop is kept longer. */
+/* Writes of up to PIPE_BUF bytes, to limit the time per event loop iteration.
+ */
 #define WRITES_PER_FLUSH 32
 
 static enum dl_level level_of(int priority)
@@ -68,16 +70,16 @@
 	dl_logring_put(&ring, level_of(event->evt_priority),
 		       (struct dl_str){ line, (size_t)n },
 		       (int64_t)ts.tv_sec * MS_PER_S + ts.tv_nsec / NS_PER_MS);
-	/* Before whatever comes next, which may be the end of the process. */
+	/* Flush at once: the process may be about to exit. */
 	if (level_of(event->evt_priority) >= DL_WARN)
 		dl_main_log_flush();
 	return n;
 }
 
 /*
- * Write what the log takes now.  A pipe that says it is writable takes PIPE_BUF
- * bytes without waiting; one that nobody reads is left alone, and lines are
- * dropped when the ring is full.
+ * Writes as much as the log accepts without blocking. A pipe that polls as
+ * writable accepts PIPE_BUF bytes. If nobody reads it, nothing is written and
+ * lines are dropped once the ring is full.
  */
 void dl_main_log_flush(void)
 {
@@ -104,7 +106,7 @@
 	log4c_category_log(category, priorities[level], "%s: %s", part, text);
 }
 
-/* Open the log; called once, before anything speaks. */
+/* Opens the log; called once, before the first message. */
 int dl_main_log_open(const char *path, enum dl_level level)
 {
 	log4c_appender_t *appender;
@@ -115,7 +117,7 @@
 	if (log_fd < 0)
 		return -errno;
 	atexit(dl_main_log_flush);
-	/* Without its own settings file log4c says so on standard error. */
+	/* log4c reports a missing log4crc file on standard error. */
 	if (log4c_init())
 		return -EINVAL;
 	log4c_appender_type_set(&appender_type);
@@ -129,14 +131,15 @@
 	return 0;
 }
 
-/* Say only what is at least this loud. */
+/* Sets the lowest level that is logged. */
 void dl_main_log_set_level(enum dl_level level)
 {
 	current_level = level;
 	log4c_category_set_priority(category, priorities[level]);
 }
 
-/* Step through the levels; an operator sends a signal for it. */
+/* Makes the log one level more verbose, or errors only after debug (SIGUSR1).
+ */
 void dl_main_log_cycle_level(void)
 {
 	dl_main_log_set_level(current_level == DL_DEBUG ?
--- a/src/main/main.c
+++ b/src/main/main.c
@@ -1,4 +1,4 @@
-/* One binary: each subcommand is a function of this table. */
+/* Entry point: dispatches to the subcommands. */
 #include <stdio.h>
 #include <string.h>
 
@@ -6,14 +6,16 @@
 
 static const struct dl_subcommand subcommands[] = {
 	{ "entry", dl_main_entry, "serve callers, endpoints and operators" },
-	{ "replica", dl_main_replica, "keep and decide the configuration" },
-	{ "rescue", dl_main_rescue, "go on from one replica's disk alone" },
-	{ "check", dl_main_check, "check a configuration, offline" },
+	{ "replica", dl_main_replica, "store and replicate the configuration" },
+	{ "rescue", dl_main_rescue,
+	  "start a new group from one replica's disk" },
+	{ "check", dl_main_check, "validate a configuration, offline" },
 	{ "apply", dl_main_apply, "put a configuration in force" },
 	{ "get", dl_main_get, "print a configuration" },
-	{ "history", dl_main_history, "list the versions" },
+	{ "history", dl_main_history,
+	  "list the versions of the configuration" },
 	{ "status", dl_main_status, "show VMs, pools and endpoints" },
-	{ "explain", dl_main_explain, "what the logs say of requests" },
+	{ "explain", dl_main_explain, "trace requests in the logs" },
 	{ "version", dl_main_version, "print the version" },
 };
 
@@ -25,18 +27,17 @@
 	for (size_t i = 0; i < SUBCOMMANDS; i++)
 		fprintf(to, "  %-8s %s\n", subcommands[i].name,
 			subcommands[i].help);
-	fprintf(to, "daisyledge SUBCOMMAND --help tells its options.\n");
+	fprintf(to, "Run daisyledge SUBCOMMAND --help for its options.\n");
 	return to == stdout ? DL_EXIT_OK : DL_EXIT_USAGE;
 }
 
-/* Print the version. */
 int dl_main_version(int argc, char **argv)
 {
 	printf("daisyledge %s\n", DL_VERSION);
 	return DL_EXIT_OK;
 }
 
-/* Find the subcommand and hand it the rest of the line. */
+/* Runs the subcommand named by the first argument. */
 int main(int argc, char **argv)
 {
 	if (argc < 2)
--- a/src/main/main.h
+++ b/src/main/main.h
@@ -7,11 +7,11 @@
 /* Exit statuses, the same for every subcommand; see daisyledge(1). */
 enum dl_exit {
 	DL_EXIT_OK = 0,
-	DL_EXIT_FAULT = 1,     /* the text, or what was asked, has a fault */
-	DL_EXIT_USAGE = 2,     /* the command line makes no sense */
-	DL_EXIT_CONFLICT = 3,  /* another change won */
-	DL_EXIT_UNREACHED = 4, /* nobody answered, or no quorum */
-	DL_EXIT_WAITING = 5,   /* accepted, not yet in force everywhere */
+	DL_EXIT_FAULT = 1,     /* the configuration or the request is invalid */
+	DL_EXIT_USAGE = 2,     /* invalid command line */
+	DL_EXIT_CONFLICT = 3,  /* another change was committed first */
+	DL_EXIT_UNREACHED = 4, /* no answer, or no quorum */
+	DL_EXIT_WAITING = 5,   /* accepted, not yet in force on every VM */
 };
 
 struct dl_subcommand {
@@ -25,7 +25,7 @@
 int dl_main_replica(int argc, char **argv);
 int dl_main_rescue(int argc, char **argv);
 
-/* The value of -c; NULL, and said why, where it is missing. */
+/* Returns the path of the settings, or NULL after printing an error. */
 char *dl_main_settings_option(int *argc, char ***argv);
 int dl_main_check(int argc, char **argv);
 int dl_main_apply(int argc, char **argv);
--- a/src/main/node.c
+++ b/src/main/node.c
@@ -1,4 +1,4 @@
-/* The parts that every process of the system runs. */
+/* The parts that entries and replicas have in common. */
 #include "main/node.h"
 
 #include <errno.h>
@@ -15,7 +15,7 @@
 
 #define INCARNATION_SHIFT 10
 #define NS_PER_S	  1000000000
-/* Changed settings are in force within this and a moment. */
+/* Interval at which the settings file is checked for changes. */
 #define SETTINGS_POLL_MS 1000
 
 static void on_frame(void *arg, uint64_t from, const struct dl_frame *frame);
@@ -30,13 +30,16 @@
 	.down = on_down,
 };
 
-/* The loop's time: it stands still within one event, so decisions agree. */
+/*
+ * Returns the event loop's time. It is constant during one loop iteration, so
+ * decisions in the same iteration agree.
+ */
 int64_t dl_node_now(const struct dl_node *node)
 {
 	return (int64_t)uv_now(node->loop);
 }
 
-/* The wall clock, for people and for expiry only. */
+/* Returns the wall clock, for display and for expiry times only. */
 int64_t dl_node_wall_ms(void)
 {
 	struct timespec ts;
@@ -45,7 +48,10 @@
 	return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
-/* Read afresh, and counting the time in which the VM was suspended. */
+/*
+ * Returns the time since boot, read anew on each call and including time in
+ * which the VM was suspended.
+ */
 int64_t dl_node_boot_ms(void)
 {
 	struct timespec ts;
@@ -82,7 +88,7 @@
 		node->ops->down(node->arg, vm);
 }
 
-/* Send what membership has to say, and pass its events on. */
+/* Sends pending membership datagrams and delivers membership events. */
 void dl_node_pump(struct dl_node *node)
 {
 	char buf[DL_MEMB_DATAGRAM_MAX];
@@ -100,7 +106,7 @@
 	}
 }
 
-/* For tests: cut off the peers that the file names; none without it. */
+/* For tests: blocks the peers listed in the file; none if it is missing. */
 static void read_cut_file(struct dl_node *node)
 {
 	FILE *f = fopen(node->settings.cut_file, "re");
@@ -118,7 +124,7 @@
 	dl_peers_cut(node->peers, vms, n);
 }
 
-/* When the file was last changed, 0 where it cannot be told. */
+/* Returns the modification time in ns, or 0 on error. */
 static int64_t file_mtime(const char *path)
 {
 	struct stat st;
@@ -140,9 +146,9 @@
 }
 
 /*
- * Read the settings again.  What a running process can take over is where
- * replicas are asked for; its own addresses and folders stay until a restart.
- * Settings that cannot be read change nothing.
+ * Reloads the settings. Only the list of replicas takes effect in a running
+ * process; its own addresses and folders need a restart. Settings that cannot
+ * be read change nothing.
  */
 static void reload(struct dl_node *node)
 {
@@ -162,7 +168,7 @@
 		node->ops->reload(node->arg);
 }
 
-/* The file may change without a signal. */
+/* Reloads the settings if the file changed without a SIGHUP. */
 static void poll_settings(struct dl_node *node, int64_t now)
 {
 	if (now - node->settings_polled_at < SETTINGS_POLL_MS)
@@ -200,7 +206,7 @@
 		dl_main_log_cycle_level();
 		return;
 	}
-	/* A supervisor may repeat itself; only a person's interrupt hurries. */
+	/* A supervisor may repeat SIGTERM; only SIGINT forces a faster stop. */
 	if (repeated && signum == SIGTERM) {
 		dl_msg(DL_MSG_STOP_REPEATED, "signal=%d", signum);
 		return;
@@ -251,7 +257,7 @@
 	return 0;
 }
 
-/* Read the settings and start every shared part. */
+/* Loads the settings and starts all common parts. */
 int dl_node_open(struct dl_node *node, const char *settings_path, bool replica,
 		 const struct dl_node_ops *ops, void *arg, struct dl_err *err)
 {
@@ -272,8 +278,10 @@
 		return dl_err_set(err, rc, DL_STEP_STORE, NULL,
 				  "cannot open the log file");
 	node->self = node->settings.peer;
-	/* Higher at each start: two starts within a millisecond do not occur,
-	 * since the address must be free first. */
+	/*
+	 * Higher at each start: two starts within one millisecond are not
+	 * possible, because the address must be free first.
+	 */
 	node->incarnation = (uint64_t)dl_node_wall_ms() << INCARNATION_SHIFT;
 	signal(SIGPIPE, SIG_IGN);
 	rc = start_peers(node, err);
@@ -295,7 +303,7 @@
 
 static int node_exit_status;
 
-/* Run the loop until the end. */
+/* Runs the event loop until dl_node_end(); returns the exit status. */
 int dl_node_run(struct dl_node *node)
 {
 	uv_run(node->loop, UV_RUN_DEFAULT);
@@ -303,7 +311,7 @@
 	return node_exit_status;
 }
 
-/* Tell the others that this process leaves, and stop the loop. */
+/* Announces to the other VMs that the process leaves and stops the loop. */
 void dl_node_end(struct dl_node *node, int status)
 {
 	node_exit_status = status;
--- a/src/main/node.h
+++ b/src/main/node.h
@@ -1,6 +1,6 @@
 /*
- * What an entry and a replica share: the loop, the peers, membership, logs
- * and signals of one process.
+ * Common base of the entry and replica processes: event loop, peer connections,
+ * membership, log, settings, metrics and signals.
  */
 #ifndef DL_MAIN_NODE_H
 #define DL_MAIN_NODE_H
@@ -17,17 +17,17 @@
 struct dl_node;
 
 struct dl_node_ops {
-	/* A frame that is not the node's own. */
+	/* A frame of any kind other than DL_FRAME_MEMB. */
 	void (*frame)(void *arg, uint64_t from, const struct dl_frame *frame);
 	void (*up)(void *arg, uint64_t vm);
 	void (*down)(void *arg, uint64_t vm);
-	/* A member changed its state, or what it says of itself. */
+	/* A member's state, or the data it publishes, changed. */
 	void (*member)(void *arg, const struct dl_member *member);
 	/* Every DL_NODE_TICK_MS. */
 	void (*tick)(void *arg, int64_t now);
-	/* The settings were read again; those that changed are in force. */
+	/* The settings were reloaded and are in force. */
 	void (*reload)(void *arg);
-	/* SIGTERM or SIGINT; again: SIGINT to a process that stops. */
+	/* SIGTERM or SIGINT; repeated: SIGINT while already stopping. */
 	void (*stop)(void *arg, bool repeated);
 };
 
@@ -42,11 +42,11 @@
 	struct dl_memb *memb;
 	const struct dl_node_ops *ops;
 	void *arg;
-	struct dl_httpd *metrics; /* NULL where the settings name none */
+	struct dl_httpd *metrics; /* NULL if not configured */
 	uv_timer_t timer;
 	uv_signal_t sigterm, sigint, sigusr1, sighup;
 	char *settings_path;
-	int64_t settings_mtime; /* the file's own time, in ns */
+	int64_t settings_mtime; /* modification time in ns */
 	int64_t settings_polled_at;
 	bool stopping;
 };
@@ -64,19 +64,19 @@
 void dl_node_fill_announcement(struct dl_announcement *a,
 			       const struct dl_directory_entry *start);
 
-/* The monotonic time of the loop, in milliseconds. */
+/* The event loop's monotonic time in milliseconds. */
 int64_t dl_node_now(const struct dl_node *node);
 int64_t dl_node_wall_ms(void);
-/* Milliseconds, those included in which the VM was suspended. */
+/* Milliseconds since boot, including time in which the VM was suspended. */
 int64_t dl_node_boot_ms(void);
 
 int dl_node_open(struct dl_node *node, const char *settings_path, bool replica,
 		 const struct dl_node_ops *ops, void *arg, struct dl_err *err);
-/* Run until dl_node_end(); returns the process's exit status. */
+/* Runs until dl_node_end(); returns the process's exit status. */
 int dl_node_run(struct dl_node *node);
-/* Leave the membership and end the loop. */
+/* Announces that the process leaves and stops the event loop. */
 void dl_node_end(struct dl_node *node, int status);
-/* Send what membership has to say now, and tell its events. */
+/* Sends pending membership datagrams and delivers membership events. */
 void dl_node_pump(struct dl_node *node);
 
 #endif
--- a/src/main/node_announce.c
+++ b/src/main/node_announce.c
@@ -1,11 +1,12 @@
-/* What a process believes of endpoints whose starts have names. */
+/* Announcements of endpoints whose instances have names. */
 #include "base/msg.h"
 #include "main/node.h"
 
 /*
- * Take an announcement into a directory, and say what it changed there; entry
- * is the start that is known at its address then, or NULL, and left an earlier
- * start of its name at another address, which is gone, or NULL.
+ * Applies an announcement to a directory, logs the change and returns it. Sets
+ * entry to the instance now known at its address, and superseded to an earlier
+ * instance of the same name at another address, which no longer exists; either
+ * may be NULL.
  */
 enum dl_directory_result
 dl_node_apply_announcement(struct dl_directory *directory,
@@ -38,9 +39,10 @@
 }
 
 /*
- * What is known of a start goes with its words.  Its leaving is final: a word
- * that comes later would make it known as ready to a VM that has just started.
- * And one that only leaves names no address or service.
+ * Completes an announcement from the directory before it is relayed. A message
+ * that an instance is leaving has no address or service. Leaving is final: a
+ * later announcement that did not carry it would make the instance known as
+ * ready to a VM that has just started.
  */
 void dl_node_fill_announcement(struct dl_announcement *a,
 			       const struct dl_directory_entry *start)
--- a/src/main/node_metrics.c
+++ b/src/main/node_metrics.c
@@ -1,4 +1,4 @@
-/* Counters and histograms of a process, on an address of their own. */
+/* Serves the process's metrics over HTTP on a separate address. */
 #include <inttypes.h>
 #include <glib.h>
 
@@ -50,7 +50,7 @@
 			       dl_hist_sum(h), name, dl_hist_read(h, last));
 }
 
-/* Every counter and histogram of this process; freed by the caller. */
+/* Returns all metrics as text; the caller frees it with g_free(). */
 char *dl_node_metrics(void)
 {
 	GString *out = g_string_new(NULL);
@@ -75,7 +75,7 @@
 {
 }
 
-/* Open the address of the settings, where there is one. */
+/* Starts the metrics server if the settings have an address for it. */
 int dl_node_metrics_open(struct dl_node *node, struct dl_err *err)
 {
 	struct dl_httpd_conf conf = {
--- a/src/main/options.c
+++ b/src/main/options.c
@@ -1,13 +1,15 @@
-/* The one option that both daemons take. */
+/* The command-line option of the entry and replica daemons. */
 #include <glib.h>
 #include <stdio.h>
 
 #include "main/main.h"
 
-/* Names the settings where no -c does. */
+/* Path of the settings if -c is not given. */
 #define SETTINGS_VARIABLE "DAISYLEDGE_SETTINGS"
 
-/* The value of -c, or of the variable; NULL, and said why, where it is missing.
+/*
+ * Returns the path of the settings from -c or the environment, or NULL after
+ * printing an error.
  */
 char *dl_main_settings_option(int *argc, char ***argv)
 {
--- a/src/main/rescue.c
+++ b/src/main/rescue.c
@@ -1,7 +1,8 @@
 /*
- * daisyledge rescue: where a majority of the replicas' disks is lost for good,
- * make what one replica holds the beginning of a new group.  Offline, and only
- * with --confirm: what was committed on the lost disks alone is gone.
+ * daisyledge rescue: after the permanent loss of a majority of the replicas'
+ * disks, starts a new group from the state on one replica's disk. It runs
+ * offline and writes only with --confirm, because changes that were committed
+ * only on the lost disks are lost.
  */
 #include <errno.h>
 #include <stdio.h>
@@ -24,7 +25,7 @@
 	struct dl_cstore *cstore;
 	uint64_t last;
 	uint64_t last_term;
-	int code; /* of the write */
+	int code; /* result of the write */
 };
 
 static int rescue_open(struct rescue *r, const char *path, struct dl_err *err);
@@ -32,7 +33,7 @@
 static int rescue_write(struct rescue *r, struct dl_err *err);
 static void rescue_close(struct rescue *r);
 
-/* Read the journal of the process with these settings. */
+/* Loads the settings and reads the replica's journal. */
 static int rescue_open(struct rescue *r, const char *path, struct dl_err *err)
 {
 	int code = dl_settings_load(path, &r->settings, err);
@@ -47,11 +48,15 @@
 				  &r->image, err);
 	if (!code && !r->image.cluster)
 		code = dl_err_set(err, -ENOENT, DL_STEP_STORE, NULL,
-				  "%s holds no log", r->settings.data_folder);
+				  "%s contains no log",
+				  r->settings.data_folder);
 	return code;
 }
 
-/* Carry out all that is there, committed or not: it may have been. */
+/*
+ * Applies all stored entries: which of them were committed is not known, so
+ * none may be left out.
+ */
 static int rescue_replay(struct rescue *r, struct dl_err *err)
 {
 	const struct dl_rlog_snapshot *snap = &r->image.snapshot;
@@ -62,7 +67,7 @@
 	r->last_term = snap->term;
 	if (snap->index && dl_cstore_restore(r->cstore, snap->data))
 		return dl_err_set(err, DL_EDAMAGED, DL_STEP_STORE, NULL,
-				  "the snapshot makes no sense");
+				  "the snapshot cannot be decoded");
 	for (uint32_t i = 0; i < r->image.count; i++) {
 		const struct dl_rlog_entry *e = &r->image.entries[i];
 
@@ -83,7 +88,7 @@
 	r->code = code;
 }
 
-/* One generation with this replica as the only member, in a new cluster. */
+/* Writes a snapshot with this replica as the only member of a new cluster. */
 static int rescue_write(struct rescue *r, struct dl_err *err)
 {
 	struct dl_rlog_snapshot snap = {
@@ -145,14 +150,17 @@
 		fprintf(stderr, "daisyledge: %s: %s\n", dl_step_name(err.step),
 			err.text);
 	else if (confirm)
-		puts("This replica is a group of its own now.");
+		puts("This replica is now the only member of a new group.");
 	else
-		puts("Nothing was changed; --confirm begins a new group.");
+		puts("Nothing was changed; use --confirm to start a new group.");
 	rescue_close(&r);
 	return code ? DL_EXIT_FAULT : DL_EXIT_OK;
 }
 
-/* Show what a stopped replica holds; with --confirm, go on from it alone. */
+/*
+ * Prints the state stored by a stopped replica; with --confirm, starts a new
+ * group from it.
+ */
 int dl_main_rescue(int argc, char **argv)
 {
 	char *path = NULL;
@@ -161,7 +169,7 @@
 		{ "config", 'c', 0, G_OPTION_ARG_FILENAME, &path,
 		  "Settings of the replica (JSON)", "FILE" },
 		{ "confirm", 0, 0, G_OPTION_ARG_NONE, &confirm,
-		  "Begin a new group with what this replica holds", NULL },
+		  "Start a new group from the state of this replica", NULL },
 		{ 0 },
 	};
 	GOptionContext *ctx = g_option_context_new(NULL);
