--- a/src/main/replica.c
+++ b/src/main/replica.c
@@ -1,8 +1,9 @@
 /*
- * daisyledge replica: keeps the replicated log on its disk and the state that
- * the log decides.  The log itself is pure; this file gives it the disk, the
- * peers and the time.  Whatever arrived in one turn of the loop is carried out
- * in one go before the loop waits again, so that it shares a sync.
+ * daisyledge replica: stores the replicated log on disk and applies it to the
+ * configuration store. The log module does no I/O; this file connects it to the
+ * disk, the peers and the clock. Messages that arrive in one iteration of the
+ * event loop are processed together before the loop waits again, so that their
+ * entries share one sync.
  */
 #include "main/replica.h"
 
@@ -19,16 +20,17 @@
 #include "protocol/rlog_codec.h"
 #include "protocol/squeeze.h"
 
+/* Committed bytes applied per loop iteration: one large configuration. */
+#define APPLY_BATCH_BYTES (64u << 10)
 /*
- * Longer than a restart or a short pause of a VM, shorter than the time after
- * which another loss may follow (some seconds).
+ * Silence after which a voter is replaced: longer than a restart or a short
+ * pause of a VM, shorter than the few seconds after which another replica may
+ * be lost.
  */
-/* Committed bytes that are carried out in one turn: one large text. */
-#define APPLY_BATCH_BYTES (64u << 10)
-#define VOTER_TIMEOUT_MS  2500
-/* Below this, deflating saves less than it takes. */
+#define VOTER_TIMEOUT_MS 2500
+/* For smaller messages, deflating costs more than it saves. */
 #define DEFLATE_MIN_BYTES 4096
-/* A planned stop waits so long for its successor. */
+/* How long a planned stop waits for a successor to be elected. */
 #define STOP_TIMEOUT_MS 1500
 
 static void on_frame(void *arg, uint64_t from, const struct dl_frame *frame);
@@ -48,23 +50,23 @@
 };
 
 /*
- * The time by which the log decides, read afresh: the loop's time stands still
- * while a long turn lasts, and a lease must not.  It counts the time that the
- * VM was suspended, too, which the monotonic clock leaves out.
+ * Returns the time used by the log, read anew on each call: the loop's time is
+ * constant during a long iteration, in which a lease must be able to expire. It
+ * includes time in which the VM was suspended, unlike the monotonic clock.
  */
 int64_t replica_now(const struct replica *r)
 {
 	return dl_node_boot_ms();
 }
 
-/* Send a frame; a lost one is mended by whoever waits for the answer. */
+/* Sends a frame. If it is lost, whoever waits for the reply has to retry. */
 void replica_send(struct replica *r, uint64_t to, uint32_t kind,
 		  uint64_t request, struct dl_str body)
 {
 	dl_peers_send(r->node.peers, to, kind, request, body);
 }
 
-/* Send a frame to all that live, the other replicas left out or not. */
+/* Sends a frame to all live entries and, if include_replicas, replicas. */
 void replica_broadcast(struct replica *r, bool include_replicas, uint32_t kind,
 		       struct dl_str body)
 {
@@ -149,28 +151,28 @@
 	if (dl_cstore_restore(r->cstore, a->data) == 0)
 		return;
 	dl_err_set(&err, DL_EDAMAGED, DL_STEP_STORE, NULL,
-		   "the snapshot at %lu makes no sense",
+		   "the snapshot at %lu cannot be decoded",
 		   (unsigned long)a->index);
 	dl_rlog_halt(r->rlog, &err);
 }
 
 static void on_apply_idle(uv_idle_t *idle)
 {
-	/* It only keeps the loop from waiting. */
+	/* An active idle handle keeps the loop from blocking. */
 }
 
-/* Whether all that is known to be committed is carried out. */
+/* Whether all entries known to be committed are applied. */
 bool replica_caught_up(const struct replica *r)
 {
 	return !uv_is_active((const uv_handle_t *)&r->apply_idle);
 }
 
 /*
- * Carry out what is committed, a piece in each turn of the loop.  For a leader
- * after a restart: it learns of all at once that they are committed, and a
- * dozen texts of 800 KB in one go take seconds of a VM with 0.15 cores, in
- * which its heartbeats were missed and the next one was elected, with the same
- * ahead of it.  Returns whether all is carried out.
+ * Applies committed entries, a batch per loop iteration; returns whether all
+ * are applied. The limit is for a leader after a restart, which learns at once
+ * that all its entries are committed. Applying a dozen configurations of 800 KB
+ * in one iteration takes seconds on a VM with 0.15 cores. Its heartbeats were
+ * missed, and the next leader had the same work ahead of it.
  */
 static bool apply_batch(struct replica *r)
 {
@@ -216,7 +218,10 @@
 			    (struct dl_disk_done){ on_written, r });
 }
 
-/* Large messages carry operators' texts, which shrink to a tenth. */
+/*
+ * Sends a log message. Large ones carry configurations, which deflate to a
+ * tenth of their size.
+ */
 static void send_rlog(struct replica *r, uint64_t to, struct dl_str body)
 {
 	char *deflated;
@@ -253,7 +258,7 @@
 	       "reason=\"%s\"", s->halt_reason);
 }
 
-/* Log a change of role, once. */
+/* Logs a change of role. */
 static void log_role(struct replica *r)
 {
 	struct dl_rlog_status s;
@@ -353,7 +358,10 @@
 	finish_stop(r);
 }
 
-/* A planned stop hands leadership over first; nobody waits an election. */
+/*
+ * Starts a planned stop by transferring leadership, so that no one has to wait
+ * for an election timeout. A repeated request stops at once.
+ */
 static void on_stop(void *arg, bool repeated)
 {
 	struct replica *r = arg;
@@ -376,7 +384,10 @@
 	return id;
 }
 
-/* Read the data folder.  Damage does not end the process: it says why. */
+/*
+ * Opens the log in the data folder. If it is damaged, the process goes on with
+ * a halted log and reports the reason.
+ */
 static int open_log(struct replica *r, struct dl_err *err)
 {
 	const struct dl_settings *s = &r->node.settings;
@@ -453,7 +464,7 @@
 	bool writing = dl_disk_file_busy(r->disk);
 
 	dl_rlog_free(r->rlog);
-	/* A write under way still reads from the store's buffer. */
+	/* A write in progress still reads from the store's buffer. */
 	if (!writing)
 		dl_rlog_store_free(r->store);
 	dl_cstore_free(r->cstore);
@@ -466,7 +477,7 @@
 		dl_disk_file_close(r->disk);
 }
 
-/* Run a replica until it is stopped. */
+/* Runs a replica until it is stopped. */
 int dl_main_replica(int argc, char **argv)
 {
 	static struct replica r;
--- a/src/main/replica.h
+++ b/src/main/replica.h
@@ -1,4 +1,4 @@
-/* The replica process, seen by its parts in src/main/replica_*.c. */
+/* State of the replica process, shared by src/main/replica_*.c. */
 #ifndef DL_MAIN_REPLICA_H
 #define DL_MAIN_REPLICA_H
 
@@ -13,27 +13,27 @@
 #include "transport/disk_file.h"
 #include "transport/httpd.h"
 
-/* A command whose sender waits for its commit. */
+/* A proposed command whose sender waits for its commit. */
 struct replica_pending {
 	uint64_t index;
 	uint64_t term;
 	uint64_t vm;
 	uint64_t request;
 	int64_t at;
-	uint64_t config_number; /* of a text that an operator sent */
+	uint64_t config_number; /* number of a configuration sent over HTTP */
 	struct dl_httpd_req
-		*http_req; /* of the replica's own door; vm is none */
+		*http_req; /* HTTP request to answer; vm is DL_VM_NONE */
 };
 
-/* A question that was passed on to the leader. */
+/* A query that was forwarded to the leader. */
 struct replica_forwarded {
-	uint64_t request; /* ours */
+	uint64_t request; /* id of the forwarded query */
 	uint64_t vm;
 	uint64_t sender_request;
 	int64_t at;
 };
 
-/* An entry's question that could not be answered for sure. */
+/* An entry whose lease request could not be confirmed yet. */
 struct replica_lease_waiter {
 	uint64_t vm;
 	uint64_t request;
@@ -47,39 +47,39 @@
 	struct dl_cstore *cstore;
 	uv_prepare_t prepare;
 	uv_idle_t
-		apply_idle; /* runs while something committed is not applied */
+		apply_idle; /* active while committed entries are not applied */
 	int64_t started_at;
-	bool started; /* its first sync is done */
-	bool current; /* has shown, or may show, its version */
+	bool started; /* the first sync of the journal has finished */
+	bool current; /* has caught up, so its version may be advertised */
 	uint64_t advertised_version;
-	char *push_body; /* the text in force as entries get it, deflated */
+	char *push_body; /* configuration as sent to entries, deflated */
 	size_t push_body_n;
 	uint64_t push_body_version;
 	bool push_due;
 	int64_t pushed_at;
-	enum dl_rlog_role logged_role; /* as logged last */
-	uint64_t writing_seq;	       /* the unit under way */
+	enum dl_rlog_role logged_role; /* role last written to the log */
+	uint64_t writing_seq; /* sequence number of the record being written */
 	int64_t write_started_at;
-	int64_t wall_offset_ms; /* wall clock less monotonic, at the start */
-	int64_t stop_deadline;	/* planned stop: end by then; 0 for none */
+	int64_t wall_offset_ms; /* wall clock minus boot time, at the start */
+	int64_t stop_deadline;	/* end of a planned stop; 0 if not stopping */
 	GArray *pending;	/* of struct replica_pending */
 	GArray *forwarded;	/* of struct replica_forwarded */
 	GArray *lease_waiters;	/* of struct replica_lease_waiter */
 	uint64_t next_request;
 	struct replica_orders *orders;
-	struct replica_http *http; /* NULL where there is none */
+	struct replica_http *http; /* NULL if not configured */
 	struct replica_announce *announce;
 	struct quarantine quarantine;
-	struct dl_crash_store *crashes; /* those held back, on the disk */
+	struct dl_crash_store *crashes; /* the active ones, on disk */
 };
 
 /* replica.c */
 int64_t replica_now(const struct replica *r);
-/* Whether all that is known to be committed is carried out. */
+/* Whether all entries known to be committed are applied. */
 bool replica_caught_up(const struct replica *r);
 void replica_send(struct replica *r, uint64_t to, uint32_t kind,
 		  uint64_t request, struct dl_str body);
-/* To all entries that live, and, if asked for, to the other replicas. */
+/* Sends to all live entries and, if include_replicas, to the other replicas. */
 void replica_broadcast(struct replica *r, bool include_replicas, uint32_t kind,
 		       struct dl_str body);
 
--- a/src/main/replica_announce.c
+++ b/src/main/replica_announce.c
@@ -1,15 +1,15 @@
 /*
- * Endpoints' announcements on their way to the entries.  That an endpoint
- * leaves goes to each entry at once.  Words that say something else that is new
- * go together with those of other endpoints, deflated; that an endpoint still
- * says the same goes as its key, and an entry that does not know a key asks for
- * the words.
+ * Relays endpoints' announcements to the entries. That an endpoint is leaving
+ * is sent to each entry at once. Other new reports are sent in batches,
+ * deflated. For an unchanged report only its key is sent; an entry that does
+ * not know the key requests the report.
  *
- * Load: 147 endpoints that announce themselves every 1.2 s to 295 entries are
- * 36,000 frames a second, for each entry 29,000 bytes a second, where all of
- * control may take 12,000.  As keys they are 2,700.  And three thousand that
- * start with their replicas: a frame for each of them to each entry stored the
- * replicas from acknowledging changes for seconds.
+ * Relaying each announcement would cost too much: 147 endpoints that announce
+ * every 1.2 s to 295 entries are 36,000 frames per second, and 29,000 bytes per
+ * second for each entry, of which all control traffic may take 12,000. With
+ * keys it is 2,700. When 3,000 endpoints started together with their replicas,
+ * one frame per endpoint and entry kept the replicas from acknowledging changes
+ * for seconds.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -19,18 +19,18 @@
 #include "protocol/pool_codec.h"
 
 /*
- * How long a key waits for others.  A sixth of the 1.5 s in which a new
- * dispatcher waits to hear its endpoints.
+ * How long keys are collected before they are sent: a sixth of the 1.5 s for
+ * which a new dispatcher waits for the reports of its endpoints.
  */
 #define RENEWAL_BATCH_MS 250
-/* And words that are new: a few turns of the loop. */
+/* How long new reports are collected: a few event loop iterations. */
 #define REPORT_BATCH_MS 40
-/* Words that were said last before this are not told any more. */
+/* A report last received longer ago than this is not sent on request. */
 #define REPORT_FRESH_MS 2000
-/* An endpoint that is silent so long is forgotten. */
+/* Reports not received for this long are removed. */
 #define REPORT_EXPIRY_MS 30000
 
-/* Keys that wait for others, and how what they stand for is told. */
+/* Keys collected for one frame, and the function that sends it. */
 struct key_batch {
 	uint64_t key[DL_RENEWED_MAX];
 	uint32_t count;
@@ -40,8 +40,8 @@
 
 struct replica_announce {
 	struct dl_reports *reports;
-	struct key_batch renewals;    /* said again */
-	struct key_batch new_reports; /* said for the first time */
+	struct key_batch renewals;    /* of unchanged reports */
+	struct key_batch new_reports; /* of new reports */
 	int64_t last_expiry;
 };
 
@@ -49,7 +49,6 @@
 static void send_reports(struct replica *r, const uint64_t *keys,
 			 uint32_t count);
 
-/* Nothing heard yet. */
 struct replica_announce *replica_announce_new(void)
 {
 	struct replica_announce *announce = g_new0(struct replica_announce, 1);
@@ -61,8 +60,8 @@
 }
 
 /*
- * The words of keys that are found, in one body.  Without memory for it nothing
- * is told: who misses words asks for them at the next key.
+ * Packs the reports of known keys into one body. If memory is short nothing is
+ * sent: an entry that misses a report requests it when it next gets the key.
  */
 static int pack_reports(const struct replica_announce *announce,
 			const uint64_t *keys, uint32_t count, char **body,
@@ -97,9 +96,9 @@
 }
 
 /*
- * Tell what has gathered.  The words of a start that left meanwhile are not
- * found any more: told after the word that it leaves, they would make it found
- * to an entry that had not heard of it.
+ * Sends the keys or reports collected. Those of instances that have left since
+ * are skipped: a report that arrives after the leaving message would add the
+ * instance to an entry that did not know it.
  */
 static void flush_batch(struct replica *r, struct key_batch *batch, int64_t now)
 {
@@ -124,8 +123,9 @@
 }
 
 /*
- * Pass an announcement on.  That an endpoint leaves also goes to the other
- * replicas: one that heard it a moment before still had its key to send.
+ * Relays an announcement. That an endpoint is leaving is also sent to the other
+ * replicas, because one that just received its report may still have the key
+ * in a batch.
  */
 void replica_announce_relay(struct replica *r, const struct dl_announcement *a)
 {
@@ -137,14 +137,14 @@
 	uint64_t key = 0;
 	bool is_new, stored;
 
-	keyed.sequence = 0; /* else each word would be a new one */
+	keyed.sequence = 0; /* otherwise every report would be new */
 	dl_report_pack(&pk, &keyed);
 	if (a->report.leaving)
 		dl_reports_remove(announce->reports, instance);
 	is_new = a->report.leaving ||
 		 dl_reports_add(announce->reports, instance,
 				dl_packer_bytes(&pk), now, &key);
-	/* One that there is no room to keep cannot be gathered. */
+	/* A report that could not be stored cannot be sent by its key. */
 	stored = is_new && dl_reports_find(announce->reports, key).n > 0;
 	if (is_new && !stored)
 		replica_broadcast(r, a->report.leaving, DL_FRAME_REPORT,
@@ -156,7 +156,7 @@
 		add_to_batch(r, &announce->renewals, key, now);
 }
 
-/* Another replica has heard that an endpoint leaves. */
+/* Handles another replica's message that an endpoint is leaving. */
 void replica_announce_leaving(struct replica *r, const struct dl_frame *f)
 {
 	struct dl_announcement a;
@@ -167,7 +167,7 @@
 	replica_http_endpoint_leaving(r, &a);
 }
 
-/* An entry asks for the words of keys that it does not know. */
+/* Sends an entry the reports of keys that it does not know. */
 void replica_announce_request(struct replica *r, uint64_t from,
 			      const struct dl_frame *f)
 {
@@ -191,7 +191,7 @@
 	free(body);
 }
 
-/* Send what has gathered for long enough. */
+/* Sends batches that are due and removes old reports. */
 void replica_announce_tick(struct replica *r, int64_t now)
 {
 	struct replica_announce *announce = r->announce;
--- a/src/main/replica_cmd.c
+++ b/src/main/replica_cmd.c
@@ -1,8 +1,8 @@
 /*
- * Commands of entries: stamped with the leader's wall clock, appended, and
- * answered once they are committed and carried out.  A replica that does not
- * lead names the one that does.  Entries send a command again when nothing
- * comes back; change ids and owners make that harmless.
+ * Commands from entries. The leader stamps them with its wall clock, appends
+ * them to the log and replies once they are committed and applied. Other
+ * replicas reply with the leader's address. Entries retry a command without a
+ * reply; change ids and claim owners make retries idempotent.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -12,7 +12,7 @@
 #include "main/replica.h"
 #include "protocol/cmd.h"
 
-/* Whoever waits longer has asked again, elsewhere. */
+/* A sender that waited longer has retried at another replica. */
 #define PENDING_TIMEOUT_MS 10000
 
 static void send_reply(struct replica *r, uint64_t to, uint64_t request,
@@ -60,7 +60,7 @@
 	return true;
 }
 
-/* Refuse a new list of replicas that would lose the quorum. */
+/* Rejects a configuration whose list of replicas would lose the quorum. */
 static int check_replicas(struct replica *r, struct dl_str command,
 			  struct dl_err *err)
 {
@@ -72,7 +72,7 @@
 
 	if (dl_cstore_decode(command, &cmd) || cmd.op != DL_CSTORE_APPLY ||
 	    dl_conf_parse(cmd.text, &conf, &faults))
-		return 0; /* the store itself says what is wrong */
+		return 0; /* applying it reports the fault */
 	for (uint32_t i = 0; i < conf->replicas_count; i++)
 		vms[i] = conf->replicas[i].vm;
 	if (!same_replicas(dl_cstore_conf(r->cstore), conf))
@@ -83,7 +83,7 @@
 	return code;
 }
 
-/* Stamp and append a command, and note who waits for it. */
+/* Stamps and proposes a command and records its sender as waiting. */
 static void propose_command(struct replica *r, uint64_t from,
 			    const struct dl_frame *frame, char *command)
 {
@@ -93,21 +93,22 @@
 
 	p.at = replica_now(r);
 	if (dl_cstore_stamp(command, data.n, r->wall_offset_ms + p.at)) {
-		send_error(r, from, frame->request, -EBADMSG, "not a command");
+		send_error(r, from, frame->request, -EBADMSG,
+			   "the command cannot be decoded");
 		return;
 	}
 	code = dl_rlog_propose(r->rlog, data, p.at, &p.index, &p.term);
 	if (code == DL_ENOLEADER)
 		send_error(r, from, frame->request, code,
-			   "another replica leads");
+			   "another replica is the leader");
 	else if (code)
 		send_error(r, from, frame->request, code,
-			   "too many changes are under way");
+			   "too many changes are in progress");
 	else
 		g_array_append_val(r->pending, p);
 }
 
-/* A command arrived. */
+/* Handles a command from an entry. */
 void replica_cmd_frame(struct replica *r, uint64_t from,
 		       const struct dl_frame *frame)
 {
@@ -120,7 +121,7 @@
 		return;
 	if (s.role != DL_RLOG_LEADER) {
 		send_error(r, from, frame->request, DL_ENOLEADER,
-			   "another replica leads");
+			   "another replica is the leader");
 		return;
 	}
 	if (check_replicas(r, frame->body, &err)) {
@@ -132,7 +133,7 @@
 	g_free(command);
 }
 
-/* Tell an operator at the replica's own door, unless it has left. */
+/* Answers a change sent over HTTP, unless the client has disconnected. */
 static void answer_http(const struct replica_pending *p,
 			const struct dl_rlog_apply *a,
 			const struct dl_cstore_reply *reply)
@@ -144,7 +145,7 @@
 					    p->term == a->term ? reply : &lost);
 }
 
-/* Carry a committed command out, and answer who waits for it. */
+/* Applies a committed command and replies to its sender. */
 void replica_cmd_apply(struct replica *r, const struct dl_rlog_apply *a)
 {
 	struct dl_cstore_reply reply = { 0 };
@@ -164,13 +165,13 @@
 			send_reply(r, p->vm, p->request, &reply);
 		else
 			send_error(r, p->vm, p->request, DL_ENOLEADER,
-				   "another replica took over");
+				   "another replica became the leader");
 		g_array_remove_index_fast(r->pending, i);
 		return;
 	}
 }
 
-/* Forget who has waited too long. */
+/* Drops commands whose sender has waited too long. */
 void replica_cmd_tick(struct replica *r, int64_t now)
 {
 	struct dl_cstore_reply timed_out = { .code = DL_ENOQUORUM };
--- a/src/main/replica_conf.c
+++ b/src/main/replica_conf.c
@@ -1,11 +1,12 @@
 /*
- * Configuration on its way to the entries: each replica pushes a new version
- * to the live entries of its failure domain, the leader to those of domains
- * without a replica.  A push goes to a few entries and names the others, which
- * they pass it on to.  A lost push is mended by the versions that VMs compare.
+ * Distributes the configuration to the entries. Each replica pushes a new
+ * version to the live entries of its failure domain; the leader also serves
+ * failure domains without a replica. A push is sent to a few entries with a
+ * list of the others, to which they forward it. VMs also compare versions and
+ * pull a newer one, which covers lost pushes.
  *
- * After a start a replica shows no version until it has applied all that was
- * committed before, so that nobody sees it go back.
+ * After a start a replica advertises no version until it has applied everything
+ * committed before, so that its version never appears to go back.
  */
 #include <malloc.h>
 #include <stdlib.h>
@@ -18,19 +19,23 @@
 
 #define ENTRIES_MAX 1024
 /*
- * Versions that follow each other sooner are pushed as the last of them.  A
- * text of 1,300 routes is some 150 ms of an entry's link to pass on: pushed for
- * each change in quick succession (0.3 s) streams paused behind them.  A
- * version has seconds to be in force everywhere, two at the least.
+ * Minimum interval between pushes; of versions that follow each other sooner
+ * only the last is pushed. Forwarding a configuration of 1,300 routes takes
+ * some 150 ms of an entry's link. With a push for each of several changes 0.3 s
+ * apart, streams stalled behind them. A version is allowed at least two
+ * seconds to come into force everywhere.
  */
 #define PUSH_INTERVAL_MS 400
-/* Deflated; one of 30 KB, that VMs read within a millisecond, is sent at once.
+/*
+ * Bodies up to this deflated size are pushed without a delay. They hold about
+ * 30 KB of text, which VMs read within a millisecond.
  */
 #define PUSH_UNTHROTTLED_BYTES 4096
 /*
- * A replica that is cut off from the others for so long after its start
- * answers a pull with what it has, where no VM shows anything newer: a failure
- * domain that is cut off goes on, and its restarted entries need a text.
+ * Once this time has passed since the start, a replica that is still cut off
+ * from the others answers a pull with the version it has, if no VM advertises a
+ * newer one. A partitioned failure domain keeps working, and its restarted
+ * entries need a configuration.
  */
 #define ISOLATED_MS 5000
 
@@ -40,9 +45,10 @@
 static void set_target_replicas(struct replica *r);
 
 /*
- * What entries get of the text in force: without what only a read gives back,
- * and deflated, made once a version.  With every entry's copy as it was sent, a
- * text of 1,300 routes took 2.6 s of an entry's link to pass on.
+ * Returns the configuration in force as pushed to entries: deflated, without
+ * the original source, which is only needed to answer reads, and built once per
+ * version. Forwarding the full text of 1,300 routes took 2.6 s of an entry's
+ * link.
  */
 static bool get_push_body(struct replica *r, struct dl_str *out)
 {
@@ -93,8 +99,8 @@
 }
 
 /*
- * Whether this replica pushes to a failure domain: the live one of the lowest
- * address there, or the leader where there is none.
+ * Whether this replica pushes to a failure domain. That is done by the domain's
+ * live replica with the lowest address, or by the leader if it has none.
  */
 static bool pushes_to(struct replica *r, struct dl_str domain, bool is_leader)
 {
@@ -117,7 +123,7 @@
 	return x < y ? -1 : x > y;
 }
 
-/* The live entries that this replica pushes to, in order of addresses. */
+/* Lists the live entries that this replica pushes to, sorted by address. */
 static uint32_t push_targets(struct replica *r, uint64_t *out)
 {
 	struct dl_rlog_status s;
@@ -137,13 +143,13 @@
 	return n;
 }
 
-/* The operators' list of replicas is what the leader works towards. */
+/* Passes the configured replicas to the log as the target membership. */
 static void set_target_replicas(struct replica *r)
 {
 	const struct dl_conf *conf;
 	uint64_t vms[DL_REPLICAS_MAX];
 
-	/* Its leader has found that it lists none: it need not be read. */
+	/* The leader found that it lists no replicas; no need to parse it. */
 	if (dl_cstore_unread(r->cstore)) {
 		dl_rlog_set_replicas(r->rlog, NULL, 0);
 		return;
@@ -157,8 +163,9 @@
 }
 
 /*
- * Show and push the newest version, where one is due and none was just pushed:
- * who sees a newer one than its own asks for it.
+ * Advertises and pushes the newest version if a push is due and the last one
+ * was long enough ago. Advertising waits too, because a VM that sees a version
+ * newer than its own pulls it.
  */
 void replica_conf_tick(struct replica *r, int64_t now)
 {
@@ -166,7 +173,7 @@
 
 	if (!r->push_due)
 		return;
-	/* By the size of the last one, so that one passed over is not made. */
+	/* By the last body's size: building the next one may be needless. */
 	if (r->push_body_n > PUSH_UNTHROTTLED_BYTES && r->pushed_at &&
 	    now - r->pushed_at < PUSH_INTERVAL_MS)
 		return;
@@ -176,13 +183,14 @@
 			    dl_node_now(&r->node));
 	push(r, vms, push_targets(r, vms));
 	/*
-	 * Parsing a text of megabytes leaves the heap in pieces of which the
-	 * allocator gives none back by itself; a version is rare.
+	 * Parsing a configuration of megabytes fragments the heap, and the
+	 * allocator does not return that memory by itself. New versions are
+	 * rare, so trimming is cheap.
 	 */
 	malloc_trim(0);
 }
 
-/* A version that is new here is due to be shown and pushed. */
+/* Schedules a new version to be advertised and pushed. */
 void replica_conf_check(struct replica *r)
 {
 	uint64_t version = dl_cstore_version(r->cstore);
@@ -200,7 +208,7 @@
 	replica_conf_tick(r, replica_now(r));
 }
 
-/* An entry asks for anything newer than what it has. */
+/* Answers an entry that requests a version newer than its own. */
 void replica_conf_pull(struct replica *r, uint64_t from,
 		       const struct dl_frame *frame)
 {
--- a/src/main/replica_http.c
+++ b/src/main/replica_http.c
@@ -1,11 +1,12 @@
 /*
- * The replicas' own door for deployments that call the replicas directly:
- * operators' changes and reads, endpoints' announcements.
+ * HTTP server of a replica, for deployments that call the replicas directly:
+ * operators change and read the configuration, endpoints announce themselves.
  *
- * A change or read is answered by the leader alone; another replica points
- * there.  An announcement is acknowledged once it is on its way to every entry
- * that is known to live, and only by a replica that is in touch with the
- * group: one that is cut off would keep it from those who need it.
+ * Changes and reads are answered only by the leader; other replicas redirect to
+ * it. An announcement is acknowledged once it is on its way to every
+ * live entry, and only by a replica that is in contact with the group: a
+ * replica that is cut off would acknowledge announcements that most entries
+ * never receive.
  */
 #include <errno.h>
 #include <stdio.h>
@@ -24,9 +25,9 @@
 #define BODY_MAX	(8u << 20)
 #define CONNS_MAX	1500
 #define READ_TIMEOUT_MS 30000
-/* An endpoint that is silent so long is forgotten here. */
+/* Endpoints not heard from for this long are removed from the directory. */
 #define DIRECTORY_EXPIRY_MS 60000
-/* A change that is not committed by then is better sent again elsewhere. */
+/* A change not committed by then fails with 503, so that the client retries. */
 #define COMMIT_TIMEOUT_MS 3000
 #define PORT_MASK	  ((uint64_t)0xffff)
 #define RETRY_AFTER_S	  "0.3"
@@ -70,8 +71,8 @@
 }
 
 /*
- * Answer an order to put a text in force, with a line of what was decided.
- * number: of the text, 0 where it could not be read.
+ * Answers a request to change the configuration and logs the result. number is
+ * that of the configuration, 0 if it could not be parsed.
  */
 static void answer_change(struct dl_httpd_req *req, uint64_t number,
 			  uint16_t status, const char *why)
@@ -84,7 +85,7 @@
 		reply_error(req, status, why);
 }
 
-/* Point to the leader's door, which has the port of ours. */
+/* Redirects to the leader, whose HTTP server uses the same port. */
 static void redirect(struct replica_http *h, struct dl_httpd_req *req,
 		     uint64_t leader)
 {
@@ -101,7 +102,7 @@
 	dl_httpd_reply(req, 307, &header, 1, DL_STR(""));
 }
 
-/* Answers where this replica does not lead; true where it does. */
+/* Returns true if this replica is the leader; otherwise answers the request. */
 static bool require_leader(struct replica_http *h, struct dl_httpd_req *req)
 {
 	struct dl_rlog_status s;
@@ -116,7 +117,10 @@
 	return false;
 }
 
-/* Whether this replica hears the group: announcements pass on from here. */
+/*
+ * Whether this replica is in contact with the group, so that it may accept
+ * announcements.
+ */
 static bool has_leader_contact(struct replica_http *h)
 {
 	int64_t now = replica_now(h->r), until;
@@ -140,7 +144,8 @@
 	int rc;
 
 	if (!has_leader_contact(h)) {
-		reply_error(req, 503, "the group is not heard");
+		reply_error(req, 503,
+			    "this replica has no contact with the group");
 		return;
 	}
 	if (leave)
@@ -158,16 +163,19 @@
 		dl_node_fill_announcement(&a, entry);
 	replica_announce_relay(h->r, &a);
 	/*
-	 * An endpoint stays with this replica.  One that goes to another each
-	 * time is new to each of them, and its words go to every VM each time;
-	 * and it comes over a new connection.
+	 * Tell the endpoint to stay with this replica. If it used a different
+	 * one each time, it would be new to each of them, its report would be
+	 * sent to every VM again, and it would need a new connection.
 	 */
 	n = platform_dialect.announced(
 		leave ? DL_VM_NONE : h->r->node.settings.operators, text);
 	reply_json(req, 200, (struct dl_str){ text, n });
 }
 
-/* The number of a text, whether it is without faults, and names no replicas. */
+/*
+ * Whether a configuration is valid. Returns its number and whether it lists no
+ * replicas, or the first fault in why.
+ */
 static bool validate_config(struct dl_str text, uint64_t *number,
 			    bool *no_replicas, char why[200])
 {
@@ -186,7 +194,7 @@
 	return ok;
 }
 
-/* Append a checked text; answered when it is committed. */
+/* Proposes a validated configuration; answered when it is committed. */
 static void propose(struct replica_http *h, struct dl_httpd_req *req,
 		    struct dl_str text, uint64_t number, bool no_replicas)
 {
@@ -214,7 +222,8 @@
 	code = dl_rlog_propose(h->r->rlog, data, p.at, &p.index, &p.term);
 	free(command);
 	if (code) {
-		answer_change(req, number, 503, "no change can be taken now");
+		answer_change(req, number, 503,
+			      "the change cannot be accepted now");
 		return;
 	}
 	dl_httpd_set_data(req, h);
@@ -235,13 +244,13 @@
 	if (!validate_config(dl_str_of(text), &number, &no_replicas, why))
 		answer_change(req, 0, 400, why);
 	else if (!first && number <= dl_cstore_number(h->r->cstore))
-		answer_change(req, number, 200, "in force already");
+		answer_change(req, number, 200, "already in force");
 	else if (require_leader(h, req))
 		propose(h, req, dl_str_of(text), number, no_replicas);
 	free(text);
 }
 
-/* What an operator sent, out of the text that is in force. */
+/* Answers with the original source kept in the configuration in force. */
 static void reply_source(struct dl_httpd_req *req, struct dl_str text)
 {
 	json_t *root = json_loadb(text.s, text.n, 0, NULL);
@@ -252,7 +261,8 @@
 			   (struct dl_str){ json_string_value(source),
 					    json_string_length(source) });
 	else
-		reply_error(req, 503, "the text in force has no source");
+		reply_error(req, 503,
+			    "the configuration in force has no source");
 	json_decref(root);
 }
 
@@ -264,7 +274,7 @@
 		return;
 	if (!replica_can_read(h->r, replica_now(h->r)) ||
 	    !dl_cstore_text(h->r->cstore, 0, &text)) {
-		reply_error(req, 503, "which version is newest is not sure");
+		reply_error(req, 503, "the newest version cannot be confirmed");
 		return;
 	}
 	reply_source(req, text);
@@ -294,12 +304,12 @@
 		on_get_config(h, req);
 		return;
 	case DL_CONTROL_UNKNOWN:
-		reply_error(req, 404, "no such call");
+		reply_error(req, 404, "no such method or path");
 		return;
 	}
 }
 
-/* An operator left before its change was committed. */
+/* Handles a client that disconnected before its change was committed. */
 static void on_gone(void *arg, struct dl_httpd_req *req)
 {
 	struct replica_http *h = arg;
@@ -319,7 +329,7 @@
 	(void)req;
 }
 
-/* A change that an operator waits for is decided, or lost its leader. */
+/* Answers a change that was committed or failed. */
 void replica_http_change_decided(const struct replica_pending *p,
 				 const struct dl_cstore_reply *reply)
 {
@@ -330,13 +340,13 @@
 	answer_change(p->http_req, p->config_number, status, reply->text);
 }
 
-/* Whether an operator has waited too long. */
+/* Whether a change sent over HTTP was not committed in time. */
 bool replica_http_change_timed_out(const struct replica_pending *p, int64_t now)
 {
 	return p->http_req && now - p->at > COMMIT_TIMEOUT_MS;
 }
 
-/* Another replica has heard that an endpoint leaves. */
+/* Records that an endpoint is leaving, as reported by another replica. */
 void replica_http_endpoint_leaving(struct replica *r,
 				   const struct dl_announcement *a)
 {
@@ -347,7 +357,7 @@
 					   replica_now(r), &entry, &superseded);
 }
 
-/* Forget endpoints that are long gone. */
+/* Removes endpoints that have not been heard from for long. */
 void replica_http_tick(struct replica *r, int64_t now)
 {
 	struct replica_http *h = r->http;
@@ -358,7 +368,7 @@
 	dl_directory_expire(h->directory, now - DIRECTORY_EXPIRY_MS);
 }
 
-/* Open the door, where the settings have one. */
+/* Starts the HTTP server if the settings have an address for it. */
 int replica_http_open(struct replica *r, struct dl_err *err)
 {
 	struct replica_http *h;
--- a/src/main/replica_lease.c
+++ b/src/main/replica_lease.c
@@ -1,18 +1,19 @@
 /*
- * What is in force, told to entries that ask: the leader's word alone, and only
- * while no other leader can exist.  An entry trusts the keys of its callers for
- * a while from the moment at which it asked.
+ * Leases on the version in force. Only the leader confirms the version, and
+ * only while no other leader can exist. An entry may accept its callers' keys
+ * for a limited time, counted from when it sent its request.
  */
 #include "main/replica.h"
 #include "protocol/pack.h"
 
-/* More entries than a deployment has; further ones ask again. */
+/* More than the entries of any deployment; others have to retry. */
 #define WAITERS_MAX 1024
 
 /*
- * Whether this replica knows for certain what is in force: it leads, no other
- * can, and all that was committed before now is carried out here.  Members and
- * the first entry of a term are in the log, too, and change no state.
+ * Whether this replica can serve a linearizable read: it is the leader, no
+ * other leader can exist, and everything committed before now is applied.
+ * Membership entries and the first entry of a term are in the log, too, and
+ * change no state.
  */
 bool replica_can_read(struct replica *r, int64_t now)
 {
@@ -40,7 +41,7 @@
 	dl_packer_close(&pk);
 }
 
-/* Keep the latest question of each entry that could not be told. */
+/* Stores the latest unanswered request of each entry. */
 static void add_waiter(struct replica *r, uint64_t from, uint64_t request)
 {
 	struct replica_lease_waiter waiter = { from, request };
@@ -58,7 +59,7 @@
 		g_array_append_val(r->lease_waiters, waiter);
 }
 
-/* An entry asks; the number that it sends comes back. */
+/* Answers an entry's lease request; the reply has the same request id. */
 void replica_lease_frame(struct replica *r, uint64_t from,
 			 const struct dl_frame *frame)
 {
@@ -70,8 +71,8 @@
 }
 
 /*
- * Answer those that could not be told, once this replica is sure: their callers
- * wait for it, and would for the next question as well.
+ * Answers waiting entries once the version can be confirmed. Their callers are
+ * held up, and would be until the entries' next request.
  */
 void replica_lease_answer_waiters(struct replica *r)
 {
--- a/src/main/replica_orders.c
+++ b/src/main/replica_orders.c
@@ -1,8 +1,8 @@
 /*
- * Orders to endpoints, carried out: the leader learns from the dispatchers what
- * the endpoints of the services with orders announced, lets the planner decide
- * and sends what it gives.  Only under the lease, and only once the fencing
- * entry of this term has been committed.
+ * Sends orders to endpoints. The leader queries the dispatchers for what the
+ * endpoints of services with orders have announced, passes it to the planner
+ * and sends the planned orders. It does so only while it holds the leader lease
+ * and after the fencing entry of its term has been committed.
  */
 #include <errno.h>
 #include <inttypes.h>
@@ -16,12 +16,12 @@
 #include "main/replica.h"
 #include "transport/httpc.h"
 
-/* Endpoints announce every second; orders need not be faster. */
+/* Endpoints announce every second, so faster queries would learn nothing. */
 #define QUERY_INTERVAL_MS 1000
-/* An endpoint that no dispatcher named for so long is gone. */
+/* An endpoint not reported by any dispatcher for this long is removed. */
 #define ENDPOINT_EXPIRY_MS 6000
 #define CONNECT_MS	   1000
-/* Ids of our questions, apart from those that are passed on. */
+/* Set in the ids of own queries, to tell them from forwarded ones. */
 #define ORDERS_QUERY_FLAG UINT64_C(1) << 63
 #define DOMAINS_MAX	  32
 #define BODY_MAX	  512
@@ -31,13 +31,13 @@
 struct replica_orders {
 	struct dl_orders *plan;
 	struct dl_httpc *httpc;
-	uint64_t version;     /* configuration that the plan is for */
+	uint64_t version; /* of the configuration that the plan is based on */
 	uint64_t fenced_term; /* term whose fencing entry was proposed */
 	int64_t queried_at;
-	GHashTable *last_seen; /* endpoint to when it was named */
+	GHashTable *last_seen; /* endpoint address to time of its last report */
 };
 
-/* One order on its way. */
+/* An order that is being sent. */
 struct order_call {
 	struct replica *r;
 	struct dl_order order;
@@ -53,7 +53,7 @@
 	.ready = on_ready,
 };
 
-/* Start without orders; -ENOMEM. */
+/* Creates the planner and the HTTP client; returns 0 or -ENOMEM. */
 int replica_orders_open(struct replica *r)
 {
 	struct replica_orders *o = g_new0(struct replica_orders, 1);
@@ -74,7 +74,7 @@
 	return 0;
 }
 
-/* A process may have been paused since the order was planned. */
+/* Checks again, because the process may have been paused since planning. */
 static bool on_ready(void *arg)
 {
 	struct order_call *c = arg;
@@ -124,8 +124,7 @@
 		 order->fence, order->model.s, order->version.s, order->role.s);
 	req.body = dl_str_of(c->body);
 	req.connect_ms = CONNECT_MS;
-	/* Connecting takes its part of the time before the order is given up.
-	 */
+	/* The time to connect counts towards the order's deadline. */
 	req.gap_ms = (uint32_t)MAX(left - CONNECT_MS, 1);
 	if (!dl_vm_parse(dl_name_str(&order->endpoint), &req.to) ||
 	    !dl_httpc_start(r->orders->httpc, &req, &call_ops, c)) {
@@ -154,7 +153,7 @@
 	return false;
 }
 
-/* Ask each dispatcher of a service with orders, once. */
+/* Queries each dispatcher of a service with orders, once. */
 static void query_dispatchers(struct replica *r, const struct dl_conf *conf)
 {
 	uint64_t queried[DOMAINS_MAX];
@@ -215,7 +214,7 @@
 	dl_orders_update_endpoint(o->plan, &e, now);
 }
 
-/* A dispatcher's answer; false where the reply is to another question. */
+/* Handles a dispatcher's reply; returns false if it is to another query. */
 bool replica_orders_reply(struct replica *r, const struct dl_frame *frame)
 {
 	json_t *list;
@@ -245,8 +244,9 @@
 }
 
 /*
- * The term is fenced by an entry of the log before its first order; every
- * term, since the state machine's clock for claims goes by it too.
+ * Proposes the fencing entry that must be committed before the first order of a
+ * term. Every term gets one, because the state machine's clock for claims
+ * depends on it, too.
  */
 static void propose_fence(struct replica *r, uint64_t term, int64_t now)
 {
@@ -276,7 +276,7 @@
 	dl_orders_configure(r->orders->plan, conf, now);
 }
 
-/* Plan and send, while this replica leads. */
+/* Plans and sends orders while this replica is the leader. */
 void replica_orders_tick(struct replica *r, int64_t now)
 {
 	struct replica_orders *o = r->orders;
@@ -295,9 +295,9 @@
 		return;
 	}
 	/*
-	 * A text that is not the last one committed is not worth reading: after
-	 * a start each of a dozen texts of 150 KB was, 63 ms each on 0.15
-	 * cores, and callers waited 0.5 s longer.
+	 * Do not parse configurations that are already superseded: after a
+	 * start, parsing each of a dozen of 150 KB took 63 ms each on 0.15
+	 * cores and held up callers by 0.5 s.
 	 */
 	if (!replica_caught_up(r))
 		return;
@@ -317,7 +317,7 @@
 		send_order(r, &order);
 }
 
-/* How the orders stand, for status. */
+/* Returns the state of the orders for the status query. */
 json_t *replica_orders_json(struct replica *r)
 {
 	struct dl_orders_summary s;
--- a/src/main/replica_quarantine.c
+++ b/src/main/replica_quarantine.c
@@ -1,10 +1,13 @@
-/* Crashes under requests on their way from the entries that saw them to all. */
+/*
+ * Distributes crashes of endpoints under requests from the entries that
+ * observed them to all VMs, and stores the active quarantines on disk.
+ */
 #include "base/msg.h"
 #include "main/replica.h"
 
 static void on_saved(void *arg, int code);
 
-/* Begin with what was held back when this replica ended. */
+/* Loads the quarantines that were active when this replica stopped. */
 void replica_quarantine_open(struct replica *r, struct dl_disk disk)
 {
 	static struct dl_crash read[DL_CRASH_STORE_MAX];
@@ -23,13 +26,13 @@
 	r->quarantine.changed = false;
 }
 
-/* Only while the disk is not busy. */
+/* Frees the crash store; the disk must not be busy. */
 void replica_quarantine_close(struct replica *r)
 {
 	dl_crash_store_free(r->crashes);
 }
 
-/* What could not be saved is saved with the next change. */
+/* Logs a failed write; the next change writes everything again. */
 static void on_saved(void *arg, int code)
 {
 	if (code)
@@ -65,7 +68,7 @@
 	r->quarantine.changed = false;
 }
 
-/* An entry or another replica tells of crashes. */
+/* Handles crashes reported by an entry or another replica. */
 void replica_quarantine_frame(struct replica *r, const struct dl_frame *f)
 {
 	quarantine_frame(&r->quarantine, f->body, true, replica_now(r));
@@ -76,13 +79,13 @@
 	replica_broadcast(arg, true, DL_FRAME_CRASHES, body);
 }
 
-/* A VM is reached, for the first time or again: it is told all. */
+/* Sends all known crashes to a VM that was connected or reconnected. */
 void replica_quarantine_up(struct replica *r, uint64_t vm)
 {
 	quarantine_tell_all(&r->quarantine, r->node.peers, vm, replica_now(r));
 }
 
-/* Pass on what is new, and keep what is held back. */
+/* Forwards new crashes and saves a changed set of active quarantines. */
 void replica_quarantine_tick(struct replica *r, int64_t now)
 {
 	if (r->quarantine.changed && !dl_crash_store_busy(r->crashes))
--- a/src/main/replica_query.c
+++ b/src/main/replica_query.c
@@ -1,8 +1,8 @@
 /*
- * Questions to a replica: "history", "text N" and "status", each answered by a
- * JSON document.  A follower passes the question about the status on to the
- * leader, which alone knows how far each replica is, and answers by itself
- * where nothing comes back.
+ * Queries to a replica: "history", "text N" and "status", each answered with a
+ * JSON document. A follower forwards status queries to the leader, which alone
+ * knows the progress of each replica, and answers them itself if no reply
+ * arrives.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -34,7 +34,7 @@
 	[DL_RLOG_LEADER] = "leader",
 };
 
-/* Send a document and let it go. */
+/* Sends a JSON document and releases it. */
 static void send_answer(struct replica *r, uint64_t to, uint64_t request,
 			json_t *root)
 {
@@ -52,7 +52,7 @@
 	json_object_set_new(o, key, json_integer((json_int_t)v));
 }
 
-/* Identities and digests do not fit a JSON number everywhere. */
+/* As a string: not all JSON parsers keep 64-bit numbers exactly. */
 static void set_hex(json_t *o, const char *key, uint64_t v)
 {
 	char text[20];
@@ -104,8 +104,9 @@
 	if (dl_cstore_text(r->cstore, version, &text))
 		json_object_set_new(root, "text", json_stringn(text.s, text.n));
 	else
-		json_object_set_new(root, "error",
-				    json_string("this version is not kept"));
+		json_object_set_new(
+			root, "error",
+			json_string("this version is no longer stored"));
 	return root;
 }
 
@@ -152,7 +153,7 @@
 	return root;
 }
 
-/* Pass a question on to the leader; false where there is none to ask. */
+/* Forwards a query to the leader; returns false if that is not possible. */
 static bool forward(struct replica *r, uint64_t from,
 		    const struct dl_frame *frame)
 {
@@ -171,7 +172,7 @@
 	return true;
 }
 
-/* Answer a question. */
+/* Handles a query from an entry or a follower. */
 void replica_query_frame(struct replica *r, uint64_t from,
 			 const struct dl_frame *frame)
 {
@@ -194,7 +195,7 @@
 		send_answer(r, from, frame->request, text_json(r, version));
 }
 
-/* The leader answered a question that was passed on. */
+/* Passes the leader's reply to the sender of a forwarded query. */
 void replica_query_reply(struct replica *r, const struct dl_frame *frame)
 {
 	for (guint i = 0; i < r->forwarded->len; i++) {
@@ -210,7 +211,7 @@
 	}
 }
 
-/* Answer by ourselves what the leader did not. */
+/* Answers forwarded queries to which the leader did not reply in time. */
 void replica_query_tick(struct replica *r, int64_t now)
 {
 	for (guint i = r->forwarded->len; i > 0; i--) {
