--- a/src/main/cli_apply.c
+++ b/src/main/cli_apply.c
@@ -1,4 +1,4 @@
-/* daisyledge apply: put a text in force, and wait until it is everywhere. */
+/* daisyledge apply: changes the configuration and optionally waits for it. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -17,7 +17,7 @@
 	gboolean confirm;
 	gboolean dry_run;
 	gboolean wait;
-	int64_t deadline_ms; /* of --timeout, on the monotonic clock */
+	int64_t deadline_ms; /* set by --timeout; monotonic clock */
 };
 
 static int read_options(struct apply *a, int argc, char **argv);
@@ -29,22 +29,22 @@
 static int finish(struct apply *a, json_t *answer);
 static int64_t remaining_ms(const struct apply *a);
 
-/* Read the options and fill in what was left out. */
+/* Parses the options and sets defaults. */
 static int read_options(struct apply *a, int argc, char **argv)
 {
 	const GOptionEntry own[] = {
 		{ "expect", 0, 0, G_OPTION_ARG_INT64, &a->expect,
-		  "only where this version is in force", "N" },
+		  "apply only if this version is in force", "N" },
 		{ "change-id", 0, 0, G_OPTION_ARG_STRING, &a->change_id,
-		  "the id of this change, for sending it again", "ID" },
+		  "id of this change, to make retries idempotent", "ID" },
 		{ "author", 0, 0, G_OPTION_ARG_STRING, &a->author,
-		  "who makes it", "NAME" },
+		  "author of the change", "NAME" },
 		{ "confirm", 0, 0, G_OPTION_ARG_NONE, &a->confirm,
-		  "accept that a service or most of a capacity goes", NULL },
+		  "allow removal of a service or of most capacity", NULL },
 		{ "dry-run", 0, 0, G_OPTION_ARG_NONE, &a->dry_run,
 		  "only show what would change", NULL },
 		{ "wait", 0, 0, G_OPTION_ARG_NONE, &a->wait,
-		  "wait until every live VM has it", NULL },
+		  "wait until the version is in force on every live VM", NULL },
 		{ NULL },
 	};
 	int rc;
@@ -61,13 +61,13 @@
 	return DL_EXIT_OK;
 }
 
-/* What is left of --timeout. */
+/* Returns the time left of --timeout. */
 static int64_t remaining_ms(const struct apply *a)
 {
 	return MAX(a->deadline_ms - cli_now_ms(), 0);
 }
 
-/* Read and check the file; the body of the request, or NULL and *rc. */
+/* Reads and validates the file; returns the request body, or NULL with *rc. */
 static char *read_body(struct apply *a, int *rc)
 {
 	static struct dl_faults faults;
@@ -100,14 +100,14 @@
 	json_decref(json);
 	if (body)
 		return body;
-	fprintf(stderr, "the change id or the author is no UTF-8\n");
+	fprintf(stderr, "the change id or the author is not valid UTF-8\n");
 	*rc = DL_EXIT_USAGE;
 	return NULL;
 }
 
 /*
- * Send the text, to another entry under the same id where an answer is lost:
- * whatever became of the first, the id gets one answer.
+ * Sends the configuration. If an answer is lost, another entry is tried with
+ * the same change id, so the change is made at most once.
  */
 static int send_text(struct apply *a, const char *body, json_t **answer)
 {
@@ -124,7 +124,7 @@
 	return rc;
 }
 
-/* Say what came of it. */
+/* Prints the result for people. */
 static void print_answer(const struct apply *a, const json_t *answer)
 {
 	const char *diff = json_string_value(json_object_get(answer, "diff"));
@@ -149,7 +149,7 @@
 			       "");
 }
 
-/* The live VMs that do not show a version. */
+/* Lists the live VMs whose version is older than the given one. */
 static json_t *vms_behind(const json_t *status, json_int_t version)
 {
 	json_t *list = json_array(), *vm;
@@ -170,7 +170,7 @@
 	return list;
 }
 
-/* Ask for the status until nobody is behind or the time is over. */
+/* Polls the status until no VM is behind or the timeout expires. */
 static int wait_in_force(struct apply *a, json_t *answer)
 {
 	json_int_t version =
@@ -195,7 +195,7 @@
 	} while (remaining_ms(a) > 0);
 	json_object_set(answer, "waiting", waiting);
 	if (json_is_null(waiting))
-		fprintf(stderr, "no entry told its status\n");
+		fprintf(stderr, "no entry returned its status\n");
 	json_array_foreach(waiting, i, vm)
 	{
 		char name[80], has[80];
@@ -210,7 +210,7 @@
 	return i ? DL_EXIT_WAITING : DL_EXIT_OK;
 }
 
-/* After it was accepted: wait where asked to, and print the whole. */
+/* After the change was accepted: waits if requested and prints the result. */
 static int finish(struct apply *a, json_t *answer)
 {
 	int rc = DL_EXIT_OK;
@@ -228,7 +228,7 @@
 	return rc;
 }
 
-/* Put a text in force. */
+/* Runs the apply subcommand. */
 int dl_main_apply(int argc, char **argv)
 {
 	struct apply a = { .expect = -1 };
--- a/src/main/cli_check.c
+++ b/src/main/cli_check.c
@@ -1,4 +1,4 @@
-/* daisyledge check: whether a text would be accepted, without any VM. */
+/* daisyledge check: validates a configuration file without contacting a VM. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -7,7 +7,7 @@
 
 static void print_ok(const struct cli *cli, const struct dl_conf *conf);
 
-/* Say that a text is good and what is in it. */
+/* Prints that a configuration is valid and a summary of it. */
 static void print_ok(const struct cli *cli, const struct dl_conf *conf)
 {
 	json_t *json;
@@ -23,7 +23,7 @@
 	json_decref(json);
 }
 
-/* Check a file and print every fault in it. */
+/* Validates a file and prints all faults found. */
 int dl_main_check(int argc, char **argv)
 {
 	static struct dl_faults faults;
--- a/src/main/cli_explain.c
+++ b/src/main/cli_explain.c
@@ -1,4 +1,4 @@
-/* daisyledge explain: what the logs say of one request, or of many. */
+/* daisyledge explain: traces one request, or summarizes all, from log files. */
 #include <errno.h>
 #include <inttypes.h>
 #include <stdlib.h>
@@ -18,19 +18,19 @@
 
 static const GOptionEntry own_options[] = {
 	{ "summary", 0, 0, G_OPTION_ARG_NONE, &summary,
-	  "what was lost and late in the logs, of all requests", NULL },
+	  "summarize the lost and late requests in the logs", NULL },
 	{ "step", 0, 0, G_OPTION_ARG_INT, &step_s,
-	  "how long a moment of the summary lasts", "S" },
+	  "length of an interval of the summary", "S" },
 	{ NULL },
 };
 
-/* Whoever is handed the lines of the logs. */
+/* Callback for each log line, with the node that wrote it. */
 struct line_handler {
 	void (*handle)(void *arg, struct dl_str node, struct dl_str line);
 	void *arg;
 };
 
-/* The VM that a line is of: the last word before its stamp, or its file. */
+/* Returns a line's node: the last word before its timestamp, or the file. */
 static struct dl_str get_node(struct dl_str line, struct dl_str file)
 {
 	struct dl_logline l;
@@ -77,7 +77,7 @@
 	}
 }
 
-/* Hand in the lines of every file; DL_EXIT_FAULT where one cannot be read. */
+/* Passes all lines of the files on; DL_EXIT_FAULT if one cannot be read. */
 static int read_files(char *const *paths, const struct line_handler *handler)
 {
 	for (; *paths; paths++) {
@@ -138,7 +138,7 @@
 	g_date_time_unref(t);
 }
 
-/* A line of the log, and under it what was decided. */
+/* Prints each log line and below it the decision that it records. */
 static void print_request(const json_t *lines)
 {
 	const json_t *l;
@@ -177,7 +177,7 @@
 	else if (rc == DL_EXIT_OK)
 		print_request(lines);
 	if (rc == DL_EXIT_OK && json_array_size(lines) == 0) {
-		fprintf(stderr, "daisyledge explain: no line names %s\n",
+		fprintf(stderr, "daisyledge explain: no log line mentions %s\n",
 			cli->args[0]);
 		rc = DL_EXIT_FAULT;
 	}
@@ -240,7 +240,7 @@
 	return rc;
 }
 
-/* Explain one request by its id, or all requests in one table. */
+/* Runs the explain subcommand. */
 int dl_main_explain(int argc, char **argv)
 {
 	struct cli cli;
@@ -254,8 +254,9 @@
 	args_count = rc == DL_EXIT_OK && cli.args ? g_strv_length(cli.args) : 0;
 	if (rc == DL_EXIT_OK && (args_count < (summary ? 1U : 2U) ||
 				 step_s < 1 || step_s > STEP_S_MAX)) {
-		fprintf(stderr, "daisyledge explain: name an id and logs, or "
-				"--summary and logs; --step is 1 to 86400\n");
+		fprintf(stderr,
+			"daisyledge explain: expected an id and logs, or "
+			"--summary and logs; --step is 1 to 86400\n");
 		rc = DL_EXIT_USAGE;
 	}
 	if (rc == DL_EXIT_OK)
--- a/src/main/cli_get.c
+++ b/src/main/cli_get.c
@@ -1,4 +1,4 @@
-/* daisyledge get and history: the text of a version, and who made which. */
+/* daisyledge get and history: prints a version, or the list of versions. */
 #include <inttypes.h>
 #include <string.h>
 
@@ -20,7 +20,7 @@
 		 struct cli_answer *answer);
 static int print_text(const struct cli *cli, const json_t *json);
 
-/* Ask for a document and tell a failure. */
+/* Requests a document; prints an error on failure. */
 static int fetch(const struct cli *cli, const char *path,
 		 struct cli_answer *answer)
 {
@@ -32,7 +32,7 @@
 	return cli_report_failure(cli, answer);
 }
 
-/* Print a text; one that is no longer kept, or was never made, is a fault. */
+/* Prints a configuration; fails if the version was dropped or never existed. */
 static int print_text(const struct cli *cli, const json_t *json)
 {
 	const json_t *text = json_object_get(json, "text");
@@ -40,7 +40,7 @@
 	if (cli->json)
 		cli_print_json(json);
 	if (!json_is_string(text) || json_string_length(text) == 0) {
-		fprintf(stderr, "the text of this version is not kept\n");
+		fprintf(stderr, "the text of this version is not stored\n");
 		return DL_EXIT_FAULT;
 	}
 	if (!cli->json)
@@ -49,13 +49,13 @@
 	return DL_EXIT_OK;
 }
 
-/* Print the text of a version, or of the one in force. */
+/* Runs the get subcommand. */
 int dl_main_get(int argc, char **argv)
 {
 	gint64 version = 0;
 	const GOptionEntry own[] = {
 		{ "version", 0, 0, G_OPTION_ARG_INT64, &version,
-		  "an older version", "N" },
+		  "print this version instead of the one in force", "N" },
 		{ NULL },
 	};
 	struct cli_answer answer = { 0 };
@@ -75,7 +75,7 @@
 	return rc;
 }
 
-/* Print the versions, the newest first. */
+/* Runs the history subcommand: lists the versions, newest first. */
 int dl_main_history(int argc, char **argv)
 {
 	struct cli_answer answer = { 0 };
--- a/src/main/cli_http.c
+++ b/src/main/cli_http.c
@@ -1,4 +1,4 @@
-/* One call after the other to the entries, each awaited to its end. */
+/* Synchronous HTTP requests to entries. */
 #include <string.h>
 
 #include "main/cli.h"
@@ -6,15 +6,15 @@
 
 #define CONNECT_MS     2000
 #define GAP_MS	       10000
-#define ROUND_DELAY_MS 200 /* between rounds, so that nobody is hammered */
-#define ATTEMPT_MIN_MS 20  /* less time than this is none for an attempt */
+#define ROUND_DELAY_MS 200 /* between rounds, to limit the load on entries */
+#define ATTEMPT_MIN_MS 20  /* with less time left, no attempt is made */
 #define ANSWER_MAX     (64u << 20)
 #define NS_PER_MS      1000000
 #define UNAVAILABLE    503
 #define US_PER_MS      1000
 #define HEADERS_MAX    2
 
-/* One call while it runs. */
+/* A request in progress. */
 struct attempt {
 	GString *body;
 	int status;
@@ -33,13 +33,12 @@
 
 static const struct dl_httpc_ops ops = { on_head, on_body, on_end, NULL };
 
-/* The monotonic clock. */
+/* Returns the monotonic clock in milliseconds. */
 int64_t cli_now_ms(void)
 {
 	return (int64_t)(uv_hrtime() / NS_PER_MS);
 }
 
-/* Wait. */
 void cli_sleep_ms(unsigned ms)
 {
 	uv_sleep(ms);
@@ -71,7 +70,7 @@
 	a->err = *err;
 }
 
-/* The headers of a request; the signature is made anew for each attempt. */
+/* Builds the headers; each attempt gets a new signature. */
 static size_t fill_headers(const struct cli *cli, const struct cli_request *req,
 			   struct dl_header out[HEADERS_MAX],
 			   char signature[DL_SIGNATURE_MAX])
@@ -94,7 +93,7 @@
 	return n;
 }
 
-/* Ask one entry and wait for its answer on a loop of its own. */
+/* Sends the request to one entry and runs an own event loop until it ends. */
 static void try_entry(const struct cli *cli, uint64_t to,
 		      const struct cli_request *req, int64_t timeout_ms,
 		      struct cli_answer *out)
@@ -117,7 +116,7 @@
 
 	uv_loop_init(&loop);
 	if (dl_httpc_open(&loop, &client) != 0)
-		g_error("no memory");
+		g_error("out of memory");
 	if (dl_httpc_start(client, &r, &ops, &a)) {
 		while (!a.ended)
 			uv_run(&loop, UV_RUN_ONCE);
@@ -135,9 +134,9 @@
 }
 
 /*
- * Ask the entries in order, round after round, until one answers or the time
- * is over.  An entry without a quorum answers 503; with other_on_503 the next
- * one is asked, and the last answer stands when the time is over.
+ * Sends a request to the entries in turn, in rounds, until one answers or the
+ * timeout expires. An entry without a quorum answers 503; with other_on_503 the
+ * next one is tried, and the last answer is returned when time runs out.
  */
 void cli_call(const struct cli *cli, const struct cli_request *req,
 	      int64_t timeout_ms, struct cli_answer *out)
@@ -166,7 +165,7 @@
 	}
 }
 
-/* Release an answer. */
+/* Releases the contents of an answer. */
 void cli_answer_free(struct cli_answer *answer)
 {
 	json_decref(answer->json);
--- a/src/main/cli_opt.c
+++ b/src/main/cli_opt.c
@@ -1,4 +1,4 @@
-/* Options of the operators' subcommands, and the file that they name. */
+/* Options of the operators' subcommands, and reading of their input file. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -17,7 +17,7 @@
 static int find_entries(struct cli *cli, const char *name);
 static int read_key(struct cli *cli, const char *name);
 
-/* Say what is wrong with the command line. */
+/* Prints a usage error and returns its exit status. */
 static int usage_error(const char *name, const char *what)
 {
 	fprintf(stderr, "daisyledge %s: %s; see daisyledge %s --help\n", name,
@@ -25,7 +25,7 @@
 	return DL_EXIT_USAGE;
 }
 
-/* Add the address of one entry. */
+/* Adds the address of an entry. */
 static int add_entry(struct cli *cli, const char *name, const char *word)
 {
 	char text[128];
@@ -36,11 +36,12 @@
 		cli->entries++;
 		return DL_EXIT_OK;
 	}
-	snprintf(text, sizeof(text), "\"%.60s\" is no address IP:PORT", word);
+	snprintf(text, sizeof(text), "\"%.60s\" is not an address IP:PORT",
+		 word);
 	return usage_error(name, text);
 }
 
-/* The entries of --entry, or else of the environment. */
+/* Reads the entries from --entry, or from the environment if there is none. */
 static int find_entries(struct cli *cli, const char *name)
 {
 	const char *env = g_getenv(ENTRY_ENV);
@@ -61,8 +62,8 @@
 }
 
 /*
- * The key that signs what is sent: the first line of a file, so that it is
- * never seen in a list of processes.
+ * Reads the signing key from the first line of a file: a key given as an option
+ * would be visible in process listings.
  */
 static int read_key(struct cli *cli, const char *name)
 {
@@ -85,7 +86,7 @@
 					      "to 128 bytes on its first line");
 }
 
-/* Read the options of a subcommand. */
+/* Parses the options of a subcommand. */
 int cli_options(struct cli *cli, const GOptionEntry *own, const char *usage,
 		unsigned args_count, bool online, int argc, char **argv)
 {
@@ -98,7 +99,7 @@
 	};
 	const GOptionEntry connection[] = {
 		{ "entry", 0, 0, G_OPTION_ARG_STRING_ARRAY, &cli->entry_args,
-		  "an entry to ask; several are asked in order (or "
+		  "address of an entry; repeat to try several (or "
 		  "$" ENTRY_ENV ")",
 		  "IP:PORT" },
 		{ "key-file", 0, 0, G_OPTION_ARG_FILENAME, &cli->key_file,
@@ -132,9 +133,8 @@
 		return rc;
 	if (args_count != CLI_ANY_ARGS &&
 	    (cli->args ? g_strv_length(cli->args) : 0) != args_count)
-		return usage_error(argv[0], args_count ?
-						    "name one file" :
-						    "no words beside options");
+		return usage_error(argv[0], args_count ? "expected one file" :
+							 "unexpected argument");
 	if (!online)
 		return DL_EXIT_OK;
 	if (cli->timeout_s < 1 || cli->timeout_s > TIMEOUT_S_MAX)
@@ -143,12 +143,13 @@
 	if (rc == DL_EXIT_OK)
 		rc = find_entries(cli, argv[0]);
 	if (rc == DL_EXIT_OK && cli->entries == 0)
-		rc = usage_error(argv[0], "name an entry: --entry IP:PORT or "
-					  "$" ENTRY_ENV);
+		rc = usage_error(argv[0],
+				 "no entry given; use --entry IP:PORT or "
+				 "$" ENTRY_ENV);
 	return rc;
 }
 
-/* Release what the options hold. */
+/* Frees the options. */
 void cli_free(struct cli *cli)
 {
 	g_free(cli->key_file);
@@ -157,9 +158,9 @@
 }
 
 /*
- * Read a file, "-" for standard input, up to one byte more than a text may
- * have, so that the check can say that it is too long.  0 or a negative errno;
- * out->s is freed with free().
+ * Reads a file, "-" for standard input, up to one byte more than the maximum
+ * size of a configuration, so that validation can report that it is too long.
+ * Returns 0 or a negative errno; the caller frees out->s with free().
  */
 int cli_read_file(const char *path, struct cli_text *out)
 {
--- a/src/main/cli_print.c
+++ b/src/main/cli_print.c
@@ -1,4 +1,4 @@
-/* What the operators' subcommands print: tables, faults and failures. */
+/* Output of the operators' subcommands: tables, faults and errors. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -9,7 +9,7 @@
 #define CELL_MAX    80
 #define MS_PER_S    1000
 
-/* HTTP statuses of the entry and what they mean for the exit status. */
+/* Exit status for each HTTP status; 0 means that there was no answer. */
 struct status_exit {
 	int status;
 	int exit;
@@ -29,7 +29,6 @@
 static void print_member(const char *label, const json_t *json,
 			 const char *key);
 
-/* The exit status for an HTTP status. */
 static int exit_status(int status)
 {
 	for (size_t i = 0; i < sizeof(status_exits) / sizeof(status_exits[0]);
@@ -40,14 +39,14 @@
 	return DL_EXIT_FAULT;
 }
 
-/* Print JSON for programs, in one line. */
+/* Prints JSON on one line. */
 void cli_print_json(const json_t *json)
 {
 	json_dumpf(json, stdout, JSON_COMPACT | JSON_ENCODE_ANY);
 	putchar('\n');
 }
 
-/* Print a line for each fault, like a compiler's. */
+/* Prints one line per fault, in the format of compiler errors. */
 void cli_print_faults(FILE *to, const char *file,
 		      const struct dl_faults *faults)
 {
@@ -64,7 +63,7 @@
 			faults->count - kept);
 }
 
-/* The same for programs. */
+/* Returns the faults as a JSON array. */
 json_t *cli_faults_json(const struct dl_faults *faults)
 {
 	json_t *list = json_array();
@@ -79,7 +78,7 @@
 	return list;
 }
 
-/* Print a member of an answer after its label, where there is one. */
+/* Prints a label and a member of a JSON object, if it is present. */
 static void print_member(const char *label, const json_t *json, const char *key)
 {
 	const json_t *value = json_object_get(json, key);
@@ -93,7 +92,10 @@
 	}
 }
 
-/* Why: a text of the operators' door, or the object that every door sends. */
+/*
+ * Returns the reason in an error response. "error" is a string in responses to
+ * operators and an object in all others.
+ */
 static const char *get_reason(const json_t *json)
 {
 	const json_t *error = json_object_get(json, "error");
@@ -106,7 +108,7 @@
 	return json_string_value(json_object_get(error, "reason"));
 }
 
-/* Tell an answer that is no success, and return the exit status. */
+/* Prints why a request failed and returns the exit status. */
 int cli_report_failure(const struct cli *cli, const struct cli_answer *answer)
 {
 	const char *error = get_reason(answer->json);
@@ -125,7 +127,7 @@
 			answer->err.text);
 	else
 		fprintf(stderr, "refused with status %d: %s\n", answer->status,
-			error ? error : "no reason was given");
+			error ? error : "no reason given");
 	print_member("step: ", answer->json, "step");
 	print_member("peer: ", answer->json, "peer");
 	print_member("version in force: ", answer->json, "version");
@@ -143,7 +145,7 @@
 	return exit_status(answer->status);
 }
 
-/* One value as people read it. */
+/* Formats a JSON value for people. */
 void cli_format_cell(const json_t *value, bool is_time, char out[CELL_MAX])
 {
 	GDateTime *time;
@@ -171,7 +173,7 @@
 	}
 }
 
-/* Print one line of a table; the last column is not padded. */
+/* Prints one line of a table; the last column is not padded. */
 static void print_line(const struct cli_column *columns, size_t count,
 		       char cells[][CELL_MAX], const size_t *width)
 {
@@ -185,7 +187,7 @@
 	}
 }
 
-/* Print a list of objects as a table with a line of titles. */
+/* Prints a list of objects as a table with a header line. */
 void cli_print_table(const json_t *rows, const struct cli_column *columns,
 		     size_t count)
 {
--- a/src/main/cli_status.c
+++ b/src/main/cli_status.c
@@ -1,4 +1,4 @@
-/* daisyledge status: which VMs, replicas, pools and endpoints there are. */
+/* daisyledge status: lists VMs, replicas, pools and endpoints. */
 #include <string.h>
 
 #include "main/cli.h"
@@ -40,7 +40,7 @@
 	{ .key = "put_out", .title = "PUT OUT" },
 };
 
-/* A list of the status, under its title. */
+/* A list in the status document and the columns printed for it. */
 struct section {
 	const char *key;
 	const struct cli_column *columns;
@@ -57,7 +57,7 @@
 static void print_value(const char *key, const json_t *value, int depth);
 static void print_values(const json_t *json, int depth);
 
-/* Print one value after its key, or what is in it on lines of its own. */
+/* Prints a key with its value; the members of a container go below it. */
 static void print_value(const char *key, const json_t *value, int depth)
 {
 	char cell[80];
@@ -72,7 +72,7 @@
 	       json_is_false(value) ? "no" : cell);
 }
 
-/* Print what the replicas say: whatever it is, one line a value. */
+/* Prints the members of a JSON object or array, one line per value. */
 static void print_values(const json_t *json, int depth)
 {
 	const char *key;
@@ -91,7 +91,6 @@
 	}
 }
 
-/* Print the status for people. */
 static void print_status(const json_t *json)
 {
 	char cell[80];
@@ -112,7 +111,7 @@
 	print_values(json_object_get(json, "replicas"), 1);
 }
 
-/* Print the status that an entry sees. */
+/* Runs the status subcommand. */
 int dl_main_status(int argc, char **argv)
 {
 	struct cli_request req = { "GET", "/v1/status", NULL, false };
