--- a/src/main/cli_opt.c
+++ b/src/main/cli_opt.c
@@ -13,7 +13,7 @@
 #define READ_CHUNK	  65536
 
 static int usage_error(const char *name, const char *what);
-static int add_entry(struct cli *cli, const char *name, const char *word);
+static int add_entry(struct cli *cli, const char *name, const char *address);
 static int find_entries(struct cli *cli, const char *name);
 static int read_key(struct cli *cli, const char *name);
 
@@ -26,18 +26,18 @@
 }
 
 /* Adds the address of an entry. */
-static int add_entry(struct cli *cli, const char *name, const char *word)
+static int add_entry(struct cli *cli, const char *name, const char *address)
 {
 	char text[128];
 
 	if (cli->entries == CLI_ENTRIES_MAX)
 		return usage_error(name, "too many entries");
-	if (dl_vm_parse(dl_str_of(word), &cli->entry[cli->entries])) {
+	if (dl_vm_parse(dl_str_of(address), &cli->entry[cli->entries])) {
 		cli->entries++;
 		return DL_EXIT_OK;
 	}
 	snprintf(text, sizeof(text), "\"%.60s\" is not an address IP:PORT",
-		 word);
+		 address);
 	return usage_error(name, text);
 }
 
@@ -45,19 +45,19 @@
 static int find_entries(struct cli *cli, const char *name)
 {
 	const char *env = g_getenv(ENTRY_ENV);
-	char **words;
+	char **addresses;
 	int rc = DL_EXIT_OK;
 
 	for (char **w = cli->entry_args; w && *w && rc == DL_EXIT_OK; w++)
 		rc = add_entry(cli, name, *w);
 	if (rc != DL_EXIT_OK || cli->entries || !env)
 		return rc;
-	words = g_strsplit_set(env, ", ", 0);
-	for (char **w = words; *w && rc == DL_EXIT_OK; w++) {
+	addresses = g_strsplit_set(env, ", ", 0);
+	for (char **w = addresses; *w && rc == DL_EXIT_OK; w++) {
 		if (**w)
 			rc = add_entry(cli, name, *w);
 	}
-	g_strfreev(words);
+	g_strfreev(addresses);
 	return rc;
 }
 
--- a/src/main/cli_print.c
+++ b/src/main/cli_print.c
@@ -50,17 +50,17 @@
 void cli_print_faults(FILE *to, const char *file,
 		      const struct dl_faults *faults)
 {
-	uint32_t kept = MIN(faults->count, DL_FAULTS_MAX);
+	uint32_t listed = MIN(faults->count, DL_FAULTS_MAX);
 
-	for (uint32_t i = 0; i < kept; i++) {
+	for (uint32_t i = 0; i < listed; i++) {
 		const struct dl_fault *f = &faults->at[i];
 
 		fprintf(to, "%s:%u: %s%s%s\n", file, f->line, f->path,
 			f->path[0] ? ": " : "", f->text);
 	}
-	if (faults->count > kept)
+	if (faults->count > listed)
 		fprintf(to, "%s: and %u more faults\n", file,
-			faults->count - kept);
+			faults->count - listed);
 }
 
 /* Returns the faults as a JSON array. */
