--- a/src/main/replica.h
+++ b/src/main/replica.h
@@ -21,8 +21,7 @@
 	uint64_t request;
 	int64_t at;
 	uint64_t config_number; /* number of a configuration sent over HTTP */
-	struct dl_httpd_req
-		*http_req; /* HTTP request to answer; vm is DL_VM_NONE */
+	struct dl_httpd_req *http_req; /* to answer; vm is then none */
 };
 
 /* A query that was forwarded to the leader. */
@@ -46,8 +45,7 @@
 	struct dl_rlog *rlog;
 	struct dl_cstore *cstore;
 	uv_prepare_t prepare;
-	uv_idle_t
-		apply_idle; /* active while committed entries are not applied */
+	uv_idle_t apply_idle; /* active while entries wait to be applied */
 	int64_t started_at;
 	bool started; /* the first sync of the journal has finished */
 	bool current; /* has caught up, so its version may be advertised */
