--- a/src/base/base.c
+++ b/src/base/base.c
@@ -80,8 +80,7 @@
 	return true;
 }
 
-/* Copies a string into a name; returns false and changes nothing if too long.
- */
+/* Copies a string into a name; false, and no change, if it is too long. */
 bool dl_name_set(struct dl_name *name, struct dl_str s)
 {
 	if (s.n > DL_NAME_MAX)
--- a/src/base/hist.c
+++ b/src/base/hist.c
@@ -1,4 +1,4 @@
-/* Latency histograms. Plain integers: the process has one event loop thread. */
+/* Latency histograms. Plain integers: only the loop thread uses them. */
 #include "base/hist.h"
 
 struct hist_text {
--- a/src/base/metric.c
+++ b/src/base/metric.c
@@ -1,5 +1,4 @@
-/* Counters and gauges. Plain integers: the process has one event loop thread.
- */
+/* Counters and gauges. Plain integers: only the loop thread uses them. */
 #include "base/metric.h"
 
 struct metric_text {
--- a/src/base/msgpack_check.c
+++ b/src/base/msgpack_check.c
@@ -19,7 +19,7 @@
 #define FIRST_TYPE 0xc0
 #define LAST_TYPE  0xdf
 
-/* The types from 0xc0 (nil) to 0xdf (map 32). */
+/* Types 0xc0 (nil) to 0xdf (map 32). */
 static const struct type types[LAST_TYPE - FIRST_TYPE + 1] = {
 	{ SHAPE_FIXED, 0 },  { SHAPE_INVALID, 0 }, { SHAPE_FIXED, 0 },
 	{ SHAPE_FIXED, 0 },  { SHAPE_BYTES, 1 },   { SHAPE_BYTES, 2 },
@@ -49,7 +49,7 @@
 	return true;
 }
 
-/* Read a big-endian number of n bytes. */
+/* Reads a big-endian number of n bytes. */
 static bool read_number(struct cursor *c, uint8_t n, uint64_t *out)
 {
 	const uint8_t *p = c->at;
--- a/src/main/log.c
+++ b/src/main/log.c
@@ -1,5 +1,4 @@
-/* Passes the library's log messages to log4c and its output to a ring buffer.
- */
+/* Connects the library's log messages to log4c and a ring buffer. */
 #include "main/log.h"
 
 #include <errno.h>
@@ -17,8 +16,7 @@
 #define LINE_BYTES_MAX 1280
 #define NS_PER_MS      1000000
 #define MS_PER_S       1000
-/* Writes of up to PIPE_BUF bytes, to limit the time per event loop iteration.
- */
+/* Writes of up to PIPE_BUF bytes; limits the time per loop iteration. */
 #define WRITES_PER_FLUSH 32
 
 static enum dl_level level_of(int priority)
@@ -138,8 +136,7 @@
 	log4c_category_set_priority(category, priorities[level]);
 }
 
-/* Makes the log one level more verbose, or errors only after debug (SIGUSR1).
- */
+/* On SIGUSR1: one level more verbose; after debug, only errors are logged. */
 void dl_main_log_cycle_level(void)
 {
 	dl_main_log_set_level(current_level == DL_DEBUG ?
