--- a/src/main/cli_get.c
+++ b/src/main/cli_get.c
@@ -1,4 +1,4 @@
-/* daisyledge get and history: the text of a version, and who made which. */
+/* daisyledge get and history: prints a version, or the list of versions. */
 #include <inttypes.h>
 #include <string.h>
 
@@ -16,23 +16,23 @@
 	{ .key = "change_id", .title = "CHANGE ID" },
 };
 
-static int ask(const struct cli *cli, const char *path,
-	       struct cli_answer *answer);
+static int fetch(const struct cli *cli, const char *path,
+		 struct cli_answer *answer);
 static int print_text(const struct cli *cli, const json_t *json);
 
-/* Ask for a document and tell a failure. */
-static int ask(const struct cli *cli, const char *path,
-	       struct cli_answer *answer)
+/* Requests a document; prints an error on failure. */
+static int fetch(const struct cli *cli, const char *path,
+		 struct cli_answer *answer)
 {
 	struct cli_request req = { "GET", path, NULL, true };
 
 	cli_call(cli, &req, (int64_t)cli->timeout_s * 1000, answer);
 	if (answer->status == OK && answer->json)
 		return DL_EXIT_OK;
-	return cli_fail(cli, answer);
+	return cli_report_failure(cli, answer);
 }
 
-/* Print a text; one that is no longer kept, or was never made, is a fault. */
+/* Prints a configuration; fails if the version was dropped or never existed. */
 static int print_text(const struct cli *cli, const json_t *json)
 {
 	const json_t *text = json_object_get(json, "text");
@@ -40,7 +40,7 @@
 	if (cli->json)
 		cli_print_json(json);
 	if (!json_is_string(text) || json_string_length(text) == 0) {
-		fprintf(stderr, "the text of this version is not kept\n");
+		fprintf(stderr, "the text of this version is not stored\n");
 		return DL_EXIT_FAULT;
 	}
 	if (!cli->json)
@@ -49,13 +49,13 @@
 	return DL_EXIT_OK;
 }
 
-/* Print the text of a version, or of the one in force. */
+/* Runs the get subcommand. */
 int dl_main_get(int argc, char **argv)
 {
 	gint64 version = 0;
 	const GOptionEntry own[] = {
 		{ "version", 0, 0, G_OPTION_ARG_INT64, &version,
-		  "an older version", "N" },
+		  "print this version instead of the one in force", "N" },
 		{ NULL },
 	};
 	struct cli_answer answer = { 0 };
@@ -67,7 +67,7 @@
 		snprintf(path, sizeof(path), "/v1/config?version=%" PRId64,
 			 (int64_t)version);
 	if (rc == DL_EXIT_OK)
-		rc = ask(&cli, path, &answer);
+		rc = fetch(&cli, path, &answer);
 	if (rc == DL_EXIT_OK)
 		rc = print_text(&cli, answer.json);
 	cli_answer_free(&answer);
@@ -75,7 +75,7 @@
 	return rc;
 }
 
-/* Print the versions, the newest first. */
+/* Runs the history subcommand: lists the versions, newest first. */
 int dl_main_history(int argc, char **argv)
 {
 	struct cli_answer answer = { 0 };
@@ -83,13 +83,14 @@
 	int rc = cli_options(&cli, NULL, NULL, 0, true, argc, argv);
 
 	if (rc == DL_EXIT_OK)
-		rc = ask(&cli, "/v1/config/history", &answer);
+		rc = fetch(&cli, "/v1/config/history", &answer);
 	if (rc == DL_EXIT_OK && cli.json)
 		cli_print_json(answer.json);
 	else if (rc == DL_EXIT_OK)
-		cli_table(json_object_get(answer.json, "changes"),
-			  history_columns,
-			  sizeof(history_columns) / sizeof(history_columns[0]));
+		cli_print_table(json_object_get(answer.json, "changes"),
+				history_columns,
+				sizeof(history_columns) /
+					sizeof(history_columns[0]));
 	cli_answer_free(&answer);
 	cli_free(&cli);
 	return rc;
--- a/src/main/cli_opt.c
+++ b/src/main/cli_opt.c
@@ -1,4 +1,4 @@
-/* Options of the operators' subcommands, and the file that they name. */
+/* Options of the operators' subcommands, and reading of their input file. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -13,11 +13,11 @@
 #define READ_CHUNK	  65536
 
 static int usage_error(const char *name, const char *what);
-static int add_entry(struct cli *cli, const char *name, const char *word);
+static int add_entry(struct cli *cli, const char *name, const char *address);
 static int find_entries(struct cli *cli, const char *name);
 static int read_key(struct cli *cli, const char *name);
 
-/* Say what is wrong with the command line. */
+/* Prints a usage error and returns its exit status. */
 static int usage_error(const char *name, const char *what)
 {
 	fprintf(stderr, "daisyledge %s: %s; see daisyledge %s --help\n", name,
@@ -25,44 +25,45 @@
 	return DL_EXIT_USAGE;
 }
 
-/* Add the address of one entry. */
-static int add_entry(struct cli *cli, const char *name, const char *word)
+/* Adds the address of an entry. */
+static int add_entry(struct cli *cli, const char *name, const char *address)
 {
 	char text[128];
 
 	if (cli->entries == CLI_ENTRIES_MAX)
 		return usage_error(name, "too many entries");
-	if (dl_vm_parse(dl_str_of(word), &cli->entry[cli->entries])) {
+	if (dl_vm_parse(dl_str_of(address), &cli->entry[cli->entries])) {
 		cli->entries++;
 		return DL_EXIT_OK;
 	}
-	snprintf(text, sizeof(text), "\"%.60s\" is no address IP:PORT", word);
+	snprintf(text, sizeof(text), "\"%.60s\" is not an address IP:PORT",
+		 address);
 	return usage_error(name, text);
 }
 
-/* The entries of --entry, or else of the environment. */
+/* Reads the entries from --entry, or from the environment if there is none. */
 static int find_entries(struct cli *cli, const char *name)
 {
 	const char *env = g_getenv(ENTRY_ENV);
-	char **words;
+	char **addresses;
 	int rc = DL_EXIT_OK;
 
-	for (char **w = cli->words; w && *w && rc == DL_EXIT_OK; w++)
+	for (char **w = cli->entry_args; w && *w && rc == DL_EXIT_OK; w++)
 		rc = add_entry(cli, name, *w);
 	if (rc != DL_EXIT_OK || cli->entries || !env)
 		return rc;
-	words = g_strsplit_set(env, ", ", 0);
-	for (char **w = words; *w && rc == DL_EXIT_OK; w++) {
+	addresses = g_strsplit_set(env, ", ", 0);
+	for (char **w = addresses; *w && rc == DL_EXIT_OK; w++) {
 		if (**w)
 			rc = add_entry(cli, name, *w);
 	}
-	g_strfreev(words);
+	g_strfreev(addresses);
 	return rc;
 }
 
 /*
- * The key that signs what is sent: the first line of a file, so that it is
- * never seen in a list of processes.
+ * Reads the signing key from the first line of a file: a key given as an option
+ * would be visible in process listings.
  */
 static int read_key(struct cli *cli, const char *name)
 {
@@ -85,20 +86,20 @@
 					      "to 128 bytes on its first line");
 }
 
-/* Read the options of a subcommand. */
+/* Parses the options of a subcommand. */
 int cli_options(struct cli *cli, const GOptionEntry *own, const char *usage,
-		unsigned files, bool online, int argc, char **argv)
+		unsigned args_count, bool online, int argc, char **argv)
 {
 	const GOptionEntry common[] = {
 		{ "json", 0, 0, G_OPTION_ARG_NONE, &cli->json,
 		  "print JSON for programs", NULL },
 		{ G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_FILENAME_ARRAY,
-		  &cli->rest, NULL, NULL },
+		  &cli->args, NULL, NULL },
 		{ NULL },
 	};
-	const GOptionEntry reach[] = {
-		{ "entry", 0, 0, G_OPTION_ARG_STRING_ARRAY, &cli->words,
-		  "an entry to ask; several are asked in order (or "
+	const GOptionEntry connection[] = {
+		{ "entry", 0, 0, G_OPTION_ARG_STRING_ARRAY, &cli->entry_args,
+		  "address of an entry; repeat to try several (or "
 		  "$" ENTRY_ENV ")",
 		  "IP:PORT" },
 		{ "key-file", 0, 0, G_OPTION_ARG_FILENAME, &cli->key_file,
@@ -121,7 +122,7 @@
 	if (own)
 		g_option_context_add_main_entries(context, own, NULL);
 	if (online)
-		g_option_context_add_main_entries(context, reach, NULL);
+		g_option_context_add_main_entries(context, connection, NULL);
 	g_option_context_add_main_entries(context, common, NULL);
 	if (!g_option_context_parse(context, &argc, &argv, &error)) {
 		rc = usage_error(argv[0], error->message);
@@ -130,10 +131,10 @@
 	g_option_context_free(context);
 	if (rc != DL_EXIT_OK)
 		return rc;
-	if (files != CLI_ANY_WORDS &&
-	    (cli->rest ? g_strv_length(cli->rest) : 0) != files)
-		return usage_error(argv[0], files ? "name one file" :
-						    "no words beside options");
+	if (args_count != CLI_ANY_ARGS &&
+	    (cli->args ? g_strv_length(cli->args) : 0) != args_count)
+		return usage_error(argv[0], args_count ? "expected one file" :
+							 "unexpected argument");
 	if (!online)
 		return DL_EXIT_OK;
 	if (cli->timeout_s < 1 || cli->timeout_s > TIMEOUT_S_MAX)
@@ -142,23 +143,24 @@
 	if (rc == DL_EXIT_OK)
 		rc = find_entries(cli, argv[0]);
 	if (rc == DL_EXIT_OK && cli->entries == 0)
-		rc = usage_error(argv[0], "name an entry: --entry IP:PORT or "
-					  "$" ENTRY_ENV);
+		rc = usage_error(argv[0],
+				 "no entry given; use --entry IP:PORT or "
+				 "$" ENTRY_ENV);
 	return rc;
 }
 
-/* Release what the options hold. */
+/* Frees the options. */
 void cli_free(struct cli *cli)
 {
 	g_free(cli->key_file);
-	g_strfreev(cli->words);
-	g_strfreev(cli->rest);
+	g_strfreev(cli->entry_args);
+	g_strfreev(cli->args);
 }
 
 /*
- * Read a file, "-" for standard input, up to one byte more than a text may
- * have, so that the check can say that it is too long.  0 or a negative errno;
- * out->s is freed with free().
+ * Reads a file, "-" for standard input, up to one byte more than the maximum
+ * size of a configuration, so that validation can report that it is too long.
+ * Returns 0 or a negative errno; the caller frees out->s with free().
  */
 int cli_read_file(const char *path, struct cli_text *out)
 {
--- a/src/main/cli_print.c
+++ b/src/main/cli_print.c
@@ -1,4 +1,4 @@
-/* What the operators' subcommands print: tables, faults and failures. */
+/* Output of the operators' subcommands: tables, faults and errors. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -9,61 +9,61 @@
 #define CELL_MAX    80
 #define MS_PER_S    1000
 
-/* HTTP statuses of the entry and what they mean for the exit status. */
+/* Exit status for each HTTP status; 0 means that there was no answer. */
 struct status_exit {
 	int status;
 	int exit;
 };
 
-static const struct status_exit exits[] = {
+static const struct status_exit status_exits[] = {
 	{ 400, DL_EXIT_FAULT },	    { 401, DL_EXIT_FAULT },
 	{ 404, DL_EXIT_FAULT },	    { 409, DL_EXIT_CONFLICT },
 	{ 412, DL_EXIT_FAULT },	    { 413, DL_EXIT_FAULT },
 	{ 503, DL_EXIT_UNREACHED }, { 0, DL_EXIT_UNREACHED },
 };
 
-static int exit_of(int status);
-static const char *reason_of(const json_t *json);
+static int exit_status(int status);
+static const char *get_reason(const json_t *json);
 static void print_line(const struct cli_column *columns, size_t count,
 		       char cells[][CELL_MAX], const size_t *width);
 static void print_member(const char *label, const json_t *json,
 			 const char *key);
 
-/* The exit status for an HTTP status. */
-static int exit_of(int status)
+static int exit_status(int status)
 {
-	for (size_t i = 0; i < sizeof(exits) / sizeof(exits[0]); i++) {
-		if (exits[i].status == status)
-			return exits[i].exit;
+	for (size_t i = 0; i < sizeof(status_exits) / sizeof(status_exits[0]);
+	     i++) {
+		if (status_exits[i].status == status)
+			return status_exits[i].exit;
 	}
 	return DL_EXIT_FAULT;
 }
 
-/* Print JSON for programs, in one line. */
+/* Prints JSON on one line. */
 void cli_print_json(const json_t *json)
 {
 	json_dumpf(json, stdout, JSON_COMPACT | JSON_ENCODE_ANY);
 	putchar('\n');
 }
 
-/* Print a line for each fault, like a compiler's. */
+/* Prints one line per fault, in the format of compiler errors. */
 void cli_print_faults(FILE *to, const char *file,
 		      const struct dl_faults *faults)
 {
-	uint32_t kept = MIN(faults->count, DL_FAULTS_MAX);
+	uint32_t listed = MIN(faults->count, DL_FAULTS_MAX);
 
-	for (uint32_t i = 0; i < kept; i++) {
+	for (uint32_t i = 0; i < listed; i++) {
 		const struct dl_fault *f = &faults->items[i];
 
 		fprintf(to, "%s:%u: %s%s%s\n", file, f->line, f->path,
 			f->path[0] ? ": " : "", f->text);
 	}
-	if (faults->count > kept)
+	if (faults->count > listed)
 		fprintf(to, "%s: and %u more faults\n", file,
-			faults->count - kept);
+			faults->count - listed);
 }
 
-/* The same for programs. */
+/* Returns the faults as a JSON array. */
 json_t *cli_faults_json(const struct dl_faults *faults)
 {
 	json_t *list = json_array();
@@ -78,7 +78,7 @@
 	return list;
 }
 
-/* Print a member of an answer after its label, where there is one. */
+/* Prints a label and a member of a JSON object, if it is present. */
 static void print_member(const char *label, const json_t *json, const char *key)
 {
 	const json_t *value = json_object_get(json, key);
@@ -87,13 +87,16 @@
 	if (json_is_string(value) && json_string_length(value)) {
 		fprintf(stderr, "%s%s\n", label, json_string_value(value));
 	} else if (json_is_integer(value)) {
-		cli_cell(value, false, cell);
+		cli_format_cell(value, false, cell);
 		fprintf(stderr, "%s%s\n", label, cell);
 	}
 }
 
-/* Why: a text of the operators' door, or the object that every door sends. */
-static const char *reason_of(const json_t *json)
+/*
+ * Returns the reason in an error response. "error" is a string in responses to
+ * operators and an object in all others.
+ */
+static const char *get_reason(const json_t *json)
 {
 	const json_t *error = json_object_get(json, "error");
 	const json_t *message = json_object_get(error, "message");
@@ -105,10 +108,10 @@
 	return json_string_value(json_object_get(error, "reason"));
 }
 
-/* Tell an answer that is no success, and return the exit status. */
-int cli_fail(const struct cli *cli, const struct cli_answer *answer)
+/* Prints why a request failed and returns the exit status. */
+int cli_report_failure(const struct cli *cli, const struct cli_answer *answer)
 {
-	const char *error = reason_of(answer->json);
+	const char *error = get_reason(answer->json);
 	const char *diff =
 		json_string_value(json_object_get(answer->json, "diff"));
 	json_t *fault;
@@ -116,7 +119,7 @@
 
 	if (cli->json && answer->json) {
 		cli_print_json(answer->json);
-		return exit_of(answer->status);
+		return exit_status(answer->status);
 	}
 	if (answer->status == 0)
 		fprintf(stderr, "no entry answered; last: %s: %s: %s\n",
@@ -124,7 +127,7 @@
 			answer->err.text);
 	else
 		fprintf(stderr, "refused with status %d: %s\n", answer->status,
-			error ? error : "no reason was given");
+			error ? error : "no reason given");
 	print_member("step: ", answer->json, "step");
 	print_member("peer: ", answer->json, "peer");
 	print_member("version in force: ", answer->json, "version");
@@ -134,16 +137,16 @@
 	{
 		char line[CELL_MAX];
 
-		cli_cell(json_object_get(fault, "line"), false, line);
+		cli_format_cell(json_object_get(fault, "line"), false, line);
 		fprintf(stderr, "line %s: ", line);
 		print_member("", fault, "path");
 		print_member("  ", fault, "text");
 	}
-	return exit_of(answer->status);
+	return exit_status(answer->status);
 }
 
-/* One value as people read it. */
-void cli_cell(const json_t *value, bool is_time, char out[CELL_MAX])
+/* Formats a JSON value for people. */
+void cli_format_cell(const json_t *value, bool is_time, char out[CELL_MAX])
 {
 	GDateTime *time;
 	char *text;
@@ -170,7 +173,7 @@
 	}
 }
 
-/* Print one line of a table; the last column is not padded. */
+/* Prints one line of a table; the last column is not padded. */
 static void print_line(const struct cli_column *columns, size_t count,
 		       char cells[][CELL_MAX], const size_t *width)
 {
@@ -184,9 +187,9 @@
 	}
 }
 
-/* Print a list of objects as a table with a line of titles. */
-void cli_table(const json_t *rows, const struct cli_column *columns,
-	       size_t count)
+/* Prints a list of objects as a table with a header line. */
+void cli_print_table(const json_t *rows, const struct cli_column *columns,
+		     size_t count)
 {
 	char cells[COLUMNS_MAX][CELL_MAX];
 	size_t width[COLUMNS_MAX], r;
@@ -197,8 +200,8 @@
 	json_array_foreach(rows, r, row)
 	{
 		for (size_t i = 0; i < count; i++) {
-			cli_cell(json_object_get(row, columns[i].key),
-				 columns[i].is_time, cells[i]);
+			cli_format_cell(json_object_get(row, columns[i].key),
+					columns[i].is_time, cells[i]);
 			width[i] = MAX(width[i], strlen(cells[i]));
 		}
 	}
@@ -206,8 +209,8 @@
 	json_array_foreach(rows, r, row)
 	{
 		for (size_t i = 0; i < count; i++)
-			cli_cell(json_object_get(row, columns[i].key),
-				 columns[i].is_time, cells[i]);
+			cli_format_cell(json_object_get(row, columns[i].key),
+					columns[i].is_time, cells[i]);
 		print_line(columns, count, cells, width);
 	}
 }
--- a/src/main/cli_status.c
+++ b/src/main/cli_status.c
@@ -1,4 +1,4 @@
-/* daisyledge status: which VMs, replicas, pools and endpoints there are. */
+/* daisyledge status: lists VMs, replicas, pools and endpoints. */
 #include <string.h>
 
 #include "main/cli.h"
@@ -40,14 +40,14 @@
 	{ .key = "put_out", .title = "PUT OUT" },
 };
 
-/* A list of the status, under its title. */
-struct part {
+/* A list in the status document and the columns printed for it. */
+struct section {
 	const char *key;
 	const struct cli_column *columns;
 	size_t count;
 };
 
-static const struct part parts[] = {
+static const struct section sections[] = {
 	{ "vms", vm_columns, COUNT(vm_columns) },
 	{ "pools", pool_columns, COUNT(pool_columns) },
 	{ "endpoints", endpoint_columns, COUNT(endpoint_columns) },
@@ -55,25 +55,25 @@
 
 static void print_status(const json_t *json);
 static void print_value(const char *key, const json_t *value, int depth);
-static void print_replicas(const json_t *json, int depth);
+static void print_values(const json_t *json, int depth);
 
-/* Print one value after its key, or what is in it on lines of its own. */
+/* Prints a key with its value; the members of a container go below it. */
 static void print_value(const char *key, const json_t *value, int depth)
 {
 	char cell[80];
 
 	if (json_is_object(value) || json_is_array(value)) {
 		printf("%*s%s:\n", depth * 2, "", key);
-		print_replicas(value, depth + 1);
+		print_values(value, depth + 1);
 		return;
 	}
-	cli_cell(value, false, cell);
+	cli_format_cell(value, false, cell);
 	printf("%*s%s: %s\n", depth * 2, "", key,
 	       json_is_false(value) ? "no" : cell);
 }
 
-/* Print what the replicas say: whatever it is, one line a value. */
-static void print_replicas(const json_t *json, int depth)
+/* Prints the members of a JSON object or array, one line per value. */
+static void print_values(const json_t *json, int depth)
 {
 	const char *key;
 	json_t *value;
@@ -91,28 +91,27 @@
 	}
 }
 
-/* Print the status for people. */
 static void print_status(const json_t *json)
 {
 	char cell[80];
 
-	cli_cell(json_object_get(json, "version"), false, cell);
+	cli_format_cell(json_object_get(json, "version"), false, cell);
 	printf("version in force: %s\n", cell);
-	for (size_t i = 0; i < COUNT(parts); i++) {
-		const json_t *list = json_object_get(json, parts[i].key);
+	for (size_t i = 0; i < COUNT(sections); i++) {
+		const json_t *list = json_object_get(json, sections[i].key);
 
 		if (json_array_size(list) == 0)
 			continue;
 		putchar('\n');
-		cli_table(list, parts[i].columns, parts[i].count);
+		cli_print_table(list, sections[i].columns, sections[i].count);
 	}
 	if (json_object_size(json_object_get(json, "replicas")) == 0)
 		return;
 	printf("\nreplicas:\n");
-	print_replicas(json_object_get(json, "replicas"), 1);
+	print_values(json_object_get(json, "replicas"), 1);
 }
 
-/* Print the status that an entry sees. */
+/* Runs the status subcommand. */
 int dl_main_status(int argc, char **argv)
 {
 	struct cli_request req = { "GET", "/v1/status", NULL, false };
@@ -123,7 +122,7 @@
 	if (rc == DL_EXIT_OK) {
 		cli_call(&cli, &req, (int64_t)cli.timeout_s * 1000, &answer);
 		if (answer.status != OK || !answer.json)
-			rc = cli_fail(&cli, &answer);
+			rc = cli_report_failure(&cli, &answer);
 		else if (cli.json)
 			cli_print_json(answer.json);
 		else
--- a/src/main/log.c
+++ b/src/main/log.c
@@ -1,4 +1,4 @@
-/* The way from the library's messages to log4c. */
+/* Connects the library's log messages to log4c and a ring buffer. */
 #include "main/log.h"
 
 #include <errno.h>
@@ -13,11 +13,11 @@
 
 #include "base/logring.h"
 
-#define LINE_MAX_BYTES 1280
+#define LINE_BYTES_MAX 1280
 #define NS_PER_MS      1000000
 #define MS_PER_S       1000
-/* Of PIPE_BUF bytes each, at one look: no turn of the loop is kept longer. */
-#define CHUNKS_MAX 32
+/* Writes of up to PIPE_BUF bytes; limits the time per loop iteration. */
+#define WRITES_PER_FLUSH 32
 
 static enum dl_level level_of(int priority)
 {
@@ -45,13 +45,13 @@
 };
 
 static log4c_category_t *category;
-static enum dl_level level_now;
+static enum dl_level current_level;
 static struct dl_logring ring;
 static int log_fd = STDOUT_FILENO;
 
 static int on_append(log4c_appender_t *self, const log4c_logging_event_t *event)
 {
-	char when[32], line[LINE_MAX_BYTES];
+	char when[32], line[LINE_BYTES_MAX];
 	struct timespec ts;
 	struct tm tm;
 	int n;
@@ -68,16 +68,16 @@
 	dl_logring_put(&ring, level_of(event->evt_priority),
 		       (struct dl_str){ line, (size_t)n },
 		       (int64_t)ts.tv_sec * MS_PER_S + ts.tv_nsec / NS_PER_MS);
-	/* Before whatever comes next, which may be the end of the process. */
+	/* Flush at once: the process may be about to exit. */
 	if (level_of(event->evt_priority) >= DL_WARN)
 		dl_main_log_flush();
 	return n;
 }
 
 /*
- * Write what the log takes now.  A pipe that says it is writable takes PIPE_BUF
- * bytes without waiting; one that nobody reads is left alone, and lines are
- * dropped when the ring is full.
+ * Writes as much as the log accepts without blocking. A pipe that polls as
+ * writable accepts PIPE_BUF bytes. If nobody reads it, nothing is written and
+ * lines are dropped once the ring is full.
  */
 void dl_main_log_flush(void)
 {
@@ -85,7 +85,7 @@
 	struct dl_str next;
 	ssize_t n;
 
-	for (int i = 0; i < CHUNKS_MAX; i++) {
+	for (int i = 0; i < WRITES_PER_FLUSH; i++) {
 		next = dl_logring_next(&ring);
 		if (next.n == 0 || poll(&p, 1, 0) != 1 ||
 		    !(p.revents & POLLOUT))
@@ -98,13 +98,13 @@
 	}
 }
 
-static void on_line(void *arg, enum dl_level level, const char *part,
-		    const char *text)
+static void on_message(void *arg, enum dl_level level, const char *part,
+		       const char *text)
 {
 	log4c_category_log(category, priorities[level], "%s: %s", part, text);
 }
 
-/* Open the log; called once, before anything speaks. */
+/* Opens the log; called once, before the first message. */
 int dl_main_log_open(const char *path, enum dl_level level)
 {
 	log4c_appender_t *appender;
@@ -115,7 +115,7 @@
 	if (log_fd < 0)
 		return -errno;
 	atexit(dl_main_log_flush);
-	/* Without its own settings file log4c says so on standard error. */
+	/* log4c reports a missing log4crc file on standard error. */
 	if (log4c_init())
 		return -EINVAL;
 	log4c_appender_type_set(&appender_type);
@@ -124,22 +124,22 @@
 	category = log4c_category_get("daisyledge");
 	log4c_category_set_appender(category, appender);
 	log4c_category_set_additivity(category, 0);
-	dl_main_log_level(level);
-	dl_log_set_sink((struct dl_log_sink){ on_line, NULL });
+	dl_main_log_set_level(level);
+	dl_log_set_sink((struct dl_log_sink){ on_message, NULL });
 	return 0;
 }
 
-/* Say only what is at least this loud. */
-void dl_main_log_level(enum dl_level level)
+/* Sets the lowest level that is logged. */
+void dl_main_log_set_level(enum dl_level level)
 {
-	level_now = level;
+	current_level = level;
 	log4c_category_set_priority(category, priorities[level]);
 }
 
-/* Step through the levels; an operator sends a signal for it. */
-void dl_main_log_louder(void)
+/* On SIGUSR1: one level more verbose; after debug, only errors are logged. */
+void dl_main_log_cycle_level(void)
 {
-	dl_main_log_level(level_now == DL_DEBUG ?
-				  DL_ERROR :
-				  (enum dl_level)(level_now - 1));
+	dl_main_log_set_level(current_level == DL_DEBUG ?
+				      DL_ERROR :
+				      (enum dl_level)(current_level - 1));
 }
--- a/src/main/replica_orders.c
+++ b/src/main/replica_orders.c
@@ -1,8 +1,8 @@
 /*
- * Orders to endpoints, carried out: the leader learns from the dispatchers what
- * the endpoints of the services with orders announced, lets the planner decide
- * and sends what it gives.  Only under the lease, and only once the fencing
- * entry of this term has been committed.
+ * Sends orders to endpoints. The leader queries the dispatchers for what the
+ * endpoints of services with orders have announced, passes it to the planner
+ * and sends the planned orders. It does so only while it holds the leader lease
+ * and after the fencing entry of its term has been committed.
  */
 #include <errno.h>
 #include <inttypes.h>
@@ -16,28 +16,28 @@
 #include "main/replica.h"
 #include "transport/httpc.h"
 
-/* Endpoints announce every second; orders need not be faster. */
-#define ASK_EVERY_MS 1000
-/* An endpoint that no dispatcher named for so long is gone. */
-#define GONE_MS	   6000
-#define CONNECT_MS 1000
-/* Ids of our questions, apart from those that are passed on. */
-#define QUESTION    UINT64_C(1) << 63
-#define DOMAINS_MAX 32
-#define BODY_MAX    512
-#define STATUS_OK   200
-#define STATUS_OLD  409
+/* Endpoints announce every second, so faster queries would learn nothing. */
+#define QUERY_INTERVAL_MS 1000
+/* An endpoint not reported by any dispatcher for this long is removed. */
+#define ENDPOINT_EXPIRY_MS 6000
+#define CONNECT_MS	   1000
+/* Set in the ids of own queries, to tell them from forwarded ones. */
+#define ORDERS_QUERY_FLAG UINT64_C(1) << 63
+#define DOMAINS_MAX	  32
+#define BODY_MAX	  512
+#define STATUS_OK	  200
+#define STATUS_CONFLICT	  409
 
 struct replica_orders {
 	struct dl_orders *plan;
 	struct dl_httpc *httpc;
-	uint64_t version; /* configuration that the plan is for */
-	uint64_t fenced;  /* term whose fencing entry was proposed */
-	int64_t asked_at;
-	GHashTable *heard; /* endpoint to when it was named */
+	uint64_t version; /* of the configuration that the plan is based on */
+	uint64_t fenced_term; /* term whose fencing entry was proposed */
+	int64_t queried_at;
+	GHashTable *last_seen; /* endpoint address to time of its last report */
 };
 
-/* One order on its way. */
+/* An order that is being sent. */
 struct order_call {
 	struct replica *r;
 	struct dl_order order;
@@ -53,7 +53,7 @@
 	.connected = on_ready,
 };
 
-/* Start without orders; -ENOMEM. */
+/* Creates the planner and the HTTP client; returns 0 or -ENOMEM. */
 int replica_orders_open(struct replica *r)
 {
 	struct replica_orders *o = g_new0(struct replica_orders, 1);
@@ -68,13 +68,13 @@
 		g_free(o);
 		return -ENOMEM;
 	}
-	o->heard =
+	o->last_seen =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	r->orders = o;
 	return 0;
 }
 
-/* A process may have been paused since the order was planned. */
+/* Checks again, because the process may have been paused since planning. */
 static bool on_ready(void *arg)
 {
 	struct order_call *c = arg;
@@ -85,7 +85,7 @@
 
 static enum dl_order_result result_of(const struct dl_attempt *attempt)
 {
-	if (attempt->status == STATUS_OLD)
+	if (attempt->status == STATUS_CONFLICT)
 		return DL_ORDER_FENCED;
 	if (dl_call_outcome(attempt) == DL_OUTCOME_NOT_RUN)
 		return DL_ORDER_FAILED;
@@ -124,8 +124,7 @@
 		 order->fence, order->model.s, order->version.s, order->role.s);
 	req.body = dl_str_of(c->body);
 	req.connect_ms = CONNECT_MS;
-	/* Connecting takes its part of the time before the order is given up.
-	 */
+	/* The time address connect counts towards the order's deadline. */
 	req.idle_ms = (uint32_t)MAX(left - CONNECT_MS, 1);
 	if (!dl_vm_parse(dl_name_str(&order->endpoint), &req.address) ||
 	    !dl_httpc_start(r->orders->httpc, &req, &call_ops, c)) {
@@ -145,7 +144,7 @@
 	return false;
 }
 
-static bool listed(const uint64_t *list, uint32_t n, uint64_t vm)
+static bool contains_vm(const uint64_t *list, uint32_t n, uint64_t vm)
 {
 	for (uint32_t i = 0; i < n; i++) {
 		if (list[i] == vm)
@@ -154,10 +153,10 @@
 	return false;
 }
 
-/* Ask each dispatcher of a service with orders, once. */
-static void ask(struct replica *r, const struct dl_conf *conf)
+/* Queries each dispatcher of a service with orders, once. */
+static void query_dispatchers(struct replica *r, const struct dl_conf *conf)
 {
-	uint64_t asked[DOMAINS_MAX];
+	uint64_t queried[DOMAINS_MAX];
 	const struct dl_member *m;
 	uint32_t n = 0;
 
@@ -172,11 +171,11 @@
 				dl_hash(dl_name_str(service), 0));
 
 			if (vm == DL_VM_NONE || n == DOMAINS_MAX ||
-			    listed(asked, n, vm))
+			    contains_vm(queried, n, vm))
 				continue;
-			asked[n++] = vm;
+			queried[n++] = vm;
 			replica_send(r, vm, DL_FRAME_QUERY,
-				     QUESTION | ++r->next_request,
+				     ORDERS_QUERY_FLAG | ++r->next_request,
 				     DL_STR("announced"));
 		}
 	}
@@ -189,55 +188,55 @@
 						   json_string_length(value) });
 }
 
-static void take_endpoint(struct replica *r, const json_t *said)
+static void update_endpoint(struct replica *r, const json_t *endpoint)
 {
-	const json_t *models = json_object_get(said, "models");
+	const json_t *models = json_object_get(endpoint, "models");
 	struct replica_orders *o = r->orders;
 	struct dl_order_endpoint e;
 	int64_t now = replica_now(r);
-	int64_t *heard = g_new(int64_t, 1);
+	int64_t *seen_at = g_new(int64_t, 1);
 
 	memset(&e, 0, sizeof(e));
-	set_name(&e.id, json_object_get(said, "address"));
-	set_name(&e.service, json_object_get(said, "service"));
-	set_name(&e.version, json_object_get(said, "version"));
-	set_name(&e.role, json_object_get(said, "role"));
+	set_name(&e.id, json_object_get(endpoint, "address"));
+	set_name(&e.service, json_object_get(endpoint, "service"));
+	set_name(&e.version, json_object_get(endpoint, "version"));
+	set_name(&e.role, json_object_get(endpoint, "role"));
 	e.incarnation = (uint64_t)json_integer_value(
-		json_object_get(said, "incarnation"));
-	e.leaving = json_is_true(json_object_get(said, "leaving"));
+		json_object_get(endpoint, "incarnation"));
+	e.leaving = json_is_true(json_object_get(endpoint, "leaving"));
 	for (size_t i = 0; i < json_array_size(models) &&
 			   e.models_count < DL_ORDER_MODELS_MAX;
 	     i++)
 		set_name(&e.models[e.models_count++],
 			 json_array_get(models, i));
-	*heard = now;
-	g_hash_table_replace(o->heard, g_strdup(e.id.s), heard);
+	*seen_at = now;
+	g_hash_table_replace(o->last_seen, g_strdup(e.id.s), seen_at);
 	dl_orders_update_endpoint(o->plan, &e, now);
 }
 
-/* A dispatcher's answer; false where the reply is to another question. */
+/* Handles a dispatcher's reply; returns false if it is to another query. */
 bool replica_orders_reply(struct replica *r, const struct dl_frame *frame)
 {
 	json_t *list;
 
-	if (!(frame->request & QUESTION))
+	if (!(frame->request & ORDERS_QUERY_FLAG))
 		return false;
 	list = json_loadb(frame->body.s, frame->body.n, 0, NULL);
 	for (size_t i = 0; i < json_array_size(list); i++)
-		take_endpoint(r, json_array_get(list, i));
+		update_endpoint(r, json_array_get(list, i));
 	json_decref(list);
 	return true;
 }
 
-static void forget_gone(struct replica *r, int64_t now)
+static void expire_endpoints(struct replica *r, int64_t now)
 {
 	struct replica_orders *o = r->orders;
-	gpointer id, heard;
+	gpointer id, seen_at;
 	GHashTableIter it;
 
-	g_hash_table_iter_init(&it, o->heard);
-	while (g_hash_table_iter_next(&it, &id, &heard)) {
-		if (now - *(int64_t *)heard <= GONE_MS)
+	g_hash_table_iter_init(&it, o->last_seen);
+	while (g_hash_table_iter_next(&it, &id, &seen_at)) {
+		if (now - *(int64_t *)seen_at <= ENDPOINT_EXPIRY_MS)
 			continue;
 		dl_orders_remove_endpoint(o->plan, dl_str_of(id));
 		g_hash_table_iter_remove(&it);
@@ -245,27 +244,29 @@
 }
 
 /*
- * The term is fenced by an entry of the log before its first order; every
- * term, since the state machine's clock for claims goes by it too.
+ * Proposes the fencing entry that must be committed before the first order of a
+ * term. Every term gets one, because the state machine's clock for claims
+ * depends on it, too.
  */
-static void fence(struct replica *r, uint64_t term, int64_t now)
+static void propose_fence(struct replica *r, uint64_t term, int64_t now)
 {
 	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_FENCE, .term = term };
 	uint64_t index, at_term;
 	char *command;
 	size_t n;
 
-	if (r->orders->fenced == term || dl_cstore_encode(&cmd, &command, &n))
+	if (r->orders->fenced_term == term ||
+	    dl_cstore_encode(&cmd, &command, &n))
 		return;
-	dl_cstore_stamp(command, n, r->wall_base + now);
+	dl_cstore_stamp(command, n, r->wall_offset_ms + now);
 	if (dl_rlog_propose(r->rlog, (struct dl_str){ command, n }, now, &index,
 			    &at_term) == 0)
-		r->orders->fenced = term;
+		r->orders->fenced_term = term;
 	free(command);
 }
 
-static void configure(struct replica *r, const struct dl_conf *conf,
-		      int64_t now)
+static void configure_plan(struct replica *r, const struct dl_conf *conf,
+			   int64_t now)
 {
 	uint64_t version = dl_cstore_version(r->cstore);
 
@@ -275,7 +276,7 @@
 	dl_orders_configure(r->orders->plan, conf, now);
 }
 
-/* Plan and send, while this replica leads. */
+/* Plans and sends orders while this replica is the leader. */
 void replica_orders_tick(struct replica *r, int64_t now)
 {
 	struct replica_orders *o = r->orders;
@@ -290,33 +291,33 @@
 		return;
 	}
 	if (dl_cstore_fence(r->cstore) < s.term) {
-		fence(r, s.term, now);
+		propose_fence(r, s.term, now);
 		return;
 	}
 	/*
-	 * A text that is not the last one committed is not worth reading: after
-	 * a start each of a dozen texts of 150 KB was, 63 ms each on 0.15
-	 * cores, and callers waited 0.5 s longer.
+	 * Do not parse configurations that are already superseded: after a
+	 * start, parsing each of a dozen of 150 KB took 63 ms each on 0.15
+	 * cores and held up callers by 0.5 s.
 	 */
 	if (!replica_caught_up(r))
 		return;
 	conf = dl_cstore_conf(r->cstore);
 	if (!conf || conf->orders_count == 0)
 		return;
-	configure(r, conf, now);
+	configure_plan(r, conf, now);
 	if (!dl_rlog_lease(r->rlog, now, &until) ||
 	    dl_orders_set_leader(o->plan, s.term, until, now))
 		return;
-	if (now - o->asked_at >= ASK_EVERY_MS) {
-		o->asked_at = now;
-		ask(r, conf);
-		forget_gone(r, now);
+	if (now - o->queried_at >= QUERY_INTERVAL_MS) {
+		o->queried_at = now;
+		query_dispatchers(r, conf);
+		expire_endpoints(r, now);
 	}
 	while (dl_orders_next(o->plan, now, &order))
 		send_order(r, &order);
 }
 
-/* How the orders stand, for status. */
+/* Returns the state of the orders for the status query. */
 json_t *replica_orders_json(struct replica *r)
 {
 	struct dl_orders_summary s;
--- a/src/main/replica_query.c
+++ b/src/main/replica_query.c
@@ -1,8 +1,8 @@
 /*
- * Questions to a replica: "history", "text N" and "status", each answered by a
- * JSON document.  A follower passes the question about the status on to the
- * leader, which alone knows how far each replica is, and answers by itself
- * where nothing comes back.
+ * Queries to a replica: "history", "text N" and "status", each answered with a
+ * JSON document. A follower forwards status queries to the leader, which alone
+ * knows the progress of each replica, and answers them itself if no reply
+ * arrives.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -13,11 +13,11 @@
 
 #include "main/replica.h"
 
-#define FORWARD_MS    250
-#define FORWARDED_MAX 256
+#define FORWARD_TIMEOUT_MS 250
+#define FORWARDED_MAX	   256
 
-static void answer(struct replica *r, uint64_t to, uint64_t request,
-		   json_t *root);
+static void send_answer(struct replica *r, uint64_t to, uint64_t request,
+			json_t *root);
 static json_t *history_json(struct replica *r);
 static json_t *text_json(struct replica *r, uint64_t version);
 static json_t *peer_json(const struct dl_rlog_peer_status *p);
@@ -34,9 +34,9 @@
 	[DL_RLOG_LEADER] = "leader",
 };
 
-/* Send a document and let it go. */
-static void answer(struct replica *r, uint64_t to, uint64_t request,
-		   json_t *root)
+/* Sends a JSON document and releases it. */
+static void send_answer(struct replica *r, uint64_t to, uint64_t request,
+			json_t *root)
 {
 	char *text = json_dumps(root, JSON_COMPACT);
 
@@ -52,7 +52,7 @@
 	json_object_set_new(o, key, json_integer((json_int_t)v));
 }
 
-/* Identities and digests do not fit a JSON number everywhere. */
+/* As a string: not all JSON parsers keep 64-bit numbers exactly. */
 static void set_hex(json_t *o, const char *key, uint64_t v)
 {
 	char text[20];
@@ -104,8 +104,9 @@
 	if (dl_cstore_text(r->cstore, version, &text))
 		json_object_set_new(root, "text", json_stringn(text.s, text.n));
 	else
-		json_object_set_new(root, "error",
-				    json_string("this version is not kept"));
+		json_object_set_new(
+			root, "error",
+			json_string("this version is no longer stored"));
 	return root;
 }
 
@@ -152,12 +153,12 @@
 	return root;
 }
 
-/* Pass a question on to the leader; false where there is none to ask. */
+/* Forwards a query to the leader; returns false if that is not possible. */
 static bool forward(struct replica *r, uint64_t from,
 		    const struct dl_frame *frame)
 {
 	struct replica_forwarded f = { .vm = from,
-				       .their_request = frame->request };
+				       .sender_request = frame->request };
 	struct dl_rlog_status s;
 
 	dl_rlog_get_status(r->rlog, replica_now(r), &s);
@@ -171,7 +172,7 @@
 	return true;
 }
 
-/* Answer a question. */
+/* Handles a query from an entry or a follower. */
 void replica_query_frame(struct replica *r, uint64_t from,
 			 const struct dl_frame *frame)
 {
@@ -179,22 +180,22 @@
 	uint64_t version;
 
 	if (dl_str_eq(body, DL_STR("history"))) {
-		answer(r, from, frame->request, history_json(r));
+		send_answer(r, from, frame->request, history_json(r));
 		return;
 	}
 	if (dl_str_eq(body, DL_STR("status"))) {
 		if (!forward(r, from, frame))
-			answer(r, from, frame->request, status_json(r));
+			send_answer(r, from, frame->request, status_json(r));
 		return;
 	}
 	if (body.n <= text.n || memcmp(body.s, text.s, text.n) != 0)
 		return;
 	if (dl_str_to_u64((struct dl_str){ body.s + text.n, body.n - text.n },
 			  &version))
-		answer(r, from, frame->request, text_json(r, version));
+		send_answer(r, from, frame->request, text_json(r, version));
 }
 
-/* The leader answered a question that was passed on. */
+/* Passes the leader's reply to the sender of a forwarded query. */
 void replica_query_reply(struct replica *r, const struct dl_frame *frame)
 {
 	for (guint i = 0; i < r->forwarded->len; i++) {
@@ -204,22 +205,22 @@
 		if (f.request != frame->request)
 			continue;
 		g_array_remove_index_fast(r->forwarded, i);
-		replica_send(r, f.vm, DL_FRAME_QUERY_REPLY, f.their_request,
+		replica_send(r, f.vm, DL_FRAME_QUERY_REPLY, f.sender_request,
 			     frame->body);
 		return;
 	}
 }
 
-/* Answer by ourselves what the leader did not. */
+/* Answers forwarded queries to which the leader did not reply in time. */
 void replica_query_tick(struct replica *r, int64_t now)
 {
 	for (guint i = r->forwarded->len; i > 0; i--) {
 		struct replica_forwarded f = g_array_index(
 			r->forwarded, struct replica_forwarded, i - 1);
 
-		if (now - f.at < FORWARD_MS)
+		if (now - f.at < FORWARD_TIMEOUT_MS)
 			continue;
 		g_array_remove_index_fast(r->forwarded, i - 1);
-		answer(r, f.vm, f.their_request, status_json(r));
+		send_answer(r, f.vm, f.sender_request, status_json(r));
 	}
 }
--- a/test/test_logring.c
+++ b/test/test_logring.c
@@ -1,4 +1,7 @@
-/* Lines that nobody reads: bounded, counted, never waited for. */
+/*
+ * The log ring: lines in order, a bounded buffer when the log is not read, and
+ * a count of dropped lines.
+ */
 #include <check.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +11,7 @@
 
 static struct dl_logring ring;
 
-static void begin(void)
+static void setup(void)
 {
 	memset(&ring, 0, sizeof(ring));
 }
@@ -29,7 +32,7 @@
 	return n;
 }
 
-START_TEST(lines_come_out_in_order)
+START_TEST(lines_are_read_in_order)
 {
 	char out[64] = "";
 
@@ -40,7 +43,7 @@
 }
 END_TEST
 
-START_TEST(a_log_that_is_not_read_is_bounded)
+START_TEST(unread_log_is_bounded_in_bytes)
 {
 	static char line[1000];
 	static char out[DL_LOGRING_BYTES + 1];
@@ -64,8 +67,8 @@
 }
 END_TEST
 
-/* Information is bounded in a second, warnings still pass. */
-START_TEST(a_flood_is_bounded_in_a_second)
+/* Info lines are limited per second; warnings are not. */
+START_TEST(flood_is_bounded_per_second)
 {
 	static char line[1000];
 	static char out[DL_LOGRING_BYTES];
@@ -91,9 +94,9 @@
 	TCase *t = tcase_create("logring");
 
 	suite_add_tcase(s, t);
-	tcase_add_checked_fixture(t, begin, NULL);
-	tcase_add_test(t, lines_come_out_in_order);
-	tcase_add_test(t, a_log_that_is_not_read_is_bounded);
-	tcase_add_test(t, a_flood_is_bounded_in_a_second);
+	tcase_add_checked_fixture(t, setup, NULL);
+	tcase_add_test(t, lines_are_read_in_order);
+	tcase_add_test(t, unread_log_is_bounded_in_bytes);
+	tcase_add_test(t, flood_is_bounded_per_second);
 	return suite_run(s);
 }
