--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -23,7 +23,7 @@
  *   entry_pool.c       dispatching for the pools of this failure domain
  *   entry_announce.c   announcements of endpoints
  *   entry_reach.c      VMs that do not respond to this one
- *   entry_far.c        pools of other failure domains
+ *   entry_remote.c     pools of other failure domains
  *   entry_cmd.c        commands and queries to the replicas
  *   entry_conf.c       the configuration in force
  *   entry_ops.c        operators' HTTP API
@@ -484,15 +484,16 @@
 void entry_reach_heard(struct entry *e, uint64_t vm);
 void entry_reach_tick(struct entry *e);
 
-/* entry_far.c */
-bool entry_far_fresh(const struct entry *e, const struct remote_pool *far,
-		     struct dl_str service);
-void entry_far_offer(struct entry *e, struct dl_str service,
-		     struct dl_answer_frame *f);
-void entry_far_frame(struct entry *e, uint64_t from, const struct dl_frame *f);
-void entry_far_tell(struct entry *e, const struct entry_pool *p,
-		    const struct dl_pool_summary *summary);
-void entry_far_down(struct entry *e, uint64_t vm);
+/* entry_remote.c */
+bool entry_remote_is_fresh(const struct entry *e, const struct remote_pool *far,
+			   struct dl_str service);
+void entry_remote_suggest(struct entry *e, struct dl_str service,
+			  struct dl_answer_frame *f);
+void entry_remote_frame(struct entry *e, uint64_t from,
+			const struct dl_frame *f);
+void entry_remote_send_summary(struct entry *e, const struct entry_pool *p,
+			       const struct dl_pool_summary *summary);
+void entry_remote_vm_down(struct entry *e, uint64_t vm);
 
 /* entry_cmd.c */
 uint64_t entry_cmd_send(struct entry *e, const struct dl_cstore_cmd *cmd,
--- a/src/main/entry_pool.c
+++ b/src/main/entry_pool.c
@@ -50,7 +50,7 @@
 	{ DL_FRAME_REPORT, entry_announce_frame },
 	{ DL_FRAME_WORDS, entry_announce_words },
 	{ DL_FRAME_ALIVE, entry_announce_alive },
-	{ DL_FRAME_SUMMARY, entry_far_frame },
+	{ DL_FRAME_SUMMARY, entry_remote_frame },
 	{ DL_FRAME_ADOPT, on_adopt },
 	{ DL_FRAME_LIMIT, entry_limit_frame },
 };
@@ -247,7 +247,7 @@
 {
 	struct dl_answer_frame f = { .service = p->service, .answer = *answer };
 
-	entry_far_offer(e, dl_name_str(&p->service), &f);
+	entry_remote_suggest(e, dl_name_str(&p->service), &f);
 	if (answer->verdict == DL_GRANTED)
 		dl_count(DL_METRIC_grants_total, 1);
 	answer_to(e, &f);
@@ -269,7 +269,7 @@
 	int to;
 
 	for (far = e->remote_pools; far && n < DL_SPILL_MAX; far = far->next) {
-		if (!entry_far_fresh(e, far, dl_name_str(&p->service)))
+		if (!entry_remote_is_fresh(e, far, dl_name_str(&p->service)))
 			continue;
 		domains[n] = &far->domain;
 		others[n++] = far->summary;
@@ -497,7 +497,7 @@
 void entry_pool_down(struct entry *e, uint64_t vm)
 {
 	entry_reach_lost(e, vm);
-	entry_far_down(e, vm);
+	entry_remote_vm_down(e, vm);
 }
 
 /* A VM has gone: what it held or queued is free again. */
@@ -545,7 +545,7 @@
 			dl_pool_summarize(p->pool, now, &s);
 			queued += s.queued;
 			endpoints += s.endpoints;
-			entry_far_tell(e, p, &s);
+			entry_remote_send_summary(e, p, &s);
 		}
 	}
 	if (!summaries)
--- a/src/main/entry_far.c
+++ b/src/main/entry_remote.c
@@ -12,16 +12,16 @@
 #define SUMMARY_OLD_MS 3000
 
 /* Whether a summary is of this service and still says something. */
-bool entry_far_fresh(const struct entry *e, const struct remote_pool *far,
-		     struct dl_str service)
+bool entry_remote_is_fresh(const struct entry *e, const struct remote_pool *far,
+			   struct dl_str service)
 {
 	return dl_name_eq(&far->service, service) &&
 	       entry_now(e) - far->heard_at <= SUMMARY_OLD_MS;
 }
 
 /* Other domains that a refused request may try, the least loaded first. */
-void entry_far_offer(struct entry *e, struct dl_str service,
-		     struct dl_answer_frame *f)
+void entry_remote_suggest(struct entry *e, struct dl_str service,
+			  struct dl_answer_frame *f)
 {
 	uint64_t backlog[DL_SPILL_MAX];
 	const struct remote_pool *far;
@@ -30,7 +30,7 @@
 	if (f->answer.verdict != DL_REFUSED)
 		return;
 	for (far = e->remote_pools; far; far = far->next) {
-		if (!entry_far_fresh(e, far, service) ||
+		if (!entry_remote_is_fresh(e, far, service) ||
 		    far->summary.endpoints == 0)
 			continue;
 		if (f->spill_count == DL_SPILL_MAX)
@@ -68,7 +68,8 @@
 }
 
 /* How the pool of a service stands in another failure domain. */
-void entry_far_frame(struct entry *e, uint64_t from, const struct dl_frame *f)
+void entry_remote_frame(struct entry *e, uint64_t from,
+			const struct dl_frame *f)
 {
 	struct dl_name service, domain;
 	struct dl_pool_summary summary;
@@ -94,8 +95,8 @@
 }
 
 /* Tell the dispatchers of the same service elsewhere how it stands here. */
-void entry_far_tell(struct entry *e, const struct entry_pool *p,
-		    const struct dl_pool_summary *summary)
+void entry_remote_send_summary(struct entry *e, const struct entry_pool *p,
+			       const struct dl_pool_summary *summary)
 {
 	struct dl_str own =
 		dl_name_str(dl_settings_pool_domain(&e->node.settings));
@@ -123,7 +124,7 @@
 }
 
 /* A dispatcher elsewhere cannot be reached: spill there no more for now. */
-void entry_far_down(struct entry *e, uint64_t vm)
+void entry_remote_vm_down(struct entry *e, uint64_t vm)
 {
 	struct remote_pool *far;
 
