--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -469,12 +469,13 @@
  */
 uint64_t entry_endpoint_start(struct entry *e, struct dl_str service,
 			      struct dl_str address);
-int entry_announce_take(struct entry *e, struct dl_announcement *a);
-void entry_announce_leaves(struct entry *e, struct dl_str address,
-			   struct dl_str instance, uint64_t dispatcher);
-void entry_announce_alive(struct entry *e, uint64_t from,
-			  const struct dl_frame *f);
-void entry_announce_words(struct entry *e, uint64_t from,
+int entry_announce_receive(struct entry *e, struct dl_announcement *a);
+void entry_announce_endpoint_leaving(struct entry *e, struct dl_str address,
+				     struct dl_str instance,
+				     uint64_t dispatcher);
+void entry_announce_refresh(struct entry *e, uint64_t from,
+			    const struct dl_frame *f);
+void entry_announce_batch(struct entry *e, uint64_t from,
 			  const struct dl_frame *f);
 void entry_announce_frame(struct entry *e, uint64_t from,
 			  const struct dl_frame *f);
--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -190,7 +190,7 @@
 }
 
 /* Those of many endpoints, passed on together. */
-void entry_announce_words(struct entry *e, uint64_t from,
+void entry_announce_batch(struct entry *e, uint64_t from,
 			  const struct dl_frame *f)
 {
 	int rc = dl_words_read(f->body, take_words, e);
@@ -206,8 +206,9 @@
  * once, and sends it to the dispatcher that granted it and to the replicas.  An
  * announcement without an address means just that, and is final like any other.
  */
-void entry_announce_leaves(struct entry *e, struct dl_str address,
-			   struct dl_str instance, uint64_t dispatcher)
+void entry_announce_endpoint_leaving(struct entry *e, struct dl_str address,
+				     struct dl_str instance,
+				     uint64_t dispatcher)
 {
 	const struct dl_directory_entry *d =
 		dl_directory_find(e->directory, address);
@@ -234,8 +235,8 @@
 }
 
 /* Endpoints say what they said before: their keys, in place of their words. */
-void entry_announce_alive(struct entry *e, uint64_t from,
-			  const struct dl_frame *f)
+void entry_announce_refresh(struct entry *e, uint64_t from,
+			    const struct dl_frame *f)
 {
 	uint64_t keys[DL_RENEWED_MAX];
 	uint32_t count, unknown = 0;
@@ -291,7 +292,7 @@
  * pass it on to the pool's dispatcher.  -ENOENT: no such service;
  * -EHOSTUNREACH: no VM of its failure domain is known here.
  */
-int entry_announce_take(struct entry *e, struct dl_announcement *a)
+int entry_announce_receive(struct entry *e, struct dl_announcement *a)
 {
 	struct dl_str service = dl_name_str(&a->service);
 	struct dl_name said = a->report.failure_domain;
--- a/src/main/entry_http.c
+++ b/src/main/entry_http.c
@@ -118,7 +118,7 @@
 		entry_http_error(req, 400, "bad-request", &err);
 		return;
 	}
-	rc = entry_announce_take(e, &a);
+	rc = entry_announce_receive(e, &a);
 	if (rc == -EHOSTUNREACH) {
 		/* Another VM may reach one: the endpoint tries it at once. */
 		dl_err_set(&err, rc, DL_STEP_PLACE, NULL,
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -304,9 +304,9 @@
 	c->route.head.content_length = said.length;
 	c->route.head.leaving = said.leaving;
 	if (said.leaving && is_from_instance(c, head->status, said.at_fault))
-		entry_announce_leaves(c->e, dl_name_str(&c->grant.endpoint[0]),
-				      dl_name_str(&c->route.instance),
-				      c->dispatcher);
+		entry_announce_endpoint_leaving(
+			c->e, dl_name_str(&c->grant.endpoint[0]),
+			dl_name_str(&c->route.instance), c->dispatcher);
 	c->route.head.retry_after_ms = said.retry_after_ms;
 	c->route.head.backoff_requested =
 		entry_backoff_named(c, &c->grant.endpoint[0], c->endpoint_start,
--- a/src/main/entry_reservation.c
+++ b/src/main/entry_reservation.c
@@ -91,8 +91,9 @@
 						 dl_name_str(&r->address)),
 			    head->status, said.retry_after_ms);
 	if (said.leaving && head->status != STATUS_MISDIRECTED)
-		entry_announce_leaves(c->e, dl_name_str(&r->address),
-				      dl_name_str(&r->instance), c->dispatcher);
+		entry_announce_endpoint_leaving(c->e, dl_name_str(&r->address),
+						dl_name_str(&r->instance),
+						c->dispatcher);
 	if (head->status == 200)
 		r->held = true;
 	else
