--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -502,13 +502,13 @@
 /* A query whose reply is JSON; done gets it in reply->outcome. */
 uint64_t entry_cmd_query(struct entry *e, uint64_t vm, struct dl_str question,
 			 uint32_t time_ms, struct entry_cmd_done done);
-void entry_cmd_forget(struct entry *e, uint64_t id);
-void entry_cmd_drop(struct entry *e, uint64_t id);
+void entry_cmd_detach(struct entry *e, uint64_t id);
+void entry_cmd_abandon(struct entry *e, uint64_t id);
 void entry_cmd_frame(struct entry *e, uint64_t from,
 		     const struct dl_frame *frame);
 void entry_cmd_tick(struct entry *e, int64_t now);
 /* Choose a replica to contact as the leader. */
-void entry_cmd_leader(struct entry *e);
+void entry_cmd_choose_leader(struct entry *e);
 /* Most members of the replica group, including those joining or leaving. */
 #define ENTRY_REPLICAS_MAX 16
 /* List the known replicas; returns how many. */
@@ -519,7 +519,7 @@
 void entry_conf_frame(struct entry *e, uint64_t from,
 		      const struct dl_frame *frame);
 void entry_conf_member(struct entry *e, const struct dl_member *m);
-void entry_conf_shown(struct entry *e, uint64_t version, uint64_t vm);
+void entry_conf_version_seen(struct entry *e, uint64_t version, uint64_t vm);
 void entry_conf_tick(struct entry *e, int64_t now);
 
 /* entry_ops.c */
--- a/src/main/entry_call.c
+++ b/src/main/entry_call.c
@@ -49,9 +49,9 @@
 	dl_gauge(DL_METRIC_streams_open, e->calls_count);
 	dl_gauge(DL_METRIC_buffered_bytes, (int64_t)e->buffered);
 	if (c->claim_cmd)
-		entry_cmd_forget(e, c->claim_cmd);
+		entry_cmd_detach(e, c->claim_cmd);
 	if (c->outcome_cmd)
-		entry_cmd_forget(e, c->outcome_cmd);
+		entry_cmd_detach(e, c->outcome_cmd);
 	dl_sse_close(&c->sse);
 	if (c->parse_job)
 		call_parse_forget(c->parse_job);
--- a/src/main/entry_cmd.c
+++ b/src/main/entry_cmd.c
@@ -107,7 +107,7 @@
 }
 
 /* Have a guess at who leads, where there is none. */
-void entry_cmd_leader(struct entry *e)
+void entry_cmd_choose_leader(struct entry *e)
 {
 	if (e->leader == DL_VM_NONE)
 		e->leader = next_replica(e);
@@ -193,7 +193,7 @@
 }
 
 /* Whoever waits is gone; the command itself goes on to its end. */
-void entry_cmd_forget(struct entry *e, uint64_t id)
+void entry_cmd_detach(struct entry *e, uint64_t id)
 {
 	struct entry_cmd **at = find(e, id);
 
@@ -202,7 +202,7 @@
 }
 
 /* Try it no longer; what was sent may still be carried out. */
-void entry_cmd_drop(struct entry *e, uint64_t id)
+void entry_cmd_abandon(struct entry *e, uint64_t id)
 {
 	struct entry_cmd **at = find(e, id);
 	struct entry_cmd *cmd = *at;
--- a/src/main/entry_conf.c
+++ b/src/main/entry_conf.c
@@ -314,7 +314,7 @@
 }
 
 /* A VM shows a version: ask it where that is newer and not here yet. */
-void entry_conf_shown(struct entry *e, uint64_t version, uint64_t vm)
+void entry_conf_version_seen(struct entry *e, uint64_t version, uint64_t vm)
 {
 	int64_t now = entry_now(e);
 
@@ -328,7 +328,7 @@
 void entry_conf_member(struct entry *e, const struct dl_member *m)
 {
 	if (m->state == DL_ALIVE && m->vm != e->node.self)
-		entry_conf_shown(e, m->config_version, m->vm);
+		entry_conf_version_seen(e, m->config_version, m->vm);
 }
 
 /* Without a configuration, or behind, ask again now and then. */
@@ -343,7 +343,7 @@
 		return;
 	newest = dl_memb_newest_config(e->node.memb, &vm);
 	if (newest > coming(e)) {
-		entry_conf_shown(e, newest, vm);
+		entry_conf_version_seen(e, newest, vm);
 		return;
 	}
 	e->conf_pulled_at = now;
--- a/src/main/entry_lease.c
+++ b/src/main/entry_lease.c
@@ -78,7 +78,7 @@
 	e->leader = dl_lease_handle_answer(&e->lease, &a, e->version,
 					   dl_node_boot_ms());
 	if (a.confirmed)
-		entry_conf_shown(e, a.version, from);
+		entry_conf_version_seen(e, a.version, from);
 	note(e);
 }
 
@@ -111,7 +111,7 @@
 		dl_lease_replica_changed(&e->lease);
 		e->leader = DL_VM_NONE;
 	}
-	entry_cmd_leader(e);
+	entry_cmd_choose_leader(e);
 	if (e->leader == DL_VM_NONE)
 		return;
 	dl_lease_request_sent(&e->lease, dl_node_boot_ms());
--- a/src/main/entry_ops.c
+++ b/src/main/entry_ops.c
@@ -42,7 +42,7 @@
 	o->http = NULL;
 	if (!o->change)
 		return;
-	entry_cmd_drop(o->e, o->change);
+	entry_cmd_abandon(o->e, o->change);
 	ops_free(o);
 }
 
