--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -403,20 +403,20 @@
 void entry_quarantine_tick(struct entry *e, int64_t now);
 
 /* entry_limit.c */
-void entry_limit_named(struct call *c, uint32_t limit);
+void entry_limit_note_response(struct call *c, uint32_t limit);
 void entry_limit_frame(struct entry *e, uint64_t from,
 		       const struct dl_frame *frame);
 void entry_limit_tick(struct entry *e, int64_t now);
 
 /* entry_backoff.c */
-uint32_t entry_backoff_left_ms(const struct entry *e, struct dl_str address,
-			       uint64_t start);
-bool entry_backoff_named(const struct call *c, const struct dl_name *address,
-			 uint64_t start, uint16_t status,
-			 uint32_t retry_after_ms);
-void entry_backoff_add(struct call *c);
-bool entry_backoff_holds(const struct call *c);
-void entry_backoff_give_back(struct call *c);
+uint32_t entry_backoff_remaining_ms(const struct entry *e,
+				    struct dl_str address, uint64_t start);
+bool entry_backoff_note_response(const struct call *c,
+				 const struct dl_name *address, uint64_t start,
+				 uint16_t status, uint32_t retry_after_ms);
+void entry_backoff_add_to_release(struct call *c);
+bool entry_backoff_blocks_grant(const struct call *c);
+void entry_backoff_return_grant(struct call *c);
 
 /* entry_lease.c */
 bool entry_lease_holds(const struct entry *e);
--- a/src/main/entry_backoff.c
+++ b/src/main/entry_backoff.c
@@ -28,8 +28,8 @@
  * start: as entry_endpoint_start() numbers it; one that was not known when the
  * endpoint asked may be any.
  */
-uint32_t entry_backoff_left_ms(const struct entry *e, struct dl_str address,
-			       uint64_t start)
+uint32_t entry_backoff_remaining_ms(const struct entry *e,
+				    struct dl_str address, uint64_t start)
 {
 	int64_t now = entry_now(e);
 	uint32_t any =
@@ -45,9 +45,9 @@
  * after which to come back; 0: none.  True where it turned the request away for
  * that time.
  */
-bool entry_backoff_named(const struct call *c, const struct dl_name *address,
-			 uint64_t start, uint16_t status,
-			 uint32_t retry_after_ms)
+bool entry_backoff_note_response(const struct call *c,
+				 const struct dl_name *address, uint64_t start,
+				 uint16_t status, uint32_t retry_after_ms)
 {
 	struct entry *e = c->e;
 	uint64_t key = dl_hash(dl_name_str(address), start);
@@ -78,7 +78,7 @@
 		struct dl_str address = dl_name_str(name);
 		uint64_t start = entry_endpoint_start(c->e, service, address);
 
-		*left_ms = entry_backoff_left_ms(c->e, address, start);
+		*left_ms = entry_backoff_remaining_ms(c->e, address, start);
 		if (*left_ms)
 			return name;
 	}
@@ -86,7 +86,7 @@
 }
 
 /* Add to the release of a grant which of its endpoints to back off from. */
-void entry_backoff_add(struct call *c)
+void entry_backoff_add_to_release(struct call *c)
 {
 	uint32_t left_ms;
 	const struct dl_name *address = first_backed_off(c, &left_ms);
@@ -99,7 +99,7 @@
 
 /* Whether a grant cannot be used now, as this VM backs off from its endpoint.
  */
-bool entry_backoff_holds(const struct call *c)
+bool entry_backoff_blocks_grant(const struct call *c)
 {
 	uint32_t left_ms;
 
@@ -107,9 +107,9 @@
 }
 
 /* Give a grant back that cannot be used, and ask for another place. */
-void entry_backoff_give_back(struct call *c)
+void entry_backoff_return_grant(struct call *c)
 {
-	entry_backoff_add(c);
+	entry_backoff_add_to_release(c);
 	dl_count(DL_METRIC_grants_unused, 1);
 	dl_msg(DL_MSG_GRANT_UNUSED,
 	       "request=%s endpoint=%s left_ms=%u dispatcher=%lx unused=%u",
--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -222,7 +222,7 @@
 	if (!c->granted)
 		return;
 	c->granted = false;
-	entry_backoff_add(c);
+	entry_backoff_add_to_release(c);
 	if (c->dispatcher == e->node.self) {
 		p = entry_pool_find(e, service_of(c));
 		if (p)
@@ -254,8 +254,8 @@
 	c->state = CALL_RUNNING;
 	if (entry_quarantine_refuses(c))
 		return;
-	if (entry_backoff_holds(c)) {
-		entry_backoff_give_back(c);
+	if (entry_backoff_blocks_grant(c)) {
+		entry_backoff_return_grant(c);
 		return;
 	}
 	if (c->routed)
--- a/src/main/entry_limit.c
+++ b/src/main/entry_limit.c
@@ -49,7 +49,7 @@
 }
 
 /* The head of an answer has come, which names a limit or none. */
-void entry_limit_named(struct call *c, uint32_t limit)
+void entry_limit_note_response(struct call *c, uint32_t limit)
 {
 	struct dl_limit_frame f = { .service = c->service,
 				    .endpoint = c->grant.endpoint[0],
--- a/src/main/entry_quarantine.c
+++ b/src/main/entry_quarantine.c
@@ -190,7 +190,8 @@
 	if (probe->under_way || now < probe->due)
 		return false;
 	dl_vm_text(probe->address, text);
-	return !entry_backoff_left_ms(probe->e, dl_str_of(text), probe->start);
+	return !entry_backoff_remaining_ms(probe->e, dl_str_of(text),
+					   probe->start);
 }
 
 /* Look after endpoints at which attempts broke off, and tell what is new. */
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -229,7 +229,8 @@
 {
 	struct call *c = arg;
 
-	c->aborted_unsent = !is_available(c, 0) || entry_backoff_holds(c);
+	c->aborted_unsent = !is_available(c, 0) ||
+			    entry_backoff_blocks_grant(c);
 	return !c->aborted_unsent;
 }
 
@@ -239,8 +240,8 @@
 	c->aborted_unsent = false;
 	if (!is_available(c, 0))
 		retry_unavailable(c);
-	else if (entry_backoff_holds(c))
-		entry_backoff_give_back(c);
+	else if (entry_backoff_blocks_grant(c))
+		entry_backoff_return_grant(c);
 	else
 		entry_relay_send(c);
 }
@@ -300,7 +301,7 @@
 				head->status == STATUS_MISDIRECTED;
 	c->route.head.wrong_request = !is_own_attempt(c, said.attempt_id);
 	if (!c->route.head.wrong_request)
-		entry_limit_named(c, said.limit);
+		entry_limit_note_response(c, said.limit);
 	c->route.head.content_length = said.length;
 	c->route.head.leaving = said.leaving;
 	if (said.leaving && is_from_instance(c, head->status, said.at_fault))
@@ -308,9 +309,9 @@
 			c->e, dl_name_str(&c->grant.endpoint[0]),
 			dl_name_str(&c->route.instance), c->dispatcher);
 	c->route.head.retry_after_ms = said.retry_after_ms;
-	c->route.head.backoff_requested =
-		entry_backoff_named(c, &c->grant.endpoint[0], c->endpoint_start,
-				    head->status, said.retry_after_ms);
+	c->route.head.backoff_requested = entry_backoff_note_response(
+		c, &c->grant.endpoint[0], c->endpoint_start, head->status,
+		said.retry_after_ms);
 	dl_name_set(&c->route.head.at_fault, said.at_fault);
 	c->route.head.is_event_stream = c->stream && head->status == 200;
 	if (!c->response_started)
--- a/src/main/entry_reservation.c
+++ b/src/main/entry_reservation.c
@@ -86,10 +86,11 @@
 	struct dl_answer_head said;
 
 	platform_dialect.answer(head->headers, head->headers_count, &said);
-	entry_backoff_named(c, &r->address,
-			    entry_endpoint_start(c->e, dl_name_str(&c->service),
-						 dl_name_str(&r->address)),
-			    head->status, said.retry_after_ms);
+	entry_backoff_note_response(
+		c, &r->address,
+		entry_endpoint_start(c->e, dl_name_str(&c->service),
+				     dl_name_str(&r->address)),
+		head->status, said.retry_after_ms);
 	if (said.leaving && head->status != STATUS_MISDIRECTED)
 		entry_announce_endpoint_leaving(c->e, dl_name_str(&r->address),
 						dl_name_str(&r->instance),
--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -218,7 +218,7 @@
 {
 	struct call *c = arg;
 
-	c->aborted_unsent = entry_backoff_holds(c);
+	c->aborted_unsent = entry_backoff_blocks_grant(c);
 	return !c->aborted_unsent;
 }
 
@@ -244,8 +244,8 @@
 
 	entry_call_span(c, "connect", c->attempt_at, c->grant.endpoint[0].s);
 	c->status = head->status;
-	entry_backoff_named(c, &c->grant.endpoint[0], c->endpoint_start,
-			    head->status, retry_after_ms(head));
+	entry_backoff_note_response(c, &c->grant.endpoint[0], c->endpoint_start,
+				    head->status, retry_after_ms(head));
 	if (c->kind == DL_POOL_PLAIN)
 		keep_headers(c, head);
 	if (!c->response_buf)
@@ -495,7 +495,7 @@
 		.resumable = c->kind == DL_POOL_MODEL &&
 			     c->chunks_received > 0 &&
 			     a.failure != DL_FAILURE_BAD_RESPONSE &&
-			     !entry_backoff_holds(c),
+			     !entry_backoff_blocks_grant(c),
 		.attempts = c->attempts,
 		.bytes_to_caller = c->relayed,
 		.deadline = c->deadline,
@@ -504,7 +504,7 @@
 
 	c->attempt = NULL;
 	if (c->aborted_unsent && !c->chunks_received) {
-		entry_backoff_give_back(c);
+		entry_backoff_return_grant(c);
 		return;
 	}
 	entry_quarantine_attempt(c, &a, err);
