--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -307,7 +307,7 @@
 	int64_t replica_heard_at;
 
 	struct dl_lease lease;
-	bool lease_logged;
+	bool lease_logged_valid;
 	struct dl_directory *directory;
 	struct dl_reports *reports; /* forwarded by replicas */
 	struct dl_backoff *backoff; /* asked of this VM by endpoints */
@@ -419,14 +419,14 @@
 void entry_backoff_return_grant(struct call *c);
 
 /* entry_lease.c */
-bool entry_lease_holds(const struct entry *e);
+bool entry_lease_is_valid(const struct entry *e);
 bool entry_lease_ready(const struct entry *e);
-void entry_lease_version(struct entry *e);
+void entry_lease_version_applied(struct entry *e);
 void entry_lease_frame(struct entry *e, uint64_t from,
 		       const struct dl_frame *frame);
 void entry_lease_tick(struct entry *e, int64_t now);
 /* How long a request may wait for the replicas to confirm the version, ms. */
-uint32_t entry_lease_patience(const struct entry *e, uint32_t left_ms);
+uint32_t entry_lease_max_wait_ms(const struct entry *e, uint32_t left_ms);
 
 /* entry_try.c */
 void entry_try_start(struct call *c);
--- a/src/main/entry_conf.c
+++ b/src/main/entry_conf.c
@@ -85,7 +85,7 @@
 	dl_memb_update_self(e->node.memb, e->draining, r->version,
 			    entry_now(e));
 	dl_gauge(DL_METRIC_config_version, (int64_t)r->version);
-	entry_lease_version(e);
+	entry_lease_version_applied(e);
 	dl_msg(DL_MSG_ENTRY_CONF,
 	       "version=%lu bytes=%zu waited_ms=%u rested_ms=%ld read_ms=%ld",
 	       (unsigned long)r->version, r->pushed_n, r->waited_ms,
--- a/src/main/entry_lease.c
+++ b/src/main/entry_lease.c
@@ -10,11 +10,11 @@
 
 static void note(struct entry *e)
 {
-	bool holds = entry_lease_holds(e);
+	bool holds = entry_lease_is_valid(e);
 
-	if (holds == e->lease_logged)
+	if (holds == e->lease_logged_valid)
 		return;
-	e->lease_logged = holds;
+	e->lease_logged_valid = holds;
 	dl_msg(holds ? DL_MSG_LEASE_HELD : DL_MSG_LEASE_LOST,
 	       "version=%lu age_ms=%ld leader=%lx", (unsigned long)e->version,
 	       (long)dl_lease_age(&e->lease, dl_node_boot_ms()),
@@ -24,7 +24,7 @@
 }
 
 /* Whether what is in force here may decide about requests with keys. */
-bool entry_lease_holds(const struct entry *e)
+bool entry_lease_is_valid(const struct entry *e)
 {
 	if (!e->node.settings.foreign)
 		return true;
@@ -44,14 +44,14 @@
 }
 
 /* A version was put in force. */
-void entry_lease_version(struct entry *e)
+void entry_lease_version_applied(struct entry *e)
 {
 	dl_lease_version_applied(&e->lease, e->version);
 	note(e);
 }
 
 /* How long a request without a word of the group may wait for one. */
-uint32_t entry_lease_patience(const struct entry *e, uint32_t left_ms)
+uint32_t entry_lease_max_wait_ms(const struct entry *e, uint32_t left_ms)
 {
 	return dl_lease_max_wait_ms(&e->lease, e->started_at,
 				    e->replica_heard_at, left_ms, entry_now(e));
--- a/src/main/entry_route.c
+++ b/src/main/entry_route.c
@@ -164,7 +164,7 @@
 	const struct dl_conf_workspace *ws = NULL;
 	const struct dl_conf *conf = c->e->conf;
 
-	if (!entry_lease_holds(c->e)) {
+	if (!entry_lease_is_valid(c->e)) {
 		entry_route_refuse_no_quorum(c);
 		return false;
 	}
@@ -298,7 +298,7 @@
 {
 	int64_t now = entry_now(c->e);
 	uint32_t waited = (uint32_t)(now - c->arrived_at);
-	uint32_t ms = entry_lease_patience(
+	uint32_t ms = entry_lease_max_wait_ms(
 		c->e, left_ms > waited ? left_ms - waited : 0);
 
 	if (!ms || !has_room(c->e))
@@ -322,7 +322,7 @@
 	if (!dl_name_set(&c->route.attempt_id, in.attempt_id))
 		c->route.attempt_id.n = 0;
 	c->deadline = c->arrived_at + 1;
-	if (!entry_lease_holds(e) && wait_for_config(c, in.patience_ms))
+	if (!entry_lease_is_valid(e) && wait_for_config(c, in.patience_ms))
 		return;
 	admit(c, &in);
 }
