--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -71,7 +71,7 @@
 {
 	struct entry *e = arg;
 
-	entry_reach_heard(e, from);
+	entry_reach_heard_from(e, from);
 	switch (frame->kind) {
 	case DL_FRAME_ANSWER:
 		on_answer(e, from, frame);
--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -67,9 +67,9 @@
 	GHashTable *announced;
 	struct dl_spill spill;
 	int64_t dispatching_since;
-	struct held_ask *held_asks; /* until endpoints have reported */
-	uint64_t limits_sent_to;    /* dispatcher that has the limits */
-	int64_t limit_seen_at;	    /* in a response, latest; 0: never */
+	struct deferred_ask *deferred_asks; /* until endpoints have reported */
+	uint64_t limits_sent_to;	    /* dispatcher that has the limits */
+	int64_t limit_seen_at; /* in a response, latest; 0: never */
 };
 
 /* What an endpoint announced that only the planner of orders uses. */
@@ -454,7 +454,7 @@
 void entry_pool_down(struct entry *e, uint64_t vm);
 void entry_pool_drain(struct entry *e, struct entry_pool *p,
 		      const struct dl_name *id);
-bool entry_pool_is_own(const struct entry *e, struct dl_str domain);
+bool entry_pool_is_local_domain(const struct entry *e, struct dl_str domain);
 void entry_pool_frame(struct entry *e, uint64_t from,
 		      const struct dl_frame *frame);
 void entry_pool_ask(struct entry *e, struct entry_pool *p,
@@ -481,8 +481,8 @@
 			  const struct dl_frame *f);
 
 /* entry_reach.c */
-void entry_reach_lost(struct entry *e, uint64_t vm);
-void entry_reach_heard(struct entry *e, uint64_t vm);
+void entry_reach_mark_unreachable(struct entry *e, uint64_t vm);
+void entry_reach_heard_from(struct entry *e, uint64_t vm);
 void entry_reach_tick(struct entry *e);
 
 /* entry_remote.c */
--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -311,7 +311,7 @@
 	if (!e->node.settings.region.n)
 		dl_name_set(&a->report.failure_domain, DL_STR(""));
 	owner = entry_pool_owner(e, service, domain);
-	if (entry_pool_is_own(e, domain))
+	if (entry_pool_is_local_domain(e, domain))
 		report_here(e, p, a);
 	if (owner == e->node.self)
 		return 0;
--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -35,7 +35,7 @@
 
 static bool own_domain(const struct call *c)
 {
-	return entry_pool_is_own(c->e, dl_name_str(&c->domain));
+	return entry_pool_is_local_domain(c->e, dl_name_str(&c->domain));
 }
 
 static void fill_ask(struct call *c)
@@ -492,7 +492,7 @@
 	if (c->state != CALL_ASKING && c->state != CALL_QUEUED)
 		return;
 	if (ask_timed_out(c, now)) {
-		entry_reach_lost(c->e, c->dispatcher);
+		entry_reach_mark_unreachable(c->e, c->dispatcher);
 		c->asks_lost++;
 		entry_grant_cancel(c);
 		ask_again(c);
--- a/src/main/entry_limit.c
+++ b/src/main/entry_limit.c
@@ -58,7 +58,7 @@
 	struct entry *e = c->e;
 	struct entry_pool *p = entry_pool_find(e, dl_name_str(&c->service));
 
-	if (p && entry_pool_is_own(e, dl_name_str(&c->domain)))
+	if (p && entry_pool_is_local_domain(e, dl_name_str(&c->domain)))
 		note(e, p, &f, e->node.self);
 	if ((limit == DL_UNLIMITED && !c->grant.limited) ||
 	    c->dispatcher == e->node.self)
--- a/src/main/entry_pool.c
+++ b/src/main/entry_pool.c
@@ -29,8 +29,8 @@
 static void on_adopt(struct entry *e, uint64_t from, const struct dl_frame *f);
 
 /* An ask that waits until a new dispatcher knows its endpoints. */
-struct held_ask {
-	struct held_ask *next;
+struct deferred_ask {
+	struct deferred_ask *next;
 	struct dl_ask_frame frame;
 	struct dl_name workspace; /* what the frame's view points at */
 };
@@ -76,7 +76,7 @@
 
 /* Whether the VMs that dispatch together with this one are those of a domain.
  */
-bool entry_pool_is_own(const struct entry *e, struct dl_str domain)
+bool entry_pool_is_local_domain(const struct entry *e, struct dl_str domain)
 {
 	return dl_name_eq(dl_settings_pool_domain(&e->node.settings), domain);
 }
@@ -171,7 +171,7 @@
 
 static bool drop_held(struct entry_pool *p, uint64_t entry, uint64_t request)
 {
-	struct held_ask **at = &p->held_asks, *h;
+	struct deferred_ask **at = &p->deferred_asks, *h;
 
 	while ((h = *at) &&
 	       (h->frame.ask.request != request || h->frame.ask.entry != entry))
@@ -195,9 +195,9 @@
 			continue;
 		}
 		*at = p->next;
-		while (p->held_asks)
-			drop_held(p, p->held_asks->frame.ask.entry,
-				  p->held_asks->frame.ask.request);
+		while (p->deferred_asks)
+			drop_held(p, p->deferred_asks->frame.ask.entry,
+				  p->deferred_asks->frame.ask.request);
 		dl_pool_free(p->pool);
 		g_hash_table_destroy(p->announced);
 		free(p);
@@ -310,14 +310,14 @@
 static void hold(struct entry *e, struct entry_pool *p,
 		 const struct dl_ask_frame *f)
 {
-	struct held_ask *h = g_new0(struct held_ask, 1);
+	struct deferred_ask *h = g_new0(struct deferred_ask, 1);
 	struct dl_answer_frame queued = { .service = p->service };
 
 	h->frame = *f;
 	dl_name_set(&h->workspace, f->ask.workspace);
 	h->frame.ask.workspace = dl_name_str(&h->workspace);
-	h->next = p->held_asks;
-	p->held_asks = h;
+	h->next = p->deferred_asks;
+	p->deferred_asks = h;
 	queued.answer.request = f->ask.request;
 	queued.answer.entry = f->ask.entry;
 	queued.answer.verdict = DL_QUEUED;
@@ -327,11 +327,11 @@
 /* Ask the pool what was held, once it knows its endpoints. */
 static void let_go_held(struct entry *e, struct entry_pool *p)
 {
-	struct held_ask *h = p->held_asks, *next;
+	struct deferred_ask *h = p->deferred_asks, *next;
 
 	if (!h || (p->dispatching && knows_nobody(e, p)))
 		return;
-	p->held_asks = NULL;
+	p->deferred_asks = NULL;
 	for (; h; h = next) {
 		next = h->next;
 		entry_pool_ask(e, p, &h->frame, false);
@@ -496,7 +496,7 @@
 /* A connection to a VM was lost. */
 void entry_pool_down(struct entry *e, uint64_t vm)
 {
-	entry_reach_lost(e, vm);
+	entry_reach_mark_unreachable(e, vm);
 	entry_remote_vm_down(e, vm);
 }
 
--- a/src/main/entry_reach.c
+++ b/src/main/entry_reach.c
@@ -20,7 +20,7 @@
 
 /* A connection to a VM was lost, or an ask of it: nothing is asked of it now.
  */
-void entry_reach_lost(struct entry *e, uint64_t vm)
+void entry_reach_mark_unreachable(struct entry *e, uint64_t vm)
 {
 	int64_t now = entry_now(e);
 
@@ -45,7 +45,7 @@
 }
 
 /* A VM has sent something. */
-void entry_reach_heard(struct entry *e, uint64_t vm)
+void entry_reach_heard_from(struct entry *e, uint64_t vm)
 {
 	const int64_t *at = g_hash_table_lookup(e->unreachable_vms, &vm);
 
--- a/src/main/entry_remote.c
+++ b/src/main/entry_remote.c
@@ -110,7 +110,7 @@
 		uint64_t owner;
 
 		if (m->state != DL_ALIVE || m->replica || n > DL_SPILL_MAX ||
-		    entry_pool_is_own(e, dl_name_str(&m->domain)) ||
+		    entry_pool_is_local_domain(e, dl_name_str(&m->domain)) ||
 		    seen_domain(seen, n, &m->domain))
 			continue;
 		seen[n++] = m->domain;
