--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -228,7 +228,7 @@
 	uint8_t tried_count;
 	struct dl_name tried_ids[3];
 	/* Number of the endpoint instance it was sent to; 0: unknown. */
-	uint64_t endpoint_start;
+	uint64_t endpoint_instance_id;
 	int64_t attempt_at, first_byte_at;
 	struct dl_sse sse;
 	bool sse_done, sse_bad;
@@ -467,8 +467,8 @@
 /* entry_announce.c */
 /* Number of the endpoint instance at an address, equal on all VMs; 0: unknown.
  */
-uint64_t entry_endpoint_start(struct entry *e, struct dl_str service,
-			      struct dl_str address);
+uint64_t entry_endpoint_instance_id(struct entry *e, struct dl_str service,
+				    struct dl_str address);
 int entry_announce_receive(struct entry *e, struct dl_announcement *a);
 void entry_announce_endpoint_leaving(struct entry *e, struct dl_str address,
 				     struct dl_str instance,
--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -20,8 +20,8 @@
  * The number of the start that runs at an address; 0 where none is known, or it
  * leaves, and what it breaks off then is no crash.
  */
-uint64_t entry_endpoint_start(struct entry *e, struct dl_str service,
-			      struct dl_str address)
+uint64_t entry_endpoint_instance_id(struct entry *e, struct dl_str service,
+				    struct dl_str address)
 {
 	const struct dl_directory_entry *d =
 		dl_directory_find(e->directory, address);
@@ -115,8 +115,8 @@
 static bool place_instance(struct entry *e, struct dl_announcement *a)
 {
 	const struct dl_directory_entry *d, *left;
-	uint64_t before = entry_endpoint_start(e, dl_name_str(&a->service),
-					       dl_name_str(&a->report.id));
+	uint64_t before = entry_endpoint_instance_id(
+		e, dl_name_str(&a->service), dl_name_str(&a->report.id));
 	enum dl_directory_result heard =
 		dl_node_hear(e->directory, a, entry_now(e), &d, &left);
 
--- a/src/main/entry_backoff.c
+++ b/src/main/entry_backoff.c
@@ -25,8 +25,8 @@
 
 /*
  * How much longer this VM backs off from an endpoint, ms; 0: not at all.
- * start: as entry_endpoint_start() numbers it; one that was not known when the
- * endpoint asked may be any.
+ * start: as entry_endpoint_instance_id() numbers it; one that was not known
+ * when the endpoint asked may be any.
  */
 uint32_t entry_backoff_remaining_ms(const struct entry *e,
 				    struct dl_str address, uint64_t start)
@@ -76,7 +76,8 @@
 	for (uint8_t i = 0; i < c->grant.endpoints; i++) {
 		const struct dl_name *name = &c->grant.endpoint[i];
 		struct dl_str address = dl_name_str(name);
-		uint64_t start = entry_endpoint_start(c->e, service, address);
+		uint64_t start =
+			entry_endpoint_instance_id(c->e, service, address);
 
 		*left_ms = entry_backoff_remaining_ms(c->e, address, start);
 		if (*left_ms)
--- a/src/main/entry_limit.c
+++ b/src/main/entry_limit.c
@@ -20,7 +20,7 @@
 
 	/* It may be of a start that another one has followed. */
 	if (f->start !=
-	    entry_endpoint_start(e, dl_name_str(&f->service), address))
+	    entry_endpoint_instance_id(e, dl_name_str(&f->service), address))
 		return;
 	if (f->limit != DL_UNLIMITED)
 		p->limit_seen_at = entry_now(e);
@@ -53,7 +53,7 @@
 {
 	struct dl_limit_frame f = { .service = c->service,
 				    .endpoint = c->grant.endpoint[0],
-				    .start = c->endpoint_start,
+				    .start = c->endpoint_instance_id,
 				    .limit = limit };
 	struct entry *e = c->e;
 	struct entry_pool *p = entry_pool_find(e, dl_name_str(&c->service));
@@ -106,8 +106,8 @@
 	while (owner != e->node.self &&
 	       dl_pool_endpoint_limit_next(p->pool, &at, now - RECENT_MS,
 					   &f.endpoint, &f.limit)) {
-		f.start = entry_endpoint_start(e, service,
-					       dl_name_str(&f.endpoint));
+		f.start = entry_endpoint_instance_id(e, service,
+						     dl_name_str(&f.endpoint));
 		tell(e, owner, &f);
 	}
 }
--- a/src/main/entry_quarantine.c
+++ b/src/main/entry_quarantine.c
@@ -101,17 +101,18 @@
 	uint64_t address;
 
 	if (err && err->code == -ECONNREFUSED)
-		entry_quarantine_crashed(e, c->endpoint_start);
-	if (!c->endpoint_start || !c->content_hash ||
+		entry_quarantine_crashed(e, c->endpoint_instance_id);
+	if (!c->endpoint_instance_id || !c->content_hash ||
 	    attempt->sent == DL_SENT_NOTHING ||
 	    attempt->failure == DL_FAILURE_NONE ||
 	    attempt->failure == DL_FAILURE_BAD_RESPONSE)
 		return;
 	dl_quarantine_attempt_interrupted(e->quarantine.known, c->content_hash,
-					  c->endpoint_start, entry_now(e));
+					  c->endpoint_instance_id,
+					  entry_now(e));
 	if (attempt->failure == DL_FAILURE_RESET &&
 	    dl_vm_parse(dl_name_str(&c->grant.endpoint[0]), &address))
-		probe_soon(e, c->endpoint_start, address);
+		probe_soon(e, c->endpoint_instance_id, address);
 }
 
 /* An endpoint has answered the request whole: it is harmless. */
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -212,9 +212,9 @@
 	c->status = 0;
 	c->route.head = (struct response_head){ .content_length = SIZE_MAX };
 	c->route.instance = endpoint_of(c, 0)->instance;
-	c->endpoint_start =
-		entry_endpoint_start(c->e, dl_name_str(&c->service),
-				     dl_name_str(&c->grant.endpoint[0]));
+	c->endpoint_instance_id =
+		entry_endpoint_instance_id(c->e, dl_name_str(&c->service),
+					   dl_name_str(&c->grant.endpoint[0]));
 	if (!c->response_buf)
 		c->response_buf = g_string_new(NULL);
 	g_string_truncate(c->response_buf, 0);
@@ -310,7 +310,7 @@
 			dl_name_str(&c->route.instance), c->dispatcher);
 	c->route.head.retry_after_ms = said.retry_after_ms;
 	c->route.head.backoff_requested = entry_backoff_note_response(
-		c, &c->grant.endpoint[0], c->endpoint_start, head->status,
+		c, &c->grant.endpoint[0], c->endpoint_instance_id, head->status,
 		said.retry_after_ms);
 	dl_name_set(&c->route.head.at_fault, said.at_fault);
 	c->route.head.is_event_stream = c->stream && head->status == 200;
--- a/src/main/entry_reservation.c
+++ b/src/main/entry_reservation.c
@@ -88,8 +88,8 @@
 	platform_dialect.answer(head->headers, head->headers_count, &said);
 	entry_backoff_note_response(
 		c, &r->address,
-		entry_endpoint_start(c->e, dl_name_str(&c->service),
-				     dl_name_str(&r->address)),
+		entry_endpoint_instance_id(c->e, dl_name_str(&c->service),
+					   dl_name_str(&r->address)),
 		head->status, said.retry_after_ms);
 	if (said.leaving && head->status != STATUS_MISDIRECTED)
 		entry_announce_endpoint_leaving(c->e, dl_name_str(&r->address),
--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -150,9 +150,9 @@
 		entry_call_end(c, DL_OUTCOME_NOT_RUN, 503, "internal", &err);
 		return;
 	}
-	c->endpoint_start =
-		entry_endpoint_start(c->e, dl_name_str(&c->service),
-				     dl_name_str(&c->grant.endpoint[0]));
+	c->endpoint_instance_id =
+		entry_endpoint_instance_id(c->e, dl_name_str(&c->service),
+					   dl_name_str(&c->grant.endpoint[0]));
 	if (c->attempts > 1)
 		dl_count(DL_METRIC_retries_total, 1);
 	send_attempt(c, to);
@@ -244,8 +244,9 @@
 
 	entry_call_span(c, "connect", c->attempt_at, c->grant.endpoint[0].s);
 	c->status = head->status;
-	entry_backoff_note_response(c, &c->grant.endpoint[0], c->endpoint_start,
-				    head->status, retry_after_ms(head));
+	entry_backoff_note_response(c, &c->grant.endpoint[0],
+				    c->endpoint_instance_id, head->status,
+				    retry_after_ms(head));
 	if (c->kind == DL_POOL_PLAIN)
 		keep_headers(c, head);
 	if (!c->response_buf)
