--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -104,7 +104,7 @@
 
 static void on_up(void *arg, uint64_t vm)
 {
-	entry_quarantine_up(arg, vm);
+	entry_quarantine_vm_up(arg, vm);
 }
 
 static void on_down(void *arg, uint64_t vm)
@@ -274,7 +274,7 @@
 	e->directory = dl_directory_new();
 	e->reports = dl_reports_new();
 	e->backoff = dl_backoff_new();
-	entry_quarantine_open(e);
+	entry_quarantine_init(e);
 	e->unreachable_vms = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						   g_free, g_free);
 	e->asks = g_hash_table_new(g_int64_hash, g_int64_equal);
--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -392,14 +392,15 @@
 void entry_reservation_tick(struct entry *e, int64_t now);
 
 /* entry_quarantine.c */
-void entry_quarantine_open(struct entry *e);
-void entry_quarantine_crashed(struct entry *e, uint64_t start);
-void entry_quarantine_attempt(struct call *c, const struct dl_attempt *attempt,
-			      const struct dl_err *err);
-void entry_quarantine_answered(struct call *c);
+void entry_quarantine_init(struct entry *e);
+void entry_quarantine_instance_crashed(struct entry *e, uint64_t start);
+void entry_quarantine_attempt_ended(struct call *c,
+				    const struct dl_attempt *attempt,
+				    const struct dl_err *err);
+void entry_quarantine_request_completed(struct call *c);
 bool entry_quarantine_refuses(struct call *c);
 void entry_quarantine_frame(struct entry *e, const struct dl_frame *f);
-void entry_quarantine_up(struct entry *e, uint64_t vm);
+void entry_quarantine_vm_up(struct entry *e, uint64_t vm);
 void entry_quarantine_tick(struct entry *e, int64_t now);
 
 /* entry_limit.c */
--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -47,7 +47,8 @@
 	struct dl_str id = dl_name_str(&a->report.id);
 
 	if (n && n->incarnation != a->report.incarnation && !n->leaving)
-		entry_quarantine_crashed(e, dl_hash(id, n->incarnation));
+		entry_quarantine_instance_crashed(e,
+						  dl_hash(id, n->incarnation));
 	if (n && n->incarnation == a->report.incarnation && n->leaving)
 		a->report.leaving = true;
 	if (!n) {
@@ -123,7 +124,7 @@
 	if (heard == DL_DIRECTORY_STALE)
 		return false;
 	if (heard == DL_DIRECTORY_NEW)
-		entry_quarantine_crashed(e, before);
+		entry_quarantine_instance_crashed(e, before);
 	if (left)
 		forget_earlier(e, left);
 	dl_node_complete(a, d);
--- a/src/main/entry_call.c
+++ b/src/main/entry_call.c
@@ -151,7 +151,7 @@
 	if (outcome == DL_OUTCOME_NOT_RUN && c->may_have_run)
 		outcome = DL_OUTCOME_UNKNOWN;
 	if (outcome == DL_OUTCOME_DONE || outcome == DL_OUTCOME_FAILED)
-		entry_quarantine_answered(c);
+		entry_quarantine_request_completed(c);
 	c->outcome = outcome;
 	c->status = status;
 	count_outcome(outcome);
@@ -332,7 +332,7 @@
 	if (c->attempt)
 		a = dl_httpc_progress(c->attempt);
 	a.failure = DL_FAILURE_CALLER_GONE;
-	entry_quarantine_attempt(c, &a, NULL);
+	entry_quarantine_attempt_ended(c, &a, NULL);
 	outcome = dl_call_outcome(&a);
 	c->usage.ran = a.sent != DL_SENT_NOTHING;
 	call_settle(c, outcome, 499);
@@ -386,7 +386,7 @@
 	if (c->attempt)
 		a = dl_httpc_progress(c->attempt);
 	a.failure = DL_FAILURE_DEADLINE;
-	entry_quarantine_attempt(c, &a, NULL);
+	entry_quarantine_attempt_ended(c, &a, NULL);
 	outcome = dl_call_outcome(&a);
 	c->usage.ran = a.sent != DL_SENT_NOTHING;
 	dl_err_set(&err, -ETIMEDOUT, DL_STEP_BODY, c->grant.endpoint[0].s,
--- a/src/main/entry_quarantine.c
+++ b/src/main/entry_quarantine.c
@@ -29,21 +29,21 @@
 					       .end = on_probed };
 
 /* Nothing is known yet. */
-void entry_quarantine_open(struct entry *e)
+void entry_quarantine_init(struct entry *e)
 {
-	quarantine_open(&e->quarantine);
+	quarantine_init(&e->quarantine);
 	e->probes = g_ptr_array_new_with_free_func(g_free);
 }
 
 /* A start has ended without a word that it leaves. */
-void entry_quarantine_crashed(struct entry *e, uint64_t start)
+void entry_quarantine_instance_crashed(struct entry *e, uint64_t start)
 {
 	int64_t now = entry_now(e);
 	struct dl_crash crash;
 
-	while (start && dl_quarantine_next_crash(e->quarantine.known, start,
+	while (start && dl_quarantine_next_crash(e->quarantine.records, start,
 						 now, &crash))
-		quarantine_note(&e->quarantine, &crash, now);
+		quarantine_report_local(&e->quarantine, &crash, now);
 }
 
 static void probe_soon(struct entry *e, uint64_t start, uint64_t address)
@@ -75,7 +75,7 @@
 	struct probe *probe = arg;
 
 	if (err->code == -ECONNREFUSED)
-		entry_quarantine_crashed(probe->e, probe->start);
+		entry_quarantine_instance_crashed(probe->e, probe->start);
 	g_ptr_array_remove(probe->e->probes, probe);
 }
 
@@ -94,20 +94,22 @@
 }
 
 /* An attempt has ended, or is given up: note where it broke off. */
-void entry_quarantine_attempt(struct call *c, const struct dl_attempt *attempt,
-			      const struct dl_err *err)
+void entry_quarantine_attempt_ended(struct call *c,
+				    const struct dl_attempt *attempt,
+				    const struct dl_err *err)
 {
 	struct entry *e = c->e;
 	uint64_t address;
 
 	if (err && err->code == -ECONNREFUSED)
-		entry_quarantine_crashed(e, c->endpoint_instance_id);
+		entry_quarantine_instance_crashed(e, c->endpoint_instance_id);
 	if (!c->endpoint_instance_id || !c->content_hash ||
 	    attempt->sent == DL_SENT_NOTHING ||
 	    attempt->failure == DL_FAILURE_NONE ||
 	    attempt->failure == DL_FAILURE_BAD_RESPONSE)
 		return;
-	dl_quarantine_attempt_interrupted(e->quarantine.known, c->content_hash,
+	dl_quarantine_attempt_interrupted(e->quarantine.records,
+					  c->content_hash,
 					  c->endpoint_instance_id,
 					  entry_now(e));
 	if (attempt->failure == DL_FAILURE_RESET &&
@@ -116,16 +118,16 @@
 }
 
 /* An endpoint has answered the request whole: it is harmless. */
-void entry_quarantine_answered(struct call *c)
+void entry_quarantine_request_completed(struct call *c)
 {
-	const struct dl_quarantine *known = c->e->quarantine.known;
+	const struct dl_quarantine *records = c->e->quarantine.records;
 	struct dl_crash harmless = { .request = c->content_hash };
 
-	if (!dl_quarantine_is_suspect(known, c->content_hash))
+	if (!dl_quarantine_is_suspect(records, c->content_hash))
 		return;
 	harmless.cleared =
-		dl_quarantine_clear_count(known, c->content_hash) + 1;
-	quarantine_note(&c->e->quarantine, &harmless, entry_now(c->e));
+		dl_quarantine_clear_count(records, c->content_hash) + 1;
+	quarantine_report_local(&c->e->quarantine, &harmless, entry_now(c->e));
 }
 
 /*
@@ -135,7 +137,7 @@
 bool entry_quarantine_refuses(struct call *c)
 {
 	uint32_t left = dl_quarantine_remaining_ms(
-		c->e->quarantine.known, c->content_hash, entry_now(c->e));
+		c->e->quarantine.records, c->content_hash, entry_now(c->e));
 
 	if (!left)
 		return false;
@@ -174,12 +176,12 @@
 }
 
 /* A VM is reached, for the first time or again: a replica is told all. */
-void entry_quarantine_up(struct entry *e, uint64_t vm)
+void entry_quarantine_vm_up(struct entry *e, uint64_t vm)
 {
 	const struct dl_member *m = dl_memb_find(e->node.memb, vm);
 
 	if (m && m->replica)
-		quarantine_tell_all(&e->quarantine, e->node.peers, vm,
+		quarantine_send_all(&e->quarantine, e->node.peers, vm,
 				    entry_now(e));
 }
 
@@ -204,5 +206,5 @@
 		if (is_due(probe, now))
 			probe_now(probe);
 	}
-	quarantine_tell(&e->quarantine, now, to_replicas, e);
+	quarantine_flush(&e->quarantine, now, to_replicas, e);
 }
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -543,7 +543,7 @@
 		retry_unsent(c);
 		return;
 	}
-	entry_quarantine_attempt(c, &a, err);
+	entry_quarantine_attempt_ended(c, &a, err);
 	/* A resumed stream that gets an error is not complete. */
 	complete = a.received == DL_RECV_COMPLETE &&
 		   a.failure == DL_FAILURE_NONE &&
--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -508,7 +508,7 @@
 		entry_backoff_return_grant(c);
 		return;
 	}
-	entry_quarantine_attempt(c, &a, err);
+	entry_quarantine_attempt_ended(c, &a, err);
 	c->may_have_run |= outcome != DL_OUTCOME_NOT_RUN;
 	call_fill_usage(c, &a, c->used_prompt, c->used_output,
 			outcome != DL_OUTCOME_DONE);
--- a/src/main/quarantine.c
+++ b/src/main/quarantine.c
@@ -8,16 +8,16 @@
 #define FORGET_EVERY_MS 10000
 
 /* Nothing is known yet. */
-void quarantine_open(struct quarantine *q)
+void quarantine_init(struct quarantine *q)
 {
-	q->known = dl_quarantine_new();
-	q->news = g_array_new(FALSE, FALSE, sizeof(struct dl_crash));
+	q->records = dl_quarantine_new();
+	q->unsent = g_array_new(FALSE, FALSE, sizeof(struct dl_crash));
 }
 
 static void count_held(const struct quarantine *q, int64_t now)
 {
 	dl_gauge(DL_METRIC_requests_quarantined,
-		 dl_quarantine_count(q->known, now));
+		 dl_quarantine_count(q->records, now));
 }
 
 /* Take in a crash, and say where a request is held back from now on. */
@@ -25,12 +25,12 @@
 		 int64_t now)
 {
 	uint32_t held =
-		dl_quarantine_remaining_ms(q->known, crash->request, now);
+		dl_quarantine_remaining_ms(q->records, crash->request, now);
 	uint32_t left;
 
-	if (!dl_quarantine_merge(q->known, crash, now))
+	if (!dl_quarantine_merge(q->records, crash, now))
 		return false;
-	left = dl_quarantine_remaining_ms(q->known, crash->request, now);
+	left = dl_quarantine_remaining_ms(q->records, crash->request, now);
 	if (!held == !left)
 		return true;
 	q->changed = true;
@@ -43,12 +43,12 @@
 }
 
 /* Note a crash that was seen here. */
-void quarantine_note(struct quarantine *q, const struct dl_crash *crash,
-		     int64_t now)
+void quarantine_report_local(struct quarantine *q, const struct dl_crash *crash,
+			     int64_t now)
 {
 	if (!take(q, crash, now))
 		return;
-	g_array_append_val(q->news, *crash);
+	g_array_append_val(q->unsent, *crash);
 	if (crash->start)
 		dl_msg(DL_MSG_CRASHED_UNDER,
 		       "content=%016lx start=%016lx age_ms=%u",
@@ -57,11 +57,11 @@
 }
 
 /* Take in what was seen elsewhere, or before. */
-void quarantine_learn(struct quarantine *q, const struct dl_crash *crash,
-		      bool pass_on, int64_t now)
+void quarantine_merge_remote(struct quarantine *q, const struct dl_crash *crash,
+			     bool pass_on, int64_t now)
 {
 	if (take(q, crash, now) && pass_on)
-		g_array_append_val(q->news, *crash);
+		g_array_append_val(q->unsent, *crash);
 }
 
 /* Take in what another VM tells. */
@@ -77,7 +77,7 @@
 		return;
 	}
 	for (uint32_t i = 0; i < count; i++)
-		quarantine_learn(q, &crashes[i], pass_on, now);
+		quarantine_merge_remote(q, &crashes[i], pass_on, now);
 }
 
 static void send_crashes(const GArray *crashes,
@@ -95,15 +95,15 @@
 }
 
 /* Tell what is new. */
-void quarantine_tell(struct quarantine *q, int64_t now,
-		     void (*send)(void *arg, struct dl_str body), void *arg)
+void quarantine_flush(struct quarantine *q, int64_t now,
+		      void (*send)(void *arg, struct dl_str body), void *arg)
 {
-	send_crashes(q->news, send, arg);
-	g_array_set_size(q->news, 0);
-	if (now - q->forgotten_at < FORGET_EVERY_MS)
+	send_crashes(q->unsent, send, arg);
+	g_array_set_size(q->unsent, 0);
+	if (now - q->expired_at < FORGET_EVERY_MS)
 		return;
-	q->forgotten_at = now;
-	dl_quarantine_expire(q->known, now);
+	q->expired_at = now;
+	dl_quarantine_expire(q->records, now);
 	count_held(q, now);
 }
 
@@ -127,13 +127,13 @@
 }
 
 /* Tell a VM that may have missed some all that is known. */
-void quarantine_tell_all(struct quarantine *q, struct dl_peers *peers,
+void quarantine_send_all(struct quarantine *q, struct dl_peers *peers,
 			 uint64_t vm, int64_t now)
 {
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct dl_crash));
 	struct one to = { peers, vm };
 
-	dl_quarantine_foreach(q->known, now, gather, all);
+	dl_quarantine_foreach(q->records, now, gather, all);
 	send_crashes(all, to_one, &to);
 	g_array_free(all, TRUE);
 }
--- a/src/main/quarantine.h
+++ b/src/main/quarantine.h
@@ -13,27 +13,28 @@
 #include "transport/peers.h"
 
 struct quarantine {
-	struct dl_quarantine *known;
-	GArray *news; /* of struct dl_crash, to be told */
-	bool changed; /* which requests are held back, since it was unset */
-	int64_t forgotten_at;
+	struct dl_quarantine *records;
+	GArray *unsent; /* of struct dl_crash, to be told */
+	bool changed;	/* which requests are held back, since it was unset */
+	int64_t expired_at;
 };
 
-void quarantine_open(struct quarantine *q);
-/* Note a crash; where it is new it goes to news, and is logged. */
-void quarantine_note(struct quarantine *q, const struct dl_crash *crash,
-		     int64_t now);
-/* Take in a crash that was not seen here; pass_on: what is new goes to news. */
-void quarantine_learn(struct quarantine *q, const struct dl_crash *crash,
-		      bool pass_on, int64_t now);
-/* Take in another VM's word; pass_on: what is new goes to news here too. */
+void quarantine_init(struct quarantine *q);
+/* Note a crash; where it is new it goes to unsent, and is logged. */
+void quarantine_report_local(struct quarantine *q, const struct dl_crash *crash,
+			     int64_t now);
+/* Take in a crash that was not seen here; pass_on: what is new goes to unsent.
+ */
+void quarantine_merge_remote(struct quarantine *q, const struct dl_crash *crash,
+			     bool pass_on, int64_t now);
+/* Take in another VM's word; pass_on: what is new goes to unsent here too. */
 void quarantine_frame(struct quarantine *q, struct dl_str body, bool pass_on,
 		      int64_t now);
 /* Hand the bodies of what is new to send, and forget what is too old. */
-void quarantine_tell(struct quarantine *q, int64_t now,
-		     void (*send)(void *arg, struct dl_str body), void *arg);
+void quarantine_flush(struct quarantine *q, int64_t now,
+		      void (*send)(void *arg, struct dl_str body), void *arg);
 /* Tell one VM all that is known. */
-void quarantine_tell_all(struct quarantine *q, struct dl_peers *peers,
+void quarantine_send_all(struct quarantine *q, struct dl_peers *peers,
 			 uint64_t vm, int64_t now);
 
 #endif
--- a/src/main/replica_quarantine.c
+++ b/src/main/replica_quarantine.c
@@ -12,14 +12,14 @@
 	uint32_t count;
 	int code;
 
-	quarantine_open(&r->quarantine);
+	quarantine_init(&r->quarantine);
 	r->crashes = dl_crash_store_new(disk, saved);
 	code = dl_crash_store_read(r->crashes, dl_node_wall_ms(), read, &count);
 	if (code)
 		dl_msg(DL_MSG_CRASHES_LOST, "error=%d", code);
 	for (uint32_t i = 0; i < count; i++)
-		quarantine_learn(&r->quarantine, &read[i], true,
-				 replica_now(r));
+		quarantine_merge_remote(&r->quarantine, &read[i], true,
+					replica_now(r));
 	r->quarantine.changed = false;
 }
 
@@ -52,10 +52,10 @@
 
 static void save(struct replica *r, int64_t now)
 {
-	struct held held = { r->quarantine.known, now, NULL };
+	struct held held = { r->quarantine.records, now, NULL };
 
 	held.crashes = g_array_new(FALSE, FALSE, sizeof(struct dl_crash));
-	dl_quarantine_foreach(r->quarantine.known, now, gather_held, &held);
+	dl_quarantine_foreach(r->quarantine.records, now, gather_held, &held);
 	dl_crash_store_save(r->crashes,
 			    (const struct dl_crash *)held.crashes->data,
 			    held.crashes->len, dl_node_wall_ms());
@@ -77,7 +77,7 @@
 /* A VM is reached, for the first time or again: it is told all. */
 void replica_quarantine_up(struct replica *r, uint64_t vm)
 {
-	quarantine_tell_all(&r->quarantine, r->node.peers, vm, replica_now(r));
+	quarantine_send_all(&r->quarantine, r->node.peers, vm, replica_now(r));
 }
 
 /* Pass on what is new, and keep what is held back. */
@@ -85,5 +85,5 @@
 {
 	if (r->quarantine.changed && !dl_crash_store_busy(r->crashes))
 		save(r, now);
-	quarantine_tell(&r->quarantine, now, to_all, r);
+	quarantine_flush(&r->quarantine, now, to_all, r);
 }
