--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -295,12 +295,12 @@
 	struct dl_conf *conf;
 	char *conf_text;
 	size_t conf_text_n;
-	struct conf_reading *conf_reading; /* being parsed, in a thread */
-	struct conf_reading *conf_next;	   /* waiting to be parsed */
-	int64_t conf_read_not_before;	   /* earliest next parse, */
-	int64_t conf_waiting_since;	   /* unless conf_next waits too long */
-	int64_t conf_last_read_at;	   /* end of the last parse; 0: none */
-	char *conf_pushed; /* as received, to send to other VMs */
+	struct conf_parse *conf_parse; /* being parsed, in a thread */
+	struct conf_parse *conf_next;  /* waiting to be parsed */
+	int64_t conf_parse_not_before; /* earliest next parse, */
+	int64_t conf_waiting_since;    /* unless conf_next waits too long */
+	int64_t conf_last_parsed_at;   /* end of the last parse; 0: none */
+	char *conf_pushed;	       /* as received, to send to other VMs */
 	size_t conf_pushed_n;
 	uint64_t version;
 	int64_t conf_pulled_at;
--- a/src/main/entry_conf.c
+++ b/src/main/entry_conf.c
@@ -14,7 +14,7 @@
 #include "protocol/squeeze.h"
 
 /* A lost push is mended within a second. */
-#define PULL_EVERY_MS 500
+#define PULL_INTERVAL_MS 500
 /*
  * A version that is being read, or waits to be, is not asked for again, and one
  * that is not is asked for this often.  Asked for at each sign of it, from
@@ -22,7 +22,7 @@
  * each of 295 VMs several times.  A push may be late or lost: a replica that
  * pushes to a domain may be the slow one, so it is not waited for.
  */
-#define PULL_GAP_MS 100
+#define PULL_MIN_GAP_MS 100
 /*
  * Reading takes a quarter of this VM's time, as long as a version waits no
  * longer than WAIT_MAX_MS for it: versions of 1,300 routes in quick succession
@@ -30,22 +30,22 @@
  * passes on pause meanwhile.  A version has 2 s to be in force, and the one
  * before it may just be read: a longer rest after it would take those up.
  */
-#define REST_SHARE  3
-#define WAIT_MAX_MS 300
+#define PARSE_REST_FACTOR 3
+#define PARSE_WAIT_MAX_MS 300
 /* One question too many costs nothing: how many VMs one push names at most. */
-#define RELAY_MAX 1024
+#define RELAY_TARGETS_MAX 1024
 /* A text is bounded where it is accepted; its rewriting adds a little. */
-#define TEXT_MAX (2 * (size_t)DL_CONF_TEXT_MAX)
+#define INFLATED_MAX (2 * (size_t)DL_CONF_TEXT_MAX)
 /* A text of 30 KB deflates to this and is parsed in a millisecond. */
-#define READ_INLINE_MAX 4096
+#define PARSE_INLINE_MAX 4096
 
 /* A pushed version that is being read. */
-struct conf_reading {
+struct conf_parse {
 	uv_work_t work;
 	struct entry *e;
-	int64_t began;
+	int64_t started_at;
 	uint32_t waited_ms; /* until then, with those that it took over from */
-	int64_t rested_ms;  /* the VM since it had read one; -1: none */
+	int64_t since_last_ms; /* the VM since it had read one; -1: none */
 	uint64_t version;
 	char *pushed; /* as it came */
 	size_t pushed_n;
@@ -55,7 +55,7 @@
 	struct dl_faults faults;
 };
 
-static void start_reading(struct entry *e, struct conf_reading *r);
+static void start_parsing(struct entry *e, struct conf_parse *r);
 
 static void apply_drain(struct entry *e)
 {
@@ -70,8 +70,8 @@
 }
 
 /* Swap the configuration; everything that reads it does so afterwards. */
-static void put_in_force(struct entry *e, const struct conf_reading *r,
-			 struct dl_conf *conf)
+static void apply_conf(struct entry *e, const struct conf_parse *r,
+		       struct dl_conf *conf)
 {
 	dl_conf_free(e->conf);
 	g_free(e->conf_text);
@@ -89,17 +89,17 @@
 	dl_msg(DL_MSG_ENTRY_CONF,
 	       "version=%lu bytes=%zu waited_ms=%u rested_ms=%ld read_ms=%ld",
 	       (unsigned long)r->version, r->pushed_n, r->waited_ms,
-	       (long)r->rested_ms, (long)(entry_now(e) - r->began));
+	       (long)r->since_last_ms, (long)(entry_now(e) - r->started_at));
 }
 
 /* Pass a push on to the VMs that it names, each with a share of the rest. */
 static void relay(struct entry *e, uint64_t version, struct dl_str text,
-		  const uint64_t *rest, uint32_t count)
+		  const uint64_t *targets, uint32_t count)
 {
 	for (uint32_t i = 0; i < dl_conf_push_children(count); i++) {
 		struct dl_packer pk;
-		uint64_t to =
-			dl_conf_push_pack(&pk, version, text, rest, count, i);
+		uint64_t to = dl_conf_push_pack(&pk, version, text, targets,
+						count, i);
 
 		dl_peers_send(e->node.peers, to, DL_FRAME_CONF_PUSH, 0,
 			      dl_packer_bytes(&pk));
@@ -107,12 +107,12 @@
 	}
 }
 
-static uint32_t read_rest(struct dl_reader *r, uint64_t *out)
+static uint32_t read_relay_targets(struct dl_reader *r, uint64_t *out)
 {
 	const msgpack_object *o = r->at;
 
 	if (r->bad || r->left == 0 || o->type != MSGPACK_OBJECT_ARRAY ||
-	    o->via.array.size > RELAY_MAX)
+	    o->via.array.size > RELAY_TARGETS_MAX)
 		return 0;
 	for (uint32_t i = 0; i < o->via.array.size; i++)
 		out[i] = o->via.array.ptr[i].via.u64;
@@ -120,10 +120,10 @@
 }
 
 /* Inflate and parse what was pushed; beside the loop where it is large. */
-static void read_pushed(struct conf_reading *r)
+static void parse_pushed(struct conf_parse *r)
 {
-	if (dl_unsqueeze((struct dl_str){ r->pushed, r->pushed_n }, TEXT_MAX,
-			 &r->text, &r->text_n)) {
+	if (dl_unsqueeze((struct dl_str){ r->pushed, r->pushed_n },
+			 INFLATED_MAX, &r->text, &r->text_n)) {
 		r->text = NULL;
 		return;
 	}
@@ -133,7 +133,7 @@
 }
 
 /* Put in force what was read, unless a newer one is by now. */
-static void take_read(struct entry *e, struct conf_reading *r)
+static void apply_parsed(struct entry *e, struct conf_parse *r)
 {
 	if (!r->text) {
 		dl_msg(DL_MSG_CONF_BAD, "version=%lu reason=garbled",
@@ -147,7 +147,7 @@
 		e->conf_pushed = r->pushed;
 		e->conf_pushed_n = r->pushed_n;
 		r->pushed = NULL;
-		put_in_force(e, r, r->conf);
+		apply_conf(e, r, r->conf);
 		r->conf = NULL;
 	}
 	dl_conf_free(r->conf);
@@ -156,36 +156,37 @@
 	g_free(r);
 }
 
-static void read_beside(uv_work_t *work)
+static void parse_in_thread(uv_work_t *work)
 {
-	read_pushed(work->data);
+	parse_pushed(work->data);
 }
 
-static void on_read_beside(uv_work_t *work, int status)
+static void on_parsed(uv_work_t *work, int status)
 {
-	struct conf_reading *r = work->data;
+	struct conf_parse *r = work->data;
 	struct entry *e = r->e;
 	int64_t now = entry_now(e);
 
-	e->conf_reading = NULL;
-	e->conf_last_read_at = now;
-	e->conf_read_not_before = now + REST_SHARE * (now - r->began);
+	e->conf_parse = NULL;
+	e->conf_last_parsed_at = now;
+	e->conf_parse_not_before =
+		now + PARSE_REST_FACTOR * (now - r->started_at);
 	if (status == 0)
-		take_read(e, r);
+		apply_parsed(e, r);
 }
 
 /* Read the newest that came meanwhile, once this VM has rested. */
-static void read_next(struct entry *e, int64_t now)
+static void parse_next(struct entry *e, int64_t now)
 {
-	struct conf_reading *next = e->conf_next;
+	struct conf_parse *next = e->conf_next;
 
-	if (!next || e->conf_reading)
+	if (!next || e->conf_parse)
 		return;
-	if (now < e->conf_read_not_before &&
-	    now - e->conf_waiting_since < WAIT_MAX_MS)
+	if (now < e->conf_parse_not_before &&
+	    now - e->conf_waiting_since < PARSE_WAIT_MAX_MS)
 		return;
 	e->conf_next = NULL;
-	start_reading(e, next);
+	start_parsing(e, next);
 }
 
 /*
@@ -193,34 +194,36 @@
  * VM with 0.12 cores.  Parsed in the loop each kept all streams waiting for 250
  * to 360 ms, more than short ones bear.  Small ones are read at once.
  */
-static void start_reading(struct entry *e, struct conf_reading *r)
+static void start_parsing(struct entry *e, struct conf_parse *r)
 {
-	r->began = entry_now(e);
-	r->waited_ms = (uint32_t)(r->began - e->conf_waiting_since);
-	r->rested_ms = e->conf_last_read_at ? r->began - e->conf_last_read_at :
-					      -1;
-	if (r->pushed_n <= READ_INLINE_MAX) {
-		read_pushed(r);
-		take_read(e, r);
+	r->started_at = entry_now(e);
+	r->waited_ms = (uint32_t)(r->started_at - e->conf_waiting_since);
+	r->since_last_ms = e->conf_last_parsed_at ?
+				   r->started_at - e->conf_last_parsed_at :
+				   -1;
+	if (r->pushed_n <= PARSE_INLINE_MAX) {
+		parse_pushed(r);
+		apply_parsed(e, r);
 		return;
 	}
-	e->conf_reading = r;
-	uv_queue_work(e->node.loop, &r->work, read_beside, on_read_beside);
+	e->conf_parse = r;
+	uv_queue_work(e->node.loop, &r->work, parse_in_thread, on_parsed);
 }
 
 /*
  * A newer version, as it was pushed.  One is read at a time; of those that come
  * meanwhile the newest is read next.
  */
-static void take(struct entry *e, uint64_t version, struct dl_str pushed)
+static void queue_version(struct entry *e, uint64_t version,
+			  struct dl_str pushed)
 {
-	struct conf_reading *r;
+	struct conf_parse *r;
 
-	if (e->conf_reading && e->conf_reading->version >= version)
+	if (e->conf_parse && e->conf_parse->version >= version)
 		return;
 	if (e->conf_next && e->conf_next->version >= version)
 		return;
-	r = g_new0(struct conf_reading, 1);
+	r = g_new0(struct conf_parse, 1);
 	r->e = e;
 	r->version = version;
 	r->pushed = g_memdup2(pushed.s, pushed.n);
@@ -233,12 +236,12 @@
 		e->conf_waiting_since = entry_now(e);
 	}
 	e->conf_next = r;
-	read_next(e, entry_now(e));
+	parse_next(e, entry_now(e));
 }
 
 static void on_push(struct entry *e, uint64_t from, const struct dl_frame *f)
 {
-	static uint64_t rest[RELAY_MAX];
+	static uint64_t targets[RELAY_TARGETS_MAX];
 	struct dl_reader r;
 	struct dl_str text;
 	uint64_t version;
@@ -251,11 +254,11 @@
 		dl_reader_close(&r);
 		return;
 	}
-	count = read_rest(&r, rest);
+	count = read_relay_targets(&r, targets);
 	if (count)
-		relay(e, version, text, rest, count);
+		relay(e, version, text, targets, count);
 	if (version > e->version)
-		take(e, version, text);
+		queue_version(e, version, text);
 	dl_reader_close(&r);
 	if (entry_cmd_is_replica(e, from))
 		e->replica_heard_at = entry_now(e);
@@ -305,12 +308,12 @@
 }
 
 /* The newest version that is in force here or will be once it is read. */
-static uint64_t coming(const struct entry *e)
+static uint64_t newest_pending_version(const struct entry *e)
 {
 	if (e->conf_next)
 		return e->conf_next->version;
-	return e->conf_reading ? MAX(e->conf_reading->version, e->version) :
-				 e->version;
+	return e->conf_parse ? MAX(e->conf_parse->version, e->version) :
+			       e->version;
 }
 
 /* A VM shows a version: ask it where that is newer and not here yet. */
@@ -318,7 +321,8 @@
 {
 	int64_t now = entry_now(e);
 
-	if (version <= coming(e) || now - e->conf_pulled_at < PULL_GAP_MS)
+	if (version <= newest_pending_version(e) ||
+	    now - e->conf_pulled_at < PULL_MIN_GAP_MS)
 		return;
 	e->conf_pulled_at = now;
 	pull(e, vm);
@@ -338,16 +342,17 @@
 	uint64_t newest, vm;
 
 	dl_gauge(DL_METRIC_replica_heard_ms_ago, now - e->replica_heard_at);
-	read_next(e, now);
-	if (now - e->conf_pulled_at < PULL_EVERY_MS)
+	parse_next(e, now);
+	if (now - e->conf_pulled_at < PULL_INTERVAL_MS)
 		return;
 	newest = dl_memb_newest_config(e->node.memb, &vm);
-	if (newest > coming(e)) {
+	if (newest > newest_pending_version(e)) {
 		entry_conf_version_seen(e, newest, vm);
 		return;
 	}
 	e->conf_pulled_at = now;
-	if (coming(e) || !s->replicas_count)
+	if (newest_pending_version(e) || !s->replicas_count)
 		return;
-	pull(e, s->replicas[(uint64_t)now / PULL_EVERY_MS % s->replicas_count]);
+	pull(e,
+	     s->replicas[(uint64_t)now / PULL_INTERVAL_MS % s->replicas_count]);
 }
