--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -20,13 +20,13 @@
  */
 #define FOREIGN_IDLE_MS 15000
 /* A stop waits so long for the outcomes that are being recorded. */
-#define LAST_COMMANDS_MS 3000
+#define COMMANDS_WAIT_MS 3000
 /* A balancer asks every second and believes the second answer; and a moment. */
-#define LINGER_MS 3500
+#define LOAD_BALANCER_DELAY_MS 3500
 /* The last answers of a process that must end need so long to get away. */
 #define STOP_MARGIN_MS 400
 /* How often the gauges that need a walk are set. */
-#define COUNT_EVERY_MS 500
+#define GAUGES_INTERVAL_MS 500
 
 static void on_frame(void *arg, uint64_t from, const struct dl_frame *frame);
 static void on_up(void *arg, uint64_t vm);
@@ -126,7 +126,7 @@
 	entry_pool_member(e, member);
 }
 
-static void count_live(struct entry *e)
+static void update_live_vms(struct entry *e)
 {
 	const struct dl_member *m;
 	int64_t live = 0;
@@ -140,13 +140,14 @@
  * Whether the balancer has had the time to hear that this VM stops: until then
  * callers still come, and their requests are served.
  */
-static bool lingered(const struct entry *e, int64_t now)
+static bool load_balancer_informed(const struct entry *e, int64_t now)
 {
-	return !e->node.settings.foreign || now - e->stop_at >= LINGER_MS;
+	return !e->node.settings.foreign ||
+	       now - e->stop_at >= LOAD_BALANCER_DELAY_MS;
 }
 
 /* Whether the process is about to be ended from outside. */
-static bool out_of_time(const struct entry *e, int64_t now)
+static bool stop_deadline_near(const struct entry *e, int64_t now)
 {
 	int64_t stop_ms = e->node.settings.stop_ms;
 
@@ -167,14 +168,14 @@
 	entry_lease_tick(e, now);
 	entry_quarantine_tick(e, now);
 	entry_limit_tick(e, now);
-	if (now - e->metrics_updated_at >= COUNT_EVERY_MS) {
+	if (now - e->metrics_updated_at >= GAUGES_INTERVAL_MS) {
 		e->metrics_updated_at = now;
-		count_live(e);
+		update_live_vms(e);
 	}
-	if (out_of_time(e, now))
+	if (stop_deadline_near(e, now))
 		entry_calls_abort(e);
-	if (e->node.stopping && !e->calls && lingered(e, now) &&
-	    (!e->cmds || now - e->stop_at > LAST_COMMANDS_MS))
+	if (e->node.stopping && !e->calls && load_balancer_informed(e, now) &&
+	    (!e->cmds || now - e->stop_at > COMMANDS_WAIT_MS))
 		dl_node_end(&e->node, DL_EXIT_OK);
 }
 
@@ -237,7 +238,7 @@
 static int start_http(struct entry *e, struct dl_err *err)
 {
 	const struct dl_settings *s = &e->node.settings;
-	unsigned rest = LISTENER_CALLERS;
+	unsigned main_uses = LISTENER_CALLERS;
 	int rc;
 
 	if (s->http == DL_VM_NONE)
@@ -252,12 +253,12 @@
 	if (!rc && s->endpoints)
 		rc = open_listener(e, s->endpoints, LISTENER_ENDPOINTS, err);
 	else
-		rest |= LISTENER_ENDPOINTS;
+		main_uses |= LISTENER_ENDPOINTS;
 	if (!rc && s->operators)
 		rc = open_listener(e, s->operators, LISTENER_OPERATORS, err);
 	else
-		rest |= LISTENER_OPERATORS;
-	return rc ? rc : open_listener(e, s->http, rest, err);
+		main_uses |= LISTENER_OPERATORS;
+	return rc ? rc : open_listener(e, s->http, main_uses, err);
 }
 
 static int start(struct entry *e, const char *settings, struct dl_err *err)
