--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -11,7 +11,7 @@
 #define MS_PER_S 1000
 
 /* The number of a start whose endpoints' starts have names. */
-static uint64_t named_start(const struct dl_directory_entry *d)
+static uint64_t named_instance_id(const struct dl_directory_entry *d)
 {
 	return dl_hash(dl_name_str(&d->instance), d->born);
 }
@@ -29,7 +29,7 @@
 	const struct announced_endpoint *a;
 
 	if (d)
-		return d->leaving ? 0 : named_start(d);
+		return d->leaving ? 0 : named_instance_id(d);
 	p = entry_pool_find(e, service);
 	a = p ? g_hash_table_lookup(p->announced, address.s) : NULL;
 	return a && !a->leaving ? dl_hash(address, a->incarnation) : 0;
@@ -39,8 +39,8 @@
  * Note what was announced.  Leaving is final for an incarnation: announcements
  * come through any VM, and an older one may arrive last.
  */
-static void remember(struct entry *e, struct entry_pool *p,
-		     struct dl_announcement *a)
+static void record_announcement(struct entry *e, struct entry_pool *p,
+				struct dl_announcement *a)
 {
 	struct announced_endpoint *n =
 		g_hash_table_lookup(p->announced, a->report.id.s);
@@ -64,12 +64,12 @@
 	n->role = a->role;
 }
 
-static void report_here(struct entry *e, struct entry_pool *p,
-			struct dl_announcement *a)
+static void apply_report(struct entry *e, struct entry_pool *p,
+			 struct dl_announcement *a)
 {
 	int rc;
 
-	remember(e, p, a);
+	record_announcement(e, p, a);
 	rc = dl_pool_report(p->pool, &a->report, entry_now(e));
 	if (rc)
 		dl_msg(DL_MSG_ENDPOINT_REFUSED,
@@ -88,7 +88,8 @@
  * name any: it must not take the address of an endpoint that is in use.  Before
  * the first configuration all are taken in.
  */
-static bool knows_service(struct entry *e, const struct dl_announcement *a)
+static bool service_is_configured(struct entry *e,
+				  const struct dl_announcement *a)
 {
 	if (!a->service.n || !e->conf ||
 	    dl_conf_service(e->conf, dl_name_str(&a->service)))
@@ -99,7 +100,8 @@
 }
 
 /* An endpoint has started again at another address: nobody is at this one. */
-static void forget_earlier(struct entry *e, const struct dl_directory_entry *d)
+static void remove_previous_address(struct entry *e,
+				    const struct dl_directory_entry *d)
 {
 	struct entry_pool *p = entry_pool_find(e, dl_name_str(&d->service));
 
@@ -113,27 +115,27 @@
  * have names; false where it tells nothing new of one that is known.  One that
  * only leaves names no address: it is completed from what is known.
  */
-static bool place_instance(struct entry *e, struct dl_announcement *a)
+static bool resolve_instance(struct entry *e, struct dl_announcement *a)
 {
-	const struct dl_directory_entry *d, *left;
-	uint64_t before = entry_endpoint_instance_id(
+	const struct dl_directory_entry *d, *superseded;
+	uint64_t previous_id = entry_endpoint_instance_id(
 		e, dl_name_str(&a->service), dl_name_str(&a->report.id));
-	enum dl_directory_result heard =
-		dl_node_hear(e->directory, a, entry_now(e), &d, &left);
+	enum dl_directory_result result =
+		dl_node_hear(e->directory, a, entry_now(e), &d, &superseded);
 
-	if (heard == DL_DIRECTORY_STALE)
+	if (result == DL_DIRECTORY_STALE)
 		return false;
-	if (heard == DL_DIRECTORY_NEW)
-		entry_quarantine_instance_crashed(e, before);
-	if (left)
-		forget_earlier(e, left);
+	if (result == DL_DIRECTORY_NEW)
+		entry_quarantine_instance_crashed(e, previous_id);
+	if (superseded)
+		remove_previous_address(e, superseded);
 	dl_node_complete(a, d);
 	a->report.incarnation = d->incarnation;
 	return true;
 }
 
 /* What the operators publish of a service's engines goes for each of them. */
-static void add_engine(struct entry *e, struct dl_announcement *a)
+static void add_engine_settings(struct entry *e, struct dl_announcement *a)
 {
 	const struct dl_service_conf *s =
 		e->conf ? dl_conf_service(e->conf, dl_name_str(&a->service)) :
@@ -150,51 +152,52 @@
 }
 
 /* Take in an announcement that another VM passed on. */
-static void take_passed(struct entry *e, struct dl_announcement *a)
+static void apply_forwarded(struct entry *e, struct dl_announcement *a)
 {
 	struct entry_pool *p;
 
-	if (a->instance.n && (!knows_service(e, a) || !place_instance(e, a)))
+	if (a->instance.n &&
+	    (!service_is_configured(e, a) || !resolve_instance(e, a)))
 		return;
 	p = entry_pool_find(e, dl_name_str(&a->service));
 	if (!p)
 		return;
-	add_engine(e, a);
-	report_here(e, p, a);
+	add_engine_settings(e, a);
+	apply_report(e, p, a);
 }
 
 /*
  * The words of a start with a name are kept: that it says the same is told by
  * their key.
  */
-static void take_words(void *arg, struct dl_str words)
+static void handle_report(void *arg, struct dl_str text)
 {
 	struct entry *e = arg;
 	struct dl_announcement a;
 	uint64_t key;
 
-	if (dl_report_read(words, &a))
+	if (dl_report_read(text, &a))
 		return;
 	if (a.instance.n && a.report.leaving)
 		dl_reports_remove(e->reports, dl_name_str(&a.instance));
 	else if (a.instance.n)
-		dl_reports_add(e->reports, dl_name_str(&a.instance), words,
+		dl_reports_add(e->reports, dl_name_str(&a.instance), text,
 			       entry_now(e), &key);
-	take_passed(e, &a);
+	apply_forwarded(e, &a);
 }
 
 /* An announcement that another VM passed on. */
 void entry_announce_frame(struct entry *e, uint64_t from,
 			  const struct dl_frame *f)
 {
-	take_words(e, f->body);
+	handle_report(e, f->body);
 }
 
 /* Those of many endpoints, passed on together. */
 void entry_announce_batch(struct entry *e, uint64_t from,
 			  const struct dl_frame *f)
 {
-	int rc = dl_words_read(f->body, take_words, e);
+	int rc = dl_words_read(f->body, handle_report, e);
 
 	if (rc)
 		dl_msg(DL_MSG_ENDPOINT_REFUSED, "from=%lx bytes=%zu error=%d",
@@ -225,7 +228,7 @@
 	a.instance = d->instance;
 	a.born = d->born;
 	dl_report_pack(&pk, &a);
-	take_words(e, dl_packer_bytes(&pk));
+	handle_report(e, dl_packer_bytes(&pk));
 	n = entry_cmd_replicas(e, to);
 	if (dispatcher != e->node.self)
 		to[n++] = dispatcher;
@@ -247,12 +250,12 @@
 	if (dl_numbers_read(f->body, &none, keys, &count))
 		return;
 	for (uint32_t i = 0; i < count; i++) {
-		struct dl_str words = dl_reports_find(e->reports, keys[i]);
+		struct dl_str text = dl_reports_find(e->reports, keys[i]);
 		struct dl_announcement a;
 
 		dl_reports_refresh(e->reports, keys[i], entry_now(e));
-		if (words.n && dl_report_read(words, &a) == 0)
-			take_passed(e, &a);
+		if (text.n && dl_report_read(text, &a) == 0)
+			apply_forwarded(e, &a);
 		else
 			keys[unknown++] = keys[i];
 	}
@@ -270,8 +273,8 @@
  * they place themselves, and without announcements they take the endpoints for
  * gone.
  */
-static uint32_t send_to_stopping(struct entry *e, struct dl_str domain,
-				 struct dl_str body)
+static uint32_t forward_to_stopping(struct entry *e, struct dl_str domain,
+				    struct dl_str body)
 {
 	const struct dl_member *m;
 	uint32_t n = 0;
@@ -296,8 +299,8 @@
 int entry_announce_receive(struct entry *e, struct dl_announcement *a)
 {
 	struct dl_str service = dl_name_str(&a->service);
-	struct dl_name said = a->report.failure_domain;
-	struct dl_str domain = dl_name_str(&said);
+	struct dl_name announced_domain = a->report.failure_domain;
+	struct dl_str domain = dl_name_str(&announced_domain);
 	struct entry_pool *p = entry_pool_find(e, service);
 	struct dl_packer pk;
 	uint64_t owner;
@@ -313,14 +316,14 @@
 		dl_name_set(&a->report.failure_domain, DL_STR(""));
 	owner = entry_pool_owner(e, service, domain);
 	if (entry_pool_is_local_domain(e, domain))
-		report_here(e, p, a);
+		apply_report(e, p, a);
 	if (owner == e->node.self)
 		return 0;
 	dl_report_pack(&pk, a);
 	if (owner != DL_VM_NONE)
 		dl_peers_send(e->node.peers, owner, DL_FRAME_REPORT, 0,
 			      dl_packer_bytes(&pk));
-	else if (!send_to_stopping(e, domain, dl_packer_bytes(&pk)))
+	else if (!forward_to_stopping(e, domain, dl_packer_bytes(&pk)))
 		rc = -EHOSTUNREACH;
 	dl_packer_close(&pk);
 	return rc;
