--- a/src/main/entry_backoff.c
+++ b/src/main/entry_backoff.c
@@ -13,15 +13,15 @@
  * The shortest backoff: with less, one request could come back to the endpoint
  * with each of its tries.
  */
-#define LEAST_MS 100
+#define BACKOFF_MIN_MS 100
 /* The loop's time is that of its turn, and may be behind the endpoint's. */
-#define TURN_MS 20
+#define LOOP_LAG_MS 20
 /*
  * Grants that one request gives back unused.  A dispatcher that has just taken
  * over may offer each endpoint that another one had learnt to leave out.
  */
-#define UNUSED_MAX	   16
-#define STATUS_TURNED_AWAY 503
+#define UNUSED_GRANTS_MAX  16
+#define STATUS_UNAVAILABLE 503
 
 /*
  * How much longer this VM backs off from an endpoint, ms; 0: not at all.
@@ -29,15 +29,15 @@
  * when the endpoint asked may be any.
  */
 uint32_t entry_backoff_remaining_ms(const struct entry *e,
-				    struct dl_str address, uint64_t start)
+				    struct dl_str address, uint64_t instance_id)
 {
 	int64_t now = entry_now(e);
-	uint32_t any =
+	uint32_t any_ms =
 		dl_backoff_remaining_ms(e->backoff, dl_hash(address, 0), now);
-	uint32_t its = dl_backoff_remaining_ms(e->backoff,
-					       dl_hash(address, start), now);
+	uint32_t instance_ms = dl_backoff_remaining_ms(
+		e->backoff, dl_hash(address, instance_id), now);
 
-	return MAX(any, its);
+	return MAX(any_ms, instance_ms);
 }
 
 /*
@@ -46,16 +46,17 @@
  * that time.
  */
 bool entry_backoff_note_response(const struct call *c,
-				 const struct dl_name *address, uint64_t start,
-				 uint16_t status, uint32_t retry_after_ms)
+				 const struct dl_name *address,
+				 uint64_t instance_id, uint16_t status,
+				 uint32_t retry_after_ms)
 {
 	struct entry *e = c->e;
-	uint64_t key = dl_hash(dl_name_str(address), start);
+	uint64_t key = dl_hash(dl_name_str(address), instance_id);
 	int64_t now = entry_now(e), until;
 
-	if (status != STATUS_TURNED_AWAY || !retry_after_ms)
+	if (status != STATUS_UNAVAILABLE || !retry_after_ms)
 		return false;
-	until = now + MAX(retry_after_ms, LEAST_MS) + TURN_MS;
+	until = now + MAX(retry_after_ms, BACKOFF_MIN_MS) + LOOP_LAG_MS;
 	if (dl_backoff_set(e->backoff, key, until, now)) {
 		dl_count(DL_METRIC_backoffs_total, 1);
 		dl_msg(DL_MSG_BACKOFF,
@@ -66,8 +67,8 @@
 }
 
 /* The first endpoint of a grant that this VM backs off from, or NULL. */
-static const struct dl_name *first_backed_off(const struct call *c,
-					      uint32_t *left_ms)
+static const struct dl_name *find_backed_off_endpoint(const struct call *c,
+						      uint32_t *remaining_ms)
 {
 	struct dl_str service = dl_name_str(&c->service);
 
@@ -76,11 +77,12 @@
 	for (uint8_t i = 0; i < c->grant.endpoints; i++) {
 		const struct dl_name *name = &c->grant.endpoint[i];
 		struct dl_str address = dl_name_str(name);
-		uint64_t start =
+		uint64_t instance_id =
 			entry_endpoint_instance_id(c->e, service, address);
 
-		*left_ms = entry_backoff_remaining_ms(c->e, address, start);
-		if (*left_ms)
+		*remaining_ms =
+			entry_backoff_remaining_ms(c->e, address, instance_id);
+		if (*remaining_ms)
 			return name;
 	}
 	return NULL;
@@ -89,22 +91,23 @@
 /* Add to the release of a grant which of its endpoints to back off from. */
 void entry_backoff_add_to_release(struct call *c)
 {
-	uint32_t left_ms;
-	const struct dl_name *address = first_backed_off(c, &left_ms);
+	uint32_t remaining_ms;
+	const struct dl_name *address =
+		find_backed_off_endpoint(c, &remaining_ms);
 
 	if (!address)
 		return;
 	c->usage.backoff_endpoint = *address;
-	c->usage.backoff_ms = left_ms;
+	c->usage.backoff_ms = remaining_ms;
 }
 
 /* Whether a grant cannot be used now, as this VM backs off from its endpoint.
  */
 bool entry_backoff_blocks_grant(const struct call *c)
 {
-	uint32_t left_ms;
+	uint32_t remaining_ms;
 
-	return first_backed_off(c, &left_ms) != NULL;
+	return find_backed_off_endpoint(c, &remaining_ms) != NULL;
 }
 
 /* Give a grant back that cannot be used, and ask for another place. */
@@ -116,7 +119,7 @@
 	       "request=%s endpoint=%s left_ms=%u dispatcher=%lx unused=%u",
 	       c->id_text, c->usage.backoff_endpoint.s, c->usage.backoff_ms,
 	       (unsigned long)c->dispatcher, c->grants_unused);
-	if (++c->grants_unused > UNUSED_MAX) {
+	if (++c->grants_unused > UNUSED_GRANTS_MAX) {
 		entry_call_refuse(c, DL_REASON_BACKOFF, DL_STEP_PLACE,
 				  c->e->node.self, c->usage.backoff_ms);
 		return;
