--- a/src/main/entry_cmd.c
+++ b/src/main/entry_cmd.c
@@ -13,7 +13,7 @@
 /* A leader answers after one round and two syncs; later it is gone. */
 #define RESEND_MS 500
 /* Redirected again at once only so often: elections take a moment. */
-#define REDIRECT_MS 60
+#define REDIRECT_DELAY_MS 60
 
 struct entry_cmd {
 	struct entry_cmd *next;
@@ -28,7 +28,7 @@
 	struct entry_cmd_done done;
 };
 
-static bool holds_vm(const uint64_t *vms, uint32_t n, uint64_t vm)
+static bool contains_vm(const uint64_t *vms, uint32_t n, uint64_t vm)
 {
 	for (uint32_t i = 0; i < n; i++) {
 		if (vms[i] == vm)
@@ -41,7 +41,7 @@
  * The replicas: as the operators list them; else those that live now, since a
  * group that repairs itself moves to other VMs; else those of the settings.
  */
-static uint32_t replicas(const struct entry *e, uint64_t *out)
+static uint32_t list_replicas(const struct entry *e, uint64_t *out)
 {
 	const struct dl_member *m;
 	uint32_t n = 0;
@@ -70,17 +70,17 @@
 uint32_t entry_cmd_replicas(const struct entry *e, uint64_t *out)
 {
 	const struct dl_member *m;
-	uint32_t n = replicas(e, out);
+	uint32_t n = list_replicas(e, out);
 
 	for (uint32_t i = 0; (m = dl_memb_at(e->node.memb, i)); i++) {
 		if (m->replica && n < ENTRY_REPLICAS_MAX &&
-		    !holds_vm(out, n, m->vm))
+		    !contains_vm(out, n, m->vm))
 			out[n++] = m->vm;
 	}
 	for (uint32_t i = 0; i < e->node.settings.replicas_count; i++) {
 		uint64_t vm = e->node.settings.replicas[i];
 
-		if (n < ENTRY_REPLICAS_MAX && !holds_vm(out, n, vm))
+		if (n < ENTRY_REPLICAS_MAX && !contains_vm(out, n, vm))
 			out[n++] = vm;
 	}
 	return n;
@@ -90,15 +90,15 @@
 bool entry_cmd_is_replica(struct entry *e, uint64_t vm)
 {
 	uint64_t all[ENTRY_REPLICAS_MAX];
-	uint32_t n = replicas(e, all);
+	uint32_t n = list_replicas(e, all);
 
-	return holds_vm(all, n, vm);
+	return contains_vm(all, n, vm);
 }
 
 static uint64_t next_replica(struct entry *e)
 {
 	uint64_t all[ENTRY_REPLICAS_MAX];
-	uint32_t n = replicas(e, all);
+	uint32_t n = list_replicas(e, all);
 
 	if (n == 0)
 		return DL_VM_NONE;
@@ -113,7 +113,7 @@
 		e->leader = next_replica(e);
 }
 
-static void send_now(struct entry *e, struct entry_cmd *cmd)
+static void send_cmd(struct entry *e, struct entry_cmd *cmd)
 {
 	uint64_t to = cmd->vm;
 
@@ -129,8 +129,8 @@
 			      (struct dl_str){ cmd->body, cmd->n });
 }
 
-static struct entry_cmd *add(struct entry *e, uint32_t kind, uint32_t time_ms,
-			     struct entry_cmd_done done)
+static struct entry_cmd *new_cmd(struct entry *e, uint32_t kind,
+				 uint32_t time_ms, struct entry_cmd_done done)
 {
 	struct entry_cmd *cmd = g_new0(struct entry_cmd, 1);
 
@@ -147,12 +147,12 @@
 uint64_t entry_cmd_send(struct entry *e, const struct dl_cstore_cmd *c,
 			uint32_t time_ms, struct entry_cmd_done done)
 {
-	struct entry_cmd *cmd = add(e, DL_FRAME_CMD, time_ms, done);
+	struct entry_cmd *cmd = new_cmd(e, DL_FRAME_CMD, time_ms, done);
 
 	if (dl_cstore_encode(c, &cmd->body, &cmd->n))
 		cmd->deadline = 0; /* ends at the next tick */
 	else
-		send_now(e, cmd);
+		send_cmd(e, cmd);
 	return cmd->id;
 }
 
@@ -160,14 +160,14 @@
 uint64_t entry_cmd_query(struct entry *e, uint64_t vm, struct dl_str question,
 			 uint32_t time_ms, struct entry_cmd_done done)
 {
-	struct entry_cmd *cmd = add(e, DL_FRAME_QUERY, time_ms, done);
+	struct entry_cmd *cmd = new_cmd(e, DL_FRAME_QUERY, time_ms, done);
 
 	cmd->vm = vm;
 	cmd->body = malloc(question.n);
 	if (cmd->body)
 		memcpy(cmd->body, question.s, question.n);
 	cmd->n = cmd->body ? question.n : 0;
-	send_now(e, cmd);
+	send_cmd(e, cmd);
 	return cmd->id;
 }
 
@@ -227,8 +227,8 @@
 				    leader :
 				    next_replica(e);
 		(*at)->redirected = true;
-		(*at)->send_at =
-			entry_now(e) + (leader == DL_VM_NONE ? REDIRECT_MS : 0);
+		(*at)->send_at = entry_now(e) +
+				 (leader == DL_VM_NONE ? REDIRECT_DELAY_MS : 0);
 		return;
 	}
 	e->leader = from;
@@ -257,7 +257,7 @@
 		on_query_reply(e, frame);
 }
 
-static struct entry_cmd **first_late(struct entry *e, int64_t now)
+static struct entry_cmd **first_expired(struct entry *e, int64_t now)
 {
 	struct entry_cmd **at = &e->cmds;
 
@@ -269,19 +269,20 @@
 /* Send again what got no answer; end what ran out of time. */
 void entry_cmd_tick(struct entry *e, int64_t now)
 {
-	struct dl_cstore_reply late = { .code = DL_ENOQUORUM };
+	struct dl_cstore_reply timeout = { .code = DL_ENOQUORUM };
 	struct entry_cmd **at;
 	struct entry_cmd *cmd;
 
-	g_strlcpy(late.text, "no replica answered in time", sizeof(late.text));
+	g_strlcpy(timeout.text, "no replica answered in time",
+		  sizeof(timeout.text));
 	/* finish() may add commands: look from the start each time. */
-	while (*(at = first_late(e, now)))
-		finish(e, at, &late);
+	while (*(at = first_expired(e, now)))
+		finish(e, at, &timeout);
 	for (cmd = e->cmds; cmd; cmd = cmd->next) {
 		if (now < cmd->send_at)
 			continue;
 		if (cmd->vm == DL_VM_NONE && !cmd->redirected)
 			e->leader = next_replica(e);
-		send_now(e, cmd);
+		send_cmd(e, cmd);
 	}
 }
