--- a/src/main/entry_remote.c
+++ b/src/main/entry_remote.c
@@ -9,14 +9,15 @@
 #include "main/entry.h"
 
 /* A pool that has not been heard of for so long takes no spill. */
-#define SUMMARY_OLD_MS 3000
+#define SUMMARY_MAX_AGE_MS 3000
 
 /* Whether a summary is of this service and still says something. */
-bool entry_remote_is_fresh(const struct entry *e, const struct remote_pool *far,
+bool entry_remote_is_fresh(const struct entry *e,
+			   const struct remote_pool *remote,
 			   struct dl_str service)
 {
-	return dl_name_eq(&far->service, service) &&
-	       entry_now(e) - far->heard_at <= SUMMARY_OLD_MS;
+	return dl_name_eq(&remote->service, service) &&
+	       entry_now(e) - remote->heard_at <= SUMMARY_MAX_AGE_MS;
 }
 
 /* Other domains that a refused request may try, the least loaded first. */
@@ -24,47 +25,48 @@
 			  struct dl_answer_frame *f)
 {
 	uint64_t backlog[DL_SPILL_MAX];
-	const struct remote_pool *far;
+	const struct remote_pool *remote;
 	uint32_t k;
 
 	if (f->answer.verdict != DL_REFUSED)
 		return;
-	for (far = e->remote_pools; far; far = far->next) {
-		if (!entry_remote_is_fresh(e, far, service) ||
-		    far->summary.endpoints == 0)
+	for (remote = e->remote_pools; remote; remote = remote->next) {
+		if (!entry_remote_is_fresh(e, remote, service) ||
+		    remote->summary.endpoints == 0)
 			continue;
 		if (f->spill_count == DL_SPILL_MAX)
 			break;
 		for (k = f->spill_count;
-		     k > 0 && backlog[k - 1] > far->summary.backlog_ms; k--) {
+		     k > 0 && backlog[k - 1] > remote->summary.backlog_ms;
+		     k--) {
 			backlog[k] = backlog[k - 1];
 			f->spill[k] = f->spill[k - 1];
 		}
-		backlog[k] = far->summary.backlog_ms;
-		f->spill[k] = far->domain;
+		backlog[k] = remote->summary.backlog_ms;
+		f->spill[k] = remote->domain;
 		f->spill_count++;
 	}
 }
 
-static struct remote_pool *far_find(struct entry *e,
-				    const struct dl_name *service,
-				    const struct dl_name *domain)
+static struct remote_pool *find_or_add_pool(struct entry *e,
+					    const struct dl_name *service,
+					    const struct dl_name *domain)
 {
-	struct remote_pool *far;
+	struct remote_pool *remote;
 
-	for (far = e->remote_pools; far; far = far->next) {
-		if (dl_name_eq(&far->service, dl_name_str(service)) &&
-		    dl_name_eq(&far->domain, dl_name_str(domain)))
-			return far;
+	for (remote = e->remote_pools; remote; remote = remote->next) {
+		if (dl_name_eq(&remote->service, dl_name_str(service)) &&
+		    dl_name_eq(&remote->domain, dl_name_str(domain)))
+			return remote;
 	}
-	far = calloc(1, sizeof(*far));
-	if (!far)
+	remote = calloc(1, sizeof(*remote));
+	if (!remote)
 		return NULL;
-	far->service = *service;
-	far->domain = *domain;
-	far->next = e->remote_pools;
-	e->remote_pools = far;
-	return far;
+	remote->service = *service;
+	remote->domain = *domain;
+	remote->next = e->remote_pools;
+	e->remote_pools = remote;
+	return remote;
 }
 
 /* How the pool of a service stands in another failure domain. */
@@ -73,19 +75,19 @@
 {
 	struct dl_name service, domain;
 	struct dl_pool_summary summary;
-	struct remote_pool *far;
+	struct remote_pool *remote;
 
 	if (dl_summary_read(f->body, &service, &domain, &summary))
 		return;
-	far = far_find(e, &service, &domain);
-	if (!far)
+	remote = find_or_add_pool(e, &service, &domain);
+	if (!remote)
 		return;
-	far->summary = summary;
-	far->heard_at = entry_now(e);
+	remote->summary = summary;
+	remote->heard_at = entry_now(e);
 }
 
-static bool seen_domain(const struct dl_name *seen, uint32_t n,
-			const struct dl_name *domain)
+static bool contains_domain(const struct dl_name *seen, uint32_t n,
+			    const struct dl_name *domain)
 {
 	for (uint32_t i = 0; i < n; i++) {
 		if (dl_name_eq(&seen[i], dl_name_str(domain)))
@@ -111,7 +113,7 @@
 
 		if (m->state != DL_ALIVE || m->replica || n > DL_SPILL_MAX ||
 		    entry_pool_is_local_domain(e, dl_name_str(&m->domain)) ||
-		    seen_domain(seen, n, &m->domain))
+		    contains_domain(seen, n, &m->domain))
 			continue;
 		seen[n++] = m->domain;
 		owner = entry_pool_owner(e, dl_name_str(&p->service),
@@ -126,11 +128,11 @@
 /* A dispatcher elsewhere cannot be reached: spill there no more for now. */
 void entry_remote_vm_down(struct entry *e, uint64_t vm)
 {
-	struct remote_pool *far;
+	struct remote_pool *remote;
 
-	for (far = e->remote_pools; far; far = far->next) {
-		if (entry_pool_owner(e, dl_name_str(&far->service),
-				     dl_name_str(&far->domain)) == vm)
-			far->heard_at = -SUMMARY_OLD_MS - 1;
+	for (remote = e->remote_pools; remote; remote = remote->next) {
+		if (entry_pool_owner(e, dl_name_str(&remote->service),
+				     dl_name_str(&remote->domain)) == vm)
+			remote->heard_at = -SUMMARY_MAX_AGE_MS - 1;
 	}
 }
