--- a/src/main/entry_pool.c
+++ b/src/main/entry_pool.c
@@ -12,13 +12,13 @@
 #include "main/entry.h"
 
 /* Often enough that a spill sees the backlog of the last second. */
-#define SUMMARY_EVERY_MS 500
+#define SUMMARY_INTERVAL_MS 500
 /* Every endpoint announces itself within this time, and a margin. */
-#define KNOW_ENDPOINTS_MS 1500
+#define ENDPOINTS_WAIT_MS 1500
 /* What an endpoint said is kept so long after it said it last. */
-#define FORGET_REPORTS_MS 30000
+#define REPORTS_KEPT_MS 30000
 /* How long a report is good where it came by chance. */
-#define KEPT_REPORT_MS 1500
+#define STANDBY_REPORT_GONE_MS 1500
 
 static void on_ask(struct entry *e, uint64_t from, const struct dl_frame *f);
 static void on_cancel(struct entry *e, uint64_t from, const struct dl_frame *f);
@@ -87,7 +87,7 @@
  * there, so that an endpoint that has said elsewhere that it leaves is not
  * placed on from here for seconds.
  */
-static void put_conf(struct entry *e, struct entry_pool *p)
+static void configure_pool(struct entry *e, struct entry_pool *p)
 {
 	const struct dl_service_conf *s =
 		dl_conf_service(e->conf, dl_name_str(&p->service));
@@ -98,27 +98,27 @@
 	conf = s->pool;
 	conf.shared_report_path = e->node.settings.foreign;
 	if (!p->dispatching && !e->node.settings.foreign &&
-	    conf.report_gone_ms > KEPT_REPORT_MS)
-		conf.report_gone_ms = KEPT_REPORT_MS;
+	    conf.report_gone_ms > STANDBY_REPORT_GONE_MS)
+		conf.report_gone_ms = STANDBY_REPORT_GONE_MS;
 	dl_pool_configure(p->pool, &conf);
 }
 
-static void update_leading(struct entry *e, struct entry_pool *p)
+static void update_dispatching(struct entry *e, struct entry_pool *p)
 {
 	struct dl_str domain =
 		dl_name_str(dl_settings_pool_domain(&e->node.settings));
 	uint64_t owner = entry_pool_owner(e, dl_name_str(&p->service), domain);
-	bool leading = owner == e->node.self;
+	bool dispatching = owner == e->node.self;
 
-	if (leading && !p->dispatching) {
+	if (dispatching && !p->dispatching) {
 		p->dispatching_since = entry_now(e);
 		dl_msg(DL_MSG_POOL_LEAD, "service=%s", p->service.s);
 		dl_pool_start_dispatching(p->pool, entry_now(e));
 	}
-	if (leading == p->dispatching)
+	if (dispatching == p->dispatching)
 		return;
-	p->dispatching = leading;
-	put_conf(e, p);
+	p->dispatching = dispatching;
+	configure_pool(e, p);
 }
 
 /* Put the operators' drain of one endpoint in force, or lift it. */
@@ -169,7 +169,8 @@
 	return p;
 }
 
-static bool drop_held(struct entry_pool *p, uint64_t entry, uint64_t request)
+static bool remove_deferred_ask(struct entry_pool *p, uint64_t entry,
+				uint64_t request)
 {
 	struct deferred_ask **at = &p->deferred_asks, *h;
 
@@ -183,7 +184,7 @@
 	return true;
 }
 
-static void remove_unlisted(struct entry *e)
+static void remove_unconfigured(struct entry *e)
 {
 	struct entry_pool **at = &e->pools;
 
@@ -196,8 +197,9 @@
 		}
 		*at = p->next;
 		while (p->deferred_asks)
-			drop_held(p, p->deferred_asks->frame.ask.entry,
-				  p->deferred_asks->frame.ask.request);
+			remove_deferred_ask(
+				p, p->deferred_asks->frame.ask.entry,
+				p->deferred_asks->frame.ask.request);
 		dl_pool_free(p->pool);
 		g_hash_table_destroy(p->announced);
 		free(p);
@@ -209,7 +211,7 @@
 {
 	const struct dl_conf *conf = e->conf;
 
-	remove_unlisted(e);
+	remove_unconfigured(e);
 	for (uint32_t i = 0; i < conf->services_count; i++) {
 		const struct dl_service_conf *s = &conf->services[i];
 		struct entry_pool *p =
@@ -219,16 +221,16 @@
 			p = pool_add(e, s);
 		if (!p)
 			continue;
-		put_conf(e, p);
+		configure_pool(e, p);
 		for (uint32_t k = 0; k < conf->workspaces_count; k++)
 			dl_pool_set_workspace(p->pool,
 					      &conf->workspaces[k].limits);
 		drain_endpoints(e, p);
-		update_leading(e, p);
+		update_dispatching(e, p);
 	}
 }
 
-static void answer_to(struct entry *e, const struct dl_answer_frame *f)
+static void deliver_answer(struct entry *e, const struct dl_answer_frame *f)
 {
 	struct dl_packer pk;
 
@@ -250,7 +252,7 @@
 	entry_remote_suggest(e, dl_name_str(&p->service), &f);
 	if (answer->verdict == DL_GRANTED)
 		dl_count(DL_METRIC_grants_total, 1);
-	answer_to(e, &f);
+	deliver_answer(e, &f);
 }
 
 /*
@@ -258,21 +260,22 @@
  * better off.  Decided here and not by each entry: the one dispatcher sees all
  * of its domain's requests, so the share that leaves is one share.
  */
-static bool send_away(struct entry *e, struct entry_pool *p,
-		      const struct dl_ask *ask)
+static bool redirect_to_remote(struct entry *e, struct entry_pool *p,
+			       const struct dl_ask *ask)
 {
 	struct dl_answer_frame f = { .service = p->service, .spill_count = 1 };
 	struct dl_pool_summary own, others[DL_SPILL_MAX];
 	const struct dl_name *domains[DL_SPILL_MAX];
-	const struct remote_pool *far;
+	const struct remote_pool *remote;
 	uint32_t n = 0;
 	int to;
 
-	for (far = e->remote_pools; far && n < DL_SPILL_MAX; far = far->next) {
-		if (!entry_remote_is_fresh(e, far, dl_name_str(&p->service)))
+	for (remote = e->remote_pools; remote && n < DL_SPILL_MAX;
+	     remote = remote->next) {
+		if (!entry_remote_is_fresh(e, remote, dl_name_str(&p->service)))
 			continue;
-		domains[n] = &far->domain;
-		others[n++] = far->summary;
+		domains[n] = &remote->domain;
+		others[n++] = remote->summary;
 	}
 	dl_pool_summarize(p->pool, entry_now(e), &own);
 	to = dl_pool_spill(&p->spill, &own, others, n, ask, entry_now(e));
@@ -283,11 +286,11 @@
 	f.answer.verdict = DL_REFUSED;
 	f.answer.reason = DL_REASON_NONE;
 	f.spill[0] = *domains[to];
-	answer_to(e, &f);
+	deliver_answer(e, &f);
 	return true;
 }
 
-static bool knows_endpoints(struct entry *e, struct entry_pool *p)
+static bool has_endpoints(struct entry *e, struct entry_pool *p)
 {
 	struct dl_pool_summary s;
 
@@ -296,10 +299,10 @@
 }
 
 /* A dispatcher that has just taken over and has heard no endpoint yet. */
-static bool knows_nobody(struct entry *e, struct entry_pool *p)
+static bool awaits_endpoints(struct entry *e, struct entry_pool *p)
 {
-	return entry_now(e) - p->dispatching_since <= KNOW_ENDPOINTS_MS &&
-	       !knows_endpoints(e, p);
+	return entry_now(e) - p->dispatching_since <= ENDPOINTS_WAIT_MS &&
+	       !has_endpoints(e, p);
 }
 
 /*
@@ -307,8 +310,8 @@
  * heard none of the endpoints, and a refusal for want of them would be wrong
  * while they serve.  Held asks are bounded by the time they are held.
  */
-static void hold(struct entry *e, struct entry_pool *p,
-		 const struct dl_ask_frame *f)
+static void defer_ask(struct entry *e, struct entry_pool *p,
+		      const struct dl_ask_frame *f)
 {
 	struct deferred_ask *h = g_new0(struct deferred_ask, 1);
 	struct dl_answer_frame queued = { .service = p->service };
@@ -321,15 +324,15 @@
 	queued.answer.request = f->ask.request;
 	queued.answer.entry = f->ask.entry;
 	queued.answer.verdict = DL_QUEUED;
-	answer_to(e, &queued);
+	deliver_answer(e, &queued);
 }
 
 /* Ask the pool what was held, once it knows its endpoints. */
-static void let_go_held(struct entry *e, struct entry_pool *p)
+static void process_deferred_asks(struct entry *e, struct entry_pool *p)
 {
 	struct deferred_ask *h = p->deferred_asks, *next;
 
-	if (!h || (p->dispatching && knows_nobody(e, p)))
+	if (!h || (p->dispatching && awaits_endpoints(e, p)))
 		return;
 	p->deferred_asks = NULL;
 	for (; h; h = next) {
@@ -343,7 +346,7 @@
 void entry_pool_cancel(struct entry *e, struct entry_pool *p, uint64_t entry,
 		       uint64_t request)
 {
-	if (!drop_held(p, entry, request))
+	if (!remove_deferred_ask(p, entry, request))
 		dl_pool_cancel(p->pool, entry, request, entry_now(e));
 }
 
@@ -357,16 +360,17 @@
 	struct dl_ask asked = f->ask, *ask = &asked;
 	struct dl_answer answer;
 
-	update_leading(e, p);
+	update_dispatching(e, p);
 	asked.self_placed = local && !p->dispatching;
 	asked.standby = f->standby && !p->dispatching;
 	if (f->standby && !p->dispatching)
-		local = local || knows_endpoints(e, p);
-	if (p->dispatching && !local && knows_nobody(e, p)) {
-		hold(e, p, f);
+		local = local || has_endpoints(e, p);
+	if (p->dispatching && !local && awaits_endpoints(e, p)) {
+		defer_ask(e, p, f);
 		return;
 	}
-	if (p->dispatching && !local && !f->settled && send_away(e, p, ask))
+	if (p->dispatching && !local && !f->settled &&
+	    redirect_to_remote(e, p, ask))
 		return;
 	if (p->dispatching || local) {
 		dl_pool_ask(p->pool, ask, entry_now(e), &answer);
@@ -399,7 +403,7 @@
 	none.answer.entry = from;
 	none.answer.verdict = DL_REFUSED;
 	none.answer.reason = DL_REASON_NO_DISPATCHER;
-	answer_to(e, &none);
+	deliver_answer(e, &none);
 }
 
 static void on_cancel(struct entry *e, uint64_t from, const struct dl_frame *f)
@@ -508,12 +512,12 @@
 	for (p = e->pools; p; p = p->next) {
 		if (m->state == DL_DEAD || m->state == DL_LEFT)
 			dl_pool_entry_gone(p->pool, m->vm, entry_now(e));
-		update_leading(e, p);
+		update_dispatching(e, p);
 	}
 }
 
 /* Say that the reports of a pool's endpoints have stopped, or come again. */
-static void note_silence(struct entry_pool *p, int64_t now)
+static void log_silence_change(struct entry_pool *p, int64_t now)
 {
 	bool silent = dl_pool_is_silent(p->pool, now);
 
@@ -527,18 +531,18 @@
 /* Hand out what became ready, and tell other domains of the load. */
 void entry_pool_tick(struct entry *e, int64_t now)
 {
-	bool summaries = now - e->summaries_sent_at >= SUMMARY_EVERY_MS;
+	bool summaries = now - e->summaries_sent_at >= SUMMARY_INTERVAL_MS;
 	struct entry_pool *p;
 	struct dl_answer answer;
 	int64_t queued = 0, endpoints = 0;
 
 	for (p = e->pools; p; p = p->next) {
-		let_go_held(e, p);
+		process_deferred_asks(e, p);
 		while (dl_pool_next(p->pool, now, &answer))
 			send_answer(e, p, &answer);
 		if (!summaries)
 			continue;
-		note_silence(p, now);
+		log_silence_change(p, now);
 		if (p->dispatching) {
 			struct dl_pool_summary s;
 
@@ -551,7 +555,7 @@
 	if (!summaries)
 		return;
 	e->summaries_sent_at = now;
-	dl_reports_expire(e->reports, now - FORGET_REPORTS_MS);
+	dl_reports_expire(e->reports, now - REPORTS_KEPT_MS);
 	entry_reach_tick(e);
 	dl_gauge(DL_METRIC_queue_entries, queued);
 	dl_gauge(DL_METRIC_endpoints_known, endpoints);
