--- a/src/main/entry_lease.c
+++ b/src/main/entry_lease.c
@@ -8,7 +8,7 @@
 #include "main/entry.h"
 #include "protocol/pack.h"
 
-static void note(struct entry *e)
+static void log_validity_change(struct entry *e)
 {
 	bool holds = entry_lease_is_valid(e);
 
@@ -47,7 +47,7 @@
 void entry_lease_version_applied(struct entry *e)
 {
 	dl_lease_version_applied(&e->lease, e->version);
-	note(e);
+	log_validity_change(e);
 }
 
 /* How long a request without a word of the group may wait for one. */
@@ -79,10 +79,10 @@
 					   dl_node_boot_ms());
 	if (a.confirmed)
 		entry_conf_version_seen(e, a.version, from);
-	note(e);
+	log_validity_change(e);
 }
 
-static void ask(struct entry *e, uint64_t replica)
+static void send_request(struct entry *e, uint64_t replica)
 {
 	struct dl_packer pk;
 
@@ -106,7 +106,7 @@
 	    !dl_lease_renewal_due(&e->lease, e->node.settings.key_lease_ms,
 				  dl_node_boot_ms()))
 		return;
-	note(e);
+	log_validity_change(e);
 	if (dl_lease_timed_out(&e->lease, dl_node_boot_ms())) {
 		dl_lease_replica_changed(&e->lease);
 		e->leader = DL_VM_NONE;
@@ -116,10 +116,10 @@
 		return;
 	dl_lease_request_sent(&e->lease, dl_node_boot_ms());
 	if (entry_lease_ready(e)) {
-		ask(e, e->leader);
+		send_request(e, e->leader);
 		return;
 	}
 	n = entry_cmd_replicas(e, all);
 	for (uint32_t i = 0; i < n; i++)
-		ask(e, all[i]);
+		send_request(e, all[i]);
 }
