--- a/src/main/entry_limit.c
+++ b/src/main/entry_limit.c
@@ -10,11 +10,11 @@
  * What was named before is not told to a new dispatcher: an endpoint that still
  * has a limit gets a request in this time, and names it again.
  */
-#define RECENT_MS 10000
+#define LIMIT_MAX_AGE_MS 10000
 
 /* Take in a limit where the pool is kept here; one that changes is logged. */
-static void note(struct entry *e, struct entry_pool *p,
-		 const struct dl_limit_frame *f, uint64_t from)
+static void apply_limit(struct entry *e, struct entry_pool *p,
+			const struct dl_limit_frame *f, uint64_t from)
 {
 	struct dl_str address = dl_name_str(&f->endpoint);
 
@@ -37,8 +37,8 @@
 		       p->dispatching);
 }
 
-static void tell(struct entry *e, uint64_t dispatcher,
-		 const struct dl_limit_frame *f)
+static void send_limit(struct entry *e, uint64_t dispatcher,
+		       const struct dl_limit_frame *f)
 {
 	struct dl_packer pk;
 
@@ -59,11 +59,11 @@
 	struct entry_pool *p = entry_pool_find(e, dl_name_str(&c->service));
 
 	if (p && entry_pool_is_local_domain(e, dl_name_str(&c->domain)))
-		note(e, p, &f, e->node.self);
+		apply_limit(e, p, &f, e->node.self);
 	if ((limit == DL_UNLIMITED && !c->grant.limited) ||
 	    c->dispatcher == e->node.self)
 		return;
-	tell(e, c->dispatcher, &f);
+	send_limit(e, c->dispatcher, &f);
 }
 
 /* Another entry tells what an endpoint of a pool here named. */
@@ -81,14 +81,15 @@
 	}
 	p = entry_pool_find(e, dl_name_str(&f.service));
 	if (p)
-		note(e, p, &f, from);
+		apply_limit(e, p, &f, from);
 }
 
 /*
  * A dispatcher that takes over knows the limits that its own answers showed.
  * Without the others' an endpoint in need would look free to it.
  */
-static void tell_successor(struct entry *e, struct entry_pool *p, int64_t now)
+static void inform_new_dispatcher(struct entry *e, struct entry_pool *p,
+				  int64_t now)
 {
 	struct dl_str domain =
 		dl_name_str(dl_settings_pool_domain(&e->node.settings));
@@ -97,18 +98,18 @@
 	uint64_t owner;
 	uint32_t at = 0;
 
-	if (!p->limit_seen_at || now - p->limit_seen_at > RECENT_MS)
+	if (!p->limit_seen_at || now - p->limit_seen_at > LIMIT_MAX_AGE_MS)
 		return;
 	owner = entry_pool_owner(e, service, domain);
 	if (owner == p->limits_sent_to || owner == DL_VM_NONE)
 		return;
 	p->limits_sent_to = owner;
 	while (owner != e->node.self &&
-	       dl_pool_endpoint_limit_next(p->pool, &at, now - RECENT_MS,
+	       dl_pool_endpoint_limit_next(p->pool, &at, now - LIMIT_MAX_AGE_MS,
 					   &f.endpoint, &f.limit)) {
 		f.start = entry_endpoint_instance_id(e, service,
 						     dl_name_str(&f.endpoint));
-		tell(e, owner, &f);
+		send_limit(e, owner, &f);
 	}
 }
 
@@ -116,5 +117,5 @@
 void entry_limit_tick(struct entry *e, int64_t now)
 {
 	for (struct entry_pool *p = e->pools; p; p = p->next)
-		tell_successor(e, p, now);
+		inform_new_dispatcher(e, p, now);
 }
