--- a/src/main/entry_ops.c
+++ b/src/main/entry_ops.c
@@ -11,16 +11,16 @@
 #include "main/entry.h"
 #include "protocol/api.h"
 
-#define APPLY_MS	 8000
-#define QUERY_MS	 1500
-#define GATHER_MS	 600
-#define ANNOUNCED_OLD_MS 5000 /* an endpoint silent for so long is gone */
-#define ASK_MAX		 64   /* dispatchers asked for their pools */
+#define APPLY_TIMEOUT_MS     8000
+#define QUERY_TIMEOUT_MS     1500
+#define STATUS_TIMEOUT_MS    600
+#define ANNOUNCED_MAX_AGE_MS 5000 /* an endpoint silent for so long is gone */
+#define DISPATCHERS_MAX	     64	  /* dispatchers asked for their pools */
 
-struct ops {
+struct ops_request {
 	struct http_owner http_owner; /* first */
 	struct entry *e;
-	uint64_t change;	   /* the command of an apply, 0 for others */
+	uint64_t change_cmd;	   /* the command of an apply, 0 for others */
 	struct dl_httpd_req *http; /* NULL once the operator has gone */
 	uint32_t waiting;	   /* answers still to come */
 	json_t *root;
@@ -28,7 +28,7 @@
 	bool needs_confirm;
 };
 
-static void ops_free(struct ops *o);
+static void ops_free(struct ops_request *o);
 
 /*
  * The operator has gone.  A change is tried no longer: it would go through
@@ -37,18 +37,18 @@
  */
 static void on_closed(struct http_owner *self)
 {
-	struct ops *o = (struct ops *)self;
+	struct ops_request *o = (struct ops_request *)self;
 
 	o->http = NULL;
-	if (!o->change)
+	if (!o->change_cmd)
 		return;
-	entry_cmd_abandon(o->e, o->change);
+	entry_cmd_abandon(o->e, o->change_cmd);
 	ops_free(o);
 }
 
-static struct ops *ops_new(struct entry *e, struct dl_httpd_req *req)
+static struct ops_request *ops_new(struct entry *e, struct dl_httpd_req *req)
 {
-	struct ops *o = g_new0(struct ops, 1);
+	struct ops_request *o = g_new0(struct ops_request, 1);
 
 	o->http_owner.closed = on_closed;
 	o->e = e;
@@ -57,7 +57,7 @@
 	return o;
 }
 
-static void ops_free(struct ops *o)
+static void ops_free(struct ops_request *o)
 {
 	json_decref(o->root);
 	g_free(o->diff);
@@ -159,7 +159,7 @@
 static void on_applied(void *arg, const struct dl_cstore_reply *reply)
 {
 	uint16_t status = status_of_code(reply->code);
-	struct ops *o = arg;
+	struct ops_request *o = arg;
 	char peer[24];
 	json_t *root;
 
@@ -188,7 +188,7 @@
 	ops_free(o);
 }
 
-static void apply(struct ops *o, const struct change *change)
+static void apply(struct ops_request *o, const struct change *change)
 {
 	struct entry_cmd_done done = { on_applied, o };
 	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_APPLY };
@@ -198,10 +198,10 @@
 	cmd.author = change->author;
 	cmd.expect = change->expect;
 	cmd.confirm = change->confirm;
-	o->change = entry_cmd_send(o->e, &cmd, APPLY_MS, done);
+	o->change_cmd = entry_cmd_send(o->e, &cmd, APPLY_TIMEOUT_MS, done);
 }
 
-static void compare(struct ops *o, const struct dl_conf *conf)
+static void compare_conf(struct ops_request *o, const struct dl_conf *conf)
 {
 	struct dl_conf_diff diff;
 
@@ -212,7 +212,7 @@
 	dl_conf_diff_free(&diff);
 }
 
-static void dry_run(struct ops *o)
+static void dry_run(struct ops_request *o)
 {
 	json_t *root = json_object();
 
@@ -234,7 +234,7 @@
 	struct dl_conf *conf;
 	struct change change;
 	struct dl_err err;
-	struct ops *o;
+	struct ops_request *o;
 
 	if (read_change(req, &change, &err)) {
 		entry_http_error(req, 400, "bad-request", &err);
@@ -246,7 +246,7 @@
 		return;
 	}
 	o = ops_new(e, req);
-	compare(o, conf);
+	compare_conf(o, conf);
 	dl_conf_free(conf);
 	if (change.dry_run)
 		dry_run(o);
@@ -271,7 +271,7 @@
 
 static void on_query(void *arg, const struct dl_cstore_reply *reply)
 {
-	struct ops *o = arg;
+	struct ops_request *o = arg;
 	struct dl_header type = { DL_STR("Content-Type"),
 				  DL_STR("application/json") };
 	struct dl_err err;
@@ -293,10 +293,11 @@
 static void ask_replica(struct entry *e, struct dl_httpd_req *req,
 			const char *question)
 {
-	struct ops *o = ops_new(e, req);
+	struct ops_request *o = ops_new(e, req);
 	struct entry_cmd_done done = { on_query, o };
 
-	entry_cmd_query(e, DL_VM_NONE, dl_str_of(question), QUERY_MS, done);
+	entry_cmd_query(e, DL_VM_NONE, dl_str_of(question), QUERY_TIMEOUT_MS,
+			done);
 }
 
 /* GET /v1/config: what is in force here, or an older text. */
@@ -393,7 +394,7 @@
 	return o;
 }
 
-static void add_endpoints(struct entry_pool *p, json_t *list)
+static void append_endpoints(struct entry_pool *p, json_t *list)
 {
 	struct dl_endpoint_report r;
 	uint64_t held;
@@ -417,7 +418,7 @@
 }
 
 /* The pools that this VM dispatches for. */
-static json_t *own_pools(struct entry *e)
+static json_t *local_pools_json(struct entry *e)
 {
 	json_t *root = json_object(), *pools = json_array();
 	json_t *endpoints = json_array();
@@ -427,15 +428,15 @@
 		if (!p->dispatching)
 			continue;
 		json_array_append_new(pools, pool_json(e, p));
-		add_endpoints(p, endpoints);
+		append_endpoints(p, endpoints);
 	}
 	json_object_set_new(root, "pools", pools);
 	json_object_set_new(root, "endpoints", endpoints);
 	return root;
 }
 
-static json_t *one_announced(const char *service, const char *id,
-			     const struct announced_endpoint *a)
+static json_t *announced_endpoint_json(const char *service, const char *id,
+				       const struct announced_endpoint *a)
 {
 	json_t *o = json_object(), *models = json_array();
 
@@ -468,12 +469,12 @@
 		while (g_hash_table_iter_next(&it, &id, &a)) {
 			const struct announced_endpoint *n = a;
 
-			if (entry_now(e) - n->heard_at > ANNOUNCED_OLD_MS)
+			if (entry_now(e) - n->heard_at > ANNOUNCED_MAX_AGE_MS)
 				g_hash_table_iter_remove(&it);
 			else
 				json_array_append_new(
-					root,
-					one_announced(p->service.s, id, n));
+					root, announced_endpoint_json(
+						      p->service.s, id, n));
 		}
 	}
 	return root;
@@ -487,7 +488,7 @@
 	char *text;
 
 	if (dl_str_eq(frame->body, DL_STR("pools")))
-		root = own_pools(e);
+		root = local_pools_json(e);
 	else if (dl_str_eq(frame->body, DL_STR("announced")))
 		root = announced_json(e);
 	else
@@ -499,7 +500,7 @@
 	free(text);
 }
 
-static void status_done(struct ops *o)
+static void status_part_done(struct ops_request *o)
 {
 	if (--o->waiting)
 		return;
@@ -518,7 +519,7 @@
 
 static void on_pools(void *arg, const struct dl_cstore_reply *reply)
 {
-	struct ops *o = arg;
+	struct ops_request *o = arg;
 	json_t *from;
 
 	if (!reply->code) {
@@ -526,12 +527,12 @@
 		merge_lists(o->root, from);
 		json_decref(from);
 	}
-	status_done(o);
+	status_part_done(o);
 }
 
 static void on_replicas(void *arg, const struct dl_cstore_reply *reply)
 {
-	struct ops *o = arg;
+	struct ops_request *o = arg;
 	json_t *replicas = NULL;
 
 	if (!reply->code)
@@ -543,10 +544,10 @@
 				    json_string("no replica answered"));
 	}
 	json_object_set_new(o->root, "replicas", replicas);
-	status_done(o);
+	status_part_done(o);
 }
 
-static bool listed(const uint64_t *list, uint32_t n, uint64_t vm)
+static bool contains_vm(const uint64_t *list, uint32_t n, uint64_t vm)
 {
 	for (uint32_t i = 0; i < n; i++) {
 		if (list[i] == vm)
@@ -556,29 +557,29 @@
 }
 
 /* Ask each VM that dispatches a pool, once. */
-static void ask_dispatchers(struct ops *o)
+static void ask_dispatchers(struct ops_request *o)
 {
 	struct entry_cmd_done done = { on_pools, o };
 	struct entry *e = o->e;
-	uint64_t asked[ASK_MAX];
+	uint64_t asked[DISPATCHERS_MAX];
 	const struct dl_member *m;
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; (m = dl_memb_at(e->node.memb, i)); i++) {
 		struct entry_pool *p;
 
-		for (p = e->pools; p && n < ASK_MAX; p = p->next) {
+		for (p = e->pools; p && n < DISPATCHERS_MAX; p = p->next) {
 			uint64_t vm = entry_pool_owner(e,
 						       dl_name_str(&p->service),
 						       dl_name_str(&m->domain));
 
 			if (vm == DL_VM_NONE || vm == e->node.self ||
-			    listed(asked, n, vm))
+			    contains_vm(asked, n, vm))
 				continue;
 			asked[n++] = vm;
 			o->waiting++;
-			entry_cmd_query(e, vm, DL_STR("pools"), GATHER_MS,
-					done);
+			entry_cmd_query(e, vm, DL_STR("pools"),
+					STATUS_TIMEOUT_MS, done);
 		}
 	}
 }
@@ -586,9 +587,9 @@
 /* GET /v1/status: what this VM knows, and what the dispatchers say. */
 void entry_ops_status(struct entry *e, struct dl_httpd_req *req)
 {
-	struct ops *o = ops_new(e, req);
+	struct ops_request *o = ops_new(e, req);
 	struct entry_cmd_done done = { on_replicas, o };
-	json_t *own = own_pools(e);
+	json_t *own = local_pools_json(e);
 
 	o->root = json_object();
 	json_object_set_new(o->root, "version",
@@ -603,5 +604,6 @@
 	json_decref(own);
 	o->waiting = 1;
 	ask_dispatchers(o);
-	entry_cmd_query(e, DL_VM_NONE, DL_STR("status"), GATHER_MS, done);
+	entry_cmd_query(e, DL_VM_NONE, DL_STR("status"), STATUS_TIMEOUT_MS,
+			done);
 }
