--- a/src/main/entry_quarantine.c
+++ b/src/main/entry_quarantine.c
@@ -9,13 +9,13 @@
 #include <errno.h>
 
 /* A process that ends closes its connections and its listener in turn. */
-#define PROBE_AFTER_MS	 60
-#define PROBE_CONNECT_MS 500
+#define PROBE_DELAY_MS	 60
+#define PROBE_TIMEOUT_MS 500
 
 /* Whether anybody listens where attempts broke off. */
 struct probe {
 	struct entry *e;
-	uint64_t start;
+	uint64_t instance_id;
 	uint64_t address;
 	int64_t due;
 	bool under_way;
@@ -36,30 +36,32 @@
 }
 
 /* A start has ended without a word that it leaves. */
-void entry_quarantine_instance_crashed(struct entry *e, uint64_t start)
+void entry_quarantine_instance_crashed(struct entry *e, uint64_t instance_id)
 {
 	int64_t now = entry_now(e);
 	struct dl_crash crash;
 
-	while (start && dl_quarantine_next_crash(e->quarantine.records, start,
-						 now, &crash))
+	while (instance_id &&
+	       dl_quarantine_next_crash(e->quarantine.records, instance_id, now,
+					&crash))
 		quarantine_report_local(&e->quarantine, &crash, now);
 }
 
-static void probe_soon(struct entry *e, uint64_t start, uint64_t address)
+static void schedule_probe(struct entry *e, uint64_t instance_id,
+			   uint64_t address)
 {
 	struct probe *probe;
 
 	for (guint i = 0; i < e->probes->len; i++) {
 		probe = e->probes->pdata[i];
-		if (probe->start == start)
+		if (probe->instance_id == instance_id)
 			return;
 	}
 	probe = g_new0(struct probe, 1);
 	probe->e = e;
-	probe->start = start;
+	probe->instance_id = instance_id;
 	probe->address = address;
-	probe->due = entry_now(e) + PROBE_AFTER_MS;
+	probe->due = entry_now(e) + PROBE_DELAY_MS;
 	g_ptr_array_add(e->probes, probe);
 }
 
@@ -75,18 +77,18 @@
 	struct probe *probe = arg;
 
 	if (err->code == -ECONNREFUSED)
-		entry_quarantine_instance_crashed(probe->e, probe->start);
+		entry_quarantine_instance_crashed(probe->e, probe->instance_id);
 	g_ptr_array_remove(probe->e->probes, probe);
 }
 
-static void probe_now(struct probe *probe)
+static void start_probe(struct probe *probe)
 {
 	struct dl_httpc_req req = {
 		.to = probe->address,
 		.method = DL_STR("GET"),
 		.path = DL_STR("/"),
-		.connect_ms = PROBE_CONNECT_MS,
-		.gap_ms = PROBE_CONNECT_MS,
+		.connect_ms = PROBE_TIMEOUT_MS,
+		.gap_ms = PROBE_TIMEOUT_MS,
 	};
 
 	probe->under_way = true;
@@ -114,7 +116,7 @@
 					  entry_now(e));
 	if (attempt->failure == DL_FAILURE_RESET &&
 	    dl_vm_parse(dl_name_str(&c->grant.endpoint[0]), &address))
-		probe_soon(e, c->endpoint_instance_id, address);
+		schedule_probe(e, c->endpoint_instance_id, address);
 }
 
 /* An endpoint has answered the request whole: it is harmless. */
@@ -165,7 +167,7 @@
 	refuse_waiting(e);
 }
 
-static void to_replicas(void *arg, struct dl_str body)
+static void send_to_replicas(void *arg, struct dl_str body)
 {
 	uint64_t all[ENTRY_REPLICAS_MAX];
 	struct entry *e = arg;
@@ -194,7 +196,7 @@
 		return false;
 	dl_vm_text(probe->address, text);
 	return !entry_backoff_remaining_ms(probe->e, dl_str_of(text),
-					   probe->start);
+					   probe->instance_id);
 }
 
 /* Look after endpoints at which attempts broke off, and tell what is new. */
@@ -204,7 +206,7 @@
 		struct probe *probe = e->probes->pdata[i];
 
 		if (is_due(probe, now))
-			probe_now(probe);
+			start_probe(probe);
 	}
-	quarantine_flush(&e->quarantine, now, to_replicas, e);
+	quarantine_flush(&e->quarantine, now, send_to_replicas, e);
 }
