--- a/src/main/entry_reach.c
+++ b/src/main/entry_reach.c
@@ -13,10 +13,10 @@
  * A connection that stays silent is lost anew every two seconds, so that a VM
  * behind a cut stays out; one that came back is tried again after this.
  */
-#define LOST_MS 3000
+#define UNREACHABLE_MS 3000
 /* A word of it ends that sooner, but not at once: it may hear nothing itself.
  */
-#define LOST_MIN_MS 1000
+#define UNREACHABLE_MIN_MS 1000
 
 /* A connection to a VM was lost, or an ask of it: nothing is asked of it now.
  */
@@ -28,13 +28,14 @@
 		return;
 	if (!g_hash_table_contains(e->unreachable_vms, &vm))
 		dl_msg(DL_MSG_VM_UNREACHABLE, "vm=%lx for_ms=%d",
-		       (unsigned long)vm, LOST_MS);
+		       (unsigned long)vm, UNREACHABLE_MS);
 	g_hash_table_replace(e->unreachable_vms, g_memdup2(&vm, sizeof(vm)),
 			     g_memdup2(&now, sizeof(now)));
 	dl_memb_set_unreachable(e->node.memb, vm, true);
 }
 
-static bool ends(struct entry *e, uint64_t vm, int64_t at, int64_t after_ms)
+static bool clear_if_elapsed(struct entry *e, uint64_t vm, int64_t at,
+			     int64_t after_ms)
 {
 	if (entry_now(e) - at < after_ms)
 		return false;
@@ -49,17 +50,18 @@
 {
 	const int64_t *at = g_hash_table_lookup(e->unreachable_vms, &vm);
 
-	if (at && ends(e, vm, *at, LOST_MIN_MS))
+	if (at && clear_if_elapsed(e, vm, *at, UNREACHABLE_MIN_MS))
 		g_hash_table_remove(e->unreachable_vms, &vm);
 }
 
-static gboolean is_over(gpointer vm, gpointer at, gpointer e)
+static gboolean clear_elapsed(gpointer vm, gpointer at, gpointer e)
 {
-	return ends(e, *(uint64_t *)vm, *(int64_t *)at, LOST_MS);
+	return clear_if_elapsed(e, *(uint64_t *)vm, *(int64_t *)at,
+				UNREACHABLE_MS);
 }
 
 /* Try again what was lost a while ago. */
 void entry_reach_tick(struct entry *e)
 {
-	g_hash_table_foreach_remove(e->unreachable_vms, is_over, e);
+	g_hash_table_foreach_remove(e->unreachable_vms, clear_elapsed, e);
 }
