--- a/src/main/entry_renew.c
+++ b/src/main/entry_renew.c
@@ -8,7 +8,7 @@
 #define RENEWALS_PER_LEASE 3
 
 /* Tell whoever dispatches now of a grant of another one. */
-static void adopt(struct call *c, uint64_t owner)
+static void transfer_grant(struct call *c, uint64_t owner)
 {
 	struct entry *e = c->e;
 	struct entry_pool *p;
@@ -30,12 +30,12 @@
 	dl_packer_close(&pk);
 }
 
-static void adopt_if_named(struct call *c, uint64_t from,
-			   const uint64_t *grants, uint32_t count)
+static void transfer_if_listed(struct call *c, uint64_t from,
+			       const uint64_t *grants, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++) {
 		if (c->grant.grant == grants[i]) {
-			adopt(c, from);
+			transfer_grant(c, from);
 			return;
 		}
 	}
@@ -54,7 +54,7 @@
 	for (c = e->calls; c; c = c->next) {
 		if (c->granted && c->dispatcher == from &&
 		    dl_name_eq(&c->service, dl_name_str(&service)))
-			adopt_if_named(c, from, grants, count);
+			transfer_if_listed(c, from, grants, count);
 	}
 }
 
@@ -71,7 +71,7 @@
  * than half of all that it took; together they are one frame an entry and a
  * third of a lease.
  */
-static void renew_there(struct call *due, int64_t now)
+static void renew_remote(struct call *due, int64_t now)
 {
 	struct entry *e = due->e;
 	uint64_t grants[DL_RENEWED_MAX];
@@ -92,22 +92,22 @@
 	dl_packer_close(&pk);
 }
 
-static void renew_here(struct call *c, int64_t now)
+static void renew_local(struct call *c, int64_t now)
 {
 	struct entry_pool *p = entry_pool_find(c->e, dl_name_str(&c->service));
 
 	call_note_renewed(c, now);
 	if (p && dl_pool_renew(p->pool, c->grant.grant, now))
-		adopt(c, c->e->node.self);
+		transfer_grant(c, c->e->node.self);
 }
 
 /* Keep a grant: follow a dispatcher that has moved, renew what is due. */
 void call_renew(struct call *c, uint64_t owner, int64_t now)
 {
 	if (owner != c->dispatcher && owner != DL_VM_NONE)
-		adopt(c, owner);
+		transfer_grant(c, owner);
 	else if (now >= c->renew_at && owner == c->e->node.self)
-		renew_here(c, now);
+		renew_local(c, now);
 	else if (now >= c->renew_at)
-		renew_there(c, now);
+		renew_remote(c, now);
 }
