--- a/src/main/entry_trace.c
+++ b/src/main/entry_trace.c
@@ -7,7 +7,7 @@
 #include "base/metric.h"
 #include "main/entry.h"
 
-#define TRACES_KEPT 256
+#define TRACES_MAX 256
 
 struct trace {
 	char id_text[REQUEST_ID_TEXT];
@@ -26,8 +26,8 @@
 	struct trace *t;
 
 	if (!e->traces)
-		e->traces = g_new0(struct trace, TRACES_KEPT);
-	t = &e->traces[e->traces_next++ % TRACES_KEPT];
+		e->traces = g_new0(struct trace, TRACES_MAX);
+	t = &e->traces[e->traces_next++ % TRACES_MAX];
 	memcpy(t->id_text, c->id_text, sizeof(t->id_text));
 	t->service = c->service;
 	t->workspace = c->workspace;
@@ -77,13 +77,13 @@
 char *entry_trace_json(const struct entry *e)
 {
 	json_t *root = json_object(), *list = json_array();
-	uint32_t n = MIN(e->traces_next, TRACES_KEPT);
+	uint32_t n = MIN(e->traces_next, TRACES_MAX);
 	char *text;
 
 	for (uint32_t i = 0; i < n; i++)
 		json_array_append_new(
 			list, trace_json(&e->traces[(e->traces_next - 1 - i) %
-						    TRACES_KEPT]));
+						    TRACES_MAX]));
 	json_object_set_new(root, "traces", list);
 	text = json_dumps(root, JSON_COMPACT);
 	json_decref(root);
