--- a/src/main/quarantine.c
+++ b/src/main/quarantine.c
@@ -5,7 +5,7 @@
 #include "base/msg.h"
 #include "protocol/quarantine_codec.h"
 
-#define FORGET_EVERY_MS 10000
+#define EXPIRE_INTERVAL_MS 10000
 
 /* Nothing is known yet. */
 void quarantine_init(struct quarantine *q)
@@ -14,31 +14,31 @@
 	q->unsent = g_array_new(FALSE, FALSE, sizeof(struct dl_crash));
 }
 
-static void count_held(const struct quarantine *q, int64_t now)
+static void update_gauge(const struct quarantine *q, int64_t now)
 {
 	dl_gauge(DL_METRIC_requests_quarantined,
 		 dl_quarantine_count(q->records, now));
 }
 
 /* Take in a crash, and say where a request is held back from now on. */
-static bool take(struct quarantine *q, const struct dl_crash *crash,
-		 int64_t now)
+static bool merge(struct quarantine *q, const struct dl_crash *crash,
+		  int64_t now)
 {
-	uint32_t held =
+	uint32_t before =
 		dl_quarantine_remaining_ms(q->records, crash->request, now);
-	uint32_t left;
+	uint32_t after;
 
 	if (!dl_quarantine_merge(q->records, crash, now))
 		return false;
-	left = dl_quarantine_remaining_ms(q->records, crash->request, now);
-	if (!held == !left)
+	after = dl_quarantine_remaining_ms(q->records, crash->request, now);
+	if (!before == !after)
 		return true;
 	q->changed = true;
-	dl_msg(left ? DL_MSG_REQUEST_QUARANTINED : DL_MSG_REQUEST_RELEASED,
+	dl_msg(after ? DL_MSG_REQUEST_QUARANTINED : DL_MSG_REQUEST_RELEASED,
 	       "content=%016lx crashes=%d for_ms=%u age_ms=%u",
-	       (unsigned long)crash->request, DL_QUARANTINE_CRASHES, left,
+	       (unsigned long)crash->request, DL_QUARANTINE_CRASHES, after,
 	       crash->age_ms);
-	count_held(q, now);
+	update_gauge(q, now);
 	return true;
 }
 
@@ -46,7 +46,7 @@
 void quarantine_report_local(struct quarantine *q, const struct dl_crash *crash,
 			     int64_t now)
 {
-	if (!take(q, crash, now))
+	if (!merge(q, crash, now))
 		return;
 	g_array_append_val(q->unsent, *crash);
 	if (crash->start)
@@ -60,7 +60,7 @@
 void quarantine_merge_remote(struct quarantine *q, const struct dl_crash *crash,
 			     bool pass_on, int64_t now)
 {
-	if (take(q, crash, now) && pass_on)
+	if (merge(q, crash, now) && pass_on)
 		g_array_append_val(q->unsent, *crash);
 }
 
@@ -100,28 +100,28 @@
 {
 	send_crashes(q->unsent, send, arg);
 	g_array_set_size(q->unsent, 0);
-	if (now - q->expired_at < FORGET_EVERY_MS)
+	if (now - q->expired_at < EXPIRE_INTERVAL_MS)
 		return;
 	q->expired_at = now;
 	dl_quarantine_expire(q->records, now);
-	count_held(q, now);
+	update_gauge(q, now);
 }
 
-static void gather(void *arg, const struct dl_crash *crash)
+static void append_crash(void *arg, const struct dl_crash *crash)
 {
 	GArray *all = arg;
 
 	g_array_append_val(all, *crash);
 }
 
-struct one {
+struct recipient {
 	struct dl_peers *peers;
 	uint64_t vm;
 };
 
-static void to_one(void *arg, struct dl_str body)
+static void send_to_recipient(void *arg, struct dl_str body)
 {
-	const struct one *to = arg;
+	const struct recipient *to = arg;
 
 	dl_peers_send(to->peers, to->vm, DL_FRAME_CRASHES, 0, body);
 }
@@ -131,9 +131,9 @@
 			 uint64_t vm, int64_t now)
 {
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct dl_crash));
-	struct one to = { peers, vm };
+	struct recipient to = { peers, vm };
 
-	dl_quarantine_foreach(q->records, now, gather, all);
-	send_crashes(all, to_one, &to);
+	dl_quarantine_foreach(q->records, now, append_crash, all);
+	send_crashes(all, send_to_recipient, &to);
 	g_array_free(all, TRUE);
 }
