--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -1,4 +1,4 @@
-/* Start and stop of an entry, and which part each frame is for. */
+/* Starts and stops the entry and dispatches received frames to its parts. */
 #include "main/entry.h"
 
 #include <errno.h>
@@ -12,20 +12,22 @@
 #include "base/msg.h"
 #include "main/main.h"
 
-/* The longest prompt, four bytes a token, and its JSON escapes. */
+/* The longest prompt at four bytes a token, including JSON escapes. */
 #define BODY_MAX (16u << 20)
-/* A request must have arrived whole within this time. */
+/* Time limit for receiving a whole request. */
 #define READ_MS 10000
-/* Callers of the platform keep a connection for up to 12 s without a request.
- */
+/* Callers of the platform keep idle connections open for up to 12 s. */
 #define FOREIGN_IDLE_MS 15000
-/* A stop waits so long for the outcomes that are being recorded. */
+/* Longest wait at a stop for outcomes that are being recorded. */
 #define COMMANDS_WAIT_MS 3000
-/* A balancer asks every second and believes the second answer; and a moment. */
+/*
+ * The load balancer probes every second and acts on the second answer; the rest
+ * is a margin.
+ */
 #define LOAD_BALANCER_DELAY_MS 3500
-/* The last answers of a process that must end need so long to get away. */
+/* Time reserved to send the last responses before the process is killed. */
 #define STOP_MARGIN_MS 400
-/* How often the gauges that need a walk are set. */
+/* Interval of updating the gauges that need a scan. */
 #define GAUGES_INTERVAL_MS 500
 
 static void on_frame(void *arg, uint64_t from, const struct dl_frame *frame);
@@ -52,7 +54,7 @@
 	.drained = on_drained,
 };
 
-/* The loop's time. */
+/* Time of the event loop. */
 int64_t entry_now(const struct entry *e)
 {
 	return dl_node_now(&e->node);
@@ -137,8 +139,8 @@
 }
 
 /*
- * Whether the balancer has had the time to hear that this VM stops: until then
- * callers still come, and their requests are served.
+ * Whether the load balancer has had time to notice that this VM is stopping.
+ * Until then callers still connect, and their requests are served.
  */
 static bool load_balancer_informed(const struct entry *e, int64_t now)
 {
@@ -146,7 +148,7 @@
 	       now - e->stop_at >= LOAD_BALANCER_DELAY_MS;
 }
 
-/* Whether the process is about to be ended from outside. */
+/* Whether the process is about to be killed by its supervisor. */
 static bool stop_deadline_near(const struct entry *e, int64_t now)
 {
 	int64_t stop_ms = e->node.settings.stop_ms;
@@ -180,9 +182,10 @@
 }
 
 /*
- * A planned stop: not ready at once, dispatching moves to others, what is in
- * flight goes on to its end or its deadline.  An interrupt meanwhile ends it
- * now, with each caller told.
+ * Starts a graceful stop: the VM reports that it is not ready, dispatching
+ * moves to other VMs, and requests in flight run until they end or reach their
+ * deadlines. An interrupt during the stop aborts them at once and sends each
+ * caller an error.
  */
 static void on_stop(void *arg, bool again)
 {
@@ -267,7 +270,10 @@
 
 	if (rc)
 		return rc;
-	/* Before any thread parses: the hash of JSON objects is seeded once. */
+	/*
+	 * Jansson seeds its hash function once, which must happen before other
+	 * threads parse JSON.
+	 */
 	json_object_seed(0);
 	e->next_id = e->node.incarnation;
 	e->replica_heard_at = entry_now(e);
@@ -285,7 +291,7 @@
 	return start_http(e, err);
 }
 
-/* daisyledge entry -c FILE */
+/* Runs the subcommand: daisyledge entry -c FILE */
 int dl_main_entry(int argc, char **argv)
 {
 	static struct entry e;
