--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -1,6 +1,7 @@
 /*
- * Endpoints announce themselves to any VM of their failure domain: what they
- * say is kept here and passed on to the dispatcher of their pool.
+ * Announcements of endpoints. An endpoint announces itself to any VM of its
+ * failure domain; that VM stores the report and forwards it to the dispatcher
+ * of the endpoint's pool.
  */
 #include <errno.h>
 #include <string.h>
@@ -10,15 +11,16 @@
 
 #define MS_PER_S 1000
 
-/* The number of a start whose endpoints' starts have names. */
+/* The id of an instance that announces an instance name. */
 static uint64_t named_instance_id(const struct dl_directory_entry *d)
 {
 	return dl_hash(dl_name_str(&d->instance), d->born);
 }
 
 /*
- * The number of the start that runs at an address; 0 where none is known, or it
- * leaves, and what it breaks off then is no crash.
+ * Returns the id of the endpoint instance at an address. 0 if no instance is
+ * known, or if it is leaving: requests that it interrupts then do not count as
+ * crashes.
  */
 uint64_t entry_endpoint_instance_id(struct entry *e, struct dl_str service,
 				    struct dl_str address)
@@ -36,8 +38,8 @@
 }
 
 /*
- * Note what was announced.  Leaving is final for an incarnation: announcements
- * come through any VM, and an older one may arrive last.
+ * Records an announcement. Leaving is final for an instance: announcements are
+ * forwarded by any VM, and an older one may arrive last.
  */
 static void record_announcement(struct entry *e, struct entry_pool *p,
 				struct dl_announcement *a)
@@ -84,9 +86,9 @@
 }
 
 /*
- * Whether an announcement is of a service that there is.  Another writer's may
- * name any: it must not take the address of an endpoint that is in use.  Before
- * the first configuration all are taken in.
+ * Whether the announced service is configured. An announcement of another
+ * system may name any service, and must not replace an endpoint that is in use
+ * at its address. Before the first configuration, all services are accepted.
  */
 static bool service_is_configured(struct entry *e,
 				  const struct dl_announcement *a)
@@ -99,7 +101,7 @@
 	return false;
 }
 
-/* An endpoint has started again at another address: nobody is at this one. */
+/* Removes an endpoint at its previous address after it restarted at another. */
 static void remove_previous_address(struct entry *e,
 				    const struct dl_directory_entry *d)
 {
@@ -111,9 +113,10 @@
 }
 
 /*
- * Find out which start of an endpoint an announcement is of, where its starts
- * have names; false where it tells nothing new of one that is known.  One that
- * only leaves names no address: it is completed from what is known.
+ * Determines which instance an announcement belongs to, for endpoints that
+ * announce instance names. Returns false if it belongs to a superseded or
+ * unknown instance. An announcement that only reports leaving has no address,
+ * and is completed from the directory.
  */
 static bool resolve_instance(struct entry *e, struct dl_announcement *a)
 {
@@ -134,7 +137,7 @@
 	return true;
 }
 
-/* What the operators publish of a service's engines goes for each of them. */
+/* Adds the published engine settings of the service to an endpoint's report. */
 static void add_engine_settings(struct entry *e, struct dl_announcement *a)
 {
 	const struct dl_service_conf *s =
@@ -151,7 +154,7 @@
 	a->report.takes_groups = true;
 }
 
-/* Take in an announcement that another VM passed on. */
+/* Applies an announcement forwarded by another VM. */
 static void apply_forwarded(struct entry *e, struct dl_announcement *a)
 {
 	struct entry_pool *p;
@@ -167,8 +170,8 @@
 }
 
 /*
- * The words of a start with a name are kept: that it says the same is told by
- * their key.
+ * Handles the text of a report. Reports with an instance name are cached, so
+ * that VMs can later refresh them by key alone.
  */
 static void handle_report(void *arg, struct dl_str text)
 {
@@ -186,14 +189,14 @@
 	apply_forwarded(e, &a);
 }
 
-/* An announcement that another VM passed on. */
+/* Handles an announcement forwarded by another VM. */
 void entry_announce_frame(struct entry *e, uint64_t from,
 			  const struct dl_frame *f)
 {
 	handle_report(e, f->body);
 }
 
-/* Those of many endpoints, passed on together. */
+/* Handles a batch of forwarded announcements. */
 void entry_announce_batch(struct entry *e, uint64_t from,
 			  const struct dl_frame *f)
 {
@@ -205,10 +208,11 @@
 }
 
 /*
- * A start of an endpoint says in an answer that it leaves.  It may not have
- * been able to announce it, or the announcement is late: this VM goes by it at
- * once, and sends it to the dispatcher that granted it and to the replicas.  An
- * announcement without an address means just that, and is final like any other.
+ * Handles a response in which an endpoint instance reports that it is leaving.
+ * Its announcement may be late, or the endpoint may have been unable to send
+ * one: this VM applies it at once, and sends it to the dispatcher that granted
+ * the endpoint and to the replicas. An announcement without an address only
+ * reports leaving, and is final like any other.
  */
 void entry_announce_endpoint_leaving(struct entry *e, struct dl_str address,
 				     struct dl_str instance,
@@ -238,7 +242,10 @@
 	dl_packer_close(&pk);
 }
 
-/* Endpoints say what they said before: their keys, in place of their words. */
+/*
+ * Refreshes reports that have not changed, given their keys. Asks the sender
+ * for the full text of those that are not cached here.
+ */
 void entry_announce_refresh(struct entry *e, uint64_t from,
 			    const struct dl_frame *f)
 {
@@ -268,10 +275,9 @@
 }
 
 /*
- * Pass an announcement on to the VMs of a failure domain that stop, where none
- * dispatches there any more; returns how many there are.  What waits with them
- * they place themselves, and without announcements they take the endpoints for
- * gone.
+ * Forwards an announcement to the stopping VMs of a failure domain where no VM
+ * dispatches any more; returns how many there are. They place their remaining
+ * requests themselves, and would remove the endpoints if announcements stopped.
  */
 static uint32_t forward_to_stopping(struct entry *e, struct dl_str domain,
 				    struct dl_str body)
@@ -292,9 +298,10 @@
 }
 
 /*
- * An endpoint has announced itself here: keep it where the pool is ours, and
- * pass it on to the pool's dispatcher.  -ENOENT: no such service;
- * -EHOSTUNREACH: no VM of its failure domain is known here.
+ * Handles an announcement that an endpoint sent to this VM: stores it if the
+ * pool is of this failure domain, and forwards it to the pool's dispatcher.
+ * Returns -ENOENT if the service is unknown, -EHOSTUNREACH if no VM of the
+ * endpoint's failure domain is known.
  */
 int entry_announce_receive(struct entry *e, struct dl_announcement *a)
 {
@@ -311,7 +318,7 @@
 	if (domain.n == 0 || e->node.settings.region.n)
 		domain =
 			dl_name_str(dl_settings_pool_domain(&e->node.settings));
-	/* Where a pool is of one failure domain it says nothing. */
+	/* Pools do not span failure domains then: the field tells nothing. */
 	if (!e->node.settings.region.n)
 		dl_name_set(&a->report.failure_domain, DL_STR(""));
 	owner = entry_pool_owner(e, service, domain);
