--- a/src/main/entry_backoff.c
+++ b/src/main/entry_backoff.c
@@ -1,32 +1,35 @@
 /*
- * Endpoints that turn requests away and ask this VM to wait: it backs off from
- * them until the time that they named is over, whoever granted them.  The
- * release of a grant carries this to the dispatcher, which then grants the
- * endpoint to other VMs only; one that has just taken over learns it from the
- * grants that come back unused.
+ * Backoff from endpoints that refuse requests with a Retry-After time. This VM
+ * sends an endpoint no requests until that time has passed, whichever
+ * dispatcher grants it. The release of a grant reports the backoff to the
+ * dispatcher, which then grants the endpoint only to other VMs; a dispatcher
+ * that has just taken over learns of it from grants that are returned unused.
  */
 #include "base/metric.h"
 #include "base/msg.h"
 #include "main/entry_call.h"
 
 /*
- * The shortest backoff: with less, one request could come back to the endpoint
- * with each of its tries.
+ * Shortest backoff. If it were shorter, each retry of one request could reach
+ * the same endpoint.
  */
 #define BACKOFF_MIN_MS 100
-/* The loop's time is that of its turn, and may be behind the endpoint's. */
+/*
+ * The loop's time is updated once per iteration, and may lag behind the
+ * endpoint's clock.
+ */
 #define LOOP_LAG_MS 20
 /*
- * Grants that one request gives back unused.  A dispatcher that has just taken
- * over may offer each endpoint that another one had learnt to leave out.
+ * Grants that one request may return unused. A dispatcher that has just taken
+ * over may grant every endpoint that the previous one had learnt to avoid.
  */
 #define UNUSED_GRANTS_MAX  16
 #define STATUS_UNAVAILABLE 503
 
 /*
- * How much longer this VM backs off from an endpoint, ms; 0: not at all.
- * start: as entry_endpoint_instance_id() numbers it; one that was not known
- * when the endpoint asked may be any.
+ * Returns the remaining backoff of this VM from an endpoint in ms, 0 for none.
+ * instance_id is from entry_endpoint_instance_id(). If the instance was unknown
+ * when the endpoint asked for the backoff, the backoff holds for any instance.
  */
 uint32_t entry_backoff_remaining_ms(const struct entry *e,
 				    struct dl_str address, uint64_t instance_id)
@@ -41,9 +44,9 @@
 }
 
 /*
- * A start of an endpoint has answered a request with a status and named a time
- * after which to come back; 0: none.  True where it turned the request away for
- * that time.
+ * Handles a response of an endpoint instance. retry_after_ms is 0 if the
+ * response names no time. Returns whether the endpoint refused the request and
+ * asked this VM to back off.
  */
 bool entry_backoff_note_response(const struct call *c,
 				 const struct dl_name *address,
@@ -66,7 +69,9 @@
 	return true;
 }
 
-/* The first endpoint of a grant that this VM backs off from, or NULL. */
+/*
+ * Returns the first endpoint of a grant that this VM backs off from, or NULL.
+ */
 static const struct dl_name *find_backed_off_endpoint(const struct call *c,
 						      uint32_t *remaining_ms)
 {
@@ -88,7 +93,7 @@
 	return NULL;
 }
 
-/* Add to the release of a grant which of its endpoints to back off from. */
+/* Adds the endpoint that this VM backs off from to the release of a grant. */
 void entry_backoff_add_to_release(struct call *c)
 {
 	uint32_t remaining_ms;
@@ -101,7 +106,8 @@
 	c->usage.backoff_ms = remaining_ms;
 }
 
-/* Whether a grant cannot be used now, as this VM backs off from its endpoint.
+/*
+ * Whether a grant cannot be used because this VM backs off from its endpoint.
  */
 bool entry_backoff_blocks_grant(const struct call *c)
 {
@@ -110,7 +116,7 @@
 	return find_backed_off_endpoint(c, &remaining_ms) != NULL;
 }
 
-/* Give a grant back that cannot be used, and ask for another place. */
+/* Returns a grant that cannot be used, and asks for another. */
 void entry_backoff_return_grant(struct call *c)
 {
 	entry_backoff_add_to_release(c);
