--- a/src/main/entry_cmd.c
+++ b/src/main/entry_cmd.c
@@ -1,7 +1,8 @@
 /*
- * Commands and questions to other processes: sent to the best guess, followed
- * where it points, sent again to the next one when nothing comes back.  Every
- * command may be carried out twice without harm, by its change id or owner.
+ * Commands and queries to other processes. A request is sent to the VM that
+ * most likely leads the replicas, follows its redirects, and is sent to the
+ * next replica if no reply arrives. Every command is idempotent, by its change
+ * id or owner.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -10,21 +11,24 @@
 #include "main/entry.h"
 #include "protocol/cmd.h"
 
-/* A leader answers after one round and two syncs; later it is gone. */
+/*
+ * A leader replies after one round trip and two disk syncs; later it has
+ * failed.
+ */
 #define RESEND_MS 500
-/* Redirected again at once only so often: elections take a moment. */
+/* Delay after a reply that names no leader: an election takes a moment. */
 #define REDIRECT_DELAY_MS 60
 
 struct entry_cmd {
 	struct entry_cmd *next;
 	uint64_t id;
-	uint64_t vm; /* a question's only addressee, else DL_VM_NONE */
+	uint64_t vm; /* only recipient of a query, else DL_VM_NONE */
 	uint32_t kind;
 	char *body;
 	size_t n;
 	int64_t deadline;
 	int64_t send_at;
-	bool redirected; /* send_at is for the leader that was named */
+	bool redirected; /* send_at is for the leader that a reply named */
 	struct entry_cmd_done done;
 };
 
@@ -38,8 +42,9 @@
 }
 
 /*
- * The replicas: as the operators list them; else those that live now, since a
- * group that repairs itself moves to other VMs; else those of the settings.
+ * Lists the replicas: those configured by the operators; else those alive,
+ * since a group that repairs itself moves to other VMs; else those of the
+ * settings.
  */
 static uint32_t list_replicas(const struct entry *e, uint64_t *out)
 {
@@ -64,8 +69,8 @@
 }
 
 /*
- * All that may be replicas, also those that membership takes for gone: behind a
- * cut that has just healed it does so for another second.
+ * Lists every VM that may be a replica, including those that membership
+ * considers dead: it still does so for a second after a partition has healed.
  */
 uint32_t entry_cmd_replicas(const struct entry *e, uint64_t *out)
 {
@@ -86,7 +91,7 @@
 	return n;
 }
 
-/* Whether an address is one of the replicas known. */
+/* Whether a VM is one of the known replicas. */
 bool entry_cmd_is_replica(struct entry *e, uint64_t vm)
 {
 	uint64_t all[ENTRY_REPLICAS_MAX];
@@ -106,7 +111,7 @@
 	return all[e->next_replica % n];
 }
 
-/* Have a guess at who leads, where there is none. */
+/* Chooses a replica as the presumed leader if there is none. */
 void entry_cmd_choose_leader(struct entry *e)
 {
 	if (e->leader == DL_VM_NONE)
@@ -143,20 +148,20 @@
 	return cmd;
 }
 
-/* Send a command to the leading replica; returns its id. */
+/* Sends a command to the leading replica; returns the id of the command. */
 uint64_t entry_cmd_send(struct entry *e, const struct dl_cstore_cmd *c,
 			uint32_t time_ms, struct entry_cmd_done done)
 {
 	struct entry_cmd *cmd = new_cmd(e, DL_FRAME_CMD, time_ms, done);
 
 	if (dl_cstore_encode(c, &cmd->body, &cmd->n))
-		cmd->deadline = 0; /* ends at the next tick */
+		cmd->deadline = 0; /* fails at the next tick */
 	else
 		send_cmd(e, cmd);
 	return cmd->id;
 }
 
-/* Ask one VM, or any replica where vm is DL_VM_NONE. */
+/* Queries one VM, or any replica if vm is DL_VM_NONE. */
 uint64_t entry_cmd_query(struct entry *e, uint64_t vm, struct dl_str question,
 			 uint32_t time_ms, struct entry_cmd_done done)
 {
@@ -192,7 +197,7 @@
 	g_free(cmd);
 }
 
-/* Whoever waits is gone; the command itself goes on to its end. */
+/* Removes the callback of a command; the command itself continues. */
 void entry_cmd_detach(struct entry *e, uint64_t id)
 {
 	struct entry_cmd **at = find(e, id);
@@ -201,7 +206,10 @@
 		(*at)->done.done = NULL;
 }
 
-/* Try it no longer; what was sent may still be carried out. */
+/*
+ * Removes a command without calling its callback. It may still be executed if
+ * it has been sent.
+ */
 void entry_cmd_abandon(struct entry *e, uint64_t id)
 {
 	struct entry_cmd **at = find(e, id);
@@ -246,7 +254,7 @@
 	finish(e, at, &reply);
 }
 
-/* A reply, from whomever; matched by id. */
+/* Handles a reply from any VM; it is matched to its command by id. */
 void entry_cmd_frame(struct entry *e, uint64_t from,
 		     const struct dl_frame *frame)
 {
@@ -266,7 +274,7 @@
 	return at;
 }
 
-/* Send again what got no answer; end what ran out of time. */
+/* Sends commands without a reply again, and fails those past their deadline. */
 void entry_cmd_tick(struct entry *e, int64_t now)
 {
 	struct dl_cstore_reply timeout = { .code = DL_ENOQUORUM };
@@ -275,7 +283,7 @@
 
 	g_strlcpy(timeout.text, "no replica answered in time",
 		  sizeof(timeout.text));
-	/* finish() may add commands: look from the start each time. */
+	/* finish() may add commands: search from the start each time. */
 	while (*(at = first_expired(e, now)))
 		finish(e, at, &timeout);
 	for (cmd = e->cmds; cmd; cmd = cmd->next) {
