--- a/src/main/entry_conf.c
+++ b/src/main/entry_conf.c
@@ -1,7 +1,7 @@
 /*
- * The configuration in force on this VM: pushed by a replica or another VM,
- * pulled where a peer shows a higher version, put in force as a whole between
- * two events, and never replaced by a lower version.
+ * The configuration in force on this VM. It is pushed by a replica or another
+ * VM, pulled if a peer has a higher version, replaced as a whole between two
+ * events, and never replaced by a lower version.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -13,45 +13,47 @@
 #include "protocol/conf_push.h"
 #include "protocol/squeeze.h"
 
-/* A lost push is mended within a second. */
+/* A lost push is recovered from within a second. */
 #define PULL_INTERVAL_MS 500
 /*
- * A version that is being read, or waits to be, is not asked for again, and one
- * that is not is asked for this often.  Asked for at each sign of it, from
- * gossip and from each answer about the lease, a text of 1,300 routes came to
- * each of 295 VMs several times.  A push may be late or lost: a replica that
- * pushes to a domain may be the slow one, so it is not waited for.
+ * A version that is being parsed, or is queued for parsing, is not pulled
+ * again; others are pulled at most this often. Without the limit, each sign of
+ * a new version in gossip and in lease answers caused a pull, and each of 295
+ * VMs received a text of 1,300 routes several times. A push may be late or
+ * lost, as the replica that pushes to a domain may be slow, so a pull does not
+ * wait for it.
  */
 #define PULL_MIN_GAP_MS 100
 /*
- * Reading takes a quarter of this VM's time, as long as a version waits no
- * longer than WAIT_MAX_MS for it: versions of 1,300 routes in quick succession
- * are 0.3 to 1 s of reading each on a VM with 0.12 cores, and streams that it
- * passes on pause meanwhile.  A version has 2 s to be in force, and the one
- * before it may just be read: a longer rest after it would take those up.
+ * Parsing takes at most a quarter of this VM's time, unless a version has
+ * waited for PARSE_WAIT_MAX_MS. On a VM with 0.12 cores, parsing one version
+ * with 1,300 routes takes 0.3 to 1 s, during which the streams that it forwards
+ * stall; versions may follow each other quickly. A version must be in force
+ * within 2 s, and parsing of the previous one may only have begun when it
+ * arrives: a longer pause after that would use up the time.
  */
 #define PARSE_REST_FACTOR 3
 #define PARSE_WAIT_MAX_MS 300
-/* One question too many costs nothing: how many VMs one push names at most. */
+/* Most VMs that one push names. A superfluous pull is cheap. */
 #define RELAY_TARGETS_MAX 1024
-/* A text is bounded where it is accepted; its rewriting adds a little. */
+/* Texts are limited when they are accepted; rewriting them adds a little. */
 #define INFLATED_MAX (2 * (size_t)DL_CONF_TEXT_MAX)
-/* A text of 30 KB deflates to this and is parsed in a millisecond. */
+/* A text of 30 KB compresses to this size and is parsed in a millisecond. */
 #define PARSE_INLINE_MAX 4096
 
-/* A pushed version that is being read. */
+/* The parsing of a pushed version. */
 struct conf_parse {
 	uv_work_t work;
 	struct entry *e;
 	int64_t started_at;
-	uint32_t waited_ms; /* until then, with those that it took over from */
-	int64_t since_last_ms; /* the VM since it had read one; -1: none */
+	uint32_t waited_ms;    /* including versions that it replaced */
+	int64_t since_last_ms; /* since the last parse; -1: none */
 	uint64_t version;
-	char *pushed; /* as it came */
+	char *pushed; /* as received */
 	size_t pushed_n;
-	char *text; /* inflated; NULL where that failed */
+	char *text; /* decompressed; NULL if that failed */
 	size_t text_n;
-	struct dl_conf *conf; /* NULL where it has faults */
+	struct dl_conf *conf; /* NULL if it has errors */
 	struct dl_faults faults;
 };
 
@@ -69,7 +71,7 @@
 	e->draining = drain || e->node.stopping;
 }
 
-/* Swap the configuration; everything that reads it does so afterwards. */
+/* Replaces the configuration, then updates everything that depends on it. */
 static void apply_conf(struct entry *e, const struct conf_parse *r,
 		       struct dl_conf *conf)
 {
@@ -92,7 +94,10 @@
 	       (long)r->since_last_ms, (long)(entry_now(e) - r->started_at));
 }
 
-/* Pass a push on to the VMs that it names, each with a share of the rest. */
+/*
+ * Forwards a push to some of the VMs that it names, each with a share of the
+ * others to forward it to.
+ */
 static void relay(struct entry *e, uint64_t version, struct dl_str text,
 		  const uint64_t *targets, uint32_t count)
 {
@@ -119,7 +124,9 @@
 	return o->via.array.size;
 }
 
-/* Inflate and parse what was pushed; beside the loop where it is large. */
+/*
+ * Decompresses and parses a pushed version; in a worker thread if it is large.
+ */
 static void parse_pushed(struct conf_parse *r)
 {
 	if (dl_unsqueeze((struct dl_str){ r->pushed, r->pushed_n },
@@ -132,7 +139,7 @@
 		r->conf = NULL;
 }
 
-/* Put in force what was read, unless a newer one is by now. */
+/* Applies a parsed version unless a newer one is in force by now. */
 static void apply_parsed(struct entry *e, struct conf_parse *r)
 {
 	if (!r->text) {
@@ -175,7 +182,7 @@
 		apply_parsed(e, r);
 }
 
-/* Read the newest that came meanwhile, once this VM has rested. */
+/* Parses the newest version received meanwhile, once the pause is over. */
 static void parse_next(struct entry *e, int64_t now)
 {
 	struct conf_parse *next = e->conf_next;
@@ -190,9 +197,10 @@
 }
 
 /*
- * Load: changes in quick succession of a configuration with 1,300 routes on a
- * VM with 0.12 cores.  Parsed in the loop each kept all streams waiting for 250
- * to 360 ms, more than short ones bear.  Small ones are read at once.
+ * Large versions are parsed in a worker thread, small ones at once. On a VM
+ * with 0.12 cores, changes in quick succession of a configuration with 1,300
+ * routes each blocked the event loop, and with it all streams, for 250 to 360
+ * ms, which is more than short streams tolerate.
  */
 static void start_parsing(struct entry *e, struct conf_parse *r)
 {
@@ -211,8 +219,8 @@
 }
 
 /*
- * A newer version, as it was pushed.  One is read at a time; of those that come
- * meanwhile the newest is read next.
+ * Queues a newer version as it was pushed. One version is parsed at a time; of
+ * those that arrive meanwhile, the newest is parsed next.
  */
 static void queue_version(struct entry *e, uint64_t version,
 			  struct dl_str pushed)
@@ -285,7 +293,7 @@
 	dl_packer_close(&pk);
 }
 
-/* A push or a pull of a configuration. */
+/* Handles a push or a pull of a configuration. */
 void entry_conf_frame(struct entry *e, uint64_t from,
 		      const struct dl_frame *frame)
 {
@@ -295,7 +303,7 @@
 		on_pull(e, from, frame);
 }
 
-/* Ask a VM for a version that is newer than ours. */
+/* Requests a newer version from a VM. */
 static void pull(struct entry *e, uint64_t vm)
 {
 	struct dl_packer pk;
@@ -307,7 +315,7 @@
 	dl_packer_close(&pk);
 }
 
-/* The newest version that is in force here or will be once it is read. */
+/* Returns the newest version that is in force, being parsed or queued. */
 static uint64_t newest_pending_version(const struct entry *e)
 {
 	if (e->conf_next)
@@ -316,7 +324,7 @@
 			       e->version;
 }
 
-/* A VM shows a version: ask it where that is newer and not here yet. */
+/* Pulls from a VM whose version is newer than any known here. */
 void entry_conf_version_seen(struct entry *e, uint64_t version, uint64_t vm)
 {
 	int64_t now = entry_now(e);
@@ -328,14 +336,14 @@
 	pull(e, vm);
 }
 
-/* A member shows its version: pull where it is higher than ours. */
+/* Handles the configuration version that a member reports. */
 void entry_conf_member(struct entry *e, const struct dl_member *m)
 {
 	if (m->state == DL_ALIVE && m->vm != e->node.self)
 		entry_conf_version_seen(e, m->config_version, m->vm);
 }
 
-/* Without a configuration, or behind, ask again now and then. */
+/* Pulls periodically if this VM has no configuration or an old one. */
 void entry_conf_tick(struct entry *e, int64_t now)
 {
 	const struct dl_settings *s = &e->node.settings;
