--- a/src/main/entry_remote.c
+++ b/src/main/entry_remote.c
@@ -1,17 +1,17 @@
 /*
- * The pools of the same service in other failure domains: what their
- * dispatchers say of their load, and who is offered to callers that find no
- * place here.
+ * Pools of the same service in other failure domains: the load that their
+ * dispatchers report, and which of them are suggested for requests that cannot
+ * be placed here.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "main/entry.h"
 
-/* A pool that has not been heard of for so long takes no spill. */
+/* Requests spill only to pools whose summary is newer than this. */
 #define SUMMARY_MAX_AGE_MS 3000
 
-/* Whether a summary is of this service and still says something. */
+/* Whether a summary is of a service and recent enough to use. */
 bool entry_remote_is_fresh(const struct entry *e,
 			   const struct remote_pool *remote,
 			   struct dl_str service)
@@ -20,7 +20,7 @@
 	       entry_now(e) - remote->heard_at <= SUMMARY_MAX_AGE_MS;
 }
 
-/* Other domains that a refused request may try, the least loaded first. */
+/* Suggests other domains for a refused request, the least loaded first. */
 void entry_remote_suggest(struct entry *e, struct dl_str service,
 			  struct dl_answer_frame *f)
 {
@@ -69,7 +69,7 @@
 	return remote;
 }
 
-/* How the pool of a service stands in another failure domain. */
+/* Handles a summary of a pool in another failure domain. */
 void entry_remote_frame(struct entry *e, uint64_t from,
 			const struct dl_frame *f)
 {
@@ -96,7 +96,10 @@
 	return false;
 }
 
-/* Tell the dispatchers of the same service elsewhere how it stands here. */
+/*
+ * Sends the summary of a pool to the dispatchers of its service in other
+ * domains.
+ */
 void entry_remote_send_summary(struct entry *e, const struct entry_pool *p,
 			       const struct dl_pool_summary *summary)
 {
@@ -125,7 +128,10 @@
 	dl_packer_close(&pk);
 }
 
-/* A dispatcher elsewhere cannot be reached: spill there no more for now. */
+/*
+ * Stops spilling to the pools of a dispatcher that cannot be reached, until it
+ * sends another summary.
+ */
 void entry_remote_vm_down(struct entry *e, uint64_t vm)
 {
 	struct remote_pool *remote;
