--- a/src/main/entry_pool.c
+++ b/src/main/entry_pool.c
@@ -1,7 +1,7 @@
 /*
- * Dispatching: the pools of this failure domain.  Every VM of the domain
- * keeps them, so that the one that must take over knows the endpoints; the
- * one that rendezvous hashing names leads.
+ * Dispatching for the pools of this failure domain. Every VM of the domain
+ * keeps the pools, so that any of them can take over with the endpoints known;
+ * the one selected by rendezvous hashing dispatches.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -11,13 +11,13 @@
 #include "base/msg.h"
 #include "main/entry.h"
 
-/* Often enough that a spill sees the backlog of the last second. */
+/* Frequent enough for spilling to use a backlog at most a second old. */
 #define SUMMARY_INTERVAL_MS 500
-/* Every endpoint announces itself within this time, and a margin. */
+/* Every endpoint announces itself within this time, including a margin. */
 #define ENDPOINTS_WAIT_MS 1500
-/* What an endpoint said is kept so long after it said it last. */
+/* How long the last report of an endpoint is cached. */
 #define REPORTS_KEPT_MS 30000
-/* How long a report is good where it came by chance. */
+/* How long a report is valid in a pool that another VM dispatches. */
 #define STANDBY_REPORT_GONE_MS 1500
 
 static void on_ask(struct entry *e, uint64_t from, const struct dl_frame *f);
@@ -28,11 +28,11 @@
 		       const struct dl_frame *f);
 static void on_adopt(struct entry *e, uint64_t from, const struct dl_frame *f);
 
-/* An ask that waits until a new dispatcher knows its endpoints. */
+/* An ask deferred until a new dispatcher knows its endpoints. */
 struct deferred_ask {
 	struct deferred_ask *next;
 	struct dl_ask_frame frame;
-	struct dl_name workspace; /* what the frame's view points at */
+	struct dl_name workspace; /* that the string in frame points to */
 };
 
 struct frame_handler {
@@ -55,7 +55,7 @@
 	{ DL_FRAME_LIMIT, entry_limit_frame },
 };
 
-/* The pool of a service in this failure domain; NULL where unknown. */
+/* Returns the pool of a service in this failure domain, or NULL. */
 struct entry_pool *entry_pool_find(struct entry *e, struct dl_str service)
 {
 	struct entry_pool *p;
@@ -67,25 +67,24 @@
 	return NULL;
 }
 
-/* The VM that dispatches for a service in a failure domain. */
+/* Returns the VM that dispatches for a service in a failure domain. */
 uint64_t entry_pool_owner(struct entry *e, struct dl_str service,
 			  struct dl_str domain)
 {
 	return dl_memb_owner(e->node.memb, domain, dl_hash(service, 0));
 }
 
-/* Whether the VMs that dispatch together with this one are those of a domain.
- */
+/* Whether a domain is the one whose VMs dispatch together with this VM. */
 bool entry_pool_is_local_domain(const struct entry *e, struct dl_str domain)
 {
 	return dl_name_eq(dl_settings_pool_domain(&e->node.settings), domain);
 }
 
 /*
- * A pool that another VM dispatches is kept from the announcements that happen
- * to reach this VM, not from all: a report is good for a period and a half
- * there, so that an endpoint that has said elsewhere that it leaves is not
- * placed on from here for seconds.
+ * Configures a pool. A pool that another VM dispatches receives only the
+ * announcements that happen to reach this VM. Its reports expire after one and
+ * a half announcement periods, so that this VM does not place requests for
+ * seconds on an endpoint that has announced elsewhere that it is leaving.
  */
 static void configure_pool(struct entry *e, struct entry_pool *p)
 {
@@ -121,7 +120,7 @@
 	configure_pool(e, p);
 }
 
-/* Put the operators' drain of one endpoint in force, or lift it. */
+/* Applies or lifts the operators' drain of one endpoint. */
 void entry_pool_drain(struct entry *e, struct entry_pool *p,
 		      const struct dl_name *id)
 {
@@ -206,7 +205,7 @@
 	}
 }
 
-/* Put the configuration in force for every pool. */
+/* Applies the configuration to every pool. */
 void entry_pool_configure(struct entry *e)
 {
 	const struct dl_conf *conf = e->conf;
@@ -256,9 +255,9 @@
 }
 
 /*
- * Whether a request goes to another failure domain's pool, which is much
- * better off.  Decided here and not by each entry: the one dispatcher sees all
- * of its domain's requests, so the share that leaves is one share.
+ * Redirects a request to another failure domain's pool if that has much less
+ * load; returns whether it did. The dispatcher decides this and not each entry,
+ * since it sees all requests of its domain and can keep to one share of them.
  */
 static bool redirect_to_remote(struct entry *e, struct entry_pool *p,
 			       const struct dl_ask *ask)
@@ -298,7 +297,7 @@
 	return s.endpoints > 0;
 }
 
-/* A dispatcher that has just taken over and has heard no endpoint yet. */
+/* Whether a dispatcher has just taken over and knows no endpoint yet. */
 static bool awaits_endpoints(struct entry *e, struct entry_pool *p)
 {
 	return entry_now(e) - p->dispatching_since <= ENDPOINTS_WAIT_MS &&
@@ -306,9 +305,10 @@
 }
 
 /*
- * For the second after a VM that dispatched has died: its successor may have
- * heard none of the endpoints, and a refusal for want of them would be wrong
- * while they serve.  Held asks are bounded by the time they are held.
+ * Defers an ask. For about a second after a dispatcher has failed, its
+ * successor may not have heard of any endpoint, and refusing requests for lack
+ * of endpoints would be wrong as they still serve. The number of deferred asks
+ * is limited by the short time.
  */
 static void defer_ask(struct entry *e, struct entry_pool *p,
 		      const struct dl_ask_frame *f)
@@ -327,7 +327,7 @@
 	deliver_answer(e, &queued);
 }
 
-/* Ask the pool what was held, once it knows its endpoints. */
+/* Processes deferred asks once the pool knows its endpoints. */
 static void process_deferred_asks(struct entry *e, struct entry_pool *p)
 {
 	struct deferred_ask *h = p->deferred_asks, *next;
@@ -342,7 +342,7 @@
 	}
 }
 
-/* Take back an ask of an entry, wherever it waits. */
+/* Cancels an ask of an entry, deferred or queued. */
 void entry_pool_cancel(struct entry *e, struct entry_pool *p, uint64_t entry,
 		       uint64_t request)
 {
@@ -351,8 +351,8 @@
 }
 
 /*
- * Ask a pool kept here.  local: also where this VM does not lead it, because
- * no dispatcher answers.
+ * Processes an ask for a pool kept here. local: process it even if this VM is
+ * not the dispatcher, because no dispatcher responds.
  */
 void entry_pool_ask(struct entry *e, struct entry_pool *p,
 		    const struct dl_ask_frame *f, bool local)
@@ -485,7 +485,7 @@
 		dl_pool_adopt(p->pool, &grant, &ask, entry_now(e));
 }
 
-/* A frame of the dispatchers' kinds. */
+/* Handles a frame of the kinds in handlers[]. */
 void entry_pool_frame(struct entry *e, uint64_t from,
 		      const struct dl_frame *frame)
 {
@@ -497,14 +497,17 @@
 	}
 }
 
-/* A connection to a VM was lost. */
+/* Handles the loss of a connection to a VM. */
 void entry_pool_down(struct entry *e, uint64_t vm)
 {
 	entry_reach_mark_unreachable(e, vm);
 	entry_remote_vm_down(e, vm);
 }
 
-/* A VM has gone: what it held or queued is free again. */
+/*
+ * Handles a membership change. Releases the grants and queue entries of a VM
+ * that is gone.
+ */
 void entry_pool_member(struct entry *e, const struct dl_member *m)
 {
 	struct entry_pool *p;
@@ -516,7 +519,7 @@
 	}
 }
 
-/* Say that the reports of a pool's endpoints have stopped, or come again. */
+/* Logs when reports of all endpoints of a pool stop or resume. */
 static void log_silence_change(struct entry_pool *p, int64_t now)
 {
 	bool silent = dl_pool_is_silent(p->pool, now);
@@ -528,7 +531,7 @@
 	       "service=%s leading=%d", p->service.s, p->dispatching);
 }
 
-/* Hand out what became ready, and tell other domains of the load. */
+/* Sends grants that became possible, and load summaries to other domains. */
 void entry_pool_tick(struct entry *e, int64_t now)
 {
 	bool summaries = now - e->summaries_sent_at >= SUMMARY_INTERVAL_MS;
