--- a/src/main/entry_lease.c
+++ b/src/main/entry_lease.c
@@ -1,8 +1,8 @@
 /*
- * Whether this VM may still trust its configuration: it asks the leading
- * replica again and again which version is in force, and coordination/lease.c
- * says how far the answer carries.  A VM that is cut off, or was suspended,
- * lets no key pass once its lease is over: the key may have been taken away.
+ * Whether the configuration of this VM is current. The VM repeatedly asks the
+ * leading replica which version is in force; coordination/lease.c computes how
+ * long an answer is valid. A VM that is partitioned, or was suspended, accepts
+ * no API key once its lease has expired: the key may have been revoked.
  */
 #include "base/msg.h"
 #include "main/entry.h"
@@ -23,7 +23,7 @@
 		entry_route_resume(e);
 }
 
-/* Whether what is in force here may decide about requests with keys. */
+/* Whether requests with API keys may be decided by the local configuration. */
 bool entry_lease_is_valid(const struct entry *e)
 {
 	if (!e->node.settings.foreign)
@@ -33,7 +33,7 @@
 				 dl_node_boot_ms());
 }
 
-/* Whether new callers should come here. */
+/* Whether this VM is ready for new callers. */
 bool entry_lease_ready(const struct entry *e)
 {
 	if (!e->node.settings.foreign)
@@ -43,21 +43,23 @@
 			      dl_node_boot_ms());
 }
 
-/* A version was put in force. */
+/* Records that a version was put in force. */
 void entry_lease_version_applied(struct entry *e)
 {
 	dl_lease_version_applied(&e->lease, e->version);
 	log_validity_change(e);
 }
 
-/* How long a request without a word of the group may wait for one. */
+/*
+ * Returns how long a request may wait for a replica to confirm the version, ms.
+ */
 uint32_t entry_lease_max_wait_ms(const struct entry *e, uint32_t left_ms)
 {
 	return dl_lease_max_wait_ms(&e->lease, e->started_at,
 				    e->replica_heard_at, left_ms, entry_now(e));
 }
 
-/* A replica's word. */
+/* Handles a replica's answer. */
 void entry_lease_frame(struct entry *e, uint64_t from,
 		       const struct dl_frame *frame)
 {
@@ -94,8 +96,10 @@
 }
 
 /*
- * Ask again, and another replica where the last one did not answer.  Without a
- * word all are asked: whichever comes to lead answers as soon as it is sure.
+ * Requests a renewal when it is due, and changes to another replica if the last
+ * one did not answer in time. Without a valid lease all replicas are asked,
+ * since whichever becomes the leader answers as soon as it can confirm the
+ * version.
  */
 void entry_lease_tick(struct entry *e, int64_t now)
 {
