--- a/src/main/entry_limit.c
+++ b/src/main/entry_limit.c
@@ -1,24 +1,25 @@
 /*
- * Limits that endpoints name in their answers, on requests from all VMs: each
- * entry tells the dispatcher what it reads, and a new dispatcher what it has
- * read of late.
+ * Request rate limits that endpoints announce in their responses and that apply
+ * to the requests of all VMs together. Each entry reports the limits that it
+ * receives to the dispatcher; when another VM becomes the dispatcher, the entry
+ * reports recent limits to it.
  */
 #include "base/msg.h"
 #include "main/entry.h"
 
 /*
- * What was named before is not told to a new dispatcher: an endpoint that still
- * has a limit gets a request in this time, and names it again.
+ * Older limits are not reported to a new dispatcher: an endpoint that still has
+ * a limit receives a request within this time, and announces the limit again.
  */
 #define LIMIT_MAX_AGE_MS 10000
 
-/* Take in a limit where the pool is kept here; one that changes is logged. */
+/* Applies a limit to a pool kept here; logs changes. */
 static void apply_limit(struct entry *e, struct entry_pool *p,
 			const struct dl_limit_frame *f, uint64_t from)
 {
 	struct dl_str address = dl_name_str(&f->endpoint);
 
-	/* It may be of a start that another one has followed. */
+	/* It may come from an instance that another has replaced. */
 	if (f->start !=
 	    entry_endpoint_instance_id(e, dl_name_str(&f->service), address))
 		return;
@@ -48,7 +49,7 @@
 	dl_packer_close(&pk);
 }
 
-/* The head of an answer has come, which names a limit or none. */
+/* Handles the head of a response, which announces a limit or none. */
 void entry_limit_note_response(struct call *c, uint32_t limit)
 {
 	struct dl_limit_frame f = { .service = c->service,
@@ -66,7 +67,7 @@
 	send_limit(e, c->dispatcher, &f);
 }
 
-/* Another entry tells what an endpoint of a pool here named. */
+/* Handles a limit that another entry received from an endpoint. */
 void entry_limit_frame(struct entry *e, uint64_t from,
 		       const struct dl_frame *frame)
 {
@@ -85,8 +86,9 @@
 }
 
 /*
- * A dispatcher that takes over knows the limits that its own answers showed.
- * Without the others' an endpoint in need would look free to it.
+ * Reports recent limits to a VM that has become the dispatcher. It knows those
+ * of the responses that it received itself; without the others, a rate-limited
+ * endpoint would look idle to it.
  */
 static void inform_new_dispatcher(struct entry *e, struct entry_pool *p,
 				  int64_t now)
@@ -113,7 +115,7 @@
 	}
 }
 
-/* Tell each dispatcher that has taken over what is known here. */
+/* Reports recent limits to each new dispatcher. */
 void entry_limit_tick(struct entry *e, int64_t now)
 {
 	for (struct entry_pool *p = e->pools; p; p = p->next)
