--- a/src/main/entry_ops.c
+++ b/src/main/entry_ops.c
@@ -1,6 +1,6 @@
 /*
- * Operators' doors.  Each answer may wait for replicas or other VMs; an ops
- * request holds what it waits for and is freed with its answer.
+ * Operators' HTTP API. A response may depend on replies of replicas or other
+ * VMs; an ops_request holds the state until the response is sent.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -14,15 +14,16 @@
 #define APPLY_TIMEOUT_MS     8000
 #define QUERY_TIMEOUT_MS     1500
 #define STATUS_TIMEOUT_MS    600
-#define ANNOUNCED_MAX_AGE_MS 5000 /* an endpoint silent for so long is gone */
-#define DISPATCHERS_MAX	     64	  /* dispatchers asked for their pools */
+#define ANNOUNCED_MAX_AGE_MS 5000 /* after which a silent endpoint is omitted  \
+				   */
+#define DISPATCHERS_MAX 64	  /* whose pools are queried */
 
 struct ops_request {
 	struct http_owner http_owner; /* first */
 	struct entry *e;
-	uint64_t change_cmd;	   /* the command of an apply, 0 for others */
-	struct dl_httpd_req *http; /* NULL once the operator has gone */
-	uint32_t waiting;	   /* answers still to come */
+	uint64_t change_cmd; /* id of the command to apply a change, else 0 */
+	struct dl_httpd_req *http; /* NULL once the operator has disconnected */
+	uint32_t waiting;	   /* replies outstanding */
 	json_t *root;
 	char *diff;
 	bool needs_confirm;
@@ -31,9 +32,9 @@
 static void ops_free(struct ops_request *o);
 
 /*
- * The operator has gone.  A change is tried no longer: it would go through
- * after its operator was told that nobody answers.  Questions go on to their
- * end, and their answers are dropped.
+ * Handles a disconnect of the operator. A change is not sent again: it could be
+ * applied after the operator was told that no replica answered. Queries run to
+ * their end, and their replies are discarded.
  */
 static void on_closed(struct http_owner *self)
 {
@@ -97,7 +98,7 @@
 	json_decref(root);
 }
 
-/* An operator's change, as it was sent; strings live in root. */
+/* A change as an operator sent it; the strings belong to root. */
 struct change {
 	json_t *root;
 	struct dl_str text, change_id, author;
@@ -227,7 +228,10 @@
 	ops_free(o);
 }
 
-/* POST /v1/config: check here, then hand to the leading replica. */
+/*
+ * Handles POST /v1/config: validates the text, then sends it to the leading
+ * replica.
+ */
 void entry_ops_config_post(struct entry *e, struct dl_httpd_req *req)
 {
 	struct dl_faults faults;
@@ -300,7 +304,9 @@
 			done);
 }
 
-/* GET /v1/config: what is in force here, or an older text. */
+/*
+ * Handles GET /v1/config: returns the version in force here, or an older one.
+ */
 void entry_ops_config_get(struct entry *e, struct dl_httpd_req *req)
 {
 	uint64_t version = version_in_query(dl_httpd_path(req));
@@ -323,7 +329,7 @@
 	json_decref(root);
 }
 
-/* GET /v1/config/history */
+/* Handles GET /v1/config/history. */
 void entry_ops_history(struct entry *e, struct dl_httpd_req *req)
 {
 	ask_replica(e, req, "history");
@@ -417,7 +423,7 @@
 	}
 }
 
-/* The pools that this VM dispatches for. */
+/* Returns the pools that this VM dispatches, and their endpoints. */
 static json_t *local_pools_json(struct entry *e)
 {
 	json_t *root = json_object(), *pools = json_array();
@@ -453,7 +459,10 @@
 	return o;
 }
 
-/* What the endpoints of the pools led here announced, for the planner. */
+/*
+ * Returns the announcements of endpoints in pools dispatched here, for the
+ * planner of orders.
+ */
 static json_t *announced_json(struct entry *e)
 {
 	json_t *root = json_array();
@@ -480,7 +489,7 @@
 	return root;
 }
 
-/* Answer another VM's question about this one's pools. */
+/* Answers a query of another VM about the pools of this one. */
 void entry_ops_frame(struct entry *e, uint64_t from,
 		     const struct dl_frame *frame)
 {
@@ -556,7 +565,7 @@
 	return false;
 }
 
-/* Ask each VM that dispatches a pool, once. */
+/* Queries each dispatcher once. */
 static void ask_dispatchers(struct ops_request *o)
 {
 	struct entry_cmd_done done = { on_pools, o };
@@ -584,7 +593,10 @@
 	}
 }
 
-/* GET /v1/status: what this VM knows, and what the dispatchers say. */
+/*
+ * Handles GET /v1/status: the state of this VM, and that of the pools as
+ * reported by their dispatchers.
+ */
 void entry_ops_status(struct entry *e, struct dl_httpd_req *req)
 {
 	struct ops_request *o = ops_new(e, req);
