--- a/src/main/entry_quarantine.c
+++ b/src/main/entry_quarantine.c
@@ -1,18 +1,22 @@
 /*
- * Requests under which endpoints crash: what this entry sees of them, and which
- * it holds back.  An attempt that breaks off is no crash yet, since a
- * connection may be reset, or an endpoint fail one request.  It is one where
- * nobody listens at the endpoint's address afterwards, or another start of it.
+ * Requests that crash endpoints: detecting crashes, and refusing quarantined
+ * requests. An interrupted attempt alone is not a crash, since a connection may
+ * be reset, or an endpoint fail a single request. It counts as a crash if the
+ * endpoint's address then refuses connections, or another instance is running
+ * there.
  */
 #include "main/entry_call.h"
 
 #include <errno.h>
 
-/* A process that ends closes its connections and its listener in turn. */
+/*
+ * A process that exits closes its connections and its listening socket one
+ * after the other.
+ */
 #define PROBE_DELAY_MS	 60
 #define PROBE_TIMEOUT_MS 500
 
-/* Whether anybody listens where attempts broke off. */
+/* A connection attempt to an endpoint where an attempt was interrupted. */
 struct probe {
 	struct entry *e;
 	uint64_t instance_id;
@@ -28,14 +32,14 @@
 static const struct dl_httpc_ops probe_ops = { .ready = on_connected,
 					       .end = on_probed };
 
-/* Nothing is known yet. */
+/* Initializes the quarantine state. */
 void entry_quarantine_init(struct entry *e)
 {
 	quarantine_init(&e->quarantine);
 	e->probes = g_ptr_array_new_with_free_func(g_free);
 }
 
-/* A start has ended without a word that it leaves. */
+/* Records that an instance ended without announcing that it was leaving. */
 void entry_quarantine_instance_crashed(struct entry *e, uint64_t instance_id)
 {
 	int64_t now = entry_now(e);
@@ -65,7 +69,10 @@
 	g_ptr_array_add(e->probes, probe);
 }
 
-/* Somebody listens; a start that has already followed is heard of in time. */
+/*
+ * The endpoint accepts connections; a new instance there is detected by its
+ * announcement.
+ */
 static bool on_connected(void *arg)
 {
 	return false;
@@ -95,7 +102,7 @@
 	dl_httpc_start(probe->e->httpc, &req, &probe_ops, probe);
 }
 
-/* An attempt has ended, or is given up: note where it broke off. */
+/* Handles the end or abandonment of an attempt: records an interruption. */
 void entry_quarantine_attempt_ended(struct call *c,
 				    const struct dl_attempt *attempt,
 				    const struct dl_err *err)
@@ -119,7 +126,9 @@
 		schedule_probe(e, c->endpoint_instance_id, address);
 }
 
-/* An endpoint has answered the request whole: it is harmless. */
+/*
+ * Records that an endpoint answered the request completely, so it is harmless.
+ */
 void entry_quarantine_request_completed(struct call *c)
 {
 	const struct dl_quarantine *records = c->e->quarantine.records;
@@ -133,8 +142,8 @@
 }
 
 /*
- * Whether a request is held back; it is refused then.  For a request that takes
- * an engine down each time: with each of its runs all that run beside it break.
+ * Refuses a quarantined request; returns whether it did. A request that crashes
+ * an engine at each attempt also interrupts all requests that run beside it.
  */
 bool entry_quarantine_refuses(struct call *c)
 {
@@ -148,7 +157,7 @@
 	return true;
 }
 
-/* Those that wait for a place are refused as soon as it is known. */
+/* Refuses waiting requests as soon as their quarantine is known. */
 static void refuse_waiting(struct entry *e)
 {
 	struct call *c, *next;
@@ -160,7 +169,7 @@
 	}
 }
 
-/* A replica tells of crashes. */
+/* Handles crash reports of a replica. */
 void entry_quarantine_frame(struct entry *e, const struct dl_frame *f)
 {
 	quarantine_frame(&e->quarantine, f->body, false, entry_now(e));
@@ -177,7 +186,7 @@
 		dl_peers_send(e->node.peers, all[i], DL_FRAME_CRASHES, 0, body);
 }
 
-/* A VM is reached, for the first time or again: a replica is told all. */
+/* Handles a connection to a VM: a replica is sent all crash reports. */
 void entry_quarantine_vm_up(struct entry *e, uint64_t vm)
 {
 	const struct dl_member *m = dl_memb_find(e->node.memb, vm);
@@ -187,7 +196,10 @@
 				    entry_now(e));
 }
 
-/* Whether an endpoint may be connected to now; else a next start shows it. */
+/*
+ * Whether a probe may connect now. During a backoff it may not; a crash is then
+ * detected when another instance announces itself.
+ */
 static bool is_due(const struct probe *probe, int64_t now)
 {
 	char text[24];
@@ -199,7 +211,7 @@
 					   probe->instance_id);
 }
 
-/* Look after endpoints at which attempts broke off, and tell what is new. */
+/* Runs probes that are due, and sends new crash reports. */
 void entry_quarantine_tick(struct entry *e, int64_t now)
 {
 	for (guint i = 0; i < e->probes->len; i++) {
