--- a/src/main/entry_reach.c
+++ b/src/main/entry_reach.c
@@ -1,24 +1,29 @@
 /*
- * Which VMs do not answer this one.  Membership takes seconds to be sure that a
- * VM is gone, and is right to: one that is frozen for a moment must not lose
- * what it holds.  Dispatching cannot wait for it, and loses nothing by moving
- * for a moment.  So a VM whose connection broke, or that left an ask without an
- * answer, dispatches nothing in the eyes of this one for a while, and VMs that
- * see the same cut ask the same successor.
+ * VMs that do not respond to this one. Membership takes seconds to declare a VM
+ * dead, and must: one that is frozen for a moment must not lose what it holds.
+ * Dispatching cannot wait for that, and loses nothing by moving for a moment.
+ * This VM therefore treats a VM as not dispatching for a while if its
+ * connection was lost or an ask to it was not answered. VMs on the same side of
+ * a partition choose the same successor.
  */
 #include "base/msg.h"
 #include "main/entry.h"
 
 /*
- * A connection that stays silent is lost anew every two seconds, so that a VM
- * behind a cut stays out; one that came back is tried again after this.
+ * A silent connection is closed and reported as lost every two seconds, so that
+ * a VM behind a partition stays unreachable; a VM that has recovered is tried
+ * again after this time.
  */
 #define UNREACHABLE_MS 3000
-/* A word of it ends that sooner, but not at once: it may hear nothing itself.
+/*
+ * A frame from the VM ends this time early, but not before this: the VM may
+ * send without being able to receive.
  */
 #define UNREACHABLE_MIN_MS 1000
 
-/* A connection to a VM was lost, or an ask of it: nothing is asked of it now.
+/*
+ * Marks a VM as unreachable after its connection was lost or an ask to it was
+ * not answered.
  */
 void entry_reach_mark_unreachable(struct entry *e, uint64_t vm)
 {
@@ -45,7 +50,7 @@
 	return true;
 }
 
-/* A VM has sent something. */
+/* Handles a frame received from a VM. */
 void entry_reach_heard_from(struct entry *e, uint64_t vm)
 {
 	const int64_t *at = g_hash_table_lookup(e->unreachable_vms, &vm);
@@ -60,7 +65,7 @@
 				UNREACHABLE_MS);
 }
 
-/* Try again what was lost a while ago. */
+/* Retries VMs that have been marked as unreachable for long enough. */
 void entry_reach_tick(struct entry *e)
 {
 	g_hash_table_foreach_remove(e->unreachable_vms, clear_elapsed, e);
