--- a/src/main/entry_renew.c
+++ b/src/main/entry_renew.c
@@ -1,13 +1,13 @@
 /*
- * What is granted is held under a lease: renewed, and told to the VM that
- * dispatches now where that has changed.
+ * Leases of grants: renews them, and transfers a grant when another VM becomes
+ * the dispatcher.
  */
 #include "main/entry_call.h"
 
-/* Renewed three times a lease, so that one lost renewal costs nothing. */
+/* Three renewals per lease, so that a lost one does no harm. */
 #define RENEWALS_PER_LEASE 3
 
-/* Tell whoever dispatches now of a grant of another one. */
+/* Transfers a grant to the current dispatcher. */
 static void transfer_grant(struct call *c, uint64_t owner)
 {
 	struct entry *e = c->e;
@@ -41,7 +41,9 @@
 	}
 }
 
-/* A dispatcher does not know grants that we renewed: tell it again. */
+/*
+ * Transfers grants again that a dispatcher did not know when they were renewed.
+ */
 void entry_renew_gone(struct entry *e, uint64_t from, struct dl_str body)
 {
 	uint64_t grants[DL_RENEWED_MAX];
@@ -58,7 +60,7 @@
 	}
 }
 
-/* A lease begins anew: it is renewed again in a part of it. */
+/* Records a renewal and schedules the next one. */
 void call_note_renewed(struct call *c, int64_t now)
 {
 	c->renew_at = now + c->lease_ms / RENEWALS_PER_LEASE;
@@ -66,10 +68,10 @@
 }
 
 /*
- * Renew what is due, and with it every other grant of the same dispatcher and
- * service.  For a dispatcher of hundreds of grants: a frame for each was more
- * than half of all that it took; together they are one frame an entry and a
- * third of a lease.
+ * Renews a grant that is due together with all other grants of the same
+ * dispatcher and service. With one frame per grant, renewals were more than
+ * half of the frames that a dispatcher of hundreds of grants received; now each
+ * entry sends one frame every third of a lease.
  */
 static void renew_remote(struct call *due, int64_t now)
 {
@@ -101,7 +103,7 @@
 		transfer_grant(c, c->e->node.self);
 }
 
-/* Keep a grant: follow a dispatcher that has moved, renew what is due. */
+/* Keeps a grant: transfers it if the dispatcher changed, renews it if due. */
 void call_renew(struct call *c, uint64_t owner, int64_t now)
 {
 	if (owner != c->dispatcher && owner != DL_VM_NONE)
