--- a/src/main/entry_trace.c
+++ b/src/main/entry_trace.c
@@ -1,4 +1,4 @@
-/* What became of recent requests, hop by hop, and the counters as text. */
+/* Traces of recent requests: their outcomes and the time spent in each step. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -19,7 +19,7 @@
 	uint32_t spans_count;
 };
 
-/* Keep the trace of a request that has ended; the oldest one goes. */
+/* Stores the trace of a finished request, replacing the oldest one. */
 void entry_trace_add(struct entry *e, const struct call *c,
 		     enum dl_outcome outcome, uint16_t status)
 {
@@ -73,7 +73,7 @@
 	return o;
 }
 
-/* Recent requests, newest first; freed by the caller. */
+/* Returns recent traces as JSON, newest first; the caller frees the text. */
 char *entry_trace_json(const struct entry *e)
 {
 	json_t *root = json_object(), *list = json_array();
