--- a/src/main/quarantine.c
+++ b/src/main/quarantine.c
@@ -1,4 +1,4 @@
-/* Crashes under requests, told between entries and replicas; see the header. */
+/* Crash reports exchanged between entries and replicas; see the header. */
 #include "main/quarantine.h"
 
 #include "base/metric.h"
@@ -7,7 +7,6 @@
 
 #define EXPIRE_INTERVAL_MS 10000
 
-/* Nothing is known yet. */
 void quarantine_init(struct quarantine *q)
 {
 	q->records = dl_quarantine_new();
@@ -20,7 +19,10 @@
 		 dl_quarantine_count(q->records, now));
 }
 
-/* Take in a crash, and say where a request is held back from now on. */
+/*
+ * Merges a report; logs if a request is quarantined or released by it. Returns
+ * whether it was new.
+ */
 static bool merge(struct quarantine *q, const struct dl_crash *crash,
 		  int64_t now)
 {
@@ -42,7 +44,7 @@
 	return true;
 }
 
-/* Note a crash that was seen here. */
+/* Records a crash detected by this process, and logs it if it is new. */
 void quarantine_report_local(struct quarantine *q, const struct dl_crash *crash,
 			     int64_t now)
 {
@@ -56,7 +58,10 @@
 		       (unsigned long)crash->start, crash->age_ms);
 }
 
-/* Take in what was seen elsewhere, or before. */
+/*
+ * Merges a report from another VM or from disk. pass_on: forward it if it is
+ * new.
+ */
 void quarantine_merge_remote(struct quarantine *q, const struct dl_crash *crash,
 			     bool pass_on, int64_t now)
 {
@@ -64,7 +69,7 @@
 		g_array_append_val(q->unsent, *crash);
 }
 
-/* Take in what another VM tells. */
+/* Merges the reports of a received frame. */
 void quarantine_frame(struct quarantine *q, struct dl_str body, bool pass_on,
 		      int64_t now)
 {
@@ -94,7 +99,7 @@
 	}
 }
 
-/* Tell what is new. */
+/* Sends new reports, and periodically removes old ones. */
 void quarantine_flush(struct quarantine *q, int64_t now,
 		      void (*send)(void *arg, struct dl_str body), void *arg)
 {
@@ -126,7 +131,7 @@
 	dl_peers_send(to->peers, to->vm, DL_FRAME_CRASHES, 0, body);
 }
 
-/* Tell a VM that may have missed some all that is known. */
+/* Sends all reports to a VM that may have missed some. */
 void quarantine_send_all(struct quarantine *q, struct dl_peers *peers,
 			 uint64_t vm, int64_t now)
 {
