--- a/src/base/msg.h
+++ b/src/base/msg.h
@@ -16,7 +16,7 @@
 	X(REQUEST_TIMED_OUT, DL_WARN, "entry", "A request ran out of time.")   \
 	X(VM_UNREACHABLE, DL_WARN, "reach",                                    \
 	  "A VM does not answer here, others dispatch for it.")                \
-	X(VM_REACHABLE, DL_INFO, "reach", "A VM is asked again.")              \
+	X(VM_RETRIED, DL_INFO, "reach", "A VM is asked again.")                \
 	X(REQUEST_ENDED, DL_INFO, "call", "A request ended.")                  \
 	X(ENDPOINT_CRASHED, DL_WARN, "quarantine",                             \
 	  "An endpoint crashed under a request.")                              \
--- a/src/main/entry_reach.c
+++ b/src/main/entry_reach.c
@@ -45,7 +45,7 @@
 	if (entry_now(e) - at < after_ms)
 		return false;
 	dl_memb_set_unreachable(e->node.memb, vm, false);
-	dl_msg(DL_MSG_VM_REACHABLE, "vm=%lx after_ms=%ld", (unsigned long)vm,
+	dl_msg(DL_MSG_VM_RETRIED, "vm=%lx after_ms=%ld", (unsigned long)vm,
 	       (long)(entry_now(e) - at));
 	return true;
 }
