--- a/src/main/entry_ops.c
+++ b/src/main/entry_ops.c
@@ -11,12 +11,12 @@
 #include "main/entry.h"
 #include "protocol/api.h"
 
-#define APPLY_TIMEOUT_MS     8000
-#define QUERY_TIMEOUT_MS     1500
-#define STATUS_TIMEOUT_MS    600
-#define ANNOUNCED_MAX_AGE_MS 5000 /* after which a silent endpoint is omitted  \
-				   */
-#define DISPATCHERS_MAX 64	  /* whose pools are queried */
+#define APPLY_TIMEOUT_MS  8000
+#define QUERY_TIMEOUT_MS  1500
+#define STATUS_TIMEOUT_MS 600
+/* Silence after which an endpoint is omitted. */
+#define ANNOUNCED_MAX_AGE_MS 5000
+#define DISPATCHERS_MAX	     64 /* whose pools are queried */
 
 struct ops_request {
 	struct http_owner http_owner; /* first */
@@ -128,7 +128,7 @@
 	    (expect && !json_is_integer(expect))) {
 		json_decref(out->root);
 		return dl_err_set(err, -EINVAL, DL_STEP_READ, NULL,
-				  "text must be a string, expect a number");
+				  "text must be a string and expect a number");
 	}
 	out->text = get_str(out->root, "text");
 	out->change_id = get_str(out->root, "change_id");
