--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -246,7 +246,7 @@
 
 	if (s->http == DL_VM_NONE)
 		return dl_err_set(err, -EINVAL, DL_STEP_CHECK, NULL,
-				  "http is missing");
+				  "the setting http is missing");
 	rc = dl_httpc_open(e->node.loop, &e->httpc);
 	if (!rc && s->ready)
 		rc = open_listener(e, s->ready, LISTENER_READY, err);
