--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -1,4 +1,4 @@
-/* Start and stop of an entry, and which part each frame is for. */
+/* Starts and stops the entry and dispatches received frames to its parts. */
 #include "main/entry.h"
 
 #include <errno.h>
@@ -12,21 +12,23 @@
 #include "base/msg.h"
 #include "main/main.h"
 
-/* The longest prompt, four bytes a token, and its JSON escapes. */
+/* The longest prompt at four bytes a token, including JSON escapes. */
 #define BODY_MAX (16u << 20)
-/* A request must have arrived whole within this time. */
+/* Time limit for receiving a whole request. */
 #define READ_MS 10000
-/* Callers of the platform keep a connection for up to 12 s without a request.
- */
+/* Callers of the platform keep idle connections open for up to 12 s. */
 #define FOREIGN_IDLE_MS 15000
-/* A stop waits so long for the outcomes that are being recorded. */
-#define LAST_COMMANDS_MS 3000
-/* A balancer asks every second and believes the second answer; and a moment. */
-#define LINGER_MS 3500
-/* The last answers of a process that must end need so long to get away. */
+/* Longest wait at a stop for outcomes that are being recorded. */
+#define COMMANDS_WAIT_MS 3000
+/*
+ * The load balancer probes every second and acts on the second answer; the rest
+ * is a margin.
+ */
+#define LOAD_BALANCER_DELAY_MS 3500
+/* Time reserved to send the last responses before the process is killed. */
 #define STOP_MARGIN_MS 400
-/* How often the gauges that need a walk are set. */
-#define COUNT_EVERY_MS 500
+/* Interval of updating the gauges that need a scan. */
+#define GAUGES_INTERVAL_MS 500
 
 static void on_frame(void *arg, uint64_t from, const struct dl_frame *frame);
 static void on_up(void *arg, uint64_t vm);
@@ -52,7 +54,7 @@
 	.drained = on_drained,
 };
 
-/* The loop's time. */
+/* Time of the event loop. */
 int64_t entry_now(const struct entry *e)
 {
 	return dl_node_now(&e->node);
@@ -71,7 +73,7 @@
 {
 	struct entry *e = arg;
 
-	entry_reach_heard(e, from);
+	entry_reach_heard_from(e, from);
 	switch (frame->kind) {
 	case DL_FRAME_GRANT_REPLY:
 		on_answer(e, from, frame);
@@ -104,7 +106,7 @@
 
 static void on_up(void *arg, uint64_t vm)
 {
-	entry_quarantine_up(arg, vm);
+	entry_quarantine_vm_up(arg, vm);
 }
 
 static void on_down(void *arg, uint64_t vm)
@@ -126,7 +128,7 @@
 	entry_pool_member(e, member);
 }
 
-static void count_live(struct entry *e)
+static void update_live_vms(struct entry *e)
 {
 	const struct dl_member *m;
 	int64_t live = 0;
@@ -137,16 +139,17 @@
 }
 
 /*
- * Whether the balancer has had the time to hear that this VM stops: until then
- * callers still come, and their requests are served.
+ * Whether the load balancer has had time to notice that this VM is stopping.
+ * Until then callers still connect, and their requests are served.
  */
-static bool lingered(const struct entry *e, int64_t now)
+static bool load_balancer_informed(const struct entry *e, int64_t now)
 {
-	return !e->node.settings.foreign || now - e->stop_at >= LINGER_MS;
+	return !e->node.settings.foreign ||
+	       now - e->stop_at >= LOAD_BALANCER_DELAY_MS;
 }
 
-/* Whether the process is about to be ended from outside. */
-static bool out_of_time(const struct entry *e, int64_t now)
+/* Whether the process is about to be killed by its supervisor. */
+static bool stop_deadline_near(const struct entry *e, int64_t now)
 {
 	int64_t stop_ms = e->node.settings.stop_ms;
 
@@ -167,21 +170,22 @@
 	entry_lease_tick(e, now);
 	entry_quarantine_tick(e, now);
 	entry_limit_tick(e, now);
-	if (now - e->metrics_updated_at >= COUNT_EVERY_MS) {
+	if (now - e->metrics_updated_at >= GAUGES_INTERVAL_MS) {
 		e->metrics_updated_at = now;
-		count_live(e);
+		update_live_vms(e);
 	}
-	if (out_of_time(e, now))
+	if (stop_deadline_near(e, now))
 		entry_calls_abort(e);
-	if (e->node.stopping && !e->calls && lingered(e, now) &&
-	    (!e->cmds || now - e->stop_at > LAST_COMMANDS_MS))
+	if (e->node.stopping && !e->calls && load_balancer_informed(e, now) &&
+	    (!e->cmds || now - e->stop_at > COMMANDS_WAIT_MS))
 		dl_node_end(&e->node, DL_EXIT_OK);
 }
 
 /*
- * A planned stop: not ready at once, dispatching moves to others, what is in
- * flight goes on to its end or its deadline.  An interrupt meanwhile ends it
- * now, with each caller told.
+ * Starts a graceful stop: the VM reports that it is not ready, dispatching
+ * moves to other VMs, and requests in flight run until they end or reach their
+ * deadlines. An interrupt during the stop aborts them at once and sends each
+ * caller an error.
  */
 static void on_stop(void *arg, bool again)
 {
@@ -237,12 +241,12 @@
 static int start_http(struct entry *e, struct dl_err *err)
 {
 	const struct dl_settings *s = &e->node.settings;
-	unsigned rest = LISTENER_CALLERS;
+	unsigned main_uses = LISTENER_CALLERS;
 	int rc;
 
 	if (s->http == DL_VM_NONE)
 		return dl_err_set(err, -EINVAL, DL_STEP_CHECK, NULL,
-				  "http is missing");
+				  "the setting http is missing");
 	rc = dl_httpc_open(e->node.loop, &e->httpc);
 	if (!rc && s->ready)
 		rc = open_listener(e, s->ready, LISTENER_READY, err);
@@ -252,12 +256,12 @@
 	if (!rc && s->endpoints)
 		rc = open_listener(e, s->endpoints, LISTENER_ENDPOINTS, err);
 	else
-		rest |= LISTENER_ENDPOINTS;
+		main_uses |= LISTENER_ENDPOINTS;
 	if (!rc && s->operators)
 		rc = open_listener(e, s->operators, LISTENER_OPERATORS, err);
 	else
-		rest |= LISTENER_OPERATORS;
-	return rc ? rc : open_listener(e, s->http, rest, err);
+		main_uses |= LISTENER_OPERATORS;
+	return rc ? rc : open_listener(e, s->http, main_uses, err);
 }
 
 static int start(struct entry *e, const char *settings, struct dl_err *err)
@@ -266,7 +270,10 @@
 
 	if (rc)
 		return rc;
-	/* Before any thread parses: the hash of JSON objects is seeded once. */
+	/*
+	 * Jansson seeds its hash function once, which must happen before other
+	 * threads parse JSON.
+	 */
 	json_object_seed(0);
 	e->next_id = e->node.incarnation;
 	e->replica_heard_at = entry_now(e);
@@ -274,7 +281,7 @@
 	e->directory = dl_directory_new();
 	e->reports = dl_reports_new();
 	e->backoff = dl_backoff_new();
-	entry_quarantine_open(e);
+	entry_quarantine_init(e);
 	e->unreachable_vms = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						   g_free, g_free);
 	e->asks = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -284,7 +291,7 @@
 	return start_http(e, err);
 }
 
-/* daisyledge entry -c FILE */
+/* Runs the subcommand: daisyledge entry -c FILE */
 int dl_main_entry(int argc, char **argv)
 {
 	static struct entry e;
--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -23,7 +23,7 @@
  *   entry_pool.c       dispatching for the pools of this failure domain
  *   entry_announce.c   announcements of endpoints
  *   entry_reach.c      VMs that do not respond to this one
- *   entry_far.c        pools of other failure domains
+ *   entry_remote.c     pools of other failure domains
  *   entry_cmd.c        commands and queries to the replicas
  *   entry_conf.c       the configuration in force
  *   entry_ops.c        operators' HTTP API
@@ -67,9 +67,9 @@
 	GHashTable *announced;
 	struct dl_spill spill;
 	int64_t dispatching_since;
-	struct held_ask *held_asks; /* until endpoints have reported */
-	uint64_t limits_sent_to;    /* dispatcher that has the limits */
-	int64_t limit_seen_at;	    /* in a response, latest; 0: never */
+	struct deferred_ask *deferred_asks; /* until endpoints have reported */
+	uint64_t limits_sent_to;	    /* dispatcher that has the limits */
+	int64_t limit_seen_at; /* in a response, latest; 0: never */
 };
 
 /* What an endpoint announced that only the planner of orders uses. */
@@ -228,7 +228,7 @@
 	uint8_t tried_count;
 	struct dl_name tried_ids[3];
 	/* Number of the endpoint instance it was sent to; 0: unknown. */
-	uint64_t endpoint_start;
+	uint64_t endpoint_instance_id;
 	int64_t attempt_at, first_byte_at;
 	struct dl_sse sse;
 	bool sse_done, sse_bad;
@@ -295,19 +295,19 @@
 	struct dl_conf *conf;
 	char *conf_text;
 	size_t conf_text_n;
-	struct conf_reading *conf_reading; /* being parsed, in a thread */
-	struct conf_reading *conf_next;	   /* waiting to be parsed */
-	int64_t conf_read_not_before;	   /* earliest next parse, */
-	int64_t conf_waiting_since;	   /* unless conf_next waits too long */
-	int64_t conf_last_read_at;	   /* end of the last parse; 0: none */
-	char *conf_pushed; /* as received, to send to other VMs */
+	struct conf_parse *conf_parse; /* being parsed, in a thread */
+	struct conf_parse *conf_next;  /* waiting to be parsed */
+	int64_t conf_parse_not_before; /* earliest next parse, */
+	int64_t conf_waiting_since;    /* unless conf_next waits too long */
+	int64_t conf_last_parsed_at;   /* end of the last parse; 0: none */
+	char *conf_pushed;	       /* as received, to send to other VMs */
 	size_t conf_pushed_n;
 	uint64_t version;
 	int64_t conf_pulled_at;
 	int64_t replica_heard_at;
 
 	struct dl_lease lease;
-	bool lease_logged;
+	bool lease_logged_valid;
 	struct dl_directory *directory;
 	struct dl_reports *reports; /* forwarded by replicas */
 	struct dl_backoff *backoff; /* asked of this VM by endpoints */
@@ -392,41 +392,42 @@
 void entry_reservation_tick(struct entry *e, int64_t now);
 
 /* entry_quarantine.c */
-void entry_quarantine_open(struct entry *e);
-void entry_quarantine_crashed(struct entry *e, uint64_t start);
-void entry_quarantine_attempt(struct call *c, const struct dl_attempt *attempt,
-			      const struct dl_err *err);
-void entry_quarantine_answered(struct call *c);
+void entry_quarantine_init(struct entry *e);
+void entry_quarantine_instance_crashed(struct entry *e, uint64_t start);
+void entry_quarantine_attempt_ended(struct call *c,
+				    const struct dl_attempt *attempt,
+				    const struct dl_err *err);
+void entry_quarantine_request_completed(struct call *c);
 bool entry_quarantine_refuses(struct call *c);
 void entry_quarantine_frame(struct entry *e, const struct dl_frame *f);
-void entry_quarantine_up(struct entry *e, uint64_t vm);
+void entry_quarantine_vm_up(struct entry *e, uint64_t vm);
 void entry_quarantine_tick(struct entry *e, int64_t now);
 
 /* entry_limit.c */
-void entry_limit_named(struct call *c, uint32_t limit);
+void entry_limit_note_response(struct call *c, uint32_t limit);
 void entry_limit_frame(struct entry *e, uint64_t from,
 		       const struct dl_frame *frame);
 void entry_limit_tick(struct entry *e, int64_t now);
 
 /* entry_backoff.c */
-uint32_t entry_backoff_left_ms(const struct entry *e, struct dl_str address,
-			       uint64_t start);
-bool entry_backoff_named(const struct call *c, const struct dl_name *address,
-			 uint64_t start, uint16_t status,
-			 uint32_t retry_after_ms);
-void entry_backoff_add(struct call *c);
-bool entry_backoff_holds(const struct call *c);
-void entry_backoff_give_back(struct call *c);
+uint32_t entry_backoff_remaining_ms(const struct entry *e,
+				    struct dl_str address, uint64_t start);
+bool entry_backoff_note_response(const struct call *c,
+				 const struct dl_name *address, uint64_t start,
+				 uint16_t status, uint32_t retry_after_ms);
+void entry_backoff_add_to_release(struct call *c);
+bool entry_backoff_blocks_grant(const struct call *c);
+void entry_backoff_return_grant(struct call *c);
 
 /* entry_lease.c */
-bool entry_lease_holds(const struct entry *e);
+bool entry_lease_is_valid(const struct entry *e);
 bool entry_lease_ready(const struct entry *e);
-void entry_lease_version(struct entry *e);
+void entry_lease_version_applied(struct entry *e);
 void entry_lease_frame(struct entry *e, uint64_t from,
 		       const struct dl_frame *frame);
 void entry_lease_tick(struct entry *e, int64_t now);
 /* How long a request may wait for the replicas to confirm the version, ms. */
-uint32_t entry_lease_patience(const struct entry *e, uint32_t left_ms);
+uint32_t entry_lease_max_wait_ms(const struct entry *e, uint32_t left_ms);
 
 /* entry_try.c */
 void entry_try_start(struct call *c);
@@ -454,7 +455,7 @@
 void entry_pool_down(struct entry *e, uint64_t vm);
 void entry_pool_drain(struct entry *e, struct entry_pool *p,
 		      const struct dl_name *id);
-bool entry_pool_is_own(const struct entry *e, struct dl_str domain);
+bool entry_pool_is_local_domain(const struct entry *e, struct dl_str domain);
 void entry_pool_frame(struct entry *e, uint64_t from,
 		      const struct dl_frame *frame);
 void entry_pool_ask(struct entry *e, struct entry_pool *p,
@@ -467,32 +468,34 @@
 /* entry_announce.c */
 /* Number of the endpoint instance at an address, equal on all VMs; 0: unknown.
  */
-uint64_t entry_endpoint_start(struct entry *e, struct dl_str service,
-			      struct dl_str address);
-int entry_announce_take(struct entry *e, struct dl_announcement *a);
-void entry_announce_leaves(struct entry *e, struct dl_str address,
-			   struct dl_str instance, uint64_t dispatcher);
-void entry_announce_alive(struct entry *e, uint64_t from,
-			  const struct dl_frame *f);
-void entry_announce_words(struct entry *e, uint64_t from,
+uint64_t entry_endpoint_instance_id(struct entry *e, struct dl_str service,
+				    struct dl_str address);
+int entry_announce_receive(struct entry *e, struct dl_announcement *a);
+void entry_announce_endpoint_leaving(struct entry *e, struct dl_str address,
+				     struct dl_str instance,
+				     uint64_t dispatcher);
+void entry_announce_refresh(struct entry *e, uint64_t from,
+			    const struct dl_frame *f);
+void entry_announce_batch(struct entry *e, uint64_t from,
 			  const struct dl_frame *f);
 void entry_announce_frame(struct entry *e, uint64_t from,
 			  const struct dl_frame *f);
 
 /* entry_reach.c */
-void entry_reach_lost(struct entry *e, uint64_t vm);
-void entry_reach_heard(struct entry *e, uint64_t vm);
+void entry_reach_mark_unreachable(struct entry *e, uint64_t vm);
+void entry_reach_heard_from(struct entry *e, uint64_t vm);
 void entry_reach_tick(struct entry *e);
 
-/* entry_far.c */
-bool entry_far_fresh(const struct entry *e, const struct remote_pool *far,
-		     struct dl_str service);
-void entry_far_offer(struct entry *e, struct dl_str service,
-		     struct dl_answer_frame *f);
-void entry_far_frame(struct entry *e, uint64_t from, const struct dl_frame *f);
-void entry_far_tell(struct entry *e, const struct entry_pool *p,
-		    const struct dl_pool_summary *summary);
-void entry_far_down(struct entry *e, uint64_t vm);
+/* entry_remote.c */
+bool entry_remote_is_fresh(const struct entry *e, const struct remote_pool *far,
+			   struct dl_str service);
+void entry_remote_suggest(struct entry *e, struct dl_str service,
+			  struct dl_answer_frame *f);
+void entry_remote_frame(struct entry *e, uint64_t from,
+			const struct dl_frame *f);
+void entry_remote_send_summary(struct entry *e, const struct entry_pool *p,
+			       const struct dl_pool_summary *summary);
+void entry_remote_vm_down(struct entry *e, uint64_t vm);
 
 /* entry_cmd.c */
 uint64_t entry_cmd_send(struct entry *e, const struct dl_cstore_cmd *cmd,
@@ -500,13 +503,13 @@
 /* A query whose reply is JSON; done gets it in reply->outcome. */
 uint64_t entry_cmd_query(struct entry *e, uint64_t vm, struct dl_str question,
 			 uint32_t time_ms, struct entry_cmd_done done);
-void entry_cmd_forget(struct entry *e, uint64_t id);
-void entry_cmd_drop(struct entry *e, uint64_t id);
+void entry_cmd_detach(struct entry *e, uint64_t id);
+void entry_cmd_abandon(struct entry *e, uint64_t id);
 void entry_cmd_frame(struct entry *e, uint64_t from,
 		     const struct dl_frame *frame);
 void entry_cmd_tick(struct entry *e, int64_t now);
 /* Choose a replica to contact as the leader. */
-void entry_cmd_leader(struct entry *e);
+void entry_cmd_choose_leader(struct entry *e);
 /* Most members of the replica group, including those joining or leaving. */
 #define ENTRY_REPLICAS_MAX 16
 /* List the known replicas; returns how many. */
@@ -517,7 +520,7 @@
 void entry_conf_frame(struct entry *e, uint64_t from,
 		      const struct dl_frame *frame);
 void entry_conf_member(struct entry *e, const struct dl_member *m);
-void entry_conf_shown(struct entry *e, uint64_t version, uint64_t vm);
+void entry_conf_version_seen(struct entry *e, uint64_t version, uint64_t vm);
 void entry_conf_tick(struct entry *e, int64_t now);
 
 /* entry_ops.c */
--- a/src/main/entry_announce.c
+++ b/src/main/entry_announce.c
@@ -1,6 +1,7 @@
 /*
- * Endpoints announce themselves to any VM of their failure domain: what they
- * say is kept here and passed on to the dispatcher of their pool.
+ * Announcements of endpoints. An endpoint announces itself to any VM of its
+ * failure domain; that VM stores the report and forwards it to the dispatcher
+ * of the endpoint's pool.
  */
 #include <errno.h>
 #include <string.h>
@@ -10,18 +11,19 @@
 
 #define MS_PER_S 1000
 
-/* The number of a start whose endpoints' starts have names. */
-static uint64_t named_start(const struct dl_directory_entry *d)
+/* The id of an instance that announces an instance name. */
+static uint64_t named_instance_id(const struct dl_directory_entry *d)
 {
 	return dl_hash(dl_name_str(&d->instance), d->born);
 }
 
 /*
- * The number of the start that runs at an address; 0 where none is known, or it
- * leaves, and what it breaks off then is no crash.
+ * Returns the id of the endpoint instance at an address. 0 if no instance is
+ * known, or if it is leaving: requests that it interrupts then do not count as
+ * crashes.
  */
-uint64_t entry_endpoint_start(struct entry *e, struct dl_str service,
-			      struct dl_str address)
+uint64_t entry_endpoint_instance_id(struct entry *e, struct dl_str service,
+				    struct dl_str address)
 {
 	const struct dl_directory_entry *d =
 		dl_directory_find(e->directory, address);
@@ -29,25 +31,26 @@
 	const struct announced_endpoint *a;
 
 	if (d)
-		return d->leaving ? 0 : named_start(d);
+		return d->leaving ? 0 : named_instance_id(d);
 	p = entry_pool_find(e, service);
 	a = p ? g_hash_table_lookup(p->announced, address.s) : NULL;
 	return a && !a->leaving ? dl_hash(address, a->incarnation) : 0;
 }
 
 /*
- * Note what was announced.  Leaving is final for an incarnation: announcements
- * come through any VM, and an older one may arrive last.
+ * Records an announcement. Leaving is final for an instance: announcements are
+ * forwarded by any VM, and an older one may arrive last.
  */
-static void remember(struct entry *e, struct entry_pool *p,
-		     struct dl_announcement *a)
+static void record_announcement(struct entry *e, struct entry_pool *p,
+				struct dl_announcement *a)
 {
 	struct announced_endpoint *n =
 		g_hash_table_lookup(p->announced, a->report.id.s);
 	struct dl_str id = dl_name_str(&a->report.id);
 
 	if (n && n->incarnation != a->report.incarnation && !n->leaving)
-		entry_quarantine_crashed(e, dl_hash(id, n->incarnation));
+		entry_quarantine_instance_crashed(e,
+						  dl_hash(id, n->incarnation));
 	if (n && n->incarnation == a->report.incarnation && n->leaving)
 		a->report.leaving = true;
 	if (!n) {
@@ -63,12 +66,12 @@
 	n->role = a->role;
 }
 
-static void report_here(struct entry *e, struct entry_pool *p,
-			struct dl_announcement *a)
+static void apply_report(struct entry *e, struct entry_pool *p,
+			 struct dl_announcement *a)
 {
 	int rc;
 
-	remember(e, p, a);
+	record_announcement(e, p, a);
 	rc = dl_pool_report(p->pool, &a->report, entry_now(e));
 	if (rc)
 		dl_msg(DL_MSG_ENDPOINT_REFUSED,
@@ -83,22 +86,24 @@
 }
 
 /*
- * Whether an announcement is of a service that there is.  Another writer's may
- * name any: it must not take the address of an endpoint that is in use.  Before
- * the first configuration all are taken in.
+ * Whether the announced service is configured. An announcement of another
+ * system may name any service, and must not replace an endpoint that is in use
+ * at its address. Before the first configuration, all services are accepted.
  */
-static bool knows_service(struct entry *e, const struct dl_announcement *a)
+static bool service_is_configured(struct entry *e,
+				  const struct dl_announcement *a)
 {
 	if (!a->service.n || !e->conf ||
 	    dl_conf_service(e->conf, dl_name_str(&a->service)))
 		return true;
-	dl_msg(DL_MSG_ENDPOINT_UNKNOWN, "endpoint=%s instance=%s service=%s",
+	dl_msg(DL_MSG_SERVICE_UNKNOWN, "endpoint=%s instance=%s service=%s",
 	       a->report.id.s, a->instance.s, a->service.s);
 	return false;
 }
 
-/* An endpoint has started again at another address: nobody is at this one. */
-static void forget_earlier(struct entry *e, const struct dl_directory_entry *d)
+/* Removes an endpoint at its previous address after it restarted at another. */
+static void remove_previous_address(struct entry *e,
+				    const struct dl_directory_entry *d)
 {
 	struct entry_pool *p = entry_pool_find(e, dl_name_str(&d->service));
 
@@ -108,31 +113,32 @@
 }
 
 /*
- * Find out which start of an endpoint an announcement is of, where its starts
- * have names; false where it tells nothing new of one that is known.  One that
- * only leaves names no address: it is completed from what is known.
+ * Determines which instance an announcement belongs to, for endpoints that
+ * announce instance names. Returns false if it belongs to a superseded or
+ * unknown instance. An announcement that only reports leaving has no address,
+ * and is completed from the directory.
  */
-static bool place_instance(struct entry *e, struct dl_announcement *a)
+static bool resolve_instance(struct entry *e, struct dl_announcement *a)
 {
-	const struct dl_directory_entry *d, *left;
-	uint64_t before = entry_endpoint_start(e, dl_name_str(&a->service),
-					       dl_name_str(&a->report.id));
-	enum dl_directory_result heard = dl_node_apply_announcement(
-		e->directory, a, entry_now(e), &d, &left);
+	const struct dl_directory_entry *d, *superseded;
+	uint64_t previous_id = entry_endpoint_instance_id(
+		e, dl_name_str(&a->service), dl_name_str(&a->report.id));
+	enum dl_directory_result result = dl_node_apply_announcement(
+		e->directory, a, entry_now(e), &d, &superseded);
 
-	if (heard == DL_DIRECTORY_STALE)
+	if (result == DL_DIRECTORY_STALE)
 		return false;
-	if (heard == DL_DIRECTORY_NEW)
-		entry_quarantine_crashed(e, before);
-	if (left)
-		forget_earlier(e, left);
+	if (result == DL_DIRECTORY_NEW)
+		entry_quarantine_instance_crashed(e, previous_id);
+	if (superseded)
+		remove_previous_address(e, superseded);
 	dl_node_fill_announcement(a, d);
 	a->report.incarnation = d->incarnation;
 	return true;
 }
 
-/* What the operators publish of a service's engines goes for each of them. */
-static void add_engine(struct entry *e, struct dl_announcement *a)
+/* Adds the published engine settings of the service to an endpoint's report. */
+static void add_engine_settings(struct entry *e, struct dl_announcement *a)
 {
 	const struct dl_service_conf *s =
 		e->conf ? dl_conf_service(e->conf, dl_name_str(&a->service)) :
@@ -148,52 +154,53 @@
 	a->report.takes_groups = true;
 }
 
-/* Take in an announcement that another VM passed on. */
-static void take_passed(struct entry *e, struct dl_announcement *a)
+/* Applies an announcement forwarded by another VM. */
+static void apply_forwarded(struct entry *e, struct dl_announcement *a)
 {
 	struct entry_pool *p;
 
-	if (a->instance.n && (!knows_service(e, a) || !place_instance(e, a)))
+	if (a->instance.n &&
+	    (!service_is_configured(e, a) || !resolve_instance(e, a)))
 		return;
 	p = entry_pool_find(e, dl_name_str(&a->service));
 	if (!p)
 		return;
-	add_engine(e, a);
-	report_here(e, p, a);
+	add_engine_settings(e, a);
+	apply_report(e, p, a);
 }
 
 /*
- * The words of a start with a name are kept: that it says the same is told by
- * their key.
+ * Handles the text of a report. Reports with an instance name are cached, so
+ * that VMs can later refresh them by key alone.
  */
-static void take_words(void *arg, struct dl_str words)
+static void handle_report(void *arg, struct dl_str text)
 {
 	struct entry *e = arg;
 	struct dl_announcement a;
 	uint64_t key;
 
-	if (dl_report_read(words, &a))
+	if (dl_report_read(text, &a))
 		return;
 	if (a.instance.n && a.report.leaving)
 		dl_reports_remove(e->reports, dl_name_str(&a.instance));
 	else if (a.instance.n)
-		dl_reports_add(e->reports, dl_name_str(&a.instance), words,
+		dl_reports_add(e->reports, dl_name_str(&a.instance), text,
 			       entry_now(e), &key);
-	take_passed(e, &a);
+	apply_forwarded(e, &a);
 }
 
-/* An announcement that another VM passed on. */
+/* Handles an announcement forwarded by another VM. */
 void entry_announce_frame(struct entry *e, uint64_t from,
 			  const struct dl_frame *f)
 {
-	take_words(e, f->body);
+	handle_report(e, f->body);
 }
 
-/* Those of many endpoints, passed on together. */
-void entry_announce_words(struct entry *e, uint64_t from,
+/* Handles a batch of forwarded announcements. */
+void entry_announce_batch(struct entry *e, uint64_t from,
 			  const struct dl_frame *f)
 {
-	int rc = dl_report_batch_read(f->body, take_words, e);
+	int rc = dl_report_batch_read(f->body, handle_report, e);
 
 	if (rc)
 		dl_msg(DL_MSG_ENDPOINT_REFUSED, "from=%lx bytes=%zu error=%d",
@@ -201,13 +208,15 @@
 }
 
 /*
- * A start of an endpoint says in an answer that it leaves.  It may not have
- * been able to announce it, or the announcement is late: this VM goes by it at
- * once, and sends it to the dispatcher that granted it and to the replicas.  An
- * announcement without an address means just that, and is final like any other.
+ * Handles a response in which an endpoint instance reports that it is leaving.
+ * Its announcement may be late, or the endpoint may have been unable to send
+ * one: this VM applies it at once, and sends it to the dispatcher that granted
+ * the endpoint and to the replicas. An announcement without an address only
+ * reports leaving, and is final like any other.
  */
-void entry_announce_leaves(struct entry *e, struct dl_str address,
-			   struct dl_str instance, uint64_t dispatcher)
+void entry_announce_endpoint_leaving(struct entry *e, struct dl_str address,
+				     struct dl_str instance,
+				     uint64_t dispatcher)
 {
 	const struct dl_directory_entry *d =
 		dl_directory_find(e->directory, address);
@@ -218,12 +227,12 @@
 
 	if (!d || d->leaving || !dl_name_eq(&d->instance, instance))
 		return;
-	dl_msg(DL_MSG_ENDPOINT_SAYS_LEAVING, "endpoint=%s instance=%s",
+	dl_msg(DL_MSG_ENDPOINT_LEAVING_REPLY, "endpoint=%s instance=%s",
 	       d->address.s, d->instance.s);
 	a.instance = d->instance;
 	a.born = d->born;
 	dl_report_pack(&pk, &a);
-	take_words(e, dl_packer_bytes(&pk));
+	handle_report(e, dl_packer_bytes(&pk));
 	n = entry_cmd_replicas(e, to);
 	if (dispatcher != e->node.self)
 		to[n++] = dispatcher;
@@ -233,9 +242,12 @@
 	dl_packer_close(&pk);
 }
 
-/* Endpoints say what they said before: their keys, in place of their words. */
-void entry_announce_alive(struct entry *e, uint64_t from,
-			  const struct dl_frame *f)
+/*
+ * Refreshes reports that have not changed, given their keys. Asks the sender
+ * for the full text of those that are not cached here.
+ */
+void entry_announce_refresh(struct entry *e, uint64_t from,
+			    const struct dl_frame *f)
 {
 	uint64_t keys[DL_ID_LIST_MAX];
 	uint32_t count, unknown = 0;
@@ -245,12 +257,12 @@
 	if (dl_id_list_read(f->body, &none, keys, &count))
 		return;
 	for (uint32_t i = 0; i < count; i++) {
-		struct dl_str words = dl_reports_find(e->reports, keys[i]);
+		struct dl_str text = dl_reports_find(e->reports, keys[i]);
 		struct dl_announcement a;
 
 		dl_reports_refresh(e->reports, keys[i], entry_now(e));
-		if (words.n && dl_report_read(words, &a) == 0)
-			take_passed(e, &a);
+		if (text.n && dl_report_read(text, &a) == 0)
+			apply_forwarded(e, &a);
 		else
 			keys[unknown++] = keys[i];
 	}
@@ -263,13 +275,12 @@
 }
 
 /*
- * Pass an announcement on to the VMs of a failure domain that stop, where none
- * dispatches there any more; returns how many there are.  What waits with them
- * they place themselves, and without announcements they take the endpoints for
- * gone.
+ * Forwards an announcement to the stopping VMs of a failure domain where no VM
+ * dispatches any more; returns how many there are. They place their remaining
+ * requests themselves, and would remove the endpoints if announcements stopped.
  */
-static uint32_t send_to_stopping(struct entry *e, struct dl_str domain,
-				 struct dl_str body)
+static uint32_t forward_to_stopping(struct entry *e, struct dl_str domain,
+				    struct dl_str body)
 {
 	const struct dl_member *m;
 	uint32_t n = 0;
@@ -287,15 +298,16 @@
 }
 
 /*
- * An endpoint has announced itself here: keep it where the pool is ours, and
- * pass it on to the pool's dispatcher.  -ENOENT: no such service;
- * -EHOSTUNREACH: no VM of its failure domain is known here.
+ * Handles an announcement that an endpoint sent to this VM: stores it if the
+ * pool is of this failure domain, and forwards it to the pool's dispatcher.
+ * Returns -ENOENT if the service is unknown, -EHOSTUNREACH if no VM of the
+ * endpoint's failure domain is known.
  */
-int entry_announce_take(struct entry *e, struct dl_announcement *a)
+int entry_announce_receive(struct entry *e, struct dl_announcement *a)
 {
 	struct dl_str service = dl_name_str(&a->service);
-	struct dl_name said = a->report.failure_domain;
-	struct dl_str domain = dl_name_str(&said);
+	struct dl_name announced_domain = a->report.failure_domain;
+	struct dl_str domain = dl_name_str(&announced_domain);
 	struct entry_pool *p = entry_pool_find(e, service);
 	struct dl_packer pk;
 	uint64_t owner;
@@ -306,19 +318,19 @@
 	if (domain.n == 0 || e->node.settings.region.n)
 		domain =
 			dl_name_str(dl_settings_pool_domain(&e->node.settings));
-	/* Where a pool is of one failure domain it says nothing. */
+	/* Pools do not span failure domains then: the field tells nothing. */
 	if (!e->node.settings.region.n)
 		dl_name_set(&a->report.failure_domain, DL_STR(""));
 	owner = entry_pool_owner(e, service, domain);
-	if (entry_pool_is_own(e, domain))
-		report_here(e, p, a);
+	if (entry_pool_is_local_domain(e, domain))
+		apply_report(e, p, a);
 	if (owner == e->node.self)
 		return 0;
 	dl_report_pack(&pk, a);
 	if (owner != DL_VM_NONE)
 		dl_peers_send(e->node.peers, owner, DL_FRAME_REPORT, 0,
 			      dl_packer_bytes(&pk));
-	else if (!send_to_stopping(e, domain, dl_packer_bytes(&pk)))
+	else if (!forward_to_stopping(e, domain, dl_packer_bytes(&pk)))
 		rc = -EHOSTUNREACH;
 	dl_packer_close(&pk);
 	return rc;
--- a/src/main/entry_backoff.c
+++ b/src/main/entry_backoff.c
@@ -1,61 +1,65 @@
 /*
- * Endpoints that turn requests away and ask this VM to wait: it backs off from
- * them until the time that they named is over, whoever granted them.  The
- * release of a grant carries this to the dispatcher, which then grants the
- * endpoint to other VMs only; one that has just taken over learns it from the
- * grants that come back unused.
+ * Backoff from endpoints that refuse requests with a Retry-After time. This VM
+ * sends an endpoint no requests until that time has passed, whichever
+ * dispatcher grants it. The release of a grant reports the backoff to the
+ * dispatcher, which then grants the endpoint only to other VMs; a dispatcher
+ * that has just taken over learns of it from grants that are returned unused.
  */
 #include "base/metric.h"
 #include "base/msg.h"
 #include "main/entry_call.h"
 
 /*
- * The shortest backoff: with less, one request could come back to the endpoint
- * with each of its tries.
+ * Shortest backoff. If it were shorter, each retry of one request could reach
+ * the same endpoint.
  */
-#define LEAST_MS 100
-/* The loop's time is that of its turn, and may be behind the endpoint's. */
-#define TURN_MS 20
+#define BACKOFF_MIN_MS 100
 /*
- * Grants that one request gives back unused.  A dispatcher that has just taken
- * over may offer each endpoint that another one had learnt to leave out.
+ * The loop's time is updated once per iteration, and may lag behind the
+ * endpoint's clock.
  */
-#define UNUSED_MAX	   16
-#define STATUS_TURNED_AWAY 503
+#define LOOP_LAG_MS 20
+/*
+ * Grants that one request may return unused. A dispatcher that has just taken
+ * over may grant every endpoint that the previous one had learnt to avoid.
+ */
+#define UNUSED_GRANTS_MAX  16
+#define STATUS_UNAVAILABLE 503
 
 /*
- * How much longer this VM backs off from an endpoint, ms; 0: not at all.
- * start: as entry_endpoint_start() numbers it; one that was not known when the
- * endpoint asked may be any.
+ * Returns the remaining backoff of this VM from an endpoint in ms, 0 for none.
+ * instance_id is from entry_endpoint_instance_id(). If the instance was unknown
+ * when the endpoint asked for the backoff, the backoff holds for any instance.
  */
-uint32_t entry_backoff_left_ms(const struct entry *e, struct dl_str address,
-			       uint64_t start)
+uint32_t entry_backoff_remaining_ms(const struct entry *e,
+				    struct dl_str address, uint64_t instance_id)
 {
 	int64_t now = entry_now(e);
-	uint32_t any =
+	uint32_t any_ms =
 		dl_backoff_remaining_ms(e->backoff, dl_hash(address, 0), now);
-	uint32_t its = dl_backoff_remaining_ms(e->backoff,
-					       dl_hash(address, start), now);
+	uint32_t instance_ms = dl_backoff_remaining_ms(
+		e->backoff, dl_hash(address, instance_id), now);
 
-	return MAX(any, its);
+	return MAX(any_ms, instance_ms);
 }
 
 /*
- * A start of an endpoint has answered a request with a status and named a time
- * after which to come back; 0: none.  True where it turned the request away for
- * that time.
+ * Handles a response of an endpoint instance. retry_after_ms is 0 if the
+ * response names no time. Returns whether the endpoint refused the request and
+ * asked this VM to back off.
  */
-bool entry_backoff_named(const struct call *c, const struct dl_name *address,
-			 uint64_t start, uint16_t status,
-			 uint32_t retry_after_ms)
+bool entry_backoff_note_response(const struct call *c,
+				 const struct dl_name *address,
+				 uint64_t instance_id, uint16_t status,
+				 uint32_t retry_after_ms)
 {
 	struct entry *e = c->e;
-	uint64_t key = dl_hash(dl_name_str(address), start);
+	uint64_t key = dl_hash(dl_name_str(address), instance_id);
 	int64_t now = entry_now(e), until;
 
-	if (status != STATUS_TURNED_AWAY || !retry_after_ms)
+	if (status != STATUS_UNAVAILABLE || !retry_after_ms)
 		return false;
-	until = now + MAX(retry_after_ms, LEAST_MS) + TURN_MS;
+	until = now + MAX(retry_after_ms, BACKOFF_MIN_MS) + LOOP_LAG_MS;
 	if (dl_backoff_set(e->backoff, key, until, now)) {
 		dl_count(DL_METRIC_backoffs_total, 1);
 		dl_msg(DL_MSG_BACKOFF,
@@ -65,9 +69,11 @@
 	return true;
 }
 
-/* The first endpoint of a grant that this VM backs off from, or NULL. */
-static const struct dl_name *first_backed_off(const struct call *c,
-					      uint32_t *left_ms)
+/*
+ * Returns the first endpoint of a grant that this VM backs off from, or NULL.
+ */
+static const struct dl_name *find_backed_off_endpoint(const struct call *c,
+						      uint32_t *remaining_ms)
 {
 	struct dl_str service = dl_name_str(&c->service);
 
@@ -76,46 +82,50 @@
 	for (uint8_t i = 0; i < c->grant.endpoints; i++) {
 		const struct dl_name *name = &c->grant.endpoint[i];
 		struct dl_str address = dl_name_str(name);
-		uint64_t start = entry_endpoint_start(c->e, service, address);
+		uint64_t instance_id =
+			entry_endpoint_instance_id(c->e, service, address);
 
-		*left_ms = entry_backoff_left_ms(c->e, address, start);
-		if (*left_ms)
+		*remaining_ms =
+			entry_backoff_remaining_ms(c->e, address, instance_id);
+		if (*remaining_ms)
 			return name;
 	}
 	return NULL;
 }
 
-/* Add to the release of a grant which of its endpoints to back off from. */
-void entry_backoff_add(struct call *c)
+/* Adds the endpoint that this VM backs off from to the release of a grant. */
+void entry_backoff_add_to_release(struct call *c)
 {
-	uint32_t left_ms;
-	const struct dl_name *address = first_backed_off(c, &left_ms);
+	uint32_t remaining_ms;
+	const struct dl_name *address =
+		find_backed_off_endpoint(c, &remaining_ms);
 
 	if (!address)
 		return;
 	c->usage.backoff_endpoint = *address;
-	c->usage.backoff_ms = left_ms;
+	c->usage.backoff_ms = remaining_ms;
 }
 
-/* Whether a grant cannot be used now, as this VM backs off from its endpoint.
+/*
+ * Whether a grant cannot be used because this VM backs off from its endpoint.
  */
-bool entry_backoff_holds(const struct call *c)
+bool entry_backoff_blocks_grant(const struct call *c)
 {
-	uint32_t left_ms;
+	uint32_t remaining_ms;
 
-	return first_backed_off(c, &left_ms) != NULL;
+	return find_backed_off_endpoint(c, &remaining_ms) != NULL;
 }
 
-/* Give a grant back that cannot be used, and ask for another place. */
-void entry_backoff_give_back(struct call *c)
+/* Returns a grant that cannot be used, and asks for another. */
+void entry_backoff_return_grant(struct call *c)
 {
-	entry_backoff_add(c);
+	entry_backoff_add_to_release(c);
 	dl_count(DL_METRIC_grants_unused, 1);
 	dl_msg(DL_MSG_GRANT_UNUSED,
 	       "request=%s endpoint=%s left_ms=%u dispatcher=%lx unused=%u",
 	       c->id_text, c->usage.backoff_endpoint.s, c->usage.backoff_ms,
 	       (unsigned long)c->dispatcher, c->grants_unused);
-	if (++c->grants_unused > UNUSED_MAX) {
+	if (++c->grants_unused > UNUSED_GRANTS_MAX) {
 		entry_call_refuse(c, DL_REASON_BACKOFF, DL_STEP_PLACE,
 				  c->e->node.self, c->usage.backoff_ms);
 		return;
--- a/src/main/entry_call.c
+++ b/src/main/entry_call.c
@@ -49,9 +49,9 @@
 	dl_gauge(DL_METRIC_streams_open, e->calls_count);
 	dl_gauge(DL_METRIC_buffered_bytes, (int64_t)e->buffered);
 	if (c->claim_cmd)
-		entry_cmd_forget(e, c->claim_cmd);
+		entry_cmd_detach(e, c->claim_cmd);
 	if (c->outcome_cmd)
-		entry_cmd_forget(e, c->outcome_cmd);
+		entry_cmd_detach(e, c->outcome_cmd);
 	dl_sse_close(&c->sse);
 	if (c->parse_job)
 		call_parse_forget(c->parse_job);
@@ -151,7 +151,7 @@
 	if (outcome == DL_OUTCOME_NOT_RUN && c->may_have_run)
 		outcome = DL_OUTCOME_UNKNOWN;
 	if (outcome == DL_OUTCOME_DONE || outcome == DL_OUTCOME_FAILED)
-		entry_quarantine_answered(c);
+		entry_quarantine_request_completed(c);
 	c->outcome = outcome;
 	c->status = status;
 	count_outcome(outcome);
@@ -332,7 +332,7 @@
 	if (c->attempt)
 		a = dl_httpc_progress(c->attempt);
 	a.failure = DL_FAILURE_CALLER_GONE;
-	entry_quarantine_attempt(c, &a, NULL);
+	entry_quarantine_attempt_ended(c, &a, NULL);
 	outcome = dl_call_outcome(&a);
 	c->usage.ran = a.sent != DL_SENT_NOTHING;
 	call_settle(c, outcome, 499);
@@ -376,7 +376,8 @@
 		return;
 	}
 	dl_count(DL_METRIC_requests_late, 1);
-	dl_msg(DL_MSG_ENTRY_LATE, "request=%s state=%d", c->id_text, c->state);
+	dl_msg(DL_MSG_REQUEST_TIMED_OUT, "request=%s state=%d", c->id_text,
+	       c->state);
 	if (c->state != CALL_RUNNING) {
 		entry_call_refuse(c, DL_REASON_DEADLINE,
 				  step_of_state(c->state), c->dispatcher,
@@ -386,7 +387,7 @@
 	if (c->attempt)
 		a = dl_httpc_progress(c->attempt);
 	a.failure = DL_FAILURE_DEADLINE;
-	entry_quarantine_attempt(c, &a, NULL);
+	entry_quarantine_attempt_ended(c, &a, NULL);
 	outcome = dl_call_outcome(&a);
 	c->usage.ran = a.sent != DL_SENT_NOTHING;
 	dl_err_set(&err, -ETIMEDOUT, DL_STEP_BODY, c->grant.endpoint[0].s,
--- a/src/main/entry_cmd.c
+++ b/src/main/entry_cmd.c
@@ -1,7 +1,8 @@
 /*
- * Commands and questions to other processes: sent to the best guess, followed
- * where it points, sent again to the next one when nothing comes back.  Every
- * command may be carried out twice without harm, by its change id or owner.
+ * Commands and queries to other processes. A request is sent to the VM that
+ * most likely leads the replicas, follows its redirects, and is sent to the
+ * next replica if no reply arrives. Every command is idempotent, by its change
+ * id or owner.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -10,25 +11,28 @@
 #include "main/entry.h"
 #include "protocol/cmd.h"
 
-/* A leader answers after one round and two syncs; later it is gone. */
+/*
+ * A leader replies after one round trip and two disk syncs; later it has
+ * failed.
+ */
 #define RESEND_MS 500
-/* Redirected again at once only so often: elections take a moment. */
-#define REDIRECT_MS 60
+/* Delay after a reply that names no leader: an election takes a moment. */
+#define REDIRECT_DELAY_MS 60
 
 struct entry_cmd {
 	struct entry_cmd *next;
 	uint64_t id;
-	uint64_t vm; /* a question's only addressee, else DL_VM_NONE */
+	uint64_t vm; /* only recipient of a query, else DL_VM_NONE */
 	uint32_t kind;
 	char *body;
 	size_t n;
 	int64_t deadline;
 	int64_t send_at;
-	bool redirected; /* send_at is for the leader that was named */
+	bool redirected; /* send_at is for the leader that a reply named */
 	struct entry_cmd_done done;
 };
 
-static bool holds_vm(const uint64_t *vms, uint32_t n, uint64_t vm)
+static bool contains_vm(const uint64_t *vms, uint32_t n, uint64_t vm)
 {
 	for (uint32_t i = 0; i < n; i++) {
 		if (vms[i] == vm)
@@ -38,10 +42,11 @@
 }
 
 /*
- * The replicas: as the operators list them; else those that live now, since a
- * group that repairs itself moves to other VMs; else those of the settings.
+ * Lists the replicas: those configured by the operators; else those alive,
+ * since a group that repairs itself moves to other VMs; else those of the
+ * settings.
  */
-static uint32_t replicas(const struct entry *e, uint64_t *out)
+static uint32_t list_replicas(const struct entry *e, uint64_t *out)
 {
 	const struct dl_member *m;
 	uint32_t n = 0;
@@ -64,41 +69,41 @@
 }
 
 /*
- * All that may be replicas, also those that membership takes for gone: behind a
- * cut that has just healed it does so for another second.
+ * Lists every VM that may be a replica, including those that membership
+ * considers dead: it still does so for a second after a partition has healed.
  */
 uint32_t entry_cmd_replicas(const struct entry *e, uint64_t *out)
 {
 	const struct dl_member *m;
-	uint32_t n = replicas(e, out);
+	uint32_t n = list_replicas(e, out);
 
 	for (uint32_t i = 0; (m = dl_memb_at(e->node.memb, i)); i++) {
 		if (m->replica && n < ENTRY_REPLICAS_MAX &&
-		    !holds_vm(out, n, m->vm))
+		    !contains_vm(out, n, m->vm))
 			out[n++] = m->vm;
 	}
 	for (uint32_t i = 0; i < e->node.settings.replicas_count; i++) {
 		uint64_t vm = e->node.settings.replicas[i];
 
-		if (n < ENTRY_REPLICAS_MAX && !holds_vm(out, n, vm))
+		if (n < ENTRY_REPLICAS_MAX && !contains_vm(out, n, vm))
 			out[n++] = vm;
 	}
 	return n;
 }
 
-/* Whether an address is one of the replicas known. */
+/* Whether a VM is one of the known replicas. */
 bool entry_cmd_is_replica(struct entry *e, uint64_t vm)
 {
 	uint64_t all[ENTRY_REPLICAS_MAX];
-	uint32_t n = replicas(e, all);
+	uint32_t n = list_replicas(e, all);
 
-	return holds_vm(all, n, vm);
+	return contains_vm(all, n, vm);
 }
 
 static uint64_t next_replica(struct entry *e)
 {
 	uint64_t all[ENTRY_REPLICAS_MAX];
-	uint32_t n = replicas(e, all);
+	uint32_t n = list_replicas(e, all);
 
 	if (n == 0)
 		return DL_VM_NONE;
@@ -106,14 +111,14 @@
 	return all[e->next_replica % n];
 }
 
-/* Have a guess at who leads, where there is none. */
-void entry_cmd_leader(struct entry *e)
+/* Chooses a replica as the presumed leader if there is none. */
+void entry_cmd_choose_leader(struct entry *e)
 {
 	if (e->leader == DL_VM_NONE)
 		e->leader = next_replica(e);
 }
 
-static void send_now(struct entry *e, struct entry_cmd *cmd)
+static void send_cmd(struct entry *e, struct entry_cmd *cmd)
 {
 	uint64_t to = cmd->vm;
 
@@ -129,8 +134,8 @@
 			      (struct dl_str){ cmd->body, cmd->n });
 }
 
-static struct entry_cmd *add(struct entry *e, uint32_t kind, uint32_t time_ms,
-			     struct entry_cmd_done done)
+static struct entry_cmd *new_cmd(struct entry *e, uint32_t kind,
+				 uint32_t time_ms, struct entry_cmd_done done)
 {
 	struct entry_cmd *cmd = g_new0(struct entry_cmd, 1);
 
@@ -143,31 +148,31 @@
 	return cmd;
 }
 
-/* Send a command to the leading replica; returns its id. */
+/* Sends a command to the leading replica; returns the id of the command. */
 uint64_t entry_cmd_send(struct entry *e, const struct dl_cstore_cmd *c,
 			uint32_t time_ms, struct entry_cmd_done done)
 {
-	struct entry_cmd *cmd = add(e, DL_FRAME_CMD, time_ms, done);
+	struct entry_cmd *cmd = new_cmd(e, DL_FRAME_CMD, time_ms, done);
 
 	if (dl_cstore_encode(c, &cmd->body, &cmd->n))
-		cmd->deadline = 0; /* ends at the next tick */
+		cmd->deadline = 0; /* fails at the next tick */
 	else
-		send_now(e, cmd);
+		send_cmd(e, cmd);
 	return cmd->id;
 }
 
-/* Ask one VM, or any replica where vm is DL_VM_NONE. */
+/* Queries one VM, or any replica if vm is DL_VM_NONE. */
 uint64_t entry_cmd_query(struct entry *e, uint64_t vm, struct dl_str question,
 			 uint32_t time_ms, struct entry_cmd_done done)
 {
-	struct entry_cmd *cmd = add(e, DL_FRAME_QUERY, time_ms, done);
+	struct entry_cmd *cmd = new_cmd(e, DL_FRAME_QUERY, time_ms, done);
 
 	cmd->vm = vm;
 	cmd->body = malloc(question.n);
 	if (cmd->body)
 		memcpy(cmd->body, question.s, question.n);
 	cmd->n = cmd->body ? question.n : 0;
-	send_now(e, cmd);
+	send_cmd(e, cmd);
 	return cmd->id;
 }
 
@@ -192,8 +197,8 @@
 	g_free(cmd);
 }
 
-/* Whoever waits is gone; the command itself goes on to its end. */
-void entry_cmd_forget(struct entry *e, uint64_t id)
+/* Removes the callback of a command; the command itself continues. */
+void entry_cmd_detach(struct entry *e, uint64_t id)
 {
 	struct entry_cmd **at = find(e, id);
 
@@ -201,8 +206,11 @@
 		(*at)->done.done = NULL;
 }
 
-/* Try it no longer; what was sent may still be carried out. */
-void entry_cmd_drop(struct entry *e, uint64_t id)
+/*
+ * Removes a command without calling its callback. It may still be executed if
+ * it has been sent.
+ */
+void entry_cmd_abandon(struct entry *e, uint64_t id)
 {
 	struct entry_cmd **at = find(e, id);
 	struct entry_cmd *cmd = *at;
@@ -227,8 +235,8 @@
 				    leader :
 				    next_replica(e);
 		(*at)->redirected = true;
-		(*at)->send_at =
-			entry_now(e) + (leader == DL_VM_NONE ? REDIRECT_MS : 0);
+		(*at)->send_at = entry_now(e) +
+				 (leader == DL_VM_NONE ? REDIRECT_DELAY_MS : 0);
 		return;
 	}
 	e->leader = from;
@@ -246,7 +254,7 @@
 	finish(e, at, &reply);
 }
 
-/* A reply, from whomever; matched by id. */
+/* Handles a reply from any VM; it is matched to its command by id. */
 void entry_cmd_frame(struct entry *e, uint64_t from,
 		     const struct dl_frame *frame)
 {
@@ -257,7 +265,7 @@
 		on_query_reply(e, frame);
 }
 
-static struct entry_cmd **first_late(struct entry *e, int64_t now)
+static struct entry_cmd **first_expired(struct entry *e, int64_t now)
 {
 	struct entry_cmd **at = &e->cmds;
 
@@ -266,22 +274,23 @@
 	return at;
 }
 
-/* Send again what got no answer; end what ran out of time. */
+/* Sends commands without a reply again, and fails those past their deadline. */
 void entry_cmd_tick(struct entry *e, int64_t now)
 {
-	struct dl_cstore_reply late = { .code = DL_ENOQUORUM };
+	struct dl_cstore_reply timeout = { .code = DL_ENOQUORUM };
 	struct entry_cmd **at;
 	struct entry_cmd *cmd;
 
-	g_strlcpy(late.text, "no replica answered in time", sizeof(late.text));
-	/* finish() may add commands: look from the start each time. */
-	while (*(at = first_late(e, now)))
-		finish(e, at, &late);
+	g_strlcpy(timeout.text, "no replica answered in time",
+		  sizeof(timeout.text));
+	/* finish() may add commands: search from the start each time. */
+	while (*(at = first_expired(e, now)))
+		finish(e, at, &timeout);
 	for (cmd = e->cmds; cmd; cmd = cmd->next) {
 		if (now < cmd->send_at)
 			continue;
 		if (cmd->vm == DL_VM_NONE && !cmd->redirected)
 			e->leader = next_replica(e);
-		send_now(e, cmd);
+		send_cmd(e, cmd);
 	}
 }
--- a/src/main/entry_grant.c
+++ b/src/main/entry_grant.c
@@ -35,7 +35,7 @@
 
 static bool own_domain(const struct call *c)
 {
-	return entry_pool_is_own(c->e, dl_name_str(&c->domain));
+	return entry_pool_is_local_domain(c->e, dl_name_str(&c->domain));
 }
 
 static void fill_ask(struct call *c)
@@ -222,7 +222,7 @@
 	if (!c->granted)
 		return;
 	c->granted = false;
-	entry_backoff_add(c);
+	entry_backoff_add_to_release(c);
 	if (c->dispatcher == e->node.self) {
 		p = entry_pool_find(e, service_of(c));
 		if (p)
@@ -254,8 +254,8 @@
 	c->state = CALL_RUNNING;
 	if (entry_quarantine_refuses(c))
 		return;
-	if (entry_backoff_holds(c)) {
-		entry_backoff_give_back(c);
+	if (entry_backoff_blocks_grant(c)) {
+		entry_backoff_return_grant(c);
 		return;
 	}
 	if (c->routed)
@@ -492,7 +492,7 @@
 	if (c->state != CALL_ASKING && c->state != CALL_QUEUED)
 		return;
 	if (ask_timed_out(c, now)) {
-		entry_reach_lost(c->e, c->dispatcher);
+		entry_reach_mark_unreachable(c->e, c->dispatcher);
 		c->asks_lost++;
 		entry_grant_cancel(c);
 		ask_again(c);
--- a/src/main/entry_lease.c
+++ b/src/main/entry_lease.c
@@ -1,21 +1,21 @@
 /*
- * Whether this VM may still trust its configuration: it asks the leading
- * replica again and again which version is in force, and coordination/lease.c
- * says how far the answer carries.  A VM that is cut off, or was suspended,
- * lets no key pass once its lease is over: the key may have been taken away.
+ * Whether the configuration of this VM is current. The VM repeatedly asks the
+ * leading replica which version is in force; coordination/lease.c computes how
+ * long an answer is valid. A VM that is partitioned, or was suspended, accepts
+ * no API key once its lease has expired: the key may have been revoked.
  */
 #include "base/msg.h"
 #include "main/entry.h"
 #include "protocol/pack.h"
 
-static void note(struct entry *e)
+static void log_validity_change(struct entry *e)
 {
-	bool holds = entry_lease_holds(e);
+	bool holds = entry_lease_is_valid(e);
 
-	if (holds == e->lease_logged)
+	if (holds == e->lease_logged_valid)
 		return;
-	e->lease_logged = holds;
-	dl_msg(holds ? DL_MSG_LEASE_HELD : DL_MSG_LEASE_LOST,
+	e->lease_logged_valid = holds;
+	dl_msg(holds ? DL_MSG_LEASE_VALID : DL_MSG_LEASE_EXPIRED,
 	       "version=%lu age_ms=%ld leader=%lx", (unsigned long)e->version,
 	       (long)dl_lease_age(&e->lease, dl_node_boot_ms()),
 	       (unsigned long)e->leader);
@@ -23,8 +23,8 @@
 		entry_route_resume(e);
 }
 
-/* Whether what is in force here may decide about requests with keys. */
-bool entry_lease_holds(const struct entry *e)
+/* Whether requests with API keys may be decided by the local configuration. */
+bool entry_lease_is_valid(const struct entry *e)
 {
 	if (!e->node.settings.foreign)
 		return true;
@@ -33,7 +33,7 @@
 				 dl_node_boot_ms());
 }
 
-/* Whether new callers should come here. */
+/* Whether this VM is ready for new callers. */
 bool entry_lease_ready(const struct entry *e)
 {
 	if (!e->node.settings.foreign)
@@ -43,21 +43,23 @@
 			      dl_node_boot_ms());
 }
 
-/* A version was put in force. */
-void entry_lease_version(struct entry *e)
+/* Records that a version was put in force. */
+void entry_lease_version_applied(struct entry *e)
 {
 	dl_lease_version_applied(&e->lease, e->version);
-	note(e);
+	log_validity_change(e);
 }
 
-/* How long a request without a word of the group may wait for one. */
-uint32_t entry_lease_patience(const struct entry *e, uint32_t left_ms)
+/*
+ * Returns how long a request may wait for a replica to confirm the version, ms.
+ */
+uint32_t entry_lease_max_wait_ms(const struct entry *e, uint32_t left_ms)
 {
 	return dl_lease_max_wait_ms(&e->lease, e->started_at,
 				    e->replica_heard_at, left_ms, entry_now(e));
 }
 
-/* A replica's word. */
+/* Handles a replica's answer. */
 void entry_lease_frame(struct entry *e, uint64_t from,
 		       const struct dl_frame *frame)
 {
@@ -78,11 +80,11 @@
 	e->leader = dl_lease_handle_answer(&e->lease, &a, e->version,
 					   dl_node_boot_ms());
 	if (a.confirmed)
-		entry_conf_shown(e, a.version, from);
-	note(e);
+		entry_conf_version_seen(e, a.version, from);
+	log_validity_change(e);
 }
 
-static void ask(struct entry *e, uint64_t replica)
+static void send_request(struct entry *e, uint64_t replica)
 {
 	struct dl_packer pk;
 
@@ -94,8 +96,10 @@
 }
 
 /*
- * Ask again, and another replica where the last one did not answer.  Without a
- * word all are asked: whichever comes to lead answers as soon as it is sure.
+ * Requests a renewal when it is due, and changes to another replica if the last
+ * one did not answer in time. Without a valid lease all replicas are asked,
+ * since whichever becomes the leader answers as soon as it can confirm the
+ * version.
  */
 void entry_lease_tick(struct entry *e, int64_t now)
 {
@@ -106,20 +110,20 @@
 	    !dl_lease_renewal_due(&e->lease, e->node.settings.key_lease_ms,
 				  dl_node_boot_ms()))
 		return;
-	note(e);
+	log_validity_change(e);
 	if (dl_lease_timed_out(&e->lease, dl_node_boot_ms())) {
 		dl_lease_replica_changed(&e->lease);
 		e->leader = DL_VM_NONE;
 	}
-	entry_cmd_leader(e);
+	entry_cmd_choose_leader(e);
 	if (e->leader == DL_VM_NONE)
 		return;
 	dl_lease_request_sent(&e->lease, dl_node_boot_ms());
 	if (entry_lease_ready(e)) {
-		ask(e, e->leader);
+		send_request(e, e->leader);
 		return;
 	}
 	n = entry_cmd_replicas(e, all);
 	for (uint32_t i = 0; i < n; i++)
-		ask(e, all[i]);
+		send_request(e, all[i]);
 }
--- a/src/main/entry_limit.c
+++ b/src/main/entry_limit.c
@@ -1,26 +1,27 @@
 /*
- * Limits that endpoints name in their answers, on requests from all VMs: each
- * entry tells the dispatcher what it reads, and a new dispatcher what it has
- * read of late.
+ * Request rate limits that endpoints announce in their responses and that apply
+ * to the requests of all VMs together. Each entry reports the limits that it
+ * receives to the dispatcher; when another VM becomes the dispatcher, the entry
+ * reports recent limits to it.
  */
 #include "base/msg.h"
 #include "main/entry.h"
 
 /*
- * What was named before is not told to a new dispatcher: an endpoint that still
- * has a limit gets a request in this time, and names it again.
+ * Older limits are not reported to a new dispatcher: an endpoint that still has
+ * a limit receives a request within this time, and announces the limit again.
  */
-#define RECENT_MS 10000
+#define LIMIT_MAX_AGE_MS 10000
 
-/* Take in a limit where the pool is kept here; one that changes is logged. */
-static void note(struct entry *e, struct entry_pool *p,
-		 const struct dl_limit_frame *f, uint64_t from)
+/* Applies a limit to a pool kept here; logs changes. */
+static void apply_limit(struct entry *e, struct entry_pool *p,
+			const struct dl_limit_frame *f, uint64_t from)
 {
 	struct dl_str address = dl_name_str(&f->endpoint);
 
-	/* It may be of a start that another one has followed. */
+	/* It may come from an instance that another has replaced. */
 	if (f->start !=
-	    entry_endpoint_start(e, dl_name_str(&f->service), address))
+	    entry_endpoint_instance_id(e, dl_name_str(&f->service), address))
 		return;
 	if (f->limit != DL_UNLIMITED)
 		p->limit_seen_at = entry_now(e);
@@ -28,17 +29,17 @@
 					entry_now(e)))
 		return;
 	if (f->limit == DL_UNLIMITED)
-		dl_msg(DL_MSG_LIMIT_OVER, "endpoint=%s from=%lx leading=%d",
+		dl_msg(DL_MSG_LIMIT_LIFTED, "endpoint=%s from=%lx leading=%d",
 		       address.s, (unsigned long)from, p->dispatching);
 	else
-		dl_msg(DL_MSG_LIMIT_NAMED,
+		dl_msg(DL_MSG_LIMIT_ANNOUNCED,
 		       "endpoint=%s limit_per_1000s=%u from=%lx leading=%d",
 		       address.s, f->limit, (unsigned long)from,
 		       p->dispatching);
 }
 
-static void tell(struct entry *e, uint64_t dispatcher,
-		 const struct dl_limit_frame *f)
+static void send_limit(struct entry *e, uint64_t dispatcher,
+		       const struct dl_limit_frame *f)
 {
 	struct dl_packer pk;
 
@@ -48,25 +49,25 @@
 	dl_packer_close(&pk);
 }
 
-/* The head of an answer has come, which names a limit or none. */
-void entry_limit_named(struct call *c, uint32_t limit)
+/* Handles the head of a response, which announces a limit or none. */
+void entry_limit_note_response(struct call *c, uint32_t limit)
 {
 	struct dl_limit_frame f = { .service = c->service,
 				    .endpoint = c->grant.endpoint[0],
-				    .start = c->endpoint_start,
+				    .start = c->endpoint_instance_id,
 				    .limit = limit };
 	struct entry *e = c->e;
 	struct entry_pool *p = entry_pool_find(e, dl_name_str(&c->service));
 
-	if (p && entry_pool_is_own(e, dl_name_str(&c->domain)))
-		note(e, p, &f, e->node.self);
+	if (p && entry_pool_is_local_domain(e, dl_name_str(&c->domain)))
+		apply_limit(e, p, &f, e->node.self);
 	if ((limit == DL_UNLIMITED && !c->grant.limited) ||
 	    c->dispatcher == e->node.self)
 		return;
-	tell(e, c->dispatcher, &f);
+	send_limit(e, c->dispatcher, &f);
 }
 
-/* Another entry tells what an endpoint of a pool here named. */
+/* Handles a limit that another entry received from an endpoint. */
 void entry_limit_frame(struct entry *e, uint64_t from,
 		       const struct dl_frame *frame)
 {
@@ -81,14 +82,16 @@
 	}
 	p = entry_pool_find(e, dl_name_str(&f.service));
 	if (p)
-		note(e, p, &f, from);
+		apply_limit(e, p, &f, from);
 }
 
 /*
- * A dispatcher that takes over knows the limits that its own answers showed.
- * Without the others' an endpoint in need would look free to it.
+ * Reports recent limits to a VM that has become the dispatcher. It knows those
+ * of the responses that it received itself; without the others, a rate-limited
+ * endpoint would look idle to it.
  */
-static void tell_successor(struct entry *e, struct entry_pool *p, int64_t now)
+static void inform_new_dispatcher(struct entry *e, struct entry_pool *p,
+				  int64_t now)
 {
 	struct dl_str domain =
 		dl_name_str(dl_settings_pool_domain(&e->node.settings));
@@ -97,24 +100,24 @@
 	uint64_t owner;
 	uint32_t at = 0;
 
-	if (!p->limit_seen_at || now - p->limit_seen_at > RECENT_MS)
+	if (!p->limit_seen_at || now - p->limit_seen_at > LIMIT_MAX_AGE_MS)
 		return;
 	owner = entry_pool_owner(e, service, domain);
 	if (owner == p->limits_sent_to || owner == DL_VM_NONE)
 		return;
 	p->limits_sent_to = owner;
 	while (owner != e->node.self &&
-	       dl_pool_endpoint_limit_next(p->pool, &at, now - RECENT_MS,
+	       dl_pool_endpoint_limit_next(p->pool, &at, now - LIMIT_MAX_AGE_MS,
 					   &f.endpoint, &f.limit)) {
-		f.start = entry_endpoint_start(e, service,
-					       dl_name_str(&f.endpoint));
-		tell(e, owner, &f);
+		f.start = entry_endpoint_instance_id(e, service,
+						     dl_name_str(&f.endpoint));
+		send_limit(e, owner, &f);
 	}
 }
 
-/* Tell each dispatcher that has taken over what is known here. */
+/* Reports recent limits to each new dispatcher. */
 void entry_limit_tick(struct entry *e, int64_t now)
 {
 	for (struct entry_pool *p = e->pools; p; p = p->next)
-		tell_successor(e, p, now);
+		inform_new_dispatcher(e, p, now);
 }
--- a/src/main/entry_pool.c
+++ b/src/main/entry_pool.c
@@ -1,7 +1,7 @@
 /*
- * Dispatching: the pools of this failure domain.  Every VM of the domain
- * keeps them, so that the one that must take over knows the endpoints; the
- * one that rendezvous hashing names leads.
+ * Dispatching for the pools of this failure domain. Every VM of the domain
+ * keeps the pools, so that any of them can take over with the endpoints known;
+ * the one selected by rendezvous hashing dispatches.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -11,14 +11,14 @@
 #include "base/msg.h"
 #include "main/entry.h"
 
-/* Often enough that a spill sees the backlog of the last second. */
-#define SUMMARY_EVERY_MS 500
-/* Every endpoint announces itself within this time, and a margin. */
-#define KNOW_ENDPOINTS_MS 1500
-/* What an endpoint said is kept so long after it said it last. */
-#define FORGET_REPORTS_MS 30000
-/* How long a report is good where it came by chance. */
-#define KEPT_REPORT_MS 1500
+/* Frequent enough for spilling to use a backlog at most a second old. */
+#define SUMMARY_INTERVAL_MS 500
+/* Every endpoint announces itself within this time, including a margin. */
+#define ENDPOINTS_WAIT_MS 1500
+/* How long the last report of an endpoint is cached. */
+#define REPORTS_KEPT_MS 30000
+/* How long a report is valid in a pool that another VM dispatches. */
+#define STANDBY_REPORT_GONE_MS 1500
 
 static void on_ask(struct entry *e, uint64_t from, const struct dl_frame *f);
 static void on_cancel(struct entry *e, uint64_t from, const struct dl_frame *f);
@@ -28,11 +28,11 @@
 		       const struct dl_frame *f);
 static void on_adopt(struct entry *e, uint64_t from, const struct dl_frame *f);
 
-/* An ask that waits until a new dispatcher knows its endpoints. */
-struct held_ask {
-	struct held_ask *next;
+/* An ask deferred until a new dispatcher knows its endpoints. */
+struct deferred_ask {
+	struct deferred_ask *next;
 	struct dl_ask_frame frame;
-	struct dl_name workspace; /* what the frame's view points at */
+	struct dl_name workspace; /* that the string in frame points to */
 };
 
 struct frame_handler {
@@ -48,14 +48,14 @@
 	{ DL_FRAME_RELEASE, on_release },
 	{ DL_FRAME_FIRST_EVENT, on_first },
 	{ DL_FRAME_REPORT, entry_announce_frame },
-	{ DL_FRAME_REPORTS, entry_announce_words },
-	{ DL_FRAME_UNCHANGED, entry_announce_alive },
-	{ DL_FRAME_SUMMARY, entry_far_frame },
+	{ DL_FRAME_REPORTS, entry_announce_batch },
+	{ DL_FRAME_UNCHANGED, entry_announce_refresh },
+	{ DL_FRAME_SUMMARY, entry_remote_frame },
 	{ DL_FRAME_ADOPT, on_adopt },
 	{ DL_FRAME_LIMIT, entry_limit_frame },
 };
 
-/* The pool of a service in this failure domain; NULL where unknown. */
+/* Returns the pool of a service in this failure domain, or NULL. */
 struct entry_pool *entry_pool_find(struct entry *e, struct dl_str service)
 {
 	struct entry_pool *p;
@@ -67,27 +67,26 @@
 	return NULL;
 }
 
-/* The VM that dispatches for a service in a failure domain. */
+/* Returns the VM that dispatches for a service in a failure domain. */
 uint64_t entry_pool_owner(struct entry *e, struct dl_str service,
 			  struct dl_str domain)
 {
 	return dl_memb_owner(e->node.memb, domain, dl_hash(service, 0));
 }
 
-/* Whether the VMs that dispatch together with this one are those of a domain.
- */
-bool entry_pool_is_own(const struct entry *e, struct dl_str domain)
+/* Whether a domain is the one whose VMs dispatch together with this VM. */
+bool entry_pool_is_local_domain(const struct entry *e, struct dl_str domain)
 {
 	return dl_name_eq(dl_settings_pool_domain(&e->node.settings), domain);
 }
 
 /*
- * A pool that another VM dispatches is kept from the announcements that happen
- * to reach this VM, not from all: a report is good for a period and a half
- * there, so that an endpoint that has said elsewhere that it leaves is not
- * placed on from here for seconds.
+ * Configures a pool. A pool that another VM dispatches receives only the
+ * announcements that happen to reach this VM. Its reports expire after one and
+ * a half announcement periods, so that this VM does not place requests for
+ * seconds on an endpoint that has announced elsewhere that it is leaving.
  */
-static void put_conf(struct entry *e, struct entry_pool *p)
+static void configure_pool(struct entry *e, struct entry_pool *p)
 {
 	const struct dl_service_conf *s =
 		dl_conf_service(e->conf, dl_name_str(&p->service));
@@ -98,30 +97,30 @@
 	conf = s->pool;
 	conf.shared_report_path = e->node.settings.foreign;
 	if (!p->dispatching && !e->node.settings.foreign &&
-	    conf.report_gone_ms > KEPT_REPORT_MS)
-		conf.report_gone_ms = KEPT_REPORT_MS;
+	    conf.report_gone_ms > STANDBY_REPORT_GONE_MS)
+		conf.report_gone_ms = STANDBY_REPORT_GONE_MS;
 	dl_pool_configure(p->pool, &conf);
 }
 
-static void update_leading(struct entry *e, struct entry_pool *p)
+static void update_dispatching(struct entry *e, struct entry_pool *p)
 {
 	struct dl_str domain =
 		dl_name_str(dl_settings_pool_domain(&e->node.settings));
 	uint64_t owner = entry_pool_owner(e, dl_name_str(&p->service), domain);
-	bool leading = owner == e->node.self;
+	bool dispatching = owner == e->node.self;
 
-	if (leading && !p->dispatching) {
+	if (dispatching && !p->dispatching) {
 		p->dispatching_since = entry_now(e);
 		dl_msg(DL_MSG_POOL_DISPATCHING, "service=%s", p->service.s);
 		dl_pool_start_dispatching(p->pool, entry_now(e));
 	}
-	if (leading == p->dispatching)
+	if (dispatching == p->dispatching)
 		return;
-	p->dispatching = leading;
-	put_conf(e, p);
+	p->dispatching = dispatching;
+	configure_pool(e, p);
 }
 
-/* Put the operators' drain of one endpoint in force, or lift it. */
+/* Applies or lifts the operators' drain of one endpoint. */
 void entry_pool_drain(struct entry *e, struct entry_pool *p,
 		      const struct dl_name *id)
 {
@@ -169,9 +168,10 @@
 	return p;
 }
 
-static bool drop_held(struct entry_pool *p, uint64_t entry, uint64_t request)
+static bool remove_deferred_ask(struct entry_pool *p, uint64_t entry,
+				uint64_t request)
 {
-	struct held_ask **at = &p->held_asks, *h;
+	struct deferred_ask **at = &p->deferred_asks, *h;
 
 	while ((h = *at) &&
 	       (h->frame.ask.request != request || h->frame.ask.entry != entry))
@@ -183,7 +183,7 @@
 	return true;
 }
 
-static void remove_unlisted(struct entry *e)
+static void remove_unconfigured(struct entry *e)
 {
 	struct entry_pool **at = &e->pools;
 
@@ -195,21 +195,22 @@
 			continue;
 		}
 		*at = p->next;
-		while (p->held_asks)
-			drop_held(p, p->held_asks->frame.ask.entry,
-				  p->held_asks->frame.ask.request);
+		while (p->deferred_asks)
+			remove_deferred_ask(
+				p, p->deferred_asks->frame.ask.entry,
+				p->deferred_asks->frame.ask.request);
 		dl_pool_free(p->pool);
 		g_hash_table_destroy(p->announced);
 		free(p);
 	}
 }
 
-/* Put the configuration in force for every pool. */
+/* Applies the configuration to every pool. */
 void entry_pool_configure(struct entry *e)
 {
 	const struct dl_conf *conf = e->conf;
 
-	remove_unlisted(e);
+	remove_unconfigured(e);
 	for (uint32_t i = 0; i < conf->services_count; i++) {
 		const struct dl_service_conf *s = &conf->services[i];
 		struct entry_pool *p =
@@ -219,16 +220,16 @@
 			p = pool_add(e, s);
 		if (!p)
 			continue;
-		put_conf(e, p);
+		configure_pool(e, p);
 		for (uint32_t k = 0; k < conf->workspaces_count; k++)
 			dl_pool_set_workspace(p->pool,
 					      &conf->workspaces[k].limits);
 		drain_endpoints(e, p);
-		update_leading(e, p);
+		update_dispatching(e, p);
 	}
 }
 
-static void answer_to(struct entry *e, const struct dl_answer_frame *f)
+static void deliver_answer(struct entry *e, const struct dl_answer_frame *f)
 {
 	struct dl_packer pk;
 
@@ -247,32 +248,33 @@
 {
 	struct dl_answer_frame f = { .service = p->service, .answer = *answer };
 
-	entry_far_offer(e, dl_name_str(&p->service), &f);
+	entry_remote_suggest(e, dl_name_str(&p->service), &f);
 	if (answer->verdict == DL_GRANTED)
 		dl_count(DL_METRIC_grants_total, 1);
-	answer_to(e, &f);
+	deliver_answer(e, &f);
 }
 
 /*
- * Whether a request goes to another failure domain's pool, which is much
- * better off.  Decided here and not by each entry: the one dispatcher sees all
- * of its domain's requests, so the share that leaves is one share.
+ * Redirects a request to another failure domain's pool if that has much less
+ * load; returns whether it did. The dispatcher decides this and not each entry,
+ * since it sees all requests of its domain and can keep to one share of them.
  */
-static bool send_away(struct entry *e, struct entry_pool *p,
-		      const struct dl_ask *ask)
+static bool redirect_to_remote(struct entry *e, struct entry_pool *p,
+			       const struct dl_ask *ask)
 {
 	struct dl_answer_frame f = { .service = p->service, .spill_count = 1 };
 	struct dl_pool_summary own, others[DL_SPILL_MAX];
 	const struct dl_name *domains[DL_SPILL_MAX];
-	const struct remote_pool *far;
+	const struct remote_pool *remote;
 	uint32_t n = 0;
 	int to;
 
-	for (far = e->remote_pools; far && n < DL_SPILL_MAX; far = far->next) {
-		if (!entry_far_fresh(e, far, dl_name_str(&p->service)))
+	for (remote = e->remote_pools; remote && n < DL_SPILL_MAX;
+	     remote = remote->next) {
+		if (!entry_remote_is_fresh(e, remote, dl_name_str(&p->service)))
 			continue;
-		domains[n] = &far->domain;
-		others[n++] = far->summary;
+		domains[n] = &remote->domain;
+		others[n++] = remote->summary;
 	}
 	dl_pool_summarize(p->pool, entry_now(e), &own);
 	to = dl_pool_spill(&p->spill, &own, others, n, ask, entry_now(e));
@@ -283,11 +285,11 @@
 	f.answer.verdict = DL_REFUSED;
 	f.answer.reason = DL_REASON_NONE;
 	f.spill[0] = *domains[to];
-	answer_to(e, &f);
+	deliver_answer(e, &f);
 	return true;
 }
 
-static bool knows_endpoints(struct entry *e, struct entry_pool *p)
+static bool has_endpoints(struct entry *e, struct entry_pool *p)
 {
 	struct dl_pool_summary s;
 
@@ -295,43 +297,44 @@
 	return s.endpoints > 0;
 }
 
-/* A dispatcher that has just taken over and has heard no endpoint yet. */
-static bool knows_nobody(struct entry *e, struct entry_pool *p)
+/* Whether a dispatcher has just taken over and knows no endpoint yet. */
+static bool awaits_endpoints(struct entry *e, struct entry_pool *p)
 {
-	return entry_now(e) - p->dispatching_since <= KNOW_ENDPOINTS_MS &&
-	       !knows_endpoints(e, p);
+	return entry_now(e) - p->dispatching_since <= ENDPOINTS_WAIT_MS &&
+	       !has_endpoints(e, p);
 }
 
 /*
- * For the second after a VM that dispatched has died: its successor may have
- * heard none of the endpoints, and a refusal for want of them would be wrong
- * while they serve.  Held asks are bounded by the time they are held.
+ * Defers an ask. For about a second after a dispatcher has failed, its
+ * successor may not have heard of any endpoint, and refusing requests for lack
+ * of endpoints would be wrong as they still serve. The number of deferred asks
+ * is limited by the short time.
  */
-static void hold(struct entry *e, struct entry_pool *p,
-		 const struct dl_ask_frame *f)
+static void defer_ask(struct entry *e, struct entry_pool *p,
+		      const struct dl_ask_frame *f)
 {
-	struct held_ask *h = g_new0(struct held_ask, 1);
+	struct deferred_ask *h = g_new0(struct deferred_ask, 1);
 	struct dl_answer_frame queued = { .service = p->service };
 
 	h->frame = *f;
 	dl_name_set(&h->workspace, f->ask.workspace);
 	h->frame.ask.workspace = dl_name_str(&h->workspace);
-	h->next = p->held_asks;
-	p->held_asks = h;
+	h->next = p->deferred_asks;
+	p->deferred_asks = h;
 	queued.answer.request = f->ask.request;
 	queued.answer.entry = f->ask.entry;
 	queued.answer.verdict = DL_QUEUED;
-	answer_to(e, &queued);
+	deliver_answer(e, &queued);
 }
 
-/* Ask the pool what was held, once it knows its endpoints. */
-static void let_go_held(struct entry *e, struct entry_pool *p)
+/* Processes deferred asks once the pool knows its endpoints. */
+static void process_deferred_asks(struct entry *e, struct entry_pool *p)
 {
-	struct held_ask *h = p->held_asks, *next;
+	struct deferred_ask *h = p->deferred_asks, *next;
 
-	if (!h || (p->dispatching && knows_nobody(e, p)))
+	if (!h || (p->dispatching && awaits_endpoints(e, p)))
 		return;
-	p->held_asks = NULL;
+	p->deferred_asks = NULL;
 	for (; h; h = next) {
 		next = h->next;
 		entry_pool_ask(e, p, &h->frame, false);
@@ -339,17 +342,17 @@
 	}
 }
 
-/* Take back an ask of an entry, wherever it waits. */
+/* Cancels an ask of an entry, deferred or queued. */
 void entry_pool_cancel(struct entry *e, struct entry_pool *p, uint64_t entry,
 		       uint64_t request)
 {
-	if (!drop_held(p, entry, request))
+	if (!remove_deferred_ask(p, entry, request))
 		dl_pool_cancel(p->pool, entry, request, entry_now(e));
 }
 
 /*
- * Ask a pool kept here.  local: also where this VM does not lead it, because
- * no dispatcher answers.
+ * Processes an ask for a pool kept here. local: process it even if this VM is
+ * not the dispatcher, because no dispatcher responds.
  */
 void entry_pool_ask(struct entry *e, struct entry_pool *p,
 		    const struct dl_ask_frame *f, bool local)
@@ -357,16 +360,17 @@
 	struct dl_ask asked = f->ask, *ask = &asked;
 	struct dl_answer answer;
 
-	update_leading(e, p);
+	update_dispatching(e, p);
 	asked.self_placed = local && !p->dispatching;
 	asked.standby = f->standby && !p->dispatching;
 	if (f->standby && !p->dispatching)
-		local = local || knows_endpoints(e, p);
-	if (p->dispatching && !local && knows_nobody(e, p)) {
-		hold(e, p, f);
+		local = local || has_endpoints(e, p);
+	if (p->dispatching && !local && awaits_endpoints(e, p)) {
+		defer_ask(e, p, f);
 		return;
 	}
-	if (p->dispatching && !local && !f->no_spill && send_away(e, p, ask))
+	if (p->dispatching && !local && !f->no_spill &&
+	    redirect_to_remote(e, p, ask))
 		return;
 	if (p->dispatching || local) {
 		dl_pool_ask(p->pool, ask, entry_now(e), &answer);
@@ -399,7 +403,7 @@
 	none.answer.entry = from;
 	none.answer.verdict = DL_REFUSED;
 	none.answer.reason = DL_REASON_NO_DISPATCHER;
-	answer_to(e, &none);
+	deliver_answer(e, &none);
 }
 
 static void on_cancel(struct entry *e, uint64_t from, const struct dl_frame *f)
@@ -481,7 +485,7 @@
 		dl_pool_adopt(p->pool, &grant, &ask, entry_now(e));
 }
 
-/* A frame of the dispatchers' kinds. */
+/* Handles a frame of the kinds in handlers[]. */
 void entry_pool_frame(struct entry *e, uint64_t from,
 		      const struct dl_frame *frame)
 {
@@ -493,14 +497,17 @@
 	}
 }
 
-/* A connection to a VM was lost. */
+/* Handles the loss of a connection to a VM. */
 void entry_pool_down(struct entry *e, uint64_t vm)
 {
-	entry_reach_lost(e, vm);
-	entry_far_down(e, vm);
+	entry_reach_mark_unreachable(e, vm);
+	entry_remote_vm_down(e, vm);
 }
 
-/* A VM has gone: what it held or queued is free again. */
+/*
+ * Handles a membership change. Releases the grants and queue entries of a VM
+ * that is gone.
+ */
 void entry_pool_member(struct entry *e, const struct dl_member *m)
 {
 	struct entry_pool *p;
@@ -508,12 +515,12 @@
 	for (p = e->pools; p; p = p->next) {
 		if (m->state == DL_DEAD || m->state == DL_LEFT)
 			dl_pool_entry_gone(p->pool, m->vm, entry_now(e));
-		update_leading(e, p);
+		update_dispatching(e, p);
 	}
 }
 
-/* Say that the reports of a pool's endpoints have stopped, or come again. */
-static void note_silence(struct entry_pool *p, int64_t now)
+/* Logs when reports of all endpoints of a pool stop or resume. */
+static void log_silence_change(struct entry_pool *p, int64_t now)
 {
 	bool silent = dl_pool_is_silent(p->pool, now);
 
@@ -525,34 +532,34 @@
 	       "service=%s leading=%d", p->service.s, p->dispatching);
 }
 
-/* Hand out what became ready, and tell other domains of the load. */
+/* Sends grants that became possible, and load summaries to other domains. */
 void entry_pool_tick(struct entry *e, int64_t now)
 {
-	bool summaries = now - e->summaries_sent_at >= SUMMARY_EVERY_MS;
+	bool summaries = now - e->summaries_sent_at >= SUMMARY_INTERVAL_MS;
 	struct entry_pool *p;
 	struct dl_answer answer;
 	int64_t queued = 0, endpoints = 0;
 
 	for (p = e->pools; p; p = p->next) {
-		let_go_held(e, p);
+		process_deferred_asks(e, p);
 		while (dl_pool_next(p->pool, now, &answer))
 			send_answer(e, p, &answer);
 		if (!summaries)
 			continue;
-		note_silence(p, now);
+		log_silence_change(p, now);
 		if (p->dispatching) {
 			struct dl_pool_summary s;
 
 			dl_pool_summarize(p->pool, now, &s);
 			queued += s.queued;
 			endpoints += s.endpoints;
-			entry_far_tell(e, p, &s);
+			entry_remote_send_summary(e, p, &s);
 		}
 	}
 	if (!summaries)
 		return;
 	e->summaries_sent_at = now;
-	dl_reports_expire(e->reports, now - FORGET_REPORTS_MS);
+	dl_reports_expire(e->reports, now - REPORTS_KEPT_MS);
 	entry_reach_tick(e);
 	dl_gauge(DL_METRIC_queue_entries, queued);
 	dl_gauge(DL_METRIC_endpoints_known, endpoints);
--- a/src/main/entry_reach.c
+++ b/src/main/entry_reach.c
@@ -1,26 +1,31 @@
 /*
- * Which VMs do not answer this one.  Membership takes seconds to be sure that a
- * VM is gone, and is right to: one that is frozen for a moment must not lose
- * what it holds.  Dispatching cannot wait for it, and loses nothing by moving
- * for a moment.  So a VM whose connection broke, or that left an ask without an
- * answer, dispatches nothing in the eyes of this one for a while, and VMs that
- * see the same cut ask the same successor.
+ * VMs that do not respond to this one. Membership takes seconds to declare a VM
+ * dead, and must: one that is frozen for a moment must not lose what it holds.
+ * Dispatching cannot wait for that, and loses nothing by moving for a moment.
+ * This VM therefore treats a VM as not dispatching for a while if its
+ * connection was lost or an ask to it was not answered. VMs on the same side of
+ * a partition choose the same successor.
  */
 #include "base/msg.h"
 #include "main/entry.h"
 
 /*
- * A connection that stays silent is lost anew every two seconds, so that a VM
- * behind a cut stays out; one that came back is tried again after this.
+ * A silent connection is closed and reported as lost every two seconds, so that
+ * a VM behind a partition stays unreachable; a VM that has recovered is tried
+ * again after this time.
  */
-#define LOST_MS 3000
-/* A word of it ends that sooner, but not at once: it may hear nothing itself.
+#define UNREACHABLE_MS 3000
+/*
+ * A frame from the VM ends this time early, but not before this: the VM may
+ * send without being able to receive.
  */
-#define LOST_MIN_MS 1000
+#define UNREACHABLE_MIN_MS 1000
 
-/* A connection to a VM was lost, or an ask of it: nothing is asked of it now.
+/*
+ * Marks a VM as unreachable after its connection was lost or an ask to it was
+ * not answered.
  */
-void entry_reach_lost(struct entry *e, uint64_t vm)
+void entry_reach_mark_unreachable(struct entry *e, uint64_t vm)
 {
 	int64_t now = entry_now(e);
 
@@ -28,38 +33,40 @@
 		return;
 	if (!g_hash_table_contains(e->unreachable_vms, &vm))
 		dl_msg(DL_MSG_VM_UNREACHABLE, "vm=%lx for_ms=%d",
-		       (unsigned long)vm, LOST_MS);
+		       (unsigned long)vm, UNREACHABLE_MS);
 	g_hash_table_replace(e->unreachable_vms, g_memdup2(&vm, sizeof(vm)),
 			     g_memdup2(&now, sizeof(now)));
 	dl_memb_set_unreachable(e->node.memb, vm, true);
 }
 
-static bool ends(struct entry *e, uint64_t vm, int64_t at, int64_t after_ms)
+static bool clear_if_elapsed(struct entry *e, uint64_t vm, int64_t at,
+			     int64_t after_ms)
 {
 	if (entry_now(e) - at < after_ms)
 		return false;
 	dl_memb_set_unreachable(e->node.memb, vm, false);
-	dl_msg(DL_MSG_VM_ASKED_AGAIN, "vm=%lx after_ms=%ld", (unsigned long)vm,
+	dl_msg(DL_MSG_VM_RETRIED, "vm=%lx after_ms=%ld", (unsigned long)vm,
 	       (long)(entry_now(e) - at));
 	return true;
 }
 
-/* A VM has sent something. */
-void entry_reach_heard(struct entry *e, uint64_t vm)
+/* Handles a frame received from a VM. */
+void entry_reach_heard_from(struct entry *e, uint64_t vm)
 {
 	const int64_t *at = g_hash_table_lookup(e->unreachable_vms, &vm);
 
-	if (at && ends(e, vm, *at, LOST_MIN_MS))
+	if (at && clear_if_elapsed(e, vm, *at, UNREACHABLE_MIN_MS))
 		g_hash_table_remove(e->unreachable_vms, &vm);
 }
 
-static gboolean is_over(gpointer vm, gpointer at, gpointer e)
+static gboolean clear_elapsed(gpointer vm, gpointer at, gpointer e)
 {
-	return ends(e, *(uint64_t *)vm, *(int64_t *)at, LOST_MS);
+	return clear_if_elapsed(e, *(uint64_t *)vm, *(int64_t *)at,
+				UNREACHABLE_MS);
 }
 
-/* Try again what was lost a while ago. */
+/* Retries VMs that have been marked as unreachable for long enough. */
 void entry_reach_tick(struct entry *e)
 {
-	g_hash_table_foreach_remove(e->unreachable_vms, is_over, e);
+	g_hash_table_foreach_remove(e->unreachable_vms, clear_elapsed, e);
 }
--- a/src/main/entry_relay.c
+++ b/src/main/entry_relay.c
@@ -212,9 +212,9 @@
 	c->status = 0;
 	c->route.head = (struct response_head){ .content_length = SIZE_MAX };
 	c->route.instance = endpoint_of(c, 0)->instance;
-	c->endpoint_start =
-		entry_endpoint_start(c->e, dl_name_str(&c->service),
-				     dl_name_str(&c->grant.endpoint[0]));
+	c->endpoint_instance_id =
+		entry_endpoint_instance_id(c->e, dl_name_str(&c->service),
+					   dl_name_str(&c->grant.endpoint[0]));
 	if (!c->response_buf)
 		c->response_buf = g_string_new(NULL);
 	g_string_truncate(c->response_buf, 0);
@@ -229,7 +229,8 @@
 {
 	struct call *c = arg;
 
-	c->aborted_unsent = !is_available(c, 0) || entry_backoff_holds(c);
+	c->aborted_unsent = !is_available(c, 0) ||
+			    entry_backoff_blocks_grant(c);
 	return !c->aborted_unsent;
 }
 
@@ -239,8 +240,8 @@
 	c->aborted_unsent = false;
 	if (!is_available(c, 0))
 		retry_unavailable(c);
-	else if (entry_backoff_holds(c))
-		entry_backoff_give_back(c);
+	else if (entry_backoff_blocks_grant(c))
+		entry_backoff_return_grant(c);
 	else
 		entry_relay_send(c);
 }
@@ -300,17 +301,17 @@
 				head->status == STATUS_MISDIRECTED;
 	c->route.head.wrong_request = !is_own_attempt(c, said.attempt_id);
 	if (!c->route.head.wrong_request)
-		entry_limit_named(c, said.limit);
+		entry_limit_note_response(c, said.limit);
 	c->route.head.content_length = said.length;
 	c->route.head.leaving = said.leaving;
 	if (said.leaving && is_from_instance(c, head->status, said.at_fault))
-		entry_announce_leaves(c->e, dl_name_str(&c->grant.endpoint[0]),
-				      dl_name_str(&c->route.instance),
-				      c->dispatcher);
+		entry_announce_endpoint_leaving(
+			c->e, dl_name_str(&c->grant.endpoint[0]),
+			dl_name_str(&c->route.instance), c->dispatcher);
 	c->route.head.retry_after_ms = said.retry_after_ms;
-	c->route.head.backoff_requested =
-		entry_backoff_named(c, &c->grant.endpoint[0], c->endpoint_start,
-				    head->status, said.retry_after_ms);
+	c->route.head.backoff_requested = entry_backoff_note_response(
+		c, &c->grant.endpoint[0], c->endpoint_instance_id, head->status,
+		said.retry_after_ms);
 	dl_name_set(&c->route.head.at_fault, said.at_fault);
 	c->route.head.is_event_stream = c->stream && head->status == 200;
 	if (!c->response_started)
@@ -542,7 +543,7 @@
 		retry_unsent(c);
 		return;
 	}
-	entry_quarantine_attempt(c, &a, err);
+	entry_quarantine_attempt_ended(c, &a, err);
 	/* A resumed stream that gets an error is not complete. */
 	complete = a.received == DL_RECV_COMPLETE &&
 		   a.failure == DL_FAILURE_NONE &&
@@ -555,7 +556,7 @@
 		finish_response(c);
 		return;
 	}
-	dl_msg(DL_MSG_ATTEMPT_BROKE,
+	dl_msg(DL_MSG_ATTEMPT_FAILED,
 	       "request=%s endpoint=%s instance=%s sent=%d received=%d broke=%d "
 	       "status=%u retry_after_ms=%u leaving=%d outcome=%s events=%lu "
 	       "at_fault=%s step=%s why=\"%s\" content=%016lx",
--- a/src/main/entry_renew.c
+++ b/src/main/entry_renew.c
@@ -1,14 +1,14 @@
 /*
- * What is granted is held under a lease: renewed, and told to the VM that
- * dispatches now where that has changed.
+ * Leases of grants: renews them, and transfers a grant when another VM becomes
+ * the dispatcher.
  */
 #include "main/entry_call.h"
 
-/* Renewed three times a lease, so that one lost renewal costs nothing. */
+/* Three renewals per lease, so that a lost one does no harm. */
 #define RENEWALS_PER_LEASE 3
 
-/* Tell whoever dispatches now of a grant of another one. */
-static void adopt(struct call *c, uint64_t owner)
+/* Transfers a grant to the current dispatcher. */
+static void transfer_grant(struct call *c, uint64_t owner)
 {
 	struct entry *e = c->e;
 	struct entry_pool *p;
@@ -30,18 +30,20 @@
 	dl_packer_close(&pk);
 }
 
-static void adopt_if_named(struct call *c, uint64_t from,
-			   const uint64_t *grants, uint32_t count)
+static void transfer_if_listed(struct call *c, uint64_t from,
+			       const uint64_t *grants, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++) {
 		if (c->grant.grant == grants[i]) {
-			adopt(c, from);
+			transfer_grant(c, from);
 			return;
 		}
 	}
 }
 
-/* A dispatcher does not know grants that we renewed: tell it again. */
+/*
+ * Transfers grants again that a dispatcher did not know when they were renewed.
+ */
 void entry_renew_gone(struct entry *e, uint64_t from, struct dl_str body)
 {
 	uint64_t grants[DL_ID_LIST_MAX];
@@ -54,11 +56,11 @@
 	for (c = e->calls; c; c = c->next) {
 		if (c->granted && c->dispatcher == from &&
 		    dl_name_eq(&c->service, dl_name_str(&service)))
-			adopt_if_named(c, from, grants, count);
+			transfer_if_listed(c, from, grants, count);
 	}
 }
 
-/* A lease begins anew: it is renewed again in a part of it. */
+/* Records a renewal and schedules the next one. */
 void call_note_renewed(struct call *c, int64_t now)
 {
 	c->renew_at = now + c->lease_ms / RENEWALS_PER_LEASE;
@@ -66,12 +68,12 @@
 }
 
 /*
- * Renew what is due, and with it every other grant of the same dispatcher and
- * service.  For a dispatcher of hundreds of grants: a frame for each was more
- * than half of all that it took; together they are one frame an entry and a
- * third of a lease.
+ * Renews a grant that is due together with all other grants of the same
+ * dispatcher and service. With one frame per grant, renewals were more than
+ * half of the frames that a dispatcher of hundreds of grants received; now each
+ * entry sends one frame every third of a lease.
  */
-static void renew_there(struct call *due, int64_t now)
+static void renew_remote(struct call *due, int64_t now)
 {
 	struct entry *e = due->e;
 	uint64_t grants[DL_ID_LIST_MAX];
@@ -92,22 +94,22 @@
 	dl_packer_close(&pk);
 }
 
-static void renew_here(struct call *c, int64_t now)
+static void renew_local(struct call *c, int64_t now)
 {
 	struct entry_pool *p = entry_pool_find(c->e, dl_name_str(&c->service));
 
 	call_note_renewed(c, now);
 	if (p && dl_pool_renew(p->pool, c->grant.grant, now))
-		adopt(c, c->e->node.self);
+		transfer_grant(c, c->e->node.self);
 }
 
-/* Keep a grant: follow a dispatcher that has moved, renew what is due. */
+/* Keeps a grant: transfers it if the dispatcher changed, renews it if due. */
 void call_renew(struct call *c, uint64_t owner, int64_t now)
 {
 	if (owner != c->dispatcher && owner != DL_VM_NONE)
-		adopt(c, owner);
+		transfer_grant(c, owner);
 	else if (now >= c->renew_at && owner == c->e->node.self)
-		renew_here(c, now);
+		renew_local(c, now);
 	else if (now >= c->renew_at)
-		renew_there(c, now);
+		renew_remote(c, now);
 }
--- a/src/main/entry_reservation.c
+++ b/src/main/entry_reservation.c
@@ -86,13 +86,15 @@
 	struct dl_response_head said;
 
 	platform_dialect.response(head->headers, head->headers_count, &said);
-	entry_backoff_named(c, &r->address,
-			    entry_endpoint_start(c->e, dl_name_str(&c->service),
-						 dl_name_str(&r->address)),
-			    head->status, said.retry_after_ms);
+	entry_backoff_note_response(
+		c, &r->address,
+		entry_endpoint_instance_id(c->e, dl_name_str(&c->service),
+					   dl_name_str(&r->address)),
+		head->status, said.retry_after_ms);
 	if (said.leaving && head->status != STATUS_MISDIRECTED)
-		entry_announce_leaves(c->e, dl_name_str(&r->address),
-				      dl_name_str(&r->instance), c->dispatcher);
+		entry_announce_endpoint_leaving(c->e, dl_name_str(&r->address),
+						dl_name_str(&r->instance),
+						c->dispatcher);
 	if (head->status == 200)
 		r->held = true;
 	else
@@ -129,7 +131,7 @@
 	if (attempt->failure != DL_FAILURE_NONE && r->set->pending)
 		r->refused = true;
 	if (r->refused)
-		dl_msg(DL_MSG_TICKET_REFUSED,
+		dl_msg(DL_MSG_RESERVATION_REFUSED,
 		       "request=%s endpoint=%s tokens=%lu status=%u broke=%d",
 		       r->set->c->id_text, r->address.s,
 		       (unsigned long)r->tokens, attempt->status,
--- a/src/main/entry_try.c
+++ b/src/main/entry_try.c
@@ -150,9 +150,9 @@
 		entry_call_end(c, DL_OUTCOME_NOT_RUN, 503, "internal", &err);
 		return;
 	}
-	c->endpoint_start =
-		entry_endpoint_start(c->e, dl_name_str(&c->service),
-				     dl_name_str(&c->grant.endpoint[0]));
+	c->endpoint_instance_id =
+		entry_endpoint_instance_id(c->e, dl_name_str(&c->service),
+					   dl_name_str(&c->grant.endpoint[0]));
 	if (c->attempts > 1)
 		dl_count(DL_METRIC_retries_total, 1);
 	send_attempt(c, to);
@@ -218,7 +218,7 @@
 {
 	struct call *c = arg;
 
-	c->aborted_unsent = entry_backoff_holds(c);
+	c->aborted_unsent = entry_backoff_blocks_grant(c);
 	return !c->aborted_unsent;
 }
 
@@ -244,8 +244,9 @@
 
 	entry_call_span(c, "connect", c->attempt_at, c->grant.endpoint[0].s);
 	c->status = head->status;
-	entry_backoff_named(c, &c->grant.endpoint[0], c->endpoint_start,
-			    head->status, retry_after_ms(head));
+	entry_backoff_note_response(c, &c->grant.endpoint[0],
+				    c->endpoint_instance_id, head->status,
+				    retry_after_ms(head));
 	if (c->kind == DL_POOL_PLAIN)
 		keep_headers(c, head);
 	if (!c->response_buf)
@@ -495,7 +496,7 @@
 		.resumable = c->kind == DL_POOL_MODEL &&
 			     c->chunks_received > 0 &&
 			     a.failure != DL_FAILURE_BAD_RESPONSE &&
-			     !entry_backoff_holds(c),
+			     !entry_backoff_blocks_grant(c),
 		.attempts = c->attempts,
 		.bytes_to_caller = c->relayed,
 		.deadline = c->deadline,
@@ -504,10 +505,10 @@
 
 	c->attempt = NULL;
 	if (c->aborted_unsent && !c->chunks_received) {
-		entry_backoff_give_back(c);
+		entry_backoff_return_grant(c);
 		return;
 	}
-	entry_quarantine_attempt(c, &a, err);
+	entry_quarantine_attempt_ended(c, &a, err);
 	c->may_have_run |= outcome != DL_OUTCOME_NOT_RUN;
 	call_fill_usage(c, &a, c->used_prompt, c->used_output,
 			outcome != DL_OUTCOME_DONE);
--- a/src/main/quarantine.c
+++ b/src/main/quarantine.c
@@ -1,70 +1,75 @@
-/* Crashes under requests, told between entries and replicas; see the header. */
+/* Crash reports exchanged between entries and replicas; see the header. */
 #include "main/quarantine.h"
 
 #include "base/metric.h"
 #include "base/msg.h"
 #include "protocol/quarantine_codec.h"
 
-#define FORGET_EVERY_MS 10000
+#define EXPIRE_INTERVAL_MS 10000
 
-/* Nothing is known yet. */
-void quarantine_open(struct quarantine *q)
+void quarantine_init(struct quarantine *q)
 {
-	q->known = dl_quarantine_new();
-	q->news = g_array_new(FALSE, FALSE, sizeof(struct dl_crash));
+	q->records = dl_quarantine_new();
+	q->unsent = g_array_new(FALSE, FALSE, sizeof(struct dl_crash));
 }
 
-static void count_held(const struct quarantine *q, int64_t now)
+static void update_gauge(const struct quarantine *q, int64_t now)
 {
 	dl_gauge(DL_METRIC_requests_quarantined,
-		 dl_quarantine_count(q->known, now));
+		 dl_quarantine_count(q->records, now));
 }
 
-/* Take in a crash, and say where a request is held back from now on. */
-static bool take(struct quarantine *q, const struct dl_crash *crash,
-		 int64_t now)
+/*
+ * Merges a report; logs if a request is quarantined or released by it. Returns
+ * whether it was new.
+ */
+static bool merge(struct quarantine *q, const struct dl_crash *crash,
+		  int64_t now)
 {
-	uint32_t held =
-		dl_quarantine_remaining_ms(q->known, crash->request, now);
-	uint32_t left;
+	uint32_t before =
+		dl_quarantine_remaining_ms(q->records, crash->request, now);
+	uint32_t after;
 
-	if (!dl_quarantine_merge(q->known, crash, now))
+	if (!dl_quarantine_merge(q->records, crash, now))
 		return false;
-	left = dl_quarantine_remaining_ms(q->known, crash->request, now);
-	if (!held == !left)
+	after = dl_quarantine_remaining_ms(q->records, crash->request, now);
+	if (!before == !after)
 		return true;
 	q->changed = true;
-	dl_msg(left ? DL_MSG_REQUEST_HELD_BACK : DL_MSG_REQUEST_LET_GO,
+	dl_msg(after ? DL_MSG_REQUEST_QUARANTINED : DL_MSG_REQUEST_RELEASED,
 	       "content=%016lx crashes=%d for_ms=%u age_ms=%u",
-	       (unsigned long)crash->request, DL_QUARANTINE_CRASHES, left,
+	       (unsigned long)crash->request, DL_QUARANTINE_CRASHES, after,
 	       crash->age_ms);
-	count_held(q, now);
+	update_gauge(q, now);
 	return true;
 }
 
-/* Note a crash that was seen here. */
-void quarantine_note(struct quarantine *q, const struct dl_crash *crash,
-		     int64_t now)
+/* Records a crash detected by this process, and logs it if it is new. */
+void quarantine_report_local(struct quarantine *q, const struct dl_crash *crash,
+			     int64_t now)
 {
-	if (!take(q, crash, now))
+	if (!merge(q, crash, now))
 		return;
-	g_array_append_val(q->news, *crash);
+	g_array_append_val(q->unsent, *crash);
 	if (crash->start)
-		dl_msg(DL_MSG_CRASHED_UNDER,
+		dl_msg(DL_MSG_ENDPOINT_CRASHED,
 		       "content=%016lx start=%016lx age_ms=%u",
 		       (unsigned long)crash->request,
 		       (unsigned long)crash->start, crash->age_ms);
 }
 
-/* Take in what was seen elsewhere, or before. */
-void quarantine_learn(struct quarantine *q, const struct dl_crash *crash,
-		      bool pass_on, int64_t now)
+/*
+ * Merges a report from another VM or from disk. pass_on: forward it if it is
+ * new.
+ */
+void quarantine_merge_remote(struct quarantine *q, const struct dl_crash *crash,
+			     bool pass_on, int64_t now)
 {
-	if (take(q, crash, now) && pass_on)
-		g_array_append_val(q->news, *crash);
+	if (merge(q, crash, now) && pass_on)
+		g_array_append_val(q->unsent, *crash);
 }
 
-/* Take in what another VM tells. */
+/* Merges the reports of a received frame. */
 void quarantine_frame(struct quarantine *q, struct dl_str body, bool pass_on,
 		      int64_t now)
 {
@@ -77,7 +82,7 @@
 		return;
 	}
 	for (uint32_t i = 0; i < count; i++)
-		quarantine_learn(q, &crashes[i], pass_on, now);
+		quarantine_merge_remote(q, &crashes[i], pass_on, now);
 }
 
 static void send_crashes(const GArray *crashes,
@@ -94,46 +99,46 @@
 	}
 }
 
-/* Tell what is new. */
-void quarantine_tell(struct quarantine *q, int64_t now,
-		     void (*send)(void *arg, struct dl_str body), void *arg)
+/* Sends new reports, and periodically removes old ones. */
+void quarantine_flush(struct quarantine *q, int64_t now,
+		      void (*send)(void *arg, struct dl_str body), void *arg)
 {
-	send_crashes(q->news, send, arg);
-	g_array_set_size(q->news, 0);
-	if (now - q->forgotten_at < FORGET_EVERY_MS)
+	send_crashes(q->unsent, send, arg);
+	g_array_set_size(q->unsent, 0);
+	if (now - q->expired_at < EXPIRE_INTERVAL_MS)
 		return;
-	q->forgotten_at = now;
-	dl_quarantine_expire(q->known, now);
-	count_held(q, now);
+	q->expired_at = now;
+	dl_quarantine_expire(q->records, now);
+	update_gauge(q, now);
 }
 
-static void gather(void *arg, const struct dl_crash *crash)
+static void append_crash(void *arg, const struct dl_crash *crash)
 {
 	GArray *all = arg;
 
 	g_array_append_val(all, *crash);
 }
 
-struct one {
+struct recipient {
 	struct dl_peers *peers;
 	uint64_t vm;
 };
 
-static void to_one(void *arg, struct dl_str body)
+static void send_to_recipient(void *arg, struct dl_str body)
 {
-	const struct one *to = arg;
+	const struct recipient *to = arg;
 
 	dl_peers_send(to->peers, to->vm, DL_FRAME_CRASHES, 0, body);
 }
 
-/* Tell a VM that may have missed some all that is known. */
-void quarantine_tell_all(struct quarantine *q, struct dl_peers *peers,
+/* Sends all reports to a VM that may have missed some. */
+void quarantine_send_all(struct quarantine *q, struct dl_peers *peers,
 			 uint64_t vm, int64_t now)
 {
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct dl_crash));
-	struct one to = { peers, vm };
+	struct recipient to = { peers, vm };
 
-	dl_quarantine_foreach(q->known, now, gather, all);
-	send_crashes(all, to_one, &to);
+	dl_quarantine_foreach(q->records, now, append_crash, all);
+	send_crashes(all, send_to_recipient, &to);
 	g_array_free(all, TRUE);
 }
--- a/src/main/replica_quarantine.c
+++ b/src/main/replica_quarantine.c
@@ -15,14 +15,14 @@
 	uint32_t count;
 	int code;
 
-	quarantine_open(&r->quarantine);
+	quarantine_init(&r->quarantine);
 	r->crashes = dl_crash_store_new(disk, saved);
 	code = dl_crash_store_read(r->crashes, dl_node_wall_ms(), read, &count);
 	if (code)
-		dl_msg(DL_MSG_CRASHES_LOST, "error=%d", code);
+		dl_msg(DL_MSG_CRASH_STORE_UNREADABLE, "error=%d", code);
 	for (uint32_t i = 0; i < count; i++)
-		quarantine_learn(&r->quarantine, &read[i], true,
-				 replica_now(r));
+		quarantine_merge_remote(&r->quarantine, &read[i], true,
+					replica_now(r));
 	r->quarantine.changed = false;
 }
 
@@ -36,7 +36,7 @@
 static void on_saved(void *arg, int code)
 {
 	if (code)
-		dl_msg(DL_MSG_CRASHES_UNSAVED, "error=%d", code);
+		dl_msg(DL_MSG_CRASH_STORE_UNSAVED, "error=%d", code);
 }
 
 struct active_crashes {
@@ -56,10 +56,10 @@
 
 static void save_active(struct replica *r, int64_t now)
 {
-	struct active_crashes active = { r->quarantine.known, now, NULL };
+	struct active_crashes active = { r->quarantine.records, now, NULL };
 
 	active.crashes = g_array_new(FALSE, FALSE, sizeof(struct dl_crash));
-	dl_quarantine_foreach(r->quarantine.known, now, collect_active,
+	dl_quarantine_foreach(r->quarantine.records, now, collect_active,
 			      &active);
 	dl_crash_store_save(r->crashes,
 			    (const struct dl_crash *)active.crashes->data,
@@ -82,7 +82,7 @@
 /* Sends all known crashes to a VM that was connected or reconnected. */
 void replica_quarantine_up(struct replica *r, uint64_t vm)
 {
-	quarantine_tell_all(&r->quarantine, r->node.peers, vm, replica_now(r));
+	quarantine_send_all(&r->quarantine, r->node.peers, vm, replica_now(r));
 }
 
 /* Forwards new crashes and saves a changed set of active quarantines. */
@@ -90,5 +90,5 @@
 {
 	if (r->quarantine.changed && !dl_crash_store_busy(r->crashes))
 		save_active(r, now);
-	quarantine_tell(&r->quarantine, now, broadcast, r);
+	quarantine_flush(&r->quarantine, now, broadcast, r);
 }
