--- a/src/main/replica_announce.c
+++ b/src/main/replica_announce.c
@@ -32,7 +32,7 @@
 
 /* Keys collected for one frame, and the function that sends it. */
 struct key_batch {
-	uint64_t key[DL_RENEWED_MAX];
+	uint64_t key[DL_ID_LIST_MAX];
 	uint32_t count;
 	int64_t sent_at;
 	void (*send)(struct replica *r, const uint64_t *keys, uint32_t count);
@@ -67,11 +67,11 @@
 			const uint64_t *keys, uint32_t count, char **body,
 			size_t *n)
 {
-	struct dl_str reports[DL_RENEWED_MAX];
+	struct dl_str reports[DL_ID_LIST_MAX];
 
 	for (uint32_t i = 0; i < count; i++)
 		reports[i] = dl_reports_find(announce->reports, keys[i]);
-	return dl_words_pack(reports, count, body, n);
+	return dl_report_batch_pack(reports, count, body, n);
 }
 
 static void send_reports(struct replica *r, const uint64_t *keys,
@@ -82,7 +82,8 @@
 
 	if (pack_reports(r->announce, keys, count, &body, &n))
 		return;
-	replica_broadcast(r, false, DL_FRAME_WORDS, (struct dl_str){ body, n });
+	replica_broadcast(r, false, DL_FRAME_REPORTS,
+			  (struct dl_str){ body, n });
 	free(body);
 }
 
@@ -90,8 +91,8 @@
 {
 	struct dl_packer pk;
 
-	dl_numbers_pack(&pk, DL_STR(""), keys, count);
-	replica_broadcast(r, false, DL_FRAME_ALIVE, dl_packer_bytes(&pk));
+	dl_id_list_pack(&pk, DL_STR(""), keys, count);
+	replica_broadcast(r, false, DL_FRAME_UNCHANGED, dl_packer_bytes(&pk));
 	dl_packer_close(&pk);
 }
 
@@ -117,7 +118,7 @@
 static void add_to_batch(struct replica *r, struct key_batch *batch,
 			 uint64_t key, int64_t now)
 {
-	if (batch->count == DL_RENEWED_MAX)
+	if (batch->count == DL_ID_LIST_MAX)
 		flush_batch(r, batch, now);
 	batch->key[batch->count++] = key;
 }
@@ -173,13 +174,13 @@
 {
 	struct dl_reports *reports = r->announce->reports;
 	int64_t fresh_since = replica_now(r) - REPORT_FRESH_MS;
-	uint64_t keys[DL_RENEWED_MAX];
+	uint64_t keys[DL_ID_LIST_MAX];
 	struct dl_name none;
 	uint32_t count, found = 0;
 	char *body;
 	size_t n;
 
-	if (dl_numbers_read(f->body, &none, keys, &count))
+	if (dl_id_list_read(f->body, &none, keys, &count))
 		return;
 	for (uint32_t i = 0; i < count; i++) {
 		if (dl_reports_received_since(reports, keys[i], fresh_since))
@@ -187,7 +188,7 @@
 	}
 	if (found == 0 || pack_reports(r->announce, keys, found, &body, &n))
 		return;
-	replica_send(r, from, DL_FRAME_WORDS, 0, (struct dl_str){ body, n });
+	replica_send(r, from, DL_FRAME_REPORTS, 0, (struct dl_str){ body, n });
 	free(body);
 }
 
