--- a/src/main/entry.h
+++ b/src/main/entry.h
@@ -487,7 +487,8 @@
 void entry_reach_tick(struct entry *e);
 
 /* entry_remote.c */
-bool entry_remote_is_fresh(const struct entry *e, const struct remote_pool *far,
+bool entry_remote_is_fresh(const struct entry *e,
+			   const struct remote_pool *remote,
 			   struct dl_str service);
 void entry_remote_suggest(struct entry *e, struct dl_str service,
 			  struct dl_answer_frame *f);
