--- a/src/main/entry.c
+++ b/src/main/entry.c
@@ -16,7 +16,7 @@
 #define BODY_MAX (16u << 20)
 /* Time limit for receiving a whole request. */
 #define READ_MS 10000
-/* Callers of the platform keep idle connections open for up to 12 s. */
+/* Longer than the 12 s for which platform callers keep idle connections. */
 #define FOREIGN_IDLE_MS 15000
 /* Longest wait at a stop for outcomes that are being recorded. */
 #define COMMANDS_WAIT_MS 3000
