--- a/src/base/msg.h
+++ b/src/base/msg.h
@@ -77,8 +77,8 @@
 	X(POOL_ENDPOINT_GONE, DL_INFO, "pool", "An endpoint was removed.")     \
 	/* replica */                                                          \
 	X(REPLICA_START, DL_INFO, "replica", "Started.")                       \
-	X(REPLICA_LEADER, DL_INFO, "replica", "This replica is the leader.")   \
-	X(REPLICA_FOLLOWER, DL_INFO, "replica", "This replica is a follower.") \
+	X(REPLICA_LEADER, DL_INFO, "replica", "Leading.")                      \
+	X(REPLICA_FOLLOWER, DL_INFO, "replica", "Following.")                  \
 	X(REPLICA_DAMAGED, DL_ERROR, "replica",                                \
 	  "The stored state is damaged.")                                      \
 	X(REPLICA_DISK_FAILED, DL_ERROR, "replica", "The disk failed.")
