--- a/bench/bench_entry.sh
+++ b/bench/bench_entry.sh
@@ -51,7 +51,7 @@
 		"service":"'$PLAIN_SERVICE'","path":"/availability",
 		"rate":100,"deadline_ms":2000')
 	load_one "$DIR/through" "$c" 5 &
-	remember load $!
+	record_pid load $!
 	test/tool_load --direct --entries "$(endpoint_address 4)" --quiet \
 		--classes "$c" --seconds 5 --out "$DIR/direct" \
 		2>>"$DIR/load.faults"
@@ -97,7 +97,7 @@
 		"tokens_min":100,"tokens_max":200,"max_tokens":40,
 		"rate":'$((STREAMS / 2))',"deadline_ms":30000')
 	load_one "$DIR/open" "$c" 2.2 &
-	remember load $!
+	record_pid load $!
 	sleep 3.5
 	busy=$(rss_kb "$ENTRY")
 	wait "$(pid_of load)"
@@ -114,7 +114,7 @@
 		"deadline_ms":30000')
 	load_one "$DIR/smooth" "$c" 1
 	for i in 1 2 3; do
-		fault $i silent-midstream 1
+		inject_fault $i silent-midstream 1
 	done
 	load_one "$DIR/silent" "$c" 1
 	figure silent_detect_ms "$(awk -v p50="$(p50_total "$DIR/smooth")" \
@@ -123,8 +123,8 @@
 }
 
 bench_failover() {
-	fault 1 die-first 1
-	fault 2 die-first 1
+	inject_fault 1 die-first 1
+	inject_fault 2 die-first 1
 	load_one "$DIR/failover" "$c" 2
 	not_running "$(pid_of endpoint_1)" || fail "the fault did not strike"
 	figure failover_ttft_ms "$(awk '$7 == "done" && $9 > max { max = $9 }
@@ -141,7 +141,7 @@
 		"tokens_min":100,"tokens_max":500,"max_tokens":30,"rate":60,
 		"deadline_ms":10000')
 	( sleep 0.5; kill -TERM "$(pid_of endpoint_1)" ) &
-	remember leaver $!
+	record_pid stop_runner $!
 	test/tool_load --entries "$ENTRIES" --quiet --classes "$c" \
 		--seconds 4 --out "$DIR/drain" 2>>"$DIR/load.faults"
 	[ "$(grep -c '^L' "$RECORD")" -eq 1 ] || fail "nobody left"
@@ -151,7 +151,7 @@
 		"tokens_min":100,"tokens_max":500,"max_tokens":60,"rate":200,
 		"deadline_ms":20000')
 	load_one "$DIR/stop" "$c" 1 &
-	remember load $!
+	record_pid load $!
 	sleep 1.2
 	kill -TERM "$ENTRY"
 	wait "$(pid_of load)"
--- a/bench/bench_mixed.sh
+++ b/bench/bench_mixed.sh
@@ -8,7 +8,7 @@
 SECONDS_EACH=${DL_BENCH_SECONDS:-8}
 
 # The p50, p95 and p99 of the pings in a table: FILE COLUMN
-column() {
+ping_column() {
 	awk -v c="$2" '$1 == "ping" { print $c }' "$1"
 }
 
@@ -32,11 +32,11 @@
 done
 tab=$(printf '\t')
 alone=$DIR/table-0.001 mixed=$DIR/table-2
-echo "ping_p95_ms_alone$tab$(column "$alone" 9)${tab}ms"
-echo "ping_p95_ms_with_million_tokens$tab$(column "$mixed" 9)${tab}ms"
-echo "ping_p95_ratio$tab$(ratio "$(column "$mixed" 9)" "$(column "$alone" 9)")${tab}ratio"
-echo "ping_p99_ratio$tab$(ratio "$(column "$mixed" 10)" "$(column "$alone" 10)")${tab}ratio"
+echo "ping_p95_ms_alone$tab$(ping_column "$alone" 9)${tab}ms"
+echo "ping_p95_ms_with_million_tokens$tab$(ping_column "$mixed" 9)${tab}ms"
+echo "ping_p95_ratio$tab$(ratio "$(ping_column "$mixed" 9)" "$(ping_column "$alone" 9)")${tab}ratio"
+echo "ping_p99_ratio$tab$(ratio "$(ping_column "$mixed" 10)" "$(ping_column "$alone" 10)")${tab}ratio"
 trap - EXIT
 deploy_stop
-release_net
+release_subnet
 rm -rf "$WORK"
--- a/bench/capacity.sh
+++ b/bench/capacity.sh
@@ -154,7 +154,7 @@
 }
 
 # The rows of a marked table of the page, cells tab separated.
-rows() {
+table_rows() {
 	awk -v m="$1" '
 		index($0, "<!-- /" m " -->") { on = 0 }
 		on && /^\| / { row++; if (row > 1) {
@@ -174,7 +174,7 @@
 # "name value" of each derived row, computed from the slopes on stdin.
 derive() {
 	functions >build/derive.awk
-	rows derived | awk -F '\t' '{
+	table_rows derived | awk -F '\t' '{
 		gsub(/`/, "", $3)
 		printf "BEGIN { printf \"%%s\\t%%.3g\\n\", \"%s\", %s }\n", $1, $3
 	}' >>build/derive.awk
@@ -184,7 +184,7 @@
 }
 
 # Put new rows, from a file, into a marked table.
-replace() {
+replace_table() {
 	awk -v m="$1" -v f="$2" '
 		index($0, "<!-- /" m " -->") { on = 0 }
 		!on { print }
@@ -200,16 +200,16 @@
 write_page() {
 	awk -F '\t' '{ printf "| %s | %s | %s | %s | %s | %s | %s |\n", \
 		$1, $2, $3, $4, $5, $6, $7 }' "$table" >build/rows
-	replace slopes build/rows
+	replace_table slopes build/rows
 	awk -F '\t' '{ printf "| %s | %s | %s |\n", $1, $2, $3 }' \
 		"$faults" >build/rows
-	replace faults build/rows
+	replace_table faults build/rows
 	derive <"$table" >build/derived
-	rows derived | awk -F '\t' '
+	table_rows derived | awk -F '\t' '
 		NR == FNR { v[$1] = $2; next }
 		{ printf "| %s | %s | %s | %s | %s |\n", $1, $2, $3, v[$1], $5 }
 		' build/derived - >build/rows
-	replace derived build/rows
+	replace_table derived build/rows
 	# Where a row is named in the text with its value, the value follows.
 	awk 'NR == FNR { v[$1] = $2; next }
 		{ for (k in v) gsub("`" k "` = [0-9.e+-]*[0-9]", \
@@ -218,18 +218,18 @@
 }
 
 # "name value" wherever the text names a row with its value.
-said() {
+values_in_text() {
 	grep -o '`[a-z_0-9]*` = [0-9.e+-]*[0-9]' "$page" |
 		sed 's/`//g; s/ = /	/'
 }
 
 # Whether the page follows from what was measured.
 check_page() {
-	rows slopes >build/page.slopes
-	rows faults >build/page.faults
-	rows derived | cut -f1,4 >build/page.derived
+	table_rows slopes >build/page.slopes
+	table_rows faults >build/page.faults
+	table_rows derived | cut -f1,4 >build/page.derived
 	derive <build/page.slopes >build/derived
-	said >build/page.said
+	values_in_text >build/page.said
 	slopes | cut -d' ' -f1,5 >build/targets
 	awk -F '\t' -v ok=1 '
 		function off(a, b) { d = a - b; if (d < 0) d = -d; return d }
--- a/test/demo.sh
+++ b/test/demo.sh
@@ -17,7 +17,7 @@
 	status=$?
 	trap - EXIT
 	deploy_stop
-	release_net
+	release_subnet
 	if [ $status -eq 0 ]; then
 		[ -n "${DL_KEEP:-}" ] || rm -rf "$work"
 	else
@@ -26,16 +26,16 @@
 	exit $status
 }
 
-say() { # WORD TEXT
+report_check() { # WORD TEXT
 	printf '%-9s %s\n' "$1" "$2"
 	[ "$1" = held ] || broken=1
 }
 
 # What happens while the load runs; each line says when it did.
-happenings() {
+inject_faults() {
 	sleep $((SECONDS_OF_LOAD / 5))
 	echo "killing VM $(domain_name 2)-1 with its replica"
-	vm_away 2 1
+	record_vm_down 2 1
 	kill -KILL "$(pid_of entry_2_1)" "$(pid_of replica_2_1)"
 	sleep $((SECONDS_OF_LOAD / 5))
 	echo "killing runner $(endpoint_address 1)"
@@ -56,22 +56,22 @@
 }
 
 # A VM says that the second text is in force.
-has_second_text() { # ADDRESS
+has_second_config() { # ADDRESS
 	"$DL_BIN" get --timeout 10 --entry "$1:$HTTP_PORT" 2>/dev/null |
 		grep -q '"log_level": *"warn"'
 }
 
-judge_configuration() {
+check_configuration() {
 	[ "$(cat "$DIR/apply-2.status" 2>/dev/null)" = 0 ] || return 1
 	for vm in "1 1" "1 2" "2 2" "3 1"; do
 		# shellcheck disable=SC2086
 		wait_for 5 "the text at VM $vm" \
-			has_second_text "$(vm_address $vm)" || return 1
+			has_second_config "$(vm_address $vm)" || return 1
 	done
 }
 
 # The VM that was stopped ended with 0, and no caller of it was cut off.
-judge_stop() {
+check_planned_stop() {
 	wait "$(pid_of entry_3_2)"
 	[ $? -eq 0 ] || return 1
 	! awk -v vm="$(vm_address 3 2):$HTTP_PORT" \
@@ -81,33 +81,33 @@
 
 trap demo_end EXIT
 trap 'exit 130' INT TERM
-claim_net || exit 1
-deploy_init "$kind" "$CLAIMED_NET" "$work" || exit 2
+claim_subnet || exit 1
+deploy_init "$kind" "$CLAIMED_SUBNET" "$work" || exit 2
 echo "starting $kind: 6 VMs, 3 replicas, $RUNNERS runners of" \
 	"$MODEL_SERVICE, $PLAINS endpoints of $PLAIN_SERVICE"
 deploy_start || exit 1
 echo "driving it for $SECONDS_OF_LOAD s"
-happenings &
-happening=$!
-remember happenings $happening
+inject_faults &
+injector=$!
+record_pid inject_faults $injector
 run_load --seconds "$SECONDS_OF_LOAD" \
 	>"$DIR/table" 2>"$DIR/faults"
 load=$?
-wait $happening
+wait $injector
 grep -v -E '^(held|broken|untested)' "$DIR/table"
 echo
 grep -E '^(held|broken|untested)' "$DIR/table"
 grep -q '^untested' "$DIR/table" && broken=1
 [ $load -eq 0 ] || broken=1
-if judge_stop; then
-	say held "a planned stop cuts off no request in flight"
+if check_planned_stop; then
+	report_check held "a planned stop cuts off no request in flight"
 else
-	say broken "a planned stop cuts off no request in flight"
+	report_check broken "a planned stop cuts off no request in flight"
 fi
-if judge_configuration; then
-	say held "an accepted configuration is in force everywhere and stays"
+if check_configuration; then
+	report_check held "an accepted configuration is in force everywhere and stays"
 else
-	say broken "an accepted configuration is in force everywhere and stays"
+	report_check broken "an accepted configuration is in force everywhere and stays"
 fi
 head -20 "$DIR/faults"
 exit $broken
--- a/test/deploy.sh
+++ b/test/deploy.sh
@@ -98,7 +98,7 @@
 }
 
 # Note a process that was started, under a name.
-remember() {
+record_pid() {
 	echo "$1 $2" >>"$DIR/pids"
 	eval "PID_$1=$2"
 }
@@ -145,7 +145,7 @@
 				"$(vm_address "$2" "$3")" $REPLICA_PORT \
 				"$DIR/data-$2-$3"
 		fi
-		[ -z "${CUTTABLE:-}" ] || printf '"cut_file":"%s",' \
+		[ -z "${ALLOW_CUT:-}" ] || printf '"cut_file":"%s",' \
 			"$DIR/cut-$2"
 		printf '"peers":[%s],"replicas":[%s],"log_level":"%s"}\n' \
 			"$(peer_list)" "$(replica_list)" "$DL_LOG_LEVEL"
@@ -156,14 +156,14 @@
 	write_settings entry "$1" "$2"
 	"$DL_BIN" entry -c "$DIR/entry-$1-$2.json" \
 		>>"$DIR/entry-$1-$2.log" 2>&1 &
-	remember "entry_$1_$2" $!
+	record_pid "entry_$1_$2" $!
 }
 
 start_replica() { # D
 	write_settings replica "$1" 1
 	"$DL_BIN" replica -c "$DIR/replica-$1-1.json" \
 		>>"$DIR/replica-$1-1.log" 2>&1 &
-	remember "replica_$1_1" $!
+	record_pid "replica_$1_1" $!
 }
 
 start_runner() { # I [OPTION...]
@@ -177,7 +177,7 @@
 		--domain "$(domain_name "$(endpoint_domain "$i")")" \
 		--record "$RECORD" --seed "$i" $DL_RUNNER_OPTIONS "$@" \
 		>>"$DIR/endpoint-$i.log" 2>&1 &
-	remember "endpoint_$i" $!
+	record_pid "endpoint_$i" $!
 }
 
 start_plain() { # I [OPTION...]
@@ -190,7 +190,7 @@
 		--domain "$(domain_name "$(endpoint_domain "$i")")" \
 		--record "$RECORD" --seed "$i" "$@" \
 		>>"$DIR/endpoint-$i.log" 2>&1 &
-	remember "endpoint_$i" $!
+	record_pid "endpoint_$i" $!
 }
 
 start_endpoints() {
@@ -235,7 +235,7 @@
 		"/s/$PLAIN_SERVICE/ready?by=$1$2"
 }
 
-each_vm() { # COMMAND
+for_each_vm() { # COMMAND
 	for d in 1 2 3; do
 		v=1
 		while [ $v -le "$VMS_EACH" ]; do
@@ -254,15 +254,15 @@
 	for d in 1 2 3; do
 		start_replica $d
 	done
-	each_vm start_entry
+	for_each_vm start_entry
 	start_endpoints
 	wait_for 15 "the first configuration" apply_config || {
 		cat "$DIR/apply.log" >&2
 		return 1
 	}
-	wait_for 15 "ready entries" each_vm entry_ready &&
-		wait_for 15 "models at all entries" each_vm entry_serves_model &&
-		wait_for 15 "services at all entries" each_vm entry_serves_plain
+	wait_for 15 "ready entries" for_each_vm entry_ready &&
+		wait_for 15 "models at all entries" for_each_vm entry_serves_model &&
+		wait_for 15 "services at all entries" for_each_vm entry_serves_plain
 }
 
 # End all that was started, by id, and wait for it.
@@ -277,19 +277,19 @@
 }
 
 # Claim a second octet that no other deployment of this machine uses.
-claim_net() {
+claim_subnet() {
 	n=$((10 + $$ % 240))
 	tries=240
 	while [ $tries -gt 0 ]; do
-		NET_CLAIM=/tmp/daisyledge-net.$n
-		if mkdir "$NET_CLAIM" 2>/dev/null; then
-			echo $$ >"$NET_CLAIM/pid"
-			CLAIMED_NET=$n
+		SUBNET_LOCK=/tmp/daisyledge-net.$n
+		if mkdir "$SUBNET_LOCK" 2>/dev/null; then
+			echo $$ >"$SUBNET_LOCK/pid"
+			CLAIMED_SUBNET=$n
 			return 0
 		fi
-		owner=$(cat "$NET_CLAIM/pid" 2>/dev/null)
+		owner=$(cat "$SUBNET_LOCK/pid" 2>/dev/null)
 		if [ -n "$owner" ] && ! kill -0 "$owner" 2>/dev/null; then
-			rm -rf "$NET_CLAIM"
+			rm -rf "$SUBNET_LOCK"
 			continue
 		fi
 		n=$((10 + (n - 9) % 240))
@@ -299,8 +299,8 @@
 	return 1
 }
 
-release_net() {
-	[ -z "${CLAIMED_NET:-}" ] || rm -rf "$NET_CLAIM"
+release_subnet() {
+	[ -z "${CLAIMED_SUBNET:-}" ] || rm -rf "$SUBNET_LOCK"
 }
 
 # Begin a test script: its own folder, its own addresses, and an end that
@@ -310,15 +310,15 @@
 	WORK=$(mktemp -d "${TMPDIR:-/tmp}/$TEST_NAME.XXXXXX")
 	trap test_end EXIT
 	trap 'exit 130' INT TERM
-	claim_net || exit 1
-	deploy_init "$1" "$CLAIMED_NET" "$WORK"
+	claim_subnet || exit 1
+	deploy_init "$1" "$CLAIMED_SUBNET" "$WORK"
 }
 
 test_end() {
 	status=$?
 	trap - EXIT
 	deploy_stop
-	release_net
+	release_subnet
 	if [ $status -eq 0 ]; then
 		[ -n "${DL_KEEP:-}" ] || rm -rf "$WORK"
 		echo "$TEST_NAME: passed"
@@ -335,7 +335,7 @@
 
 # Find silence at endpoints sooner than the shipped configuration does, so
 # that a test need not wait for it.
-shorten_gaps() { # MS
+set_gap_timeout() { # MS
 	sed "s/\"gap_timeout_ms\": *[0-9]*/\"gap_timeout_ms\": $1/g" \
 		"$DIR/config.json" >"$DIR/config.new" &&
 		mv "$DIR/config.new" "$DIR/config.json"
@@ -354,16 +354,16 @@
 
 # A VM was killed or frozen now, or is back: what its callers see meanwhile is
 # its absence.  The load tool excuses just that.
-vm_away() { # D V
+record_vm_down() { # D V
 	echo "$(vm_address "$1" "$2"):$HTTP_PORT away $(wall_ms)" >>"$DIR/away"
 }
 
-vm_back() { # D V
+record_vm_up() { # D V
 	echo "$(vm_address "$1" "$2"):$HTTP_PORT back $(wall_ms)" >>"$DIR/away"
 }
 
 # Order a fault of an endpoint: fault I NAME TIMES
-fault() {
+inject_fault() {
 	$DL_HTTP -X POST -d "{\"fault\":\"$2\",\"times\":$3}" \
 		"$(endpoint_address "$1")" /fake/fault >/dev/null ||
 		fail "endpoint $1 takes no fault"
--- a/test/foreign.sh
+++ b/test/platform_deploy.sh
@@ -6,33 +6,33 @@
 KEY='X-Api-Key: key-one'
 HOST='Host: h.example'
 
-control() { # D
+control_address() { # D
 	echo "127.$NET.$1.1:$CONTROL_PORT"
 }
 
-front() { # D
+entry_address() { # D
 	echo "127.$NET.$1.1:$HTTP_PORT"
 }
 
-SEEDS="\"$(control 1)\",\"$(control 2)\",\"$(control 3)\""
+SEEDS="\"$(control_address 1)\",\"$(control_address 2)\",\"$(control_address 3)\""
 
-# Where a process stands: all in one failure domain, or, with APART set, each in
+# Where a process stands: all in one failure domain, or, with SEPARATE_DOMAINS set, each in
 # one of its own, in one region.
-place() { # D
-	if [ -n "${APART:-}" ]; then
+domain_settings() { # D
+	if [ -n "${SEPARATE_DOMAINS:-}" ]; then
 		printf '"failure_domain":"place-%s","region":"r"' "$1"
 	else
 		printf '"failure_domain":"r"'
 	fi
 }
 
-# With CUTTABLE set, the addresses in a file of the place are cut off.
-cuttable() { # D
-	[ -z "${CUTTABLE:-}" ] || printf '"cut_file":"%s",' "$DIR/cut-$1"
+# With ALLOW_CUT set, the addresses in a file of the place are cut off.
+cut_file_setting() { # D
+	[ -z "${ALLOW_CUT:-}" ] || printf '"cut_file":"%s",' "$DIR/cut-$1"
 }
 
 # Cut VM 3 off from the two others, silently; callers and endpoints reach it.
-cut_off_3() {
+isolate_vm_3() {
 	for d in 1 2; do
 		printf '127.%s.3.1:%s\n127.%s.3.2:%s\n' \
 			"$NET" $PEER_PORT "$NET" $PEER_PORT >"$DIR/cut-$d"
@@ -42,20 +42,20 @@
 	mv "$DIR/cut-3.new" "$DIR/cut-3"
 }
 
-heal_3() {
+reconnect_vm_3() {
 	rm "$DIR/cut-1" "$DIR/cut-2" "$DIR/cut-3"
 }
 
-settings() { # ROLE D FOUND
+write_platform_settings() { # ROLE D FOUND
 	if [ "$1" = entry ]; then
 		printf '{%s"name":"entry-%s",%s,"foreign":true,"http":"%s","ready":"127.%s.%s.1:%s","peer":"127.%s.%s.1:%s","seeds":[%s],"key_lease_ms":2500,"stop_s":8}\n' \
-			"$(cuttable "$2")" "$2" "$(place "$2")" "$(front "$2")" \
+			"$(cut_file_setting "$2")" "$2" "$(domain_settings "$2")" "$(entry_address "$2")" \
 			"$NET" "$2" $READY_PORT \
 			"$NET" "$2" $PEER_PORT "$SEEDS"
 	else
 		mkdir -p "$DIR/data-$2"
 		printf '{%s"name":"replica-%s",%s,"foreign":true,"operators":"%s","peer":"127.%s.%s.2:%s","seeds":[%s],"found":%s,"failures_max":1,"data_folder":"%s"}\n' \
-			"$(cuttable "$2")" "$2" "$(place "$2")" "$(control "$2")" \
+			"$(cut_file_setting "$2")" "$2" "$(domain_settings "$2")" "$(control_address "$2")" \
 			"$NET" "$2" $PEER_PORT "$(replica_seeds)" "$3" "$DIR/data-$2"
 	fi >"$DIR/$1-$2.json"
 }
@@ -69,38 +69,38 @@
 }
 SEEDS=$(replica_seeds)
 
-start() { # ROLE D FOUND
-	settings "$@"
+start_process() { # ROLE D FOUND
+	write_platform_settings "$@"
 	DAISYLEDGE_SETTINGS="$DIR/$1-$2.json" "$DL_BIN" "$1" \
 		>>"$DIR/$1-$2.log" 2>&1 &
-	remember "$1_$2" $!
+	record_pid "$1_$2" $!
 }
 
 # Three VMs, each with an entry and a replica, of a group that founds itself.
 start_all() {
 	for d in 1 2 3; do
-		start replica $d true
-		start entry $d
+		start_process replica $d true
+		start_process entry $d
 	done
 }
 
 # The first change is taken, and all entries are ready.
 configure_all() { # KEYS
-	wait_for 10 "the first change" put "$(config 5 5000 "$1")" ||
+	wait_for 10 "the first change" put_config "$(config 5 5000 "$1")" ||
 		fail "the first change is not taken"
 	for d in 1 2 3; do
-		wait_for 10 "entry $d" ready $d || fail "entry $d is not ready"
+		wait_for 10 "entry $d" entry_is_ready $d || fail "entry $d is not ready"
 	done
 }
 
-runner() { # NAME I [OPTION...]
+start_platform_endpoint() { # NAME I [OPTION...]
 	name=$1 host=$2
 	shift 2
 	test/tool_runner --listen "127.$NET.9.$host:$ENDPOINT_PORT" \
-		--control "$(control 1),$(control 2),$(control 3)" \
+		--control "$(control_address 1),$(control_address 2),$(control_address 3)" \
 		--instance "$name" --zone r --record "$RECORD" "$@" \
 		>>"$DIR/runner-$name.log" 2>&1 &
-	remember "runner_$(echo "$name" | tr - _)" $!
+	record_pid "runner_$(echo "$name" | tr - _)" $!
 }
 
 config() { # VERSION TIMEOUT KEYS
@@ -109,24 +109,24 @@
 }
 
 # Send a change to any replica; a redirection is followed by asking the others.
-put() { # CONFIG
+put_config() { # CONFIG
 	for d in 1 2 3; do
-		$DL_HTTP -t 3000 -X POST -d "$1" "$(control $d)" /-/Config.Put \
+		$DL_HTTP -t 3000 -X POST -d "$1" "$(control_address $d)" /-/Config.Put \
 			>/dev/null 2>&1 && return 0
 	done
 	return 1
 }
 
-read_back() {
+get_config() {
 	for d in 1 2 3; do
-		$DL_HTTP -t 2000 "$(control $d)" /-/Config.Get 2>/dev/null &&
+		$DL_HTTP -t 2000 "$(control_address $d)" /-/Config.Get 2>/dev/null &&
 			return 0
 	done
 	return 1
 }
 
-reads() { # VERSION
-	read_back | grep -q "^{\"version\":$1,"
+config_is_version() { # VERSION
+	get_config | grep -q "^{\"version\":$1,"
 }
 
 chat() { # D ATTEMPT [OPTION...]
@@ -139,7 +139,7 @@
 	$DL_HTTP -t 6000 -X POST -H "$HOST" -H "$KEY" \
 		-H "Daisyledge-Attempt-Id: $attempt" \
 		-H 'Daisyledge-Deadline-Ms: 5000' -d prompt "$@" \
-		"$(front "$d")" /chat/x 2>>"$DIR/chat.log"
+		"$(entry_address "$d")" /chat/x 2>>"$DIR/chat.log"
 }
 
 book() { # D ATTEMPT STATUS [OPTION...]
@@ -147,16 +147,16 @@
 	shift 3
 	$DL_HTTP -t 4000 -X POST -H "$HOST" -H "Daisyledge-Attempt-Id: $attempt" \
 		-H 'Daisyledge-Deadline-Ms: 2000' -d x -e "$status" "$@" \
-		"$(front "$d")" /book/x
+		"$(entry_address "$d")" /book/x
 }
 
-whole() { # FILE
+stream_is_complete() { # FILE
 	for n in 1 2 3 4 5 6 7 8; do
 		printf 'id: %s\ndata: e%s\n\n' $n $n
 	done | cmp -s - "$1"
 }
 
-ready() { # D
+entry_is_ready() { # D
 	$DL_HTTP -t 1000 "127.$NET.$1.1:$READY_PORT" /-/ready
 }
 
@@ -169,7 +169,7 @@
 
 # Streams and calls through a VM, on and on, each attempt with the VM's number as
 # its second letter; those that are not served are named in a file.
-load() { # D TAG
+generate_load() { # D TAG
 	n=0
 	while :; do
 		n=$((n + 1))
@@ -180,7 +180,7 @@
 		done
 		$DL_HTTP -t 2000 -H "$HOST" \
 			-H "Daisyledge-Attempt-Id: l$1x$2x$n" \
-			"$(front "$1")" /look/x >/dev/null 2>&1 ||
+			"$(entry_address "$1")" /look/x >/dev/null 2>&1 ||
 			echo "l$1x$2x$n"
 	done >>"$DIR/unserved"
 }
@@ -195,13 +195,13 @@
 		l=0
 		while [ $l -lt "$1" ]; do
 			l=$((l + 1))
-			load $d $l &
-			remember load_$d$l $!
+			generate_load $d $l &
+			record_pid load_$d$l $!
 		done
 	done
 }
 
-none_unserved() { # WHEN
+check_all_served() { # WHEN
 	[ ! -s "$DIR/unserved" ] ||
 		fail "$1: unserved: $(head -5 "$DIR/unserved" | tr '\n' ' ')"
 }
@@ -228,10 +228,10 @@
 	for i in 1 2 3 4; do
 		at="--zone place-$((i % 3 + 1)) --arrivals $DIR/arrivals"
 		# shellcheck disable=SC2086
-		runner w$i $((10 + i)) --service writer $at \
+		start_platform_endpoint w$i $((10 + i)) --service writer $at \
 			--shed "$DIR/shed-w$i" "$@"
 		# shellcheck disable=SC2086
-		runner d$i $((20 + i)) --service desk --plain $at \
+		start_platform_endpoint d$i $((20 + i)) --service desk --plain $at \
 			--shed "$DIR/shed-d$i" "$@"
 	done
 }
--- a/test/test_system_backoff_random.sh
+++ b/test/test_system_backoff_random.sh
@@ -7,17 +7,17 @@
 . test/deploy.sh
 SEED=${DL_RANDOM_SEED:-1}
 DURATION=${DL_RANDOM_SECONDS:-12}
-CUTTABLE=1
-APART=1
+ALLOW_CUT=1
+SEPARATE_DOMAINS=1
 test_begin dala
-. test/foreign.sh
+. test/platform_deploy.sh
 
 GRACE_MS=500
 ALLOWED=2
 DRAIN_MS=2000
 
 # One line a step: after so many seconds, what, and whom.
-plan() {
+print_plan() {
 	awk -v seed="$SEED" -v left="$DURATION" 'BEGIN {
 		srand(seed)
 		n = split("shed shed shed-short unshed leave kill stop freeze " \
@@ -35,16 +35,16 @@
 }
 
 # A VM that starts anew, or stood still, knows or could do nothing else.
-excuse() { # VM
+exempt_vm() { # VM
 	echo "$(wall_ms) excused x$1x" >>"$DIR/arrivals"
 }
 
-again() { # VM
-	start entry "$1"
-	excuse "$1"
+restart_vm() { # VM
+	start_process entry "$1"
+	exempt_vm "$1"
 }
 
-step() { # WHAT WHOM
+run_step() { # WHAT WHOM
 	case $1 in
 	shed) shed 2.5 "$2" ;;
 	shed-short) shed 0.8 "$2" ;;
@@ -52,28 +52,28 @@
 	leave) kill -USR1 "$(pid_of "runner_$2")" ;;
 	kill)
 		kill -KILL "$(pid_of "entry_$2")"
-		again "$2"
+		restart_vm "$2"
 		;;
 	stop)
 		kill -TERM "$(pid_of "entry_$2")"
 		sleep 0.5
 		kill -KILL "$(pid_of "entry_$2")" 2>/dev/null
-		again "$2"
+		restart_vm "$2"
 		;;
 	freeze)
 		kill -STOP "$(pid_of "entry_$2")"
 		sleep 0.7
 		kill -CONT "$(pid_of "entry_$2")"
-		excuse "$2"
+		exempt_vm "$2"
 		;;
-	cut) if [ -e "$DIR/cut-3" ]; then heal_3; else cut_off_3; fi ;;
+	cut) if [ -e "$DIR/cut-3" ]; then reconnect_vm_3; else isolate_vm_3; fi ;;
 	all-desks) shed 1.5 d1 d2 d3 d4 ;;
 	esac
 }
 
 # What came although its VM had been asked to wait, and what came later than
 # DRAIN_MS after its VM had been told that the endpoint leaves; at most.
-judge() {
+count_violations() {
 	sort -n "$DIR/arrivals" | awk -v grace=$GRACE_MS -v drain=$DRAIN_MS '
 		{
 			vm = substr($3, 2, 1)
@@ -114,13 +114,13 @@
 configure_all '"key-one"'
 load_all 2
 : >"$DIR/arrivals"
-plan >"$DIR/plan"
+print_plan >"$DIR/plan"
 while read -r pause what whom; do
 	sleep "$pause"
-	step "$what" "$whom" 2>/dev/null
+	run_step "$what" "$whom" 2>/dev/null
 done <"$DIR/plan"
 read -r most leaving asked <<JUDGED
-$(judge)
+$(count_violations)
 JUDGED
 echo "seed $SEED: $(wc -l <"$DIR/plan") steps, $asked turned away," \
 	"$most in a time to wait, $leaving at one that leaves"
--- a/test/test_system_completion_backoff.sh
+++ b/test/test_system_completion_backoff.sh
@@ -13,7 +13,7 @@
 
 # The most that came to an endpoint of one VM in a time in which it had asked
 # that VM to wait.  The id of a request begins with the VM that it came to.
-most_while_asked_to_wait() {
+max_requests_during_backoff() {
 	awk -v wait=$WAIT_MS -v grace=$GRACE_MS '
 		$1 != "B" && $1 != "X" { next }
 		{
@@ -36,7 +36,7 @@
 		}' "$RECORD"
 }
 
-load() { # D
+generate_load() { # D
 	while :; do
 		$DL_HTTP -t 5000 -X POST -H 'Daisyledge-Deadline-Ms: 4000' \
 			-d "{\"model\":\"$MODEL\",\"prompt\":\"p\",\"max_tokens\":1}" \
@@ -49,17 +49,17 @@
 }
 
 for d in 1 2 3; do
-	load $d &
-	remember load_$d $!
+	generate_load $d &
+	record_pid load_$d $!
 done
 sleep 1
 : >"$DIR/unserved"
 # One engine of each of two failure domains, and the plain service of another.
-fault 1 busy -1
-fault 5 busy -1
-fault 9 busy -1
+inject_fault 1 busy -1
+inject_fault 5 busy -1
+inject_fault 9 busy -1
 sleep 8
-got=$(most_while_asked_to_wait)
+got=$(max_requests_during_backoff)
 asked=$(grep -c 'busy$' "$RECORD")
 echo "$asked turned away, $got requests of a VM in a time to wait"
 [ "$asked" -gt 0 ] || fail "nothing was turned away"
--- a/test/test_system_config.sh
+++ b/test/test_system_config.sh
@@ -14,7 +14,7 @@
 }
 
 # A text that differs from any other: edition N FILE
-edition() {
+config_variant() {
 	sed "s/\"weight_store_mb_per_s\": [0-9]*/\"weight_store_mb_per_s\": $1/" \
 		"$DIR/config.json" >"$2"
 }
@@ -41,7 +41,7 @@
 	done
 	pids=
 	for d in 1 2 3; do
-		edition "1$round$d" "$DIR/race.$d"
+		config_variant "1$round$d" "$DIR/race.$d"
 		# shellcheck disable=SC2046
 		"$DL_BIN" apply $(entry $d) --expect $((base + round)) \
 			--author "operator-$d" "$DIR/race.$d" \
@@ -64,7 +64,7 @@
 
 # The client dies with the answer; the same id again, elsewhere, counts once.
 for n in 1 2 3 4 5; do
-	edition "2$n" "$DIR/again"
+	config_variant "2$n" "$DIR/again"
 	# shellcheck disable=SC2046
 	"$DL_BIN" apply $(entry 1) --change-id "again-$n" "$DIR/again" \
 		>/dev/null 2>&1 &
@@ -81,7 +81,7 @@
 	# shellcheck disable=SC2046
 	made=$("$DL_BIN" history $(entry 2) | grep -c "again-$n\$")
 	[ "$made" -eq 1 ] || fail "again-$n made $made versions"
-	edition "3$n" "$DIR/other"
+	config_variant "3$n" "$DIR/other"
 	# shellcheck disable=SC2046
 	"$DL_BIN" apply $(entry 3) --change-id "again-$n" "$DIR/other" \
 		>/dev/null 2>&1
@@ -107,7 +107,7 @@
 # A VM that is paused is named by --wait, and has the version once it is back.
 before=$(version 1)
 kill -STOP "$(pid_of entry_3_1)"
-edition 399 "$DIR/paused"
+config_variant 399 "$DIR/paused"
 # shellcheck disable=SC2046
 "$DL_BIN" apply $(entry 1) --wait --timeout 2 "$DIR/paused" \
 	>"$DIR/paused.out" 2>&1
@@ -124,7 +124,7 @@
 n=0
 while [ $n -lt 150 ]; do
 	n=$((n + 1))
-	edition "4$n" "$DIR/many"
+	config_variant "4$n" "$DIR/many"
 	# shellcheck disable=SC2046
 	"$DL_BIN" apply $(entry 1) "$DIR/many" >"$DIR/many.out" 2>&1 ||
 		fail "change $n: $(cat "$DIR/many.out")"
@@ -140,7 +140,7 @@
 
 # The leader's VM is lost with its entry: the next entry is asked.
 kill -KILL "$(pid_of replica_1_1)" "$(pid_of entry_1_1)"
-edition 500 "$DIR/after"
+config_variant 500 "$DIR/after"
 # shellcheck disable=SC2046
 "$DL_BIN" apply $(entry 1) $(entry 2) $(entry 3) --wait --timeout 20 \
 	"$DIR/after" >"$DIR/after.out" 2>&1 ||
@@ -162,7 +162,7 @@
 
 # Without a majority nothing is accepted, and what is in force stays.
 kill -KILL "$(pid_of replica_2_1)" "$(pid_of replica_3_1)"
-edition 600 "$DIR/none"
+config_variant 600 "$DIR/none"
 # shellcheck disable=SC2046
 "$DL_BIN" apply $(entry 1) --timeout 3 "$DIR/none" >"$DIR/none.out" 2>&1
 got=$?
--- a/test/test_system_texts.sh
+++ b/test/test_system_config_burst.sh
@@ -4,7 +4,7 @@
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 test_begin dala
-. test/foreign.sh
+. test/platform_deploy.sh
 
 start_all
 configure_all '"key-one"'
@@ -14,63 +14,63 @@
 	printf '{"name":"r%s","host":"%s.example","path_prefix":"/%s/","kind":"idempotent","timeout_ms":2000,"target_latency_ms":100,"priority":1,"service":"desk","attempts":2,"public":true},' \
 		"$i" "$(printf %s "$i" | md5sum | cut -c1-12)" "$i"
 done)
-large() { # VERSION
+large_config() { # VERSION
 	config "$1" 5000 '"key-one"' | sed "s|\"routes\":\[|&@|" |
 		awk -v r="$routes" '{ i = index($0, "@"); print substr($0, 1, i - 1) r substr($0, i + 1) }'
 }
 n=6
 while [ $n -le 25 ]; do
-	large $n >"$DIR/large.$n"
+	large_config $n >"$DIR/large.$n"
 	n=$((n + 1))
 done
-change() { # FROM TO
+apply_changes() { # FROM TO
 	n=$1
 	while [ $n -le "$2" ]; do
 		$DL_HTTP -t 3000 -X POST -d "$(cat "$DIR/large.$n")" \
-			"$(control 1)" /-/Config.Put >/dev/null 2>&1 ||
-			put "$(cat "$DIR/large.$n")" ||
+			"$(control_address 1)" /-/Config.Put >/dev/null 2>&1 ||
+			put_config "$(cat "$DIR/large.$n")" ||
 			fail "change $n is not taken"
 		n=$((n + 1))
 	done
 }
-in_force() { # how many versions entry $1 has put in force
+count_versions_in_force() { # how many versions entry $1 has put in force
 	grep -c 'Configuration in force' "$DIR/entry-$1.log"
 }
-last_is() { # D VERSION
+latest_version_is() { # D VERSION
 	grep 'Configuration in force' "$DIR/entry-$1.log" | tail -1 |
 		grep -q "version=$2 "
 }
 # Whether a VM read only after a rest of three times as long as it had read the
 # one before, or once a version had waited 300 ms; 2 ms for rounding.
-rests() { # D
+check_read_intervals() { # D
 	grep 'Configuration in force' "$DIR/entry-$1.log" |
 		sed 's/.*waited_ms=\([0-9]*\) rested_ms=\([-0-9]*\) read_ms=\([0-9]*\).*/\1 \2 \3/' |
 		awk '$2 >= 0 && $2 + 2 < 3 * before && $1 < 300 { exit 1 }
 			{ before = $3 }'
 }
 begun=$(wall_ms)
-change 6 15
+apply_changes 6 15
 took=$(($(wall_ms) - begun))
 for d in 1 2 3; do
 	wait_for 2 "the last change" $DL_HTTP -t 1000 -H 'Host: x.example' \
-		-e 404 "$(front $d)" /x/ >/dev/null || fail "entry $d is gone"
-	wait_for 2 "version 11 in force" last_is $d 11 ||
+		-e 404 "$(entry_address $d)" /x/ >/dev/null || fail "entry $d is gone"
+	wait_for 2 "version 11 in force" latest_version_is $d 11 ||
 		fail "the last change is not in force at entry $d"
-	rests $d || fail "entry $d reads without a rest"
+	check_read_intervals $d || fail "entry $d reads without a rest"
 	# Changes that come more slowly may each be read after a rest.
-	[ $took -ge 1000 ] || [ "$(in_force $d)" -le 8 ] ||
+	[ $took -ge 1000 ] || [ "$(count_versions_in_force $d)" -le 8 ] ||
 		fail "entry $d read each of the changes"
 done
-echo "versions read: $(in_force 1) $(in_force 2) $(in_force 3), in $took ms"
+echo "versions read: $(count_versions_in_force 1) $(count_versions_in_force 2) $(count_versions_in_force 3), in $took ms"
 
 # Of ten that came while a VM stood still the first and the last are read, and
 # one that came between them.
-before=$(in_force 3)
+before=$(count_versions_in_force 3)
 kill -STOP "$(pid_of entry_3)"
-change 16 25
+apply_changes 16 25
 kill -CONT "$(pid_of entry_3)"
-wait_for 4 "version 21 in force" last_is 3 21 ||
+wait_for 4 "version 21 in force" latest_version_is 3 21 ||
 	fail "the last change is not in force where a VM stood still"
-read_since=$(($(in_force 3) - before))
+read_since=$(($(count_versions_in_force 3) - before))
 echo "versions read after standing still: $read_since"
 [ $read_since -le 3 ] || fail "entry 3 read $read_since of ten that it missed"
--- a/test/test_system_crashing_completion.sh
+++ b/test/test_system_crashing_completion.sh
@@ -17,7 +17,7 @@
 		"$@" "$(vm_address "$d" 1):$HTTP_PORT" /v1/completions
 }
 
-ended() {
+count_ended() {
 	n=0
 	for i in 1 2 3 4 5 6 7 8 9; do
 		not_running "$(pid_of endpoint_$i)" && n=$((n + 1))
@@ -26,15 +26,15 @@
 }
 
 for i in 1 2 3 4 5 6 7 8 9; do
-	fault $i die-first 1
+	inject_fault $i die-first 1
 done
 n=0
-while [ "$(ended)" -lt 3 ] && [ $n -lt 4 ]; do
+while [ "$(count_ended)" -lt 3 ] && [ $n -lt 4 ]; do
 	n=$((n + 1))
 	complete 1 crash >/dev/null 2>&1
 	sleep 0.3
 done
-before=$(ended)
+before=$(count_ended)
 [ "$before" -ge 3 ] || fail "$before engines ended, the request did not run"
 [ "$before" -le 4 ] || fail "$before engines ended at one VM"
 sleep $STABLE_S
@@ -42,4 +42,4 @@
 	complete $d crash -e 503 | grep -q '"quarantined"' ||
 		fail "VM $d does not say that it holds the request back"
 done
-[ "$(ended)" -eq "$before" ] || fail "$(ended) engines ended, not $before"
+[ "$(count_ended)" -eq "$before" ] || fail "$(count_ended) engines ended, not $before"
--- a/test/test_system_drain.sh
+++ b/test/test_system_drain.sh
@@ -26,7 +26,7 @@
 	$DL_HTTP -e 503 "$1" /readyz | grep -q draining
 }
 
-begun_since() { # ADDRESS MS: executions that began there from then on
+executions_since() { # ADDRESS MS: executions that began there from then on
 	awk -v a="$1" -v t="$2" '$1 == "B" && $3 == a && $2 >= t' "$RECORD" |
 		wc -l
 }
@@ -70,9 +70,9 @@
 test/tool_load --entries "$VM" --classes test/data/load-streams.json \
 	--seconds 1 --rate 0.45 --seed 7 --out "$DIR/streams" --quiet --done-min 1000 \
 	2>"$DIR/streams.faults" &
-remember streams $!
+record_pid streams $!
 sleep 1.3
-[ "$(begun_since "$RUNNER" 0)" -gt 0 ] || fail "no work before the drain"
+[ "$(executions_since "$RUNNER" 0)" -gt 0 ] || fail "no work before the drain"
 sed "s/\"drain\": {\"vms\": \[\], \"endpoints\": \[\]}/\"drain\": {\"vms\": \
 [\"$first\"], \"endpoints\": [\"$RUNNER\"]}/" "$DIR/config.json" \
 	>"$DIR/drain.json"
@@ -96,9 +96,9 @@
 	head "$DIR/streams.faults" >&2
 	fail "not every stream was done"
 }
-late=$(begun_since "$RUNNER" $((drained + 2000)))
+late=$(executions_since "$RUNNER" $((drained + 2000)))
 [ "$late" -eq 0 ] || fail "$late begun at the drained endpoint after 2 s"
-[ "$(begun_since "$(endpoint_address 4)" $((drained + 2000)))" -gt 0 ] ||
+[ "$(executions_since "$(endpoint_address 4)" $((drained + 2000)))" -gt 0 ] ||
 	fail "its neighbour had no work either"
 cut=$(awk -v a="$RUNNER" '$1 == "E" && $3 == a && $NF != "whole"' "$RECORD" |
 	wc -l)
@@ -113,7 +113,7 @@
 wait_for 5 "dispatching to come back" dispatches "$first" || exit 1
 ENTRIES=$all
 run_load --seconds 3 --seed 2 --done-min 400 || fail "a check after the drain is broken"
-[ "$(begun_since "$RUNNER" "$lifted")" -gt 0 ] ||
+[ "$(executions_since "$RUNNER" "$lifted")" -gt 0 ] ||
 	fail "the endpoint gets no work after the drain"
 $DL_HTTP -X POST -d "{\"model\":\"$MODEL\",\"prompt\":\"new\"}" "$VM" \
 	/v1/completions >"$DIR/new" || fail "the VM after it: $(cat "$DIR/new")"
--- a/test/test_system_drain_queue.sh
+++ b/test/test_system_drain_queue.sh
@@ -17,7 +17,7 @@
 test/tool_load --entries "$VM" --classes test/data/load-streams.json \
 	--seconds 1 --seed 7 --out "$DIR/streams" --quiet --done-min 1000 \
 	2>"$DIR/streams.faults" &
-remember streams $!
+record_pid streams $!
 sleep 1.3
 sed "s/\"drain\": {\"vms\": \[\]/\"drain\": {\"vms\": [\"$first\"]/" \
 	"$DIR/config.json" >"$DIR/drain.json"
--- a/test/test_system_endpoint_backoff.sh
+++ b/test/test_system_endpoint_backoff.sh
@@ -3,17 +3,17 @@
 # the VM that dispatches is killed and comes back, and while a VM is cut off.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
-CUTTABLE=1
-APART=1
+ALLOW_CUT=1
+SEPARATE_DOMAINS=1
 test_begin dala
-. test/foreign.sh
+. test/platform_deploy.sh
 
 GRACE_MS=500 # what is on its way may still arrive
 ALLOWED=2    # requests of a VM after that, until it may come again
 
 # The most requests of one VM that came to one endpoint in a time in which it
 # had asked that VM to wait.  Attempts are named by the VM they were sent to.
-most_while_asked_to_wait() {
+max_requests_during_backoff() {
 	sort -n "$DIR/arrivals" | awk -v grace=$GRACE_MS '
 		{
 			vm = substr($3, 2, 1)
@@ -35,8 +35,8 @@
 		}'
 }
 
-keeps_away() { # WHEN
-	got=$(most_while_asked_to_wait)
+check_backoff() { # WHEN
+	got=$(max_requests_during_backoff)
 	asked=$(grep -c ' shed ' "$DIR/arrivals")
 	echo "$1: $asked turned away, $got requests of a VM in a time to wait"
 	[ "$asked" -gt 0 ] || fail "$1: nothing was turned away"
@@ -54,25 +54,25 @@
 : >"$DIR/unserved"
 shed 2 w1 w2 d1 d2 d3
 sleep 5
-keeps_away "some turn away"
-none_unserved "some turn away"
+check_backoff "some turn away"
+check_all_served "some turn away"
 
 # A dispatcher that takes over was not there when the endpoints asked to wait.
 d=$(dispatcher_of writer)
 kill -KILL "$(pid_of entry_$d)"
 sleep 4
-start entry "$d"
-wait_for 10 "entry $d" ready "$d" || fail "entry $d is not ready"
+start_process entry "$d"
+wait_for 10 "entry $d" entry_is_ready "$d" || fail "entry $d is not ready"
 sleep 3
-keeps_away "the dispatcher is killed"
+check_backoff "the dispatcher is killed"
 
 # Both sides of a cut, each with a dispatcher of its own.
 : >"$DIR/arrivals"
-cut_off_3
+isolate_vm_3
 sleep 6
-heal_3
+reconnect_vm_3
 sleep 4
-keeps_away "a VM is cut off"
+check_backoff "a VM is cut off"
 
 # All of a service turn everything away: its calls are refused at once, with the
 # time to come back, and served again after that.
@@ -89,7 +89,7 @@
 awk -v s="${after:-0}" 'BEGIN { exit !(s > 0 && s <= 1.5) }' ||
 	fail "the time to come back is '$after'"
 sleep 2
-keeps_away "all of a service turn away"
+check_backoff "all of a service turn away"
 rm "$DIR"/shed-*
 for d in 1 2 3; do
 	wait_for 4 "a call at $d" book $d "b$d" 200 -H "$KEY" ||
--- a/test/test_system_endpoint_limit.sh
+++ b/test/test_system_endpoint_limit.sh
@@ -3,17 +3,17 @@
 # VM that dispatches is killed and comes back, and while a VM is cut off.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
-CUTTABLE=1
-APART=1
+ALLOW_CUT=1
+SEPARATE_DOMAINS=1
 test_begin dala
-. test/foreign.sh
+. test/platform_deploy.sh
 
 STABLE_MS=3000 # by when each VM knows of a limit
 WINDOW_MS=4000 # in which requests are counted
 
 # The most requests of a start from some VMs in any window, from STABLE_MS after
 # its first.  Attempts are named by the VM that they were sent to.
-most() { # INSTANCE VMS
+max_in_window() { # INSTANCE VMS
 	grep " $1 [cbel][$2]x" "$DIR/arrivals" | sort -n | awk -v w=$WINDOW_MS \
 		-v stable=$STABLE_MS '
 		{ at[n++] = $1 }
@@ -32,9 +32,9 @@
 }
 
 # Half as much again as the limit allows, and five.
-keeps() { # INSTANCE LIMIT VMS
+check_limit() { # INSTANCE LIMIT VMS
 	allowed=$((3 * $2 * WINDOW_MS / 2000 + 5))
-	got=$(most "$1" "$3")
+	got=$(max_in_window "$1" "$3")
 	echo "$1: $got requests of VMs $3 in $WINDOW_MS ms, $allowed are allowed"
 	[ "$got" -le $allowed ] || fail "$1 got $got, allowed $allowed"
 	[ "$(grep -c " $1 " "$DIR/arrivals")" -ge 5 ] ||
@@ -46,9 +46,9 @@
 	limits="--zone place-$i --arrivals $DIR/arrivals"
 	[ $i -eq 2 ] || limits="$limits --limit 2"
 	# shellcheck disable=SC2086
-	runner w$i $((10 + i)) --service writer $limits
+	start_platform_endpoint w$i $((10 + i)) --service writer $limits
 	# shellcheck disable=SC2086
-	runner d$i $((20 + i)) --service desk --plain $limits
+	start_platform_endpoint d$i $((20 + i)) --service desk --plain $limits
 done
 configure_all '"key-one"'
 load_all 3
@@ -56,21 +56,21 @@
 d=$(dispatcher_of writer)
 kill -KILL "$(pid_of entry_$d)"
 sleep 5
-start entry "$d"
-wait_for 10 "entry $d" ready "$d" || fail "entry $d is not ready"
+start_process entry "$d"
+wait_for 10 "entry $d" entry_is_ready "$d" || fail "entry $d is not ready"
 sleep 6
 for i in w1 w3 d1 d3; do
-	keeps $i 2 123
+	check_limit $i 2 123
 done
 
 # A VM that is cut off has a dispatcher of its own; the others keep the limit,
 # and so does it.
 : >"$DIR/arrivals"
-cut_off_3
+isolate_vm_3
 sleep 9
-heal_3
+reconnect_vm_3
 sleep 6
 for i in w1 w3 d1 d3; do
-	keeps $i 2 12
-	keeps $i 2 3
+	check_limit $i 2 12
+	check_limit $i 2 3
 done
--- a/test/test_system_places.sh
+++ b/test/test_system_failure_domains.sh
@@ -5,15 +5,15 @@
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 test_begin dala
-APART=yes
-. test/foreign.sh
+SEPARATE_DOMAINS=yes
+. test/platform_deploy.sh
 
 start_all
 configure_all '"key-one"'
 # After the change: a dispatcher has no pool for an endpoint's words before.
 for d in 1 2 3; do
-	runner "w$d" $d --zone "place-$d" --service writer
-	runner "d$d" $((d + 3)) --zone "place-$d" --service desk --plain
+	start_platform_endpoint "w$d" $d --zone "place-$d" --service writer
+	start_platform_endpoint "d$d" $((d + 3)) --zone "place-$d" --service desk --plain
 done
 for d in 1 2 3; do
 	for name in w1 w2 w3 d1 d2 d3; do
@@ -25,7 +25,7 @@
 # Streams and plain calls stay at home.
 for n in 1 2 3 4 5 6; do
 	for d in 1 2 3; do
-		chat $d "stream-$d-$n" >"$DIR/stream" && whole "$DIR/stream" ||
+		chat $d "stream-$d-$n" >"$DIR/stream" && stream_is_complete "$DIR/stream" ||
 			fail "a stream is not whole"
 		book $d "call-$d-$n" 200 -H "$KEY" >/dev/null ||
 			fail "a call is not served"
@@ -50,7 +50,7 @@
 	done
 done
 for n in 1 2 3; do
-	chat 3 "away-$n" >"$DIR/stream" && whole "$DIR/stream" ||
+	chat 3 "away-$n" >"$DIR/stream" && stream_is_complete "$DIR/stream" ||
 		fail "a stream without an endpoint at home is not served"
 	book 3 "away-call-$n" 200 -H "$KEY" >/dev/null ||
 		fail "a call without an endpoint at home is not served"
--- a/test/test_system_keys.sh
+++ b/test/test_system_keys.sh
@@ -16,7 +16,7 @@
 		/s/$PLAIN_SERVICE/confirm
 }
 
-begun() { # KEY
+count_executions() { # KEY
 	grep -c "^B .* $1 " "$RECORD"
 }
 
@@ -25,24 +25,24 @@
 	again=$(confirm $d key-a "seat 4") || fail "resend through VM $d: $again"
 	[ "$again" = "$first" ] || fail "VM $d answers $again, not $first"
 done
-[ "$(begun key-a)" -eq 1 ] || fail "key-a began $(begun key-a) times"
+[ "$(count_executions key-a)" -eq 1 ] || fail "key-a began $(count_executions key-a) times"
 
 for n in 1 2 3 4 5; do
 	pids=
 	for d in 1 2 3; do
 		confirm $d key-b$n "seat $n" >"$DIR/at-once.$d" &
 		pids="$pids $!"
-		remember confirm $!
+		record_pid confirm $!
 	done
 	for p in $pids; do
 		wait "$p"
 	done
-	[ "$(begun key-b$n)" -eq 1 ] ||
-		fail "key-b$n began $(begun key-b$n) times"
+	[ "$(count_executions key-b$n)" -eq 1 ] ||
+		fail "key-b$n began $(count_executions key-b$n) times"
 done
 
 other=$(confirm 2 key-a "seat 5") && fail "another body got an answer: $other"
-[ "$(begun key-a)" -eq 1 ] || fail "another body ran under key-a"
+[ "$(count_executions key-a)" -eq 1 ] || fail "another body ran under key-a"
 
 first=$(confirm 1 key-c "seat 9") || fail "key-c: $first"
 kill -KILL "$(pid_of entry_1_1)" "$(pid_of replica_1_1)"
@@ -51,9 +51,9 @@
 }
 wait_for 10 "the first answer after a failover" again_c ||
 	fail "after a VM was lost: $(confirm 2 key-c "seat 9")"
-[ "$(begun key-c)" -eq 1 ] || fail "key-c began $(begun key-c) times"
+[ "$(count_executions key-c)" -eq 1 ] || fail "key-c began $(count_executions key-c) times"
 
 # Without a majority of replicas nothing is claimed, so nothing may run.
 kill -KILL "$(pid_of replica_2_1)"
 refused=$(confirm 3 key-d "seat 7") && fail "ran without a quorum: $refused"
-[ "$(begun key-d)" -eq 0 ] || fail "key-d ran without a quorum"
+[ "$(count_executions key-d)" -eq 0 ] || fail "key-d ran without a quorum"
--- a/test/test_system_doors.sh
+++ b/test/test_system_listeners.sh
@@ -10,9 +10,9 @@
 DL_LOG_LEVEL=debug
 test_begin dala
 OPERATOR_PORT=8081
-ENDPOINT_DOOR=8082
-ANNOUNCE_TO=$(vm_address 1 1):$ENDPOINT_DOOR,$(vm_address 2 1):$ENDPOINT_DOOR
-ANNOUNCE_TO=$ANNOUNCE_TO,$(vm_address 3 1):$ENDPOINT_DOOR
+ENDPOINT_LISTENER_PORT=8082
+ANNOUNCE_TO=$(vm_address 1 1):$ENDPOINT_LISTENER_PORT,$(vm_address 2 1):$ENDPOINT_LISTENER_PORT
+ANNOUNCE_TO=$ANNOUNCE_TO,$(vm_address 3 1):$ENDPOINT_LISTENER_PORT
 
 # Each secret has the same mark, so that one search finds them all.
 MARK=sesame
@@ -31,7 +31,7 @@
 entry_settings() { # D V
 	printf '"operators":"%s:%s","endpoints":"%s:%s",' \
 		"$(vm_address "$1" "$2")" $OPERATOR_PORT \
-		"$(vm_address "$1" "$2")" $ENDPOINT_DOOR
+		"$(vm_address "$1" "$2")" $ENDPOINT_LISTENER_PORT
 	# shellcheck disable=SC2086
 	printf '"operator_keys":[%s],"endpoint_keys":[%s],' \
 		"$(secrets operators $VALID)" "$(secrets endpoints $VALID)"
@@ -40,15 +40,15 @@
 export DAISYLEDGE_KEY_FILE="$DIR/operators-old.key"
 deploy_start || fail "the deployment does not start"
 
-operators() { # D
+operator_address() { # D
 	echo "$(vm_address "$1" 1):$OPERATOR_PORT"
 }
 
-endpoints() { # D
-	echo "$(vm_address "$1" 1):$ENDPOINT_DOOR"
+endpoint_listener() { # D
+	echo "$(vm_address "$1" 1):$ENDPOINT_LISTENER_PORT"
 }
 
-expect() { # STATUS WHAT OPTION...
+expect_status() { # STATUS WHAT OPTION...
 	status=$1
 	what=$2
 	shift 2
@@ -56,14 +56,14 @@
 		fail "$what is not a $status: $(cat "$DIR/answer")"
 }
 
-key() { # NAME
+key_option() { # NAME
 	echo "--key-file $DIR/$1.key"
 }
 
 # The doors of operators: reading and changing need a good signature.
-"$DL_BIN" get --entry "$(operators 1)" >"$DIR/before" || fail "no text"
+"$DL_BIN" get --entry "$(operator_address 1)" >"$DIR/before" || fail "no text"
 version() { # D
-	"$DL_BIN" status --json --entry "$(operators "$1")" |
+	"$DL_BIN" status --json --entry "$(operator_address "$1")" |
 		sed 's/^{"version":\([0-9]*\).*/\1/'
 }
 base=$(version 1)
@@ -71,12 +71,12 @@
 	"$DIR/config.json" >"$DIR/other.json"
 apply_as() { # D KEY-FILE
 	DAISYLEDGE_KEY_FILE=$2 "$DL_BIN" apply --timeout 3 \
-		--entry "$(operators "$1")" "$DIR/other.json" \
+		--entry "$(operator_address "$1")" "$DIR/other.json" \
 		>"$DIR/apply-as.log" 2>&1
 }
 for d in 1 2 3; do
 	env -u DAISYLEDGE_KEY_FILE "$DL_BIN" apply --timeout 3 \
-		--entry "$(operators $d)" "$DIR/other.json" \
+		--entry "$(operator_address $d)" "$DIR/other.json" \
 		>"$DIR/apply-as.log" 2>&1 && fail "an unsigned change was taken"
 	grep -q 'signature' "$DIR/apply-as.log" ||
 		fail "an unsigned change: $(cat "$DIR/apply-as.log")"
@@ -91,38 +91,38 @@
 	printf '"%s"}' "$(sed 's/"/\\"/g' "$DIR/other.json" | tr -d '\n')"
 } >"$DIR/raw.json"
 for path in /v1/config /v1/config/history /v1/status /metrics /v1/traces; do
-	expect 401 "unsigned $path" "$(operators 1)" $path
+	expect_status 401 "unsigned $path" "$(operator_address 1)" $path
 	# shellcheck disable=SC2046
-	expect 401 "$path by another key" $(key other) "$(operators 1)" $path
+	expect_status 401 "$path by another key" $(key_option other) "$(operator_address 1)" $path
 	# shellcheck disable=SC2046
-	expect 401 "stale $path" $(key operators-old) --signed-ago 130000 \
-		"$(operators 1)" $path
+	expect_status 401 "stale $path" $(key_option operators-old) --signed-ago 130000 \
+		"$(operator_address 1)" $path
 	for k in operators-old operators-new; do
 		# shellcheck disable=SC2046
-		expect 200 "$path by $k" $(key $k) "$(operators 1)" $path
+		expect_status 200 "$path by $k" $(key_option $k) "$(operator_address 1)" $path
 		cat "$DIR/answer" >>"$DIR/answers"
 	done
 	# shellcheck disable=SC2046
-	expect 404 "$path at the callers' door" $(key operators-old) \
+	expect_status 404 "$path at the callers' door" $(key_option operators-old) \
 		"$(vm_address 1 1):$HTTP_PORT" $path
 	# shellcheck disable=SC2046
-	expect 404 "$path at the endpoints' door" $(key operators-old) \
-		"$(endpoints 1)" $path
+	expect_status 404 "$path at the endpoints' door" $(key_option operators-old) \
+		"$(endpoint_listener 1)" $path
 done
 # shellcheck disable=SC2046
-expect 401 "a replayed change" -X POST -f "$DIR/raw.json" --signed-ago 130000 \
-	$(key operators-old) "$(operators 1)" /v1/config
-expect 401 "an unsigned change" -X POST -f "$DIR/raw.json" \
-	"$(operators 1)" /v1/config
+expect_status 401 "a replayed change" -X POST -f "$DIR/raw.json" --signed-ago 130000 \
+	$(key_option operators-old) "$(operator_address 1)" /v1/config
+expect_status 401 "an unsigned change" -X POST -f "$DIR/raw.json" \
+	"$(operator_address 1)" /v1/config
 for d in 1 2 3; do
 	[ "$(version $d)" = "$base" ] || fail "the version moved at VM $d"
-	"$DL_BIN" get --entry "$(operators $d)" | cmp -s - "$DIR/before" ||
+	"$DL_BIN" get --entry "$(operator_address $d)" | cmp -s - "$DIR/before" ||
 		fail "the text changed at VM $d"
 done
 # The same change, signed, is one: nothing but the signature was at fault.
 # shellcheck disable=SC2046
-expect 200 "the change, signed" -X POST -f "$DIR/raw.json" \
-	$(key operators-old) "$(operators 1)" /v1/config
+expect_status 200 "the change, signed" -X POST -f "$DIR/raw.json" \
+	$(key_option operators-old) "$(operator_address 1)" /v1/config
 [ "$(version 1)" = $((base + 1)) ] || fail "the signed change made no version"
 
 # The doors of endpoints: a fake that announces to nobody lends its words.
@@ -131,61 +131,61 @@
 stranger=$(endpoint_address 9)
 wait_for 5 "the stranger" $DL_HTTP "$stranger" /v1/load || exit 1
 $DL_HTTP "$stranger" /v1/load >"$DIR/words"
-announce() { # STATUS WHAT D OPTION...
+announce_unknown_endpoint() { # STATUS WHAT D OPTION...
 	status=$1 what=$2 d=$3
 	shift 3
-	expect "$status" "$what" -X POST -f "$DIR/words" "$@" \
-		"$(endpoints "$d")" /v1/endpoints
+	expect_status "$status" "$what" -X POST -f "$DIR/words" "$@" \
+		"$(endpoint_listener "$d")" /v1/endpoints
 }
-known() { # D
-	"$DL_BIN" status --json --entry "$(operators "$1")" |
+endpoint_is_known() { # D
+	"$DL_BIN" status --json --entry "$(operator_address "$1")" |
 		grep -q "\"$stranger\""
 }
 for d in 1 2 3; do
-	announce 401 "an unsigned announcement" $d
+	announce_unknown_endpoint 401 "an unsigned announcement" $d
 	# shellcheck disable=SC2046
-	announce 401 "one by another key" $d $(key other)
+	announce_unknown_endpoint 401 "one by another key" $d $(key_option other)
 	# shellcheck disable=SC2046
-	announce 401 "one by the operators' key" $d $(key operators-old)
+	announce_unknown_endpoint 401 "one by the operators' key" $d $(key_option operators-old)
 	# shellcheck disable=SC2046
-	announce 401 "a replayed one" $d $(key endpoints-old) \
+	announce_unknown_endpoint 401 "a replayed one" $d $(key_option endpoints-old) \
 		--signed-ago 130000
 done
-for door in "$(operators 1)" "$(vm_address 1 1):$HTTP_PORT"; do
+for door in "$(operator_address 1)" "$(vm_address 1 1):$HTTP_PORT"; do
 	# shellcheck disable=SC2046
-	expect 404 "an announcement at $door" -X POST -f "$DIR/words" \
-		$(key endpoints-old) "$door" /v1/endpoints
+	expect_status 404 "an announcement at $door" -X POST -f "$DIR/words" \
+		$(key_option endpoints-old) "$door" /v1/endpoints
 done
 # One that goes on by itself, unsigned, is as unknown after its third round.
 start_runner 12
 sleep 2
 stranger=$(endpoint_address 12)
 for d in 1 2 3; do
-	known $d && fail "VM $d knows an endpoint that signs nothing"
+	endpoint_is_known $d && fail "VM $d knows an endpoint that signs nothing"
 done
 kill -KILL "$(pid_of endpoint_12)"
 ENDPOINT_KEY=$DIR/endpoints-new.key
 start_runner 12
-known_somewhere() {
-	known 1 || known 2 || known 3
+known_at_any_vm() {
+	endpoint_is_known 1 || endpoint_is_known 2 || endpoint_is_known 3
 }
-wait_for 5 "it, once it signs" known_somewhere || exit 1
+wait_for 5 "it, once it signs" known_at_any_vm || exit 1
 stranger=$(endpoint_address 9)
 for d in 1 2 3; do
-	known $d && fail "VM $d knows an endpoint that signed nothing"
+	endpoint_is_known $d && fail "VM $d knows an endpoint that signed nothing"
 done
 # shellcheck disable=SC2046
-announce 200 "a signed announcement" 1 $(key endpoints-new)
-wait_for 5 "the endpoint that signed" known 1 || exit 1
+announce_unknown_endpoint 200 "a signed announcement" 1 $(key_option endpoints-new)
+wait_for 5 "the endpoint that signed" endpoint_is_known 1 || exit 1
 
 # Callers need no key, and find nothing of theirs at the other doors.
-for door in "$(operators 1)" "$(endpoints 1)"; do
-	expect 404 "a completion at $door" -X POST -d '{}' "$door" \
+for door in "$(operator_address 1)" "$(endpoint_listener 1)"; do
+	expect_status 404 "a completion at $door" -X POST -d '{}' "$door" \
 		/v1/completions
-	expect 404 "a call at $door" "$door" "/s/$PLAIN_SERVICE/x"
-	expect 200 "health at $door" "$door" /healthz
+	expect_status 404 "a call at $door" "$door" "/s/$PLAIN_SERVICE/x"
+	expect_status 200 "health at $door" "$door" /healthz
 done
-each_vm entry_serves_plain || fail "callers are not served"
+for_each_vm entry_serves_plain || fail "callers are not served"
 
 # The exchange goes on VM by VM: the old key ends where it was taken away, and
 # endpoints that still sign with it are known through the others.
@@ -196,9 +196,9 @@
 wait_for 15 "VM 2" entry_ready 2 1 || exit 1
 apply_as 2 "$DIR/operators-old.key" && fail "the old key is still good"
 # shellcheck disable=SC2046
-announce 401 "an announcement by the old key" 2 $(key endpoints-old)
+announce_unknown_endpoint 401 "an announcement by the old key" 2 $(key_option endpoints-old)
 # shellcheck disable=SC2046
-announce 200 "an announcement by the new key" 2 $(key endpoints-new)
+announce_unknown_endpoint 200 "an announcement by the new key" 2 $(key_option endpoints-new)
 apply_as 2 "$DIR/operators-new.key" ||
 	fail "the new key: $(cat "$DIR/apply-as.log")"
 apply_as 1 "$DIR/operators-old.key" ||
@@ -208,8 +208,8 @@
 for path in /metrics /v1/traces /v1/status; do
 	for d in 1 2 3; do
 		# shellcheck disable=SC2046
-		expect 200 "$path at VM $d" $(key operators-new) \
-			"$(operators $d)" $path
+		expect_status 200 "$path at VM $d" $(key_option operators-new) \
+			"$(operator_address $d)" $path
 		cat "$DIR/answer" >>"$DIR/answers"
 	done
 done
--- a/test/test_system_ops.sh
+++ b/test/test_system_no_quorum.sh
@@ -20,7 +20,7 @@
 		'"{}"'),\"change_id\":\"x$n\"}" "$ENTRY" /v1/config >/dev/null 2>&1
 	"$DL_BIN" apply "$DIR/config-2.json" --change-id "c$n" --timeout 1 \
 		--entry "$ENTRY" >"$DIR/apply-$n.log" 2>&1 &
-	remember "apply_$n" $!
+	record_pid "apply_$n" $!
 	"$DL_BIN" status --timeout 1 --entry "$ENTRY" >/dev/null 2>&1
 	n=$((n + 1))
 done
--- a/test/test_system_orders.sh
+++ b/test/test_system_orders.sh
@@ -27,7 +27,7 @@
 }
 
 # How many runners took an order for a version's model: MODEL
-ordered() {
+count_orders() {
 	awk -v m="$1" '$1 == "O" && index($0, m)' "$RECORD" | wc -l
 }
 
--- a/test/test_system_partition.sh
+++ b/test/test_system_partition.sh
@@ -6,11 +6,11 @@
 . test/deploy.sh
 VMS_EACH=1
 DL_RUNNERS=6
-CUTTABLE=1
+ALLOW_CUT=1
 test_begin dala
 
 # Cut a domain off from the two others: D
-cut_off() {
+isolate() {
 	for d in 1 2 3; do
 		[ $d = "$1" ] && continue
 		printf '%s:%s\n%s:%s\n' \
@@ -23,7 +23,7 @@
 	mv "$DIR/cut-$1.new" "$DIR/cut-$1"
 }
 
-heal() {
+reconnect() {
 	rm -f "$DIR/cut-1" "$DIR/cut-2" "$DIR/cut-3"
 }
 
@@ -38,13 +38,13 @@
 
 deploy_start || fail "the deployment does not start"
 first=$(version_at 3)
-cut_off 3
+isolate 3
 
 # Model calls and calls without keys go on on both sides; keys need the quorum.
 CLASSES=test/data/load-models.json
 run_load --seconds 8 --done-min 950 >"$DIR/table" 2>&1 &
 load=$!
-remember load $load
+record_pid load $load
 sleep 5
 sed 's/"log_level": "info"/"log_level": "warn"/' \
 	"$DIR/config.json" >"$DIR/config-2.json"
@@ -66,7 +66,7 @@
 	fail "a check of the load is broken"
 }
 
-heal
+reconnect
 wait_for 20 "the version on all sides" has_version 3 $((first + 1)) ||
 	fail "the side that was cut off does not catch up"
 for d in 1 2 3; do
--- a/test/test_system_platform.sh
+++ b/test/test_system_platform.sh
@@ -6,30 +6,30 @@
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 test_begin dala
-. test/foreign.sh
+. test/platform_deploy.sh
 
 start_all
 sleep 0.5
 book 1 early 503 -H "$KEY" >/dev/null ||
 	fail "a request before any configuration is not told to come back"
-ready 1 >/dev/null 2>&1 && fail "ready without a configuration"
+entry_is_ready 1 >/dev/null 2>&1 && fail "ready without a configuration"
 
-runner w1 1 --service writer
-runner d1 3 --service desk --plain
+start_platform_endpoint w1 1 --service writer
+start_platform_endpoint d1 3 --service desk --plain
 configure_all '"key-one","key-two"'
-reads 5 || fail "what was sent is not read back"
+config_is_version 5 || fail "what was sent is not read back"
 
 # Keys, routes, streams.
 wait_for 5 "a first stream" chat 1 first || fail "no stream is served"
-chat 2 second >"$DIR/stream" && whole "$DIR/stream" ||
+chat 2 second >"$DIR/stream" && stream_is_complete "$DIR/stream" ||
 	fail "a stream is not whole"
 book 3 booking 200 -H "$KEY" >/dev/null || fail "a booking is not served"
 book 1 keyless 401 >/dev/null || fail "a request without a key is let in"
 book 1 wrong 401 -H 'X-Api-Key: key-six' >/dev/null ||
 	fail "an unknown key is let in"
-$DL_HTTP -t 2000 -H "$HOST" -e 404 "$(front 1)" /none/x >/dev/null ||
+$DL_HTTP -t 2000 -H "$HOST" -e 404 "$(entry_address 1)" /none/x >/dev/null ||
 	fail "an unknown route is not told"
-$DL_HTTP -t 2000 -H "$HOST" "$(front 1)" /look/x >/dev/null ||
+$DL_HTTP -t 2000 -H "$HOST" "$(entry_address 1)" /look/x >/dev/null ||
 	fail "a public route asks for a key"
 grep -q ' KEY$' "$RECORD" && fail "a key reached an endpoint"
 grep -q 'w1 second /chat/x team - -' "$RECORD" ||
@@ -41,18 +41,18 @@
 host=10
 for fault in cut silent not-run foreign; do
 	host=$((host + 2))
-	runner "w-$fault" $host --service writer --fault $fault
+	start_platform_endpoint "w-$fault" $host --service writer --fault $fault
 	wait_for 5 "the faulty one" grep -q "instance=w-$fault" \
 		"$DIR/entry-1.log" "$DIR/entry-2.log" "$DIR/entry-3.log" ||
 		fail "a new endpoint is not known"
-	runner "w-next-$fault" $((host + 1)) --service writer
+	start_platform_endpoint "w-next-$fault" $((host + 1)) --service writer
 	for d in 1 2 3; do
 		wait_for 5 "the next one" grep -q "instance=w-next-$fault" \
 			"$DIR/entry-$d.log" ||
 			fail "a new endpoint is not known"
 	done
 	chat 1 "$fault" >"$DIR/stream.$fault"
-	whole "$DIR/stream.$fault" ||
+	stream_is_complete "$DIR/stream.$fault" ||
 		fail "a stream that broke ($fault) does not go on"
 	retire "runner_w_$(echo $fault | tr - _)"
 	retire "runner_w_next_$(echo $fault | tr - _)"
@@ -66,7 +66,7 @@
 sleep 7
 host=30
 for r in cut not-run none; do
-	runner "w-third-$r" $host --service writer --fault $r
+	start_platform_endpoint "w-third-$r" $host --service writer --fault $r
 	for d in 1 2 3; do
 		wait_for 5 "three endpoints" grep -q "instance=w-third-$r" \
 			"$DIR/entry-$d.log" ||
@@ -79,7 +79,7 @@
 	fail "the first endpoint that is known is not the first taken"
 grep -q "endpoint=127.$NET.9.31:.*outcome=not-run" "$DIR/entry-1.log" ||
 	fail "the second endpoint was not tried"
-whole "$DIR/stream.third" ||
+stream_is_complete "$DIR/stream.third" ||
 	fail "a stream that broke and was refused does not go on"
 grep -q 'w-third-none third /chat/x team 2 -' "$RECORD" ||
 	fail "it does not go on behind its last event"
@@ -90,18 +90,18 @@
 # Endpoints that cannot be reached cost a stream nothing: five have ended without
 # a word, the sixth serves it.
 for host in 40 41 42 43 44; do
-	runner "w-dead-$host" $host --service writer
+	start_platform_endpoint "w-dead-$host" $host --service writer
 	wait_for 5 "one of many" grep -q "instance=w-dead-$host" \
 		"$DIR/entry-1.log" || fail "a new endpoint is not known"
 done
-runner w-alive 45 --service writer
+start_platform_endpoint w-alive 45 --service writer
 wait_for 5 "the last of many" grep -q 'instance=w-alive' \
 	"$DIR/entry-1.log" || fail "a new endpoint is not known"
 for host in 40 41 42 43 44; do
 	kill -KILL "$(pid_of "runner_w_dead_$host")"
 done
 for n in 1 2 3; do
-	chat $n "dead-$n" >"$DIR/stream.dead" && whole "$DIR/stream.dead" ||
+	chat $n "dead-$n" >"$DIR/stream.dead" && stream_is_complete "$DIR/stream.dead" ||
 		fail "a stream is lost to endpoints that cannot be reached"
 done
 retire runner_w_alive
@@ -111,7 +111,7 @@
 # longer than the next one needs to start.
 kill -TERM "$(pid_of runner_d1)"
 wait "$(pid_of runner_d1)" 2>/dev/null
-runner d2 3 --service desk --plain --fault error
+start_platform_endpoint d2 3 --service desk --plain --fault error
 wait_for 5 "the next start" grep -q 'instance=d2' "$DIR/entry-1.log" ||
 	fail "another start at an address is not known"
 book 1 wrong-answer 500 -H "$KEY" >/dev/null ||
@@ -121,38 +121,38 @@
 
 # An endpoint that left starts again under the name that it had, and is used;
 # words of its earlier start, and words of another writer, change nothing.
-say() { # ID BODY
-	$DL_HTTP -t 2000 -X POST -d "$2" -e "${3:-200}" "$(control 1)" \
+send_heartbeat() { # ID BODY
+	$DL_HTTP -t 2000 -X POST -d "$2" -e "${3:-200}" "$(control_address 1)" \
 		"/-/Instances.Heartbeat/$1" >/dev/null
 }
-beat() { # SERVICE ADDRESS STATE SEQ BORN
+heartbeat_body() { # SERVICE ADDRESS STATE SEQ BORN
 	printf '{"service":"%s","address":"127.%s.9.%s:%s","zone":"r","version":"v1","slots":16,"state":%s,"seq":%s,"born":%s}' \
 		"$1" "$NET" "$2" $ENDPOINT_PORT "$3" "$4" "$5"
 }
 # An endpoint is told to stay with the replica that it reached.
-$DL_HTTP -t 2000 -X POST -d "$(beat desk 8 '"ready"' 1 1000)" "$(control 2)" \
+$DL_HTTP -t 2000 -X POST -d "$(heartbeat_body desk 8 '"ready"' 1 1000)" "$(control_address 2)" \
 	/-/Instances.Heartbeat/d8 |
-	grep -q "\"heartbeat_addr\":\"$(control 2)\"" ||
+	grep -q "\"heartbeat_addr\":\"$(control_address 2)\"" ||
 	fail "an endpoint is not told where to stay"
-$DL_HTTP -t 2000 -X POST "$(control 2)" /-/Instances.Deregister/d8 >/dev/null ||
+$DL_HTTP -t 2000 -X POST "$(control_address 2)" /-/Instances.Deregister/d8 >/dev/null ||
 	fail "that an endpoint leaves is not taken"
 kill -USR1 "$(pid_of runner_d2)"
 wait_for 3 "its leaving" grep -q 'leaves.*instance=d2' "$DIR/entry-1.log" ||
 	fail "that an endpoint leaves is not known"
 kill -TERM "$(pid_of runner_d2)"
 wait "$(pid_of runner_d2)" 2>/dev/null
-runner d2 3 --service desk --plain --fault error
+start_platform_endpoint d2 3 --service desk --plain --fault error
 wait_for 5 "the same name again" \
 	sh -c "[ \$(grep -c 'started.*instance=d2' '$DIR/entry-1.log') = 2 ]" ||
 	fail "another start under the same name is not known"
-say d2 "$(beat desk 3 '"draining"' 99 1000)" || fail "a late word is refused"
-say d9 "$(beat nobody 3 '"ready"' 1 9999999999999)" ||
+send_heartbeat d2 "$(heartbeat_body desk 3 '"draining"' 99 1000)" || fail "a late word is refused"
+send_heartbeat d9 "$(heartbeat_body nobody 3 '"ready"' 1 9999999999999)" ||
 	fail "a word of an unknown service is not answered"
-say d2 "$(beat desk 3 '"asleep"' 99 9999999999999)" 400 ||
+send_heartbeat d2 "$(heartbeat_body desk 3 '"asleep"' 99 9999999999999)" 400 ||
 	fail "an unknown state is taken in"
-say d2 "$(beat desk 3 '7' 99 9999999999999)" 400 ||
+send_heartbeat d2 "$(heartbeat_body desk 3 '7' 99 9999999999999)" 400 ||
 	fail "a state of another type is taken in"
-say d2 '{"service":' 400 || fail "bytes that cannot be read are taken in"
+send_heartbeat d2 '{"service":' 400 || fail "bytes that cannot be read are taken in"
 sleep 0.3
 book 1 reborn 500 -H "$KEY" >/dev/null ||
 	fail "another start under the same name is not used"
@@ -160,18 +160,18 @@
 	fail "another start under the same name got no work"
 
 # Changes: older and equal ones change nothing, faulty ones are refused.
-put "$(config 5 4000 '"key-one"')" || fail "an equal number is refused"
-put "$(config 4 4000 '"key-one"')" || fail "a lower number is refused"
-reads 5 || fail "an equal or lower number changed something"
-put "$(config 6 0 '"key-one"')" && fail "a change with a fault is taken"
-put "$(config 9 4000 '"key-two"')" || fail "a change is refused"
+put_config "$(config 5 4000 '"key-one"')" || fail "an equal number is refused"
+put_config "$(config 4 4000 '"key-one"')" || fail "a lower number is refused"
+config_is_version 5 || fail "an equal or lower number changed something"
+put_config "$(config 6 0 '"key-one"')" && fail "a change with a fault is taken"
+put_config "$(config 9 4000 '"key-two"')" || fail "a change is refused"
 wait_for 4 "the key's end" book 1 revoked 401 -H "$KEY" ||
 	fail "a key that was taken away is let in"
 wait_for 4 "the other key" book 2 other 500 -H 'X-Api-Key: key-two' ||
 	fail "a key that stays is not let in"
 
 # An endpoint that leaves gets nothing new.
-runner d3 4 --service desk --plain
+start_platform_endpoint d3 4 --service desk --plain
 wait_for 5 "one more endpoint" grep -q 'instance=d3' "$DIR/entry-1.log" ||
 	fail "one more endpoint is not known"
 kill -USR1 "$(pid_of runner_d2)"
@@ -189,11 +189,11 @@
 kill -STOP "$(pid_of runner_d2)"
 for d in 1 2 3; do
 	$DL_HTTP -t 2000 -X POST -d "{\"service\":\"desk\",\"address\":\"127.$NET.9.3:$ENDPOINT_PORT\",\"zone\":\"r\",\"version\":\"v1\",\"slots\":16,\"state\":\"ready\",\"seq\":1}" \
-		"$(control $d)" /-/Instances.Heartbeat/d2 >/dev/null
+		"$(control_address $d)" /-/Instances.Heartbeat/d2 >/dev/null
 done
 kill -KILL "$(pid_of entry_3)"
 wait "$(pid_of entry_3)" 2>/dev/null
-start entry 3
+start_process entry 3
 wait_for 5 "a VM that starts again" book 3 told 200 \
 	-H 'X-Api-Key: key-two' || fail "a VM that started again does not serve"
 for n in 1 2 3 4 5 6; do
@@ -209,17 +209,17 @@
 leader=$(grep -l 'Leading' "$DIR"/replica-*.log | head -1 |
 	sed 's/.*replica-\([0-9]\).log/\1/')
 kill -KILL "$(pid_of "replica_$leader")"
-wait_for 8 "another leader" reads 9 || fail "no other replica takes over"
+wait_for 8 "another leader" config_is_version 9 || fail "no other replica takes over"
 rm -rf "$DIR/data-$leader"
-start replica "$leader" false
+start_process replica "$leader" false
 wait_for 8 "a change with the disk lost" \
-	put "$(config 12 4000 '"key-two"')" || fail "no change is taken"
+	put_config "$(config 12 4000 '"key-two"')" || fail "no change is taken"
 wait_for 12 "the repair" grep -q 'Following' "$DIR/replica-$leader.log" ||
 	fail "a lost disk is not repaired"
 other=$((leader % 3 + 1))
 sleep 3
 kill -KILL "$(pid_of "replica_$other")"
-wait_for 8 "the group without another" reads 12 ||
+wait_for 8 "the group without another" config_is_version 12 ||
 	fail "the repaired replica does not count"
 book 3 after 200 -H 'X-Api-Key: key-two' >/dev/null ||
 	fail "no booking is served after all that"
@@ -228,23 +228,23 @@
 # an answer its caller allows; later only what surely does.  A slow stream keeps
 # the VM from ending meanwhile.
 KEY='X-Api-Key: key-two'
-runner w-slow 50 --service writer --event-ms 470
+start_platform_endpoint w-slow 50 --service writer --event-ms 470
 wait_for 5 "an endpoint for the stop" grep -q 'instance=w-slow' \
 	"$DIR/entry-1.log" || fail "a new endpoint is not known"
 chat 1 holding >"$DIR/stream.holding" &
-remember holding $!
+record_pid holding $!
 wait_for 5 "the slow stream" grep -q 'w-slow holding' "$RECORD" ||
 	fail "the slow stream does not begin"
 kill -TERM "$(pid_of entry_1)"
 sleep 0.3
-ready 1 >/dev/null 2>&1 && fail "ready while it stops"
+entry_is_ready 1 >/dev/null 2>&1 && fail "ready while it stops"
 chat 1 stopping -H 'Daisyledge-Token-Usage: 1000,4182' >"$DIR/stream.stop" &
-remember stopping $!
+record_pid stopping $!
 sleep 2.6
 chat 1 stopped -e 503 -H 'Daisyledge-Token-Usage: 1000,4182' >/dev/null ||
 	fail "a stopping VM takes what may be cut"
-wait "$(pid_of holding)" && whole "$DIR/stream.holding" ||
+wait "$(pid_of holding)" && stream_is_complete "$DIR/stream.holding" ||
 	fail "a stopping VM cuts a stream"
-wait "$(pid_of stopping)" && whole "$DIR/stream.stop" ||
+wait "$(pid_of stopping)" && stream_is_complete "$DIR/stream.stop" ||
 	fail "a stopping VM refuses what usually ends in time"
 expect_exit 10 entry_1 0 || fail "an entry does not stop"
--- a/test/test_system_random.sh
+++ b/test/test_system_random.sh
@@ -12,21 +12,21 @@
 VMS_EACH=2
 DL_RUNNERS=9
 test_begin dala
-shorten_gaps 800
+set_gap_timeout 800
 deploy_start || fail "the deployment does not start"
 
 # The VMs that may be taken away; callers of the others must notice nothing.
-VICTIMS="2_1 1_2 3_2"
+FAULTY_VMS="2_1 1_2 3_2"
 
 # One line a fault: after so many seconds, what, and whom.
-plan() {
+print_plan() {
 	awk -v seed="$SEED" -v total="$DURATION" -v runners="$RUNNERS" \
-		-v victims="$VICTIMS" 'BEGIN {
+		-v faulty_vms="$FAULTY_VMS" 'BEGIN {
 		srand(seed)
 		n = split("kill freeze drain die-first die-midstream " \
 			"silent-head silent-midstream not-run garble error " \
 			"vm-kill vm-freeze replica-kill", what, " ")
-		v = split(victims, vm, " ")
+		v = split(faulty_vms, vm, " ")
 		left = total - 1.5
 		while (left > 0) {
 			pause = 0.2 + rand() * 0.8
@@ -40,7 +40,7 @@
 	}'
 }
 
-strike() { # WHAT WHOM
+apply_fault() { # WHAT WHOM
 	case $1 in
 	kill)
 		kill -KILL "$(pid_of endpoint_$2)" 2>/dev/null
@@ -49,27 +49,27 @@
 	freeze)
 		kill -STOP "$(pid_of endpoint_$2)" 2>/dev/null
 		( sleep 1.2; kill -CONT "$(pid_of endpoint_$2)" ) 2>/dev/null &
-		remember thaw $!
+		record_pid resume $!
 		;;
 	drain)
 		kill -TERM "$(pid_of endpoint_$2)" 2>/dev/null
 		;;
 	vm-kill)
-		vm_away "${2%_*}" "${2#*_}"
+		record_vm_down "${2%_*}" "${2#*_}"
 		kill -KILL "$(pid_of entry_$2)" 2>/dev/null
 		sleep 0.3
 		start_entry "${2%_*}" "${2#*_}"
-		vm_back "${2%_*}" "${2#*_}"
+		record_vm_up "${2%_*}" "${2#*_}"
 		;;
 	vm-freeze)
-		vm_away "${2%_*}" "${2#*_}"
+		record_vm_down "${2%_*}" "${2#*_}"
 		kill -STOP "$(pid_of entry_$2)" 2>/dev/null
 		(
 			sleep 1.5
 			kill -CONT "$(pid_of entry_$2)" 2>/dev/null
-			vm_back "${2%_*}" "${2#*_}"
+			record_vm_up "${2%_*}" "${2#*_}"
 		) &
-		remember thaw $!
+		record_pid resume $!
 		;;
 	replica-kill)
 		kill -KILL "$(pid_of replica_${2}_1)" 2>/dev/null
@@ -83,18 +83,18 @@
 	esac
 }
 
-plan >"$DIR/plan"
+print_plan >"$DIR/plan"
 while read -r pause what whom; do
 	sleep "$pause"
-	echo "$what $whom" >>"$DIR/struck"
-	strike "$what" "$whom"
+	echo "$what $whom" >>"$DIR/injected_faults"
+	apply_fault "$what" "$whom"
 done <"$DIR/plan" &
-remember striker $!
+record_pid fault_injector $!
 run_load --seed "$SEED" --seconds "$DURATION" \
 	--rate "${DL_RANDOM_RATE:-1}" \
 	>"$DIR/table" 2>"$DIR/faults"
 status=$?
-injected=$(wc -l <"$DIR/struck")
+injected=$(wc -l <"$DIR/injected_faults")
 violations=$(awk -F'[(, ]+' '/judged/ { for (i = 2; i <= NF; i++)
 	if ($i ~ /^broken/ && $(i - 1) ~ /^[0-9]+$/) sum += $(i - 1) }
 	END { print sum + 0 }' "$DIR/table")
@@ -106,6 +106,6 @@
 cat "$DIR/table"
 echo "seed $SEED: $injected faults, $violations violations"
 [ $status -eq 0 ] || {
-	cat "$DIR/struck" "$DIR/faults" >&2
+	cat "$DIR/injected_faults" "$DIR/faults" >&2
 	fail "seed $SEED breaks a promise"
 }
--- a/test/test_system_relay.sh
+++ b/test/test_system_relay.sh
@@ -6,7 +6,7 @@
 VMS_EACH=1
 DL_RUNNERS=3
 test_begin dala
-shorten_gaps 800
+set_gap_timeout 800
 CLASSES=test/data/load-models.json
 RELAY=127.$NET.120.1
 
@@ -17,7 +17,7 @@
 
 test/tool_relay --listen $RELAY:9000 --control $RELAY:9001 \
 	--to "$(endpoint_address 1)" >>"$DIR/relay.log" 2>&1 &
-remember relay $!
+record_pid relay $!
 deploy_start || fail "the deployment does not start"
 kill -KILL "$(pid_of endpoint_1)"
 start_runner 1 --advertise $RELAY:9000
@@ -36,5 +36,5 @@
 	sleep 0.5
 	relay '{"delay_ms":0,"cut":true}'
 ) &
-remember happenings $!
+record_pid inject_faults $!
 run_load --seconds 6 --done-min 700 || fail "a check of the load is broken"
--- a/test/test_system_replace.sh
+++ b/test/test_system_replace.sh
@@ -6,39 +6,39 @@
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 test_begin dala
-. test/foreign.sh
+. test/platform_deploy.sh
 
 start_all
 for n in 0 1 2 3 4 5 6 7 8 9; do
-	runner "old-$n" 1$n --service writer --abrupt
+	start_platform_endpoint "old-$n" 1$n --service writer --abrupt
 done
-wait_for 10 "the first change" put "$(config 5 5000 '"key-one"')" ||
+wait_for 10 "the first change" put_config "$(config 5 5000 '"key-one"')" ||
 	fail "the first change is not taken"
 for d in 1 2 3; do
 	for n in 0 1 2 3 4 5 6 7 8 9; do
 		wait_for 10 "engine $n" grep -q "instance=old-$n" \
 			"$DIR/entry-$d.log" || fail "engine $n is not known"
 	done
-	wait_for 10 "entry $d" ready $d || fail "entry $d is not ready"
+	wait_for 10 "entry $d" entry_is_ready $d || fail "entry $d is not ready"
 done
 wait_for 5 "a first stream" chat 1 first >/dev/null ||
 	fail "no stream is served"
 
 # Streams at all three entries: that the dispatcher is another VM than the
 # entry is then true of two of them at least.
-streams() { # NAME N
+run_streams() { # NAME N
 	for k in 1 2 3 4 5 6; do
 		chat $((k % 3 + 1)) "$1-$k" >"$DIR/stream.$1-$k" &
-		remember "chat_$2_$k" $!
+		record_pid "chat_$2_$k" $!
 	done
 	for k in 1 2 3 4 5 6; do
 		wait "$(pid_of "chat_$2_$k")" || fail "stream $1-$k is refused"
-		whole "$DIR/stream.$1-$k" || fail "stream $1-$k is not whole"
+		stream_is_complete "$DIR/stream.$1-$k" || fail "stream $1-$k is not whole"
 	done
 }
 
 for n in 0 1 2 3 4; do
-	runner "new-$n" 2$n --service writer --abrupt
+	start_platform_endpoint "new-$n" 2$n --service writer --abrupt
 	kill -USR1 "$(pid_of "runner_old_$n")"
 	for d in 1 2 3; do
 		wait_for 3 "its leaving" grep -q "leaves.*instance=old-$n" \
@@ -46,7 +46,7 @@
 			fail "that engine $n leaves is not known"
 	done
 	sleep 0.2
-	streams "after-$n" "$n"
+	run_streams "after-$n" "$n"
 	for left in 0 1 2 3 4; do
 		[ $left -gt $n ] ||
 			! grep "^old-$left after-$n-" "$RECORD" ||
--- a/test/test_system_restart.sh
+++ b/test/test_system_restart.sh
@@ -6,7 +6,7 @@
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 test_begin dala
-. test/foreign.sh
+. test/platform_deploy.sh
 
 # What the users ask is 600 ms at half of the entries and 1 s at all, from the
 # start of the processes, which a sanitized one needs twice.
@@ -19,9 +19,9 @@
 }
 
 start_all
-runner w1 1 --service writer
-runner d1 3 --service desk --plain
-wait_for 10 "the first configuration" put "$(config 5 4000 '"key-one"')" ||
+start_platform_endpoint w1 1 --service writer
+start_platform_endpoint d1 3 --service desk --plain
+wait_for 10 "the first configuration" put_config "$(config 5 4000 '"key-one"')" ||
 	fail "no configuration is taken"
 for d in 1 2 3; do
 	wait_for 5 "entry $d" book $d "before-$d" 200 -H "$KEY" ||
@@ -35,8 +35,8 @@
 	wait "$(pid_of "replica_$d")" "$(pid_of "entry_$d")" 2>/dev/null
 done
 for d in 1 2 3; do
-	start replica $d false
-	start entry $d
+	start_process replica $d false
+	start_process entry $d
 done
 begun=$(now_ms)
 for d in 1 2 3; do
@@ -48,7 +48,7 @@
 		done
 		echo $(($(now_ms) - begun)) >"$DIR/served.$d"
 	} &
-	remember "caller_$d" $!
+	record_pid "caller_$d" $!
 done
 for d in 1 2 3; do
 	wait "$(pid_of "caller_$d")"
--- a/test/test_system_slow.sh
+++ b/test/test_system_slow_readers.sh
@@ -45,7 +45,7 @@
 		-H 'Daisyledge-Workspace: almaty-counter' \
 		-d "{\"model\":\"$MODEL\",\"prompt\":\"slow $n\",\"stream\":true,\"max_tokens\":200000}" \
 		"$(vm_address 1 1):$HTTP_PORT" /v1/completions &
-	remember reader $!
+	record_pid reader $!
 	n=$((n + 1))
 done
 sleep 4
--- a/test/test_system_vms.sh
+++ b/test/test_system_vm_faults.sh
@@ -10,21 +10,21 @@
 
 (
 	sleep 1
-	vm_away 2 1
+	record_vm_down 2 1
 	kill -KILL "$(pid_of entry_2_1)" "$(pid_of replica_2_1)"
 	sleep 1
-	vm_away 1 2
+	record_vm_down 1 2
 	kill -STOP "$(pid_of entry_1_2)"
 	sleep 3
 	kill -CONT "$(pid_of entry_1_2)"
-	vm_back 1 2
+	record_vm_up 1 2
 ) &
-remember happenings $!
+record_pid inject_faults $!
 run_load --seconds 6 --done-min 700 ||
 	fail "a check of the load is broken"
 
 start_replica 2
 start_entry 2 1
-wait_for 10 "all VMs" each_vm entry_ready || fail "a VM stays away"
-wait_for 10 "service at all VMs" each_vm entry_serves_model ||
+wait_for 10 "all VMs" for_each_vm entry_ready || fail "a VM stays away"
+wait_for 10 "service at all VMs" for_each_vm entry_serves_model ||
 	fail "a VM does not serve after its restart"
