--- a/bench/bench_conf.c
+++ b/bench/bench_conf.c
@@ -71,7 +71,8 @@
 	g_string_free(text, TRUE);
 }
 
-static void run(struct dl_cstore *store, const struct dl_cstore_cmd *cmd)
+static void run_command(struct dl_cstore *store,
+			const struct dl_cstore_cmd *cmd)
 {
 	char *bytes;
 	size_t n;
@@ -84,7 +85,7 @@
 		exit(EXIT_FAILURE);
 }
 
-static void claim(struct dl_cstore *store, uint32_t number)
+static void run_claim(struct dl_cstore *store, uint32_t number)
 {
 	char key[48];
 	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_CLAIM,
@@ -94,11 +95,11 @@
 
 	g_snprintf(key, sizeof(key), "front-desk\nkiosks\nconfirm-%u", number);
 	cmd.key = dl_str_of(key);
-	run(store, &cmd);
+	run_command(store, &cmd);
 }
 
-static void change(struct dl_cstore *store, uint32_t number,
-		   const GString *text)
+static void run_change(struct dl_cstore *store, uint32_t number,
+		       const GString *text)
 {
 	char id[40];
 	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_APPLY,
@@ -108,7 +109,7 @@
 
 	g_snprintf(id, sizeof(id), "065605ae-bb60-41a5-b77a-%012u", number);
 	cmd.change_id = dl_str_of(id);
-	run(store, &cmd);
+	run_command(store, &cmd);
 }
 
 /* Claims at a fill: the nanoseconds of one command, encoding included. */
@@ -117,10 +118,10 @@
 	int64_t begin;
 
 	while (*at < fill)
-		claim(store, (*at)++);
+		run_claim(store, (*at)++);
 	begin = g_get_monotonic_time();
 	for (uint32_t i = 0; i < BATCH; i++)
-		claim(store, (*at)++);
+		run_claim(store, (*at)++);
 	printf("cstore_exec_ns_claims_%u\t%.0f\tns\n", fill,
 	       (double)(g_get_monotonic_time() - begin) * NS_PER_US / BATCH);
 }
@@ -132,10 +133,10 @@
 	int64_t begin;
 
 	while (*at < fill)
-		change(store, (*at)++, text);
+		run_change(store, (*at)++, text);
 	begin = g_get_monotonic_time();
 	for (uint32_t i = 0; i < BATCH; i++)
-		change(store, (*at)++, text);
+		run_change(store, (*at)++, text);
 	printf("cstore_exec_ns_changes_%u\t%.0f\tns\n", fill,
 	       (double)(g_get_monotonic_time() - begin) * NS_PER_US / BATCH);
 }
@@ -158,13 +159,13 @@
 	size_t empty = snapshot_bytes(store), first, heap;
 	uint32_t ids = 0, claims = 0;
 
-	change(store, ids++, text);
+	run_change(store, ids++, text);
 	first = snapshot_bytes(store);
 	heap = mallinfo2().uordblks;
 	for (size_t i = 0; i < 4; i++)
 		bench_changes(store, fills[i] / 2, &ids, text);
 	while (ids < DL_CSTORE_CHANGES_MAX)
-		change(store, ids++, text);
+		run_change(store, ids++, text);
 	printf("cstore_snapshot_bytes_empty\t%zu\tbytes\n", empty);
 	printf("cstore_snapshot_bytes_one_version\t%zu\tbytes\n", first);
 	printf("cstore_bytes_per_change_id\t%.1f\tbytes\n",
--- a/bench/bench_memb.c
+++ b/bench/bench_memb.c
@@ -39,12 +39,12 @@
 	return (double)clock() / CLOCKS_PER_SEC;
 }
 
-static void line(const char *name, double value, const char *unit)
+static void print_figure(const char *name, double value, const char *unit)
 {
 	printf("%s\t%.6g\t%s\n", name, value, unit);
 }
 
-static void sum_up(const struct memb_net *net, struct idle *out)
+static void sum_traffic(const struct memb_net *net, struct idle *out)
 {
 	double bytes = 0, msgs = 0;
 
@@ -75,7 +75,7 @@
 	return sum ? (seconds() - began) / LOOKUPS * 1e9 : 0;
 }
 
-static struct idle idle_at(const struct size *size, double *ns)
+static struct idle measure_idle(const struct size *size, double *ns)
 {
 	size_t before = mallinfo2().uordblks;
 	struct memb_net_conf conf;
@@ -93,14 +93,14 @@
 	out.cpu_pct =
 		(seconds() - began) / (MEASURE_MS / MS_PER_S) / size->vms * 100;
 	out.state_bytes = (double)(mallinfo2().uordblks - before) / size->vms;
-	sum_up(net, &out);
+	sum_traffic(net, &out);
 	*ns = owner_ns(net);
 	memb_net_free(net);
 	return out;
 }
 
 /* What the busiest VM's bytes are, by kind of frame. */
-static void by_kind(const struct load_vm *vm)
+static void print_by_kind(const struct load_vm *vm)
 {
 	static const char *const names[LOAD_KINDS] = {
 		[0] = "asks",	  [1] = "answers", [3] = "renewals",
@@ -113,13 +113,15 @@
 			continue;
 		snprintf(name, sizeof(name), "control_max_%s_bytes_per_s_370",
 			 names[k]);
-		line(name, (double)vm->by_kind[k] / (LOAD_MS / MS_PER_S),
-		     "B/s");
+		print_figure(name,
+			     (double)vm->bytes_by_kind[k] /
+				     (LOAD_MS / MS_PER_S),
+			     "B/s");
 	}
 }
 
 /* Dispatching at the target's size on top of membership at 370 VMs. */
-static void control(const struct idle *idle)
+static void bench_control(const struct idle *idle)
 {
 	struct load_conf conf = load_target();
 	uint32_t vms = conf.domains * conf.entries;
@@ -141,15 +143,17 @@
 			busiest = i;
 		}
 	}
-	line("control_bytes_per_s_370",
-	     idle->bytes + bytes / vms / (LOAD_MS / MS_PER_S), "B/s");
-	line("control_bytes_per_s_370_max",
-	     idle->bytes_max + max / (LOAD_MS / MS_PER_S), "B/s");
-	by_kind(&l->vms[busiest]);
-	line("control_cpu_pct_370", idle->cpu_pct + cpu, "%");
-	line("control_rss_mb_370", (idle->state_bytes + state) / 1048576, "MB");
-	line("control_grants_in_flight_370", (double)l->in_flight, "grants");
-	line("control_refused_370", (double)l->refused, "requests");
+	print_figure("control_bytes_per_s_370",
+		     idle->bytes + bytes / vms / (LOAD_MS / MS_PER_S), "B/s");
+	print_figure("control_bytes_per_s_370_max",
+		     idle->bytes_max + max / (LOAD_MS / MS_PER_S), "B/s");
+	print_by_kind(&l->vms[busiest]);
+	print_figure("control_cpu_pct_370", idle->cpu_pct + cpu, "%");
+	print_figure("control_rss_mb_370",
+		     (idle->state_bytes + state) / 1048576, "MB");
+	print_figure("control_grants_in_flight_370", (double)l->in_flight,
+		     "grants");
+	print_figure("control_refused_370", (double)l->refused, "requests");
 	load_free(l);
 }
 
@@ -160,25 +164,26 @@
 	char name[64];
 
 	for (size_t i = 0; i < sizeof(sizes) / sizeof(sizes[0]); i++) {
-		idle = idle_at(&sizes[i], &ns);
+		idle = measure_idle(&sizes[i], &ns);
 		snprintf(name, sizeof(name), "idle_bytes_per_s_%u",
 			 sizes[i].vms);
-		line(name, idle.bytes, "B/s");
+		print_figure(name, idle.bytes, "B/s");
 		snprintf(name, sizeof(name), "idle_wire_bytes_per_s_%u",
 			 sizes[i].vms);
-		line(name,
-		     idle.bytes +
-			     idle.msgs * (UDP_HEADERS + load_frame(10, 0, 0)),
-		     "B/s");
+		print_figure(name,
+			     idle.bytes +
+				     idle.msgs * (UDP_HEADERS +
+						  load_frame_bytes(10, 0, 0)),
+			     "B/s");
 		snprintf(name, sizeof(name), "idle_msgs_per_s_%u",
 			 sizes[i].vms);
-		line(name, idle.msgs, "1/s");
+		print_figure(name, idle.msgs, "1/s");
 		snprintf(name, sizeof(name), "memb_state_bytes_%u",
 			 sizes[i].vms);
-		line(name, idle.state_bytes, "B");
+		print_figure(name, idle.state_bytes, "B");
 		snprintf(name, sizeof(name), "memb_owner_ns_%u", sizes[i].vms);
-		line(name, ns, "ns");
+		print_figure(name, ns, "ns");
 	}
-	control(&idle);
+	bench_control(&idle);
 	return 0;
 }
--- a/bench/bench_pool.c
+++ b/bench/bench_pool.c
@@ -25,15 +25,15 @@
 #define SEED	   29
 #define LONG_SHARE 850 /* permille */
 
-/* One side of a comparison. */
-struct side {
+/* One variant of a comparison. */
+struct variant {
 	const char *name;
 	const struct dl_pool_policy *policy;
 	uint32_t pools;
 	uint32_t step;
 };
 
-static const struct side sides[] = {
+static const struct variant variants[] = {
 	{ "", &dl_policy_late_binding, 1, 512 },
 	{ "_roundrobin", &dl_policy_round_robin, 1, 512 },
 	{ "_leastload", &dl_policy_least_load, 1, 512 },
@@ -45,19 +45,19 @@
 static struct load load;
 static GRand *rnd;
 
-static void figure(const char *name, const char *more, double value,
-		   const char *unit)
+static void print_figure(const char *name, const char *more, double value,
+			 const char *unit)
 {
 	printf("%s%s\t%.4g\t%s\n", name, more, value, unit);
 }
 
-static void begin(const struct side *side)
+static void begin_variant(const struct variant *variant)
 {
 	struct sim_engine_conf engine = { .memory = 400000,
 					  .slots = 64,
 					  .prefill_rate = PREFILL,
 					  .decode_rate = 50,
-					  .chunk = side->step,
+					  .chunk = variant->step,
 					  .lag_ms = 300 };
 	struct dl_pool_conf conf = { .kind = DL_POOL_MODEL,
 				     .queue_entries_max = 4000,
@@ -70,10 +70,11 @@
 				     .weight_default = 1 };
 
 	rnd = g_rand_new_with_seed(SEED);
-	load_init(&load, ENGINES, &engine, &conf, side->policy, side->pools);
+	load_init(&load, ENGINES, &engine, &conf, variant->policy,
+		  variant->pools);
 }
 
-static void end(void)
+static void end_variant(void)
 {
 	load_fini(&load);
 	g_rand_free(rnd);
@@ -107,7 +108,7 @@
 }
 
 /* The same part of what the requests of a kind need on idle engines. */
-static double alone_p95(uint32_t tag)
+static double idle_p95(uint32_t tag)
 {
 	double *list = calloc(load.requests + 1, sizeof(*list));
 	double found;
@@ -128,43 +129,46 @@
 	return found;
 }
 
-static void lengths(void)
+static void print_by_length(void)
 {
 	static const char *const names[] = { "_1k", "_10k", "_100k", "_1m" };
 
 	for (uint32_t tag = LOAD_SHORT; tag <= LOAD_GIANT; tag++) {
 		double p95 = (double)load_ttft(&load, tag, P95);
 
-		figure("ttft_p95_ms", names[tag], p95, "ms");
-		figure("ttft_ratio", names[tag], p95 / alone_p95(tag), "ratio");
-		figure("ttft_answered", names[tag],
-		       (double)load_count(&load, tag, LOAD_DONE), "requests");
-		figure("ttft_refused", names[tag],
-		       (double)load_count(&load, tag, LOAD_REFUSED),
-		       "requests");
+		print_figure("ttft_p95_ms", names[tag], p95, "ms");
+		print_figure("ttft_ratio", names[tag], p95 / idle_p95(tag),
+			     "ratio");
+		print_figure("ttft_answered", names[tag],
+			     (double)load_count(&load, tag, LOAD_DONE),
+			     "requests");
+		print_figure("ttft_refused", names[tag],
+			     (double)load_count(&load, tag, LOAD_REFUSED),
+			     "requests");
 	}
 }
 
-static void slowdown(const struct side *side)
+static void bench_slowdown(const struct variant *variant)
 {
 	double without, with;
 
-	begin(side);
+	begin_variant(variant);
 	demand_mix(0.8, MIX_MS, false);
 	load_run(&load, MIX_MS + SHORT_MS);
 	without = (double)load_ttft(&load, LOAD_SHORT, P95);
-	end();
-	begin(side);
+	end_variant();
+	begin_variant(variant);
 	demand_mix(0.8, MIX_MS, true);
 	load_run(&load, MIX_MS + SETTLE_MS);
 	with = (double)load_ttft(&load, LOAD_SHORT, P95);
-	figure("short_slowdown", side->name, with / without, "ratio");
-	figure("short_p95_ms", side->name, with, "ms");
-	figure("mix_late", side->name,
-	       (double)load_count(&load, LOAD_ANY, LOAD_LATE), "requests");
-	if (side == sides)
-		lengths();
-	end();
+	print_figure("short_slowdown", variant->name, with / without, "ratio");
+	print_figure("short_p95_ms", variant->name, with, "ms");
+	print_figure("mix_late", variant->name,
+		     (double)load_count(&load, LOAD_ANY, LOAD_LATE),
+		     "requests");
+	if (variant == variants)
+		print_by_length();
+	end_variant();
 }
 
 /* Answers in time of the short requests asked for in a minute. */
@@ -172,13 +176,13 @@
 {
 	double good = 0;
 
-	begin(sides);
+	begin_variant(variants);
 	demand_short(part, 60000, 0);
 	load_run(&load, 60000);
 	good = (double)load_count(&load, LOAD_ANY, LOAD_DONE);
 	load_run(&load, 70000);
 	*late += load_count(&load, LOAD_ANY, LOAD_LATE);
-	end();
+	end_variant();
 	return good;
 }
 
@@ -187,7 +191,7 @@
 {
 	double good = 0;
 
-	begin(sides);
+	begin_variant(variants);
 	demand_mix(part, 200000, true);
 	load_run(&load, 200000);
 	for (uint32_t i = 0; i < load.requests; i++)
@@ -195,22 +199,22 @@
 			good += (double)load.request[i].prompt;
 	load_run(&load, 800000);
 	*late += load_count(&load, LOAD_ANY, LOAD_LATE);
-	end();
+	end_variant();
 	return good;
 }
 
-static void saturation(void)
+static void bench_saturation(void)
 {
 	uint64_t late = 0;
 	double once = goodput(1, &late), twice = goodput(2, &late);
 
-	figure("goodput_1x", "", once / 60, "answers/s");
-	figure("goodput_2x_over_1x", "", twice / once, "ratio");
+	print_figure("goodput_1x", "", once / 60, "answers/s");
+	print_figure("goodput_2x_over_1x", "", twice / once, "ratio");
 	once = goodput_mix(1, &late);
 	twice = goodput_mix(2, &late);
-	figure("goodput_mix_1x", "", once / 200, "tokens/s");
-	figure("goodput_mix_2x_over_1x", "", twice / once, "ratio");
-	figure("admitted_late", "", (double)late, "requests");
+	print_figure("goodput_mix_1x", "", once / 200, "tokens/s");
+	print_figure("goodput_mix_2x_over_1x", "", twice / once, "ratio");
+	print_figure("admitted_late", "", (double)late, "requests");
 }
 
 static double jain(void)
@@ -231,22 +235,22 @@
 }
 
 /* One workspace asks for five times the pool, fifty times its share. */
-static void fairness(void)
+static void bench_fairness(void)
 {
 	double without, with;
 
-	begin(sides);
+	begin_variant(variants);
 	demand_short(0.63, 60000, 0);
 	load_run(&load, 70000);
 	without = (double)load_ttft(&load, LOAD_SHORT, P95);
-	end();
-	begin(sides);
+	end_variant();
+	begin_variant(variants);
 	demand_short(5.63, 60000, 888);
 	load_run(&load, 70000);
 	with = (double)load_ttft(&load, LOAD_SHORT, P95);
-	figure("fairness_jain", "", jain(), "index");
-	figure("fairness_p95_ratio", "", with / without, "ratio");
-	end();
+	print_figure("fairness_jain", "", jain(), "index");
+	print_figure("fairness_p95_ratio", "", with / without, "ratio");
+	end_variant();
 }
 
 /* A counter of this thread's own instructions, -1 where there is none. */
@@ -312,7 +316,7 @@
 	}
 }
 
-static void decide_keep(struct decide *d, const struct dl_answer *a)
+static void decide_add_grant(struct decide *d, const struct dl_answer *a)
 {
 	if (a->verdict != DL_GRANTED || d->n == d->ring)
 		return;
@@ -334,9 +338,9 @@
 		 (uint32_t)(d->asked * 2654435761u % d->workspaces));
 	ask.workspace = dl_str_of(name);
 	dl_pool_ask(d->pool, &ask, (int64_t)d->now, &a);
-	decide_keep(d, &a);
+	decide_add_grant(d, &a);
 	while (dl_pool_next(d->pool, (int64_t)d->now, &a))
-		decide_keep(d, &a);
+		decide_add_grant(d, &a);
 	while (d->n > 4 * d->endpoints) {
 		dl_pool_release(d->pool, d->granted[d->first], NULL,
 				(int64_t)d->now);
@@ -377,7 +381,8 @@
 	free(d->granted);
 }
 
-static void decide(const char *name, uint32_t workspaces, uint32_t endpoints)
+static void bench_decide(const char *name, uint32_t workspaces,
+			 uint32_t endpoints)
 {
 	struct decide d;
 	int fd = counter_open();
@@ -390,43 +395,43 @@
 		decide_one(&d);
 	ns = clock_ns() - ns;
 	instructions = counter_read(fd) - instructions;
-	figure("decide_ns", name, ns / DECISIONS, "ns");
+	print_figure("decide_ns", name, ns / DECISIONS, "ns");
 	if (instructions > 0)
-		figure("decide_instructions", name, instructions / DECISIONS,
-		       "instructions");
+		print_figure("decide_instructions", name,
+			     instructions / DECISIONS, "instructions");
 	if (fd >= 0)
 		close(fd);
 	decide_end(&d);
 }
 
-static double allocated(void)
+static double heap_bytes(void)
 {
 	return (double)mallinfo2().uordblks + (double)mallinfo2().hblkhd;
 }
 
-static void sizes(void)
+static void bench_sizes(void)
 {
 	struct decide d;
 	double before, few;
 
-	before = allocated();
+	before = heap_bytes();
 	decide_begin(&d, 10, 16);
-	few = allocated() - before;
+	few = heap_bytes() - before;
 	decide_end(&d);
-	before = allocated();
+	before = heap_bytes();
 	decide_begin(&d, 32000, 16);
-	figure("bytes_per_workspace", "",
-	       (allocated() - before - few) / (32000 - 10), "bytes");
+	print_figure("bytes_per_workspace", "",
+		     (heap_bytes() - before - few) / (32000 - 10), "bytes");
 	decide_end(&d);
-	before = allocated();
+	before = heap_bytes();
 	decide_begin(&d, 10, 600);
-	figure("bytes_per_endpoint", "",
-	       (allocated() - before - few) / (600 - 16), "bytes");
+	print_figure("bytes_per_endpoint", "",
+		     (heap_bytes() - before - few) / (600 - 16), "bytes");
 	decide_end(&d);
 }
 
 /* Requests that wait behind one that takes the only engine. */
-static void size_queued(void)
+static void bench_queued_size(void)
 {
 	struct decide d;
 	struct dl_ask ask = { .entry = 1,
@@ -439,15 +444,15 @@
 	uint32_t queued = 0;
 
 	decide_begin(&d, 1, 1);
-	before = allocated();
+	before = heap_bytes();
 	ask.prompt_tokens = 30000;
 	for (int i = 0; i < 900; i++) {
 		ask.request = d.asked++;
 		dl_pool_ask(d.pool, &ask, (int64_t)d.now, &a);
 		queued += a.verdict == DL_QUEUED;
 	}
-	figure("bytes_per_queued", "", (allocated() - before) / queued,
-	       "bytes");
+	print_figure("bytes_per_queued", "", (heap_bytes() - before) / queued,
+		     "bytes");
 	decide_end(&d);
 }
 
@@ -467,15 +472,15 @@
 		       (unsigned long long)d.asked);
 		return EXIT_SUCCESS;
 	}
-	for (size_t i = 0; i < sizeof(sides) / sizeof(sides[0]); i++)
-		slowdown(&sides[i]);
-	saturation();
-	fairness();
-	decide("_10ws", 10, 16);
-	decide("_32000ws", 32000, 16);
-	decide("_16ep", 1000, 16);
-	decide("_600ep", 1000, 600);
-	sizes();
-	size_queued();
+	for (size_t i = 0; i < sizeof(variants) / sizeof(variants[0]); i++)
+		bench_slowdown(&variants[i]);
+	bench_saturation();
+	bench_fairness();
+	bench_decide("_10ws", 10, 16);
+	bench_decide("_32000ws", 32000, 16);
+	bench_decide("_16ep", 1000, 16);
+	bench_decide("_600ep", 1000, 600);
+	bench_sizes();
+	bench_queued_size();
 	return EXIT_SUCCESS;
 }
--- a/bench/bench_rlog.c
+++ b/bench/bench_rlog.c
@@ -23,7 +23,7 @@
 
 static uint64_t steps, violations;
 
-static void print(const char *name, double value, const char *unit)
+static void print_figure(const char *name, double value, const char *unit)
 {
 	printf("%s\t%.6g\t%s\n", name, value, unit);
 }
@@ -89,9 +89,10 @@
 		group_run(g, 7);
 	}
 	group_run(g, 100);
-	print("config_commit_ms_p99",
-	      (double)percentile(group_get_counters(g)->commit_ms, 64, 990),
-	      "ms");
+	print_figure("config_commit_ms_p99",
+		     (double)percentile(group_get_counters(g)->commit_ms, 64,
+					990),
+		     "ms");
 	stop(g);
 }
 
@@ -118,8 +119,9 @@
 	}
 	qsort(took, FAILOVERS, sizeof(took[0]), compare);
 	median = took[FAILOVERS / 2];
-	print("leader_failover_ms", (double)median, "ms");
-	print("leader_failover_ms_max", (double)took[FAILOVERS - 1], "ms");
+	print_figure("leader_failover_ms", (double)median, "ms");
+	print_figure("leader_failover_ms_max", (double)took[FAILOVERS - 1],
+		     "ms");
 }
 
 static void bench_handover(void)
@@ -131,7 +133,8 @@
 	dl_rlog_transfer(group_rlog(g, old), begin);
 	while (group_leader(g) == old || !group_wait_leader(g, LONG_MS))
 		group_run(g, 1);
-	print("leader_handover_ms", (double)(group_now(g) - begin), "ms");
+	print_figure("leader_handover_ms", (double)(group_now(g) - begin),
+		     "ms");
 	stop(g);
 }
 
@@ -150,7 +153,8 @@
 	group_start(g, away);
 	while (group_applied(g, away) < group_applied(g, group_leader(g)))
 		group_run(g, 1);
-	print("replica_catchup_ms_1000", (double)(group_now(g) - begin), "ms");
+	print_figure("replica_catchup_ms_1000", (double)(group_now(g) - begin),
+		     "ms");
 	stop(g);
 }
 
@@ -166,12 +170,14 @@
 		before = fake_link_sent(group_link(g), vm);
 		group_run(g, IDLE_S * 1000);
 		after = fake_link_sent(group_link(g), vm);
-		print(i ? "replica_idle_bytes_per_s_follower" :
-			  "replica_idle_bytes_per_s",
-		      (double)(after.bytes - before.bytes) / IDLE_S, "B/s");
-		print(i ? "replica_idle_msgs_per_s_follower" :
-			  "replica_idle_msgs_per_s",
-		      (double)(after.msgs - before.msgs) / IDLE_S, "1/s");
+		print_figure(i ? "replica_idle_bytes_per_s_follower" :
+				 "replica_idle_bytes_per_s",
+			     (double)(after.bytes - before.bytes) / IDLE_S,
+			     "B/s");
+		print_figure(i ? "replica_idle_msgs_per_s_follower" :
+				 "replica_idle_msgs_per_s",
+			     (double)(after.msgs - before.msgs) / IDLE_S,
+			     "1/s");
 	}
 	stop(g);
 }
@@ -198,22 +204,24 @@
 		ns = group_busy_ns(g, leader) - ns;
 		snprintf(name, sizeof(name), "rlog_leader_bytes_per_s_at_%u",
 			 rates[k]);
-		print(name, (double)(after.bytes - before.bytes) / RATE_S,
-		      "B/s");
+		print_figure(name,
+			     (double)(after.bytes - before.bytes) / RATE_S,
+			     "B/s");
 		snprintf(name, sizeof(name), "rlog_leader_ns_per_change_at_%u",
 			 rates[k]);
-		print(name, (double)ns / n, "ns");
+		print_figure(name, (double)ns / n, "ns");
 		stop(g);
 	}
 }
 
-static void noop_done(void *arg, int code)
+static void store_code(void *arg, int code)
 {
 	*(int *)arg = code;
 }
 
 /* One APPLY of a whole text, as an entry sends it. */
-static char *command(uint32_t i, const char *text, size_t text_n, size_t *n)
+static char *encode_change(uint32_t i, const char *text, size_t text_n,
+			   size_t *n)
 {
 	char id[32], *out;
 	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_APPLY,
@@ -229,27 +237,28 @@
 }
 
 /* Write a journal of a thousand changes, one a unit; returns its bytes. */
-static uint64_t fill(struct dl_rlog_store *store, struct fake_disk *disk,
-		     const char *text, size_t text_n, uint64_t *payload)
+static uint64_t write_changes(struct dl_rlog_store *store,
+			      struct fake_disk *disk, const char *text,
+			      size_t text_n, uint64_t *payload)
 {
 	struct dl_rlog_record unit = { .cluster = 1, .term = 1 };
 	uint64_t begin;
 	int code = 0;
 
-	dl_rlog_store_start(store, (struct dl_disk_done){ noop_done, &code });
+	dl_rlog_store_start(store, (struct dl_disk_done){ store_code, &code });
 	fake_disk_run(disk, 0);
 	begin = dl_rlog_store_bytes(store);
 	for (uint32_t i = 1; i <= CHANGES; i++) {
 		struct dl_rlog_entry e = { i, 1, DL_RLOG_COMMAND, { NULL, 0 } };
 		size_t n;
-		char *cmd = command(i, text, text_n, &n);
+		char *cmd = encode_change(i, text, text_n, &n);
 
 		e.data = (struct dl_str){ cmd, n };
 		*payload += n;
 		unit.count = 1;
 		unit.entries = &e;
 		dl_rlog_store_write(store, &unit,
-				    (struct dl_disk_done){ noop_done, &code });
+				    (struct dl_disk_done){ store_code, &code });
 		fake_disk_run(disk, 0);
 		free(cmd);
 	}
@@ -273,23 +282,23 @@
 	if (!g_file_get_contents("examples/zveza.json", &text, &text_n, NULL))
 		exit(EXIT_FAILURE);
 	dl_rlog_store_open(disk, 1, &store, &image, &err);
-	bytes = fill(store, fake, text, text_n, &payload);
+	bytes = write_changes(store, fake, text, text_n, &payload);
 	dl_rlog_store_free(store);
-	print("log_bytes_per_change", (double)bytes / CHANGES, "B");
-	print("log_overhead_bytes_per_change",
-	      (double)(bytes - payload) / CHANGES, "B");
+	print_figure("log_bytes_per_change", (double)bytes / CHANGES, "B");
+	print_figure("log_overhead_bytes_per_change",
+		     (double)(bytes - payload) / CHANGES, "B");
 	begin = now_ns();
 	if (dl_rlog_store_open(disk, 2, &store, &image, &err))
 		exit(EXIT_FAILURE);
 	for (uint32_t i = 0; i < image.count; i++)
 		dl_cstore_exec(cstore, image.entries[i].index,
 			       image.entries[i].data, &reply);
-	print("restart_after_1000_changes_ms", (double)(now_ns() - begin) / 1e6,
-	      "ms");
+	print_figure("restart_after_1000_changes_ms",
+		     (double)(now_ns() - begin) / 1e6, "ms");
 	if (dl_cstore_version(cstore) != CHANGES ||
 	    dl_cstore_snapshot(cstore, &snap, &n))
 		exit(EXIT_FAILURE);
-	print("snapshot_bytes", (double)n, "B");
+	print_figure("snapshot_bytes", (double)n, "B");
 	free(snap);
 	g_free(text);
 	dl_rlog_image_free(&image);
@@ -307,7 +316,7 @@
 	bench_idle();
 	bench_rates();
 	bench_restart();
-	print("steps_checked", (double)steps, "steps");
-	print("state_violations", (double)violations, "violations");
+	print_figure("steps_checked", (double)steps, "steps");
+	print_figure("state_violations", (double)violations, "violations");
 	return violations ? EXIT_FAILURE : EXIT_SUCCESS;
 }
--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -33,17 +33,17 @@
 
 static char *text_buf;
 
-static void point(const char *slope, double x, double value)
+static void print_point(const char *slope, double x, double value)
 {
 	printf("%s\t%.10g\t%.10g\n", slope, x, value);
 }
 
-static double heap(void)
+static double heap_bytes(void)
 {
 	return (double)mallinfo2().uordblks;
 }
 
-static void must(int code)
+static void die_on_error(int code)
 {
 	if (code == 0)
 		return;
@@ -52,7 +52,7 @@
 }
 
 /* Order for the median. */
-static int by_size(const void *a, const void *b)
+static int compare_doubles(const void *a, const void *b)
 {
 	const double *x = a, *y = b;
 
@@ -62,7 +62,7 @@
 /* Membership by VMs: the median member, and the busiest, which digests. */
 static void memb_points(uint32_t vms)
 {
-	double before = heap(), began, state, each[VMS] = { 0 };
+	double before = heap_bytes(), began, state, each[VMS] = { 0 };
 	double msgs[VMS] = { 0 };
 	struct memb_net_conf conf;
 	struct memb_net *net;
@@ -74,11 +74,11 @@
 	memb_net_clear_counts(net);
 	began = (double)clock();
 	memb_net_run(net, MEASURE_MS);
-	point("memb_cpu_us", vms,
-	      ((double)clock() - began) / CLOCKS_PER_SEC * 1e6 /
-		      (MEASURE_MS / MS_PER_S) / vms);
-	state = heap() - before;
-	point("memb_state", vms, state / vms);
+	print_point("memb_cpu_us", vms,
+		    ((double)clock() - began) / CLOCKS_PER_SEC * 1e6 /
+			    (MEASURE_MS / MS_PER_S) / vms);
+	state = heap_bytes() - before;
+	print_point("memb_state", vms, state / vms);
 	for (uint32_t i = 0; i < vms; i++) {
 		const struct memb_net_vm *v = &net->vms[i];
 
@@ -87,12 +87,12 @@
 		msgs[i] = (double)(v->msgs_in + v->msgs_out) /
 			  (MEASURE_MS / MS_PER_S);
 	}
-	qsort(msgs, vms, sizeof(msgs[0]), by_size);
-	qsort(each, vms, sizeof(each[0]), by_size);
-	point("memb_bytes", vms, each[vms / 2]);
-	point("memb_digest_bytes", vms, each[vms - 1]);
-	point("memb_msgs", vms, msgs[vms / 2]);
-	point("memb_digest_msgs", vms, msgs[vms - 1]);
+	qsort(msgs, vms, sizeof(msgs[0]), compare_doubles);
+	qsort(each, vms, sizeof(each[0]), compare_doubles);
+	print_point("memb_bytes", vms, each[vms / 2]);
+	print_point("memb_digest_bytes", vms, each[vms - 1]);
+	print_point("memb_msgs", vms, msgs[vms / 2]);
+	print_point("memb_digest_msgs", vms, msgs[vms - 1]);
 	memb_net_free(net);
 }
 
@@ -148,44 +148,46 @@
 static void dispatch_points(void)
 {
 	static const uint32_t rates[] = { 50, 100, 200, 400 };
-	static const uint32_t lives[] = { 4000, 8000, 12000, 16000 };
+	static const uint32_t durations_ms[] = { 4000, 8000, 12000, 16000 };
 	static const uint32_t runners[] = { 8, 30, 60, 120 };
 	static const uint32_t entries[] = { 20, 40, 74, 150 };
 	struct load_conf conf;
 
 	for (int i = 0; i < 4; i++)
-		point("batch_bytes", entries[i], renewal_bytes(entries[i]));
+		print_point("batch_bytes", entries[i],
+			    renewal_bytes(entries[i]));
 	for (int i = 0; i < 4; i++) {
 		conf = one_pool();
 		conf.requests_per_s = rates[i];
-		point("request_bytes", rates[i], dispatcher_bytes(&conf, 5000));
+		print_point("request_bytes", rates[i],
+			    dispatcher_bytes(&conf, 5000));
 	}
 	for (int i = 0; i < 4; i++) {
 		conf = one_pool();
 		conf.lease_ms = LEASE_MS;
-		conf.request_ms = lives[i];
-		point("stream_bytes", lives[i] / 10.0,
-		      dispatcher_bytes(&conf, 20000));
+		conf.request_ms = durations_ms[i];
+		print_point("stream_bytes", durations_ms[i] / 10.0,
+			    dispatcher_bytes(&conf, 20000));
 	}
 	for (int i = 0; i < 4; i++) {
 		conf = one_pool();
 		conf.runners = runners[i];
 		conf.requests_per_s = 0;
-		point("endpoint_bytes", runners[i],
-		      dispatcher_bytes(&conf, 5000));
+		print_point("endpoint_bytes", runners[i],
+			    dispatcher_bytes(&conf, 5000));
 	}
 	for (uint32_t d = 2; d <= 5; d++) {
 		conf = one_pool();
 		conf.domains = d;
 		conf.requests_per_s = 0;
-		point("domain_bytes", d, dispatcher_bytes(&conf, 5000));
+		print_point("domain_bytes", d, dispatcher_bytes(&conf, 5000));
 	}
 }
 
 /* State of a pool by what it holds. */
 static void pool_points(void)
 {
-	static const uint32_t lives[] = { 2500, 5000, 10000, 20000 };
+	static const uint32_t durations_ms[] = { 2500, 5000, 10000, 20000 };
 	static const uint32_t runners[] = { 8, 30, 60, 120 };
 
 	for (int i = 0; i < 4; i++) {
@@ -193,27 +195,29 @@
 		double before;
 		struct load *l;
 
-		conf.request_ms = lives[i];
+		conf.request_ms = durations_ms[i];
 		conf.runners = 30;
 		l = load_new(&conf);
-		before = heap();
+		before = heap_bytes();
 		load_run(l, 25000);
-		point("grant_state", (double)l->in_flight,
-		      heap() - before -
-			      (double)l->in_flight * sizeof(struct load_req));
+		print_point("grant_state", (double)l->in_flight,
+			    heap_bytes() - before -
+				    (double)l->in_flight *
+					    sizeof(struct load_req));
 		load_free(l);
 	}
 	for (int i = 0; i < 4; i++) {
 		struct load_conf conf = one_pool();
-		double before = heap();
+		double before = heap_bytes();
 		struct load *l;
 
 		conf.runners = runners[i];
 		conf.requests_per_s = 0;
 		l = load_new(&conf);
 		load_run(l, 2000);
-		point("endpoint_state", runners[i],
-		      heap() - before - (double)l->asked_cap * sizeof(void *));
+		print_point("endpoint_state", runners[i],
+			    heap_bytes() - before -
+				    (double)l->pending_cap * sizeof(void *));
 		load_free(l);
 	}
 }
@@ -268,37 +272,39 @@
 
 	for (int i = 0; i < 4; i++) {
 		struct dl_str text = conf_text(sizes[i]);
-		double before = heap(), began = (double)clock();
+		double before = heap_bytes(), began = (double)clock();
 		struct dl_conf *conf = parse(text);
 
-		point("conf_parse_us", sizes[i],
-		      ((double)clock() - began) / CLOCKS_PER_SEC * 1e6);
-		point("conf_state", sizes[i], heap() - before);
-		point("conf_text", sizes[i], (double)text.n);
+		print_point("conf_parse_us", sizes[i],
+			    ((double)clock() - began) / CLOCKS_PER_SEC * 1e6);
+		print_point("conf_state", sizes[i], heap_bytes() - before);
+		print_point("conf_text", sizes[i], (double)text.n);
 		began = (double)clock();
-		must(dl_conf_compare(conf, conf, &diff));
-		point("conf_compare_us", sizes[i],
-		      ((double)clock() - began) / CLOCKS_PER_SEC * 1e6);
+		die_on_error(dl_conf_compare(conf, conf, &diff));
+		print_point("conf_compare_us", sizes[i],
+			    ((double)clock() - began) / CLOCKS_PER_SEC * 1e6);
 		dl_conf_diff_free(&diff);
 		dl_conf_free(conf);
 	}
 }
 
-static void exec(struct dl_cstore *store, const struct dl_cstore_cmd *cmd)
+static void run_command(struct dl_cstore *store,
+			const struct dl_cstore_cmd *cmd)
 {
 	struct dl_cstore_reply reply;
 	char *bytes;
 	size_t n;
 
-	must(dl_cstore_encode(cmd, &bytes, &n));
+	die_on_error(dl_cstore_encode(cmd, &bytes, &n));
 	dl_cstore_exec(store, dl_cstore_index(store) + 1,
 		       (struct dl_str){ bytes, n }, &reply);
-	must(reply.code);
+	die_on_error(reply.code);
 	free(bytes);
 }
 
 /* A change of the configuration, or a claim and its outcome. */
-static void change(struct dl_cstore *store, struct dl_str text, uint32_t i)
+static void apply_change(struct dl_cstore *store, struct dl_str text,
+			 uint32_t i)
 {
 	char id[24];
 	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_APPLY,
@@ -309,10 +315,10 @@
 
 	snprintf(id, sizeof(id), "change-%08u", i);
 	cmd.change_id = dl_str_of(id);
-	exec(store, &cmd);
+	run_command(store, &cmd);
 }
 
-static void claim(struct dl_cstore *store, uint32_t i)
+static void claim_key(struct dl_cstore *store, uint32_t i)
 {
 	char key[64];
 	struct dl_cstore_cmd cmd = { .op = DL_CSTORE_CLAIM,
@@ -324,11 +330,11 @@
 	snprintf(key, sizeof(key), "8:termini14:homeowners-00112:booking-%05u",
 		 i);
 	cmd.key = dl_str_of(key);
-	exec(store, &cmd);
+	run_command(store, &cmd);
 	cmd.op = DL_CSTORE_OUTCOME;
 	cmd.status = 200;
 	cmd.outcome = DL_STR("{\"confirmed\":true,\"slot\":\"2026-12-02T10\"}");
-	exec(store, &cmd);
+	run_command(store, &cmd);
 }
 
 /* The replicated state by changes and by claims. */
@@ -339,32 +345,32 @@
 	struct dl_str text = conf_text(CHANGE_WORKSPACES);
 
 	for (int i = 0; i < 4; i++) {
-		double before = heap();
+		double before = heap_bytes();
 		struct dl_cstore *store = dl_cstore_new();
 
 		for (uint32_t k = 0; k < changes[i]; k++)
-			change(store, text, k);
-		point("change_state", changes[i], heap() - before);
+			apply_change(store, text, k);
+		print_point("change_state", changes[i], heap_bytes() - before);
 		dl_cstore_free(store);
 	}
 	for (int i = 0; i < 4; i++) {
-		double before = heap();
+		double before = heap_bytes();
 		struct dl_cstore *store = dl_cstore_new();
 		char *snapshot;
 		size_t n;
 
 		for (uint32_t k = 0; k < claims[i]; k++)
-			claim(store, k);
-		point("claim_state", claims[i], heap() - before);
-		must(dl_cstore_snapshot(store, &snapshot, &n));
-		point("claim_snapshot", claims[i], (double)n);
+			claim_key(store, k);
+		print_point("claim_state", claims[i], heap_bytes() - before);
+		die_on_error(dl_cstore_snapshot(store, &snapshot, &n));
+		print_point("claim_snapshot", claims[i], (double)n);
 		free(snapshot);
 		dl_cstore_free(store);
 	}
 }
 
 /* Five replicas for a minute; what the leader sends, in bytes a second. */
-static double log_minute(uint32_t changes, double *acked)
+static double run_log_minute(uint32_t changes, double *acked)
 {
 	struct group_conf conf = {
 		.seed = 1,
@@ -383,7 +389,7 @@
 	for (uint64_t vm = 1; vm <= 5; vm++)
 		group_start(g, vm);
 	if (!group_wait_leader(g, 60000))
-		must(-1);
+		die_on_error(-1);
 	leader = group_leader(g);
 	group_run(g, 5000);
 	before = fake_link_sent(group_link(g), leader);
@@ -406,9 +412,9 @@
 	static const uint32_t changes[] = { 0, 50, 100, 200, 400 };
 
 	for (int i = 0; i < 5; i++) {
-		double acked, bytes = log_minute(changes[i], &acked);
+		double acked, bytes = run_log_minute(changes[i], &acked);
 
-		point("rlog_bytes", acked, bytes);
+		print_point("rlog_bytes", acked, bytes);
 	}
 }
 
@@ -428,7 +434,7 @@
 }
 
 /* The endpoint's number out of the address in an order. */
-static uint32_t ordered(const struct dl_order *order)
+static uint32_t order_endpoint(const struct dl_order *order)
 {
 	uint64_t vm = 0;
 
@@ -437,10 +443,10 @@
 }
 
 /* Bring so many endpoints to a new version; returns the planner's heap. */
-static double plan(uint32_t endpoints)
+static double run_orders(uint32_t endpoints)
 {
 	struct dl_conf *conf = parse(conf_text(0));
-	double before = heap(), state;
+	double before = heap_bytes(), state;
 	struct dl_orders_conf oc;
 	struct dl_orders *orders;
 	struct dl_order order;
@@ -450,22 +456,22 @@
 	dl_orders_defaults(&oc);
 	orders = dl_orders_new(&oc);
 	dl_orders_configure(orders, conf, now);
-	must(dl_orders_set_leader(orders, 1, now + 900, now));
+	die_on_error(dl_orders_set_leader(orders, 1, now + 900, now));
 	for (uint32_t i = 0; i < endpoints; i++)
 		announce(orders, i, "1", now);
 	for (end = now + 3600000; now < end && done < endpoints; now += 250) {
-		must(dl_orders_set_leader(orders, 1, now + 900, now));
+		die_on_error(dl_orders_set_leader(orders, 1, now + 900, now));
 		while (dl_orders_next(orders, now, &order)) {
 			dl_orders_result(orders, order.id, DL_ORDER_ACCEPTED,
 					 now);
-			announce(orders, ordered(&order), "2", now);
+			announce(orders, order_endpoint(&order), "2", now);
 			done++;
 		}
 	}
 	if (done < endpoints)
 		fprintf(stderr, "capacity: %u of %u ordered\n", done,
 			endpoints);
-	state = heap() - before;
+	state = heap_bytes() - before;
 	dl_orders_free(orders);
 	dl_conf_free(conf);
 	return state;
@@ -479,10 +485,11 @@
 	struct load_conf conf = one_pool();
 
 	for (int i = 0; i < 4; i++)
-		point("orders_state", endpoints[i], plan(endpoints[i]));
+		print_point("orders_state", endpoints[i],
+			    run_orders(endpoints[i]));
 	for (int i = 0; i < 4; i++) {
 		struct load *l = load_new(&conf);
-		double before = heap();
+		double before = heap_bytes();
 
 		for (uint32_t k = 0; k < workspaces[i]; k++) {
 			struct dl_workspace_conf ws = { .weight = 4 };
@@ -492,13 +499,14 @@
 			dl_name_set(&ws.name, dl_str_of(name));
 			dl_pool_set_workspace(l->pools[0], &ws);
 		}
-		point("workspace_state", workspaces[i], heap() - before);
+		print_point("workspace_state", workspaces[i],
+			    heap_bytes() - before);
 		load_free(l);
 	}
 }
 
 /* One token of a stream as an entry reads it. */
-static void tokens(uint32_t count)
+static void parse_tokens(uint32_t count)
 {
 	struct dl_sse sse;
 	char event[160];
@@ -516,18 +524,20 @@
 				 i);
 
 		bytes += (uint64_t)n;
-		must(dl_sse_feed(&sse, (struct dl_str){ event, (size_t)n }));
+		die_on_error(
+			dl_sse_feed(&sse, (struct dl_str){ event, (size_t)n }));
 		while (dl_sse_next(&sse, &data)) {
-			must(dl_chunk_parse(data, false, &chunk, &text));
+			die_on_error(
+				dl_chunk_parse(data, false, &chunk, &text));
 			json_decref(text);
 		}
 	}
 	dl_sse_close(&sse);
-	point("token_bytes", count, (double)bytes);
+	print_point("token_bytes", count, (double)bytes);
 }
 
 /* So many requests through one pool, its codecs and their renewals. */
-static void requests(uint32_t runners, uint32_t rate)
+static void run_requests(uint32_t runners, uint32_t rate)
 {
 	struct load_conf conf = one_pool();
 	struct load *l;
@@ -541,29 +551,29 @@
 	load_free(l);
 }
 
-static int instr(const char *name, uint32_t x)
+static int run_operation(const char *name, uint32_t x)
 {
 	double acked;
 
 	if (strcmp(name, "request_instr") == 0)
-		requests(8, x);
+		run_requests(8, x);
 	else if (strcmp(name, "endpoint_instr") == 0)
-		requests(x, 100);
+		run_requests(x, 100);
 	else if (strcmp(name, "token_instr") == 0)
-		tokens(x);
+		parse_tokens(x);
 	else if (strcmp(name, "conf_instr") == 0)
 		dl_conf_free(parse(conf_text(x)));
 	else if (strcmp(name, "orders_instr") == 0)
-		plan(x);
+		run_orders(x);
 	else if (strcmp(name, "rlog_instr") == 0)
-		log_minute(x, &acked);
+		run_log_minute(x, &acked);
 	else
 		return 2;
 	return 0;
 }
 
 /* Bytes sent and taken by all since the counts were cleared. */
-static double bytes_each(const struct memb_net *net)
+static double mean_bytes(const struct memb_net *net)
 {
 	double sum = 0;
 
@@ -572,8 +582,8 @@
 	return sum / net->conf.vms;
 }
 
-/* Messages in and out, as bytes_each(). */
-static double msgs_each(const struct memb_net *net)
+/* Messages in and out, as mean_bytes(). */
+static double mean_msgs(const struct memb_net *net)
 {
 	double sum = 0;
 
@@ -582,7 +592,7 @@
 	return sum / net->conf.vms;
 }
 
-static double busiest(const struct memb_net *net)
+static double max_bytes(const struct memb_net *net)
 {
 	double max = 0;
 
@@ -596,7 +606,7 @@
 }
 
 /* Let all agree again, and say how long it took and what it cost. */
-static void settle(struct memb_net *net, const char *name)
+static void print_convergence(struct memb_net *net, const char *name)
 {
 	int64_t began = net->now, took;
 
@@ -606,31 +616,31 @@
 	if (net->now - began < 30000)
 		memb_net_run(net, 30000 - (net->now - began));
 	printf("%s_msgs_per_s\t%.2f\t1/s\n", name,
-	       msgs_each(net) / (double)(net->now - began) * MS_PER_S);
+	       mean_msgs(net) / (double)(net->now - began) * MS_PER_S);
 	printf("%s_bytes_per_s\t%.0f\tB/s\n", name,
-	       bytes_each(net) / (double)(net->now - began) * MS_PER_S);
+	       mean_bytes(net) / (double)(net->now - began) * MS_PER_S);
 	printf("%s_bytes_per_s_max\t%.0f\tB/s\n", name,
-	       busiest(net) / (double)(net->now - began) * MS_PER_S);
+	       max_bytes(net) / (double)(net->now - began) * MS_PER_S);
 	fflush(stdout);
 	memb_net_run(net, WARM_MS);
 }
 
-static void kill_some(struct memb_net *net, uint32_t first, uint32_t n,
-		      uint32_t step)
+static void kill_vms(struct memb_net *net, uint32_t first, uint32_t n,
+		     uint32_t step)
 {
 	for (uint32_t i = 0; i < n; i++)
 		memb_net_kill(net, (first + i * step) % VMS);
 }
 
-static void start_some(struct memb_net *net, uint32_t first, uint32_t n,
-		       uint32_t step)
+static void start_vms(struct memb_net *net, uint32_t first, uint32_t n,
+		      uint32_t step)
 {
 	for (uint32_t i = 0; i < n; i++)
 		memb_net_start(net, (first + i * step) % VMS);
 }
 
 /* Put some VMs on the other side of a partition. */
-static void part(struct memb_net *net, uint32_t domains, uint32_t side)
+static void set_partition(struct memb_net *net, uint32_t domains, uint32_t side)
 {
 	for (uint32_t i = 0; i < VMS; i++) {
 		if (i % DOMAINS < domains)
@@ -639,7 +649,7 @@
 }
 
 /* The day of faults at the target's size. */
-static void faults(void)
+static void print_faults(void)
 {
 	struct memb_net_conf conf;
 	struct memb_net *net;
@@ -647,30 +657,30 @@
 	memb_net_defaults(&conf, VMS, DOMAINS, 1);
 	net = memb_net_new(&conf);
 	memb_net_start_all(net);
-	settle(net, "all_start");
+	print_convergence(net, "all_start");
 	memb_net_kill(net, 7);
-	settle(net, "one_fails");
+	print_convergence(net, "one_fails");
 	memb_net_start(net, 7);
-	settle(net, "one_restarts");
-	kill_some(net, 3, 14, 23);
-	settle(net, "fourteen_fail");
-	start_some(net, 3, 14, 23);
-	settle(net, "fourteen_return");
-	kill_some(net, 1, 55, 6);
-	start_some(net, 1, 55, 6);
-	settle(net, "fiftyfive_restart");
-	kill_some(net, 2, 20, DOMAINS);
-	settle(net, "rack_fails");
-	start_some(net, 2, 20, DOMAINS);
-	settle(net, "rack_returns");
-	part(net, 1, 1);
-	settle(net, "domain_cut");
-	part(net, 1, 0);
-	settle(net, "domain_back");
-	part(net, 2, 1);
-	settle(net, "regions_apart");
-	part(net, 2, 0);
-	settle(net, "regions_together");
+	print_convergence(net, "one_restarts");
+	kill_vms(net, 3, 14, 23);
+	print_convergence(net, "fourteen_fail");
+	start_vms(net, 3, 14, 23);
+	print_convergence(net, "fourteen_return");
+	kill_vms(net, 1, 55, 6);
+	start_vms(net, 1, 55, 6);
+	print_convergence(net, "fiftyfive_restart");
+	kill_vms(net, 2, 20, DOMAINS);
+	print_convergence(net, "rack_fails");
+	start_vms(net, 2, 20, DOMAINS);
+	print_convergence(net, "rack_returns");
+	set_partition(net, 1, 1);
+	print_convergence(net, "domain_cut");
+	set_partition(net, 1, 0);
+	print_convergence(net, "domain_back");
+	set_partition(net, 2, 1);
+	print_convergence(net, "regions_apart");
+	set_partition(net, 2, 0);
+	print_convergence(net, "regions_together");
 	memb_net_free(net);
 }
 
@@ -691,11 +701,11 @@
 		rlog_points();
 		other_points();
 		for (uint32_t n = 1000; n <= 8000; n *= 2)
-			tokens(n);
+			parse_tokens(n);
 	} else if (argc == 2 && strcmp(argv[1], "faults") == 0) {
-		faults();
+		print_faults();
 	} else if (argc == 4 && strcmp(argv[1], "instr") == 0) {
-		return instr(argv[2], (uint32_t)atoi(argv[3]));
+		return run_operation(argv[2], (uint32_t)atoi(argv[3]));
 	} else {
 		fprintf(stderr, "usage: capacity points|faults|instr NAME X\n");
 		return 2;
--- a/bench/control_load.h
+++ b/bench/control_load.h
@@ -44,11 +44,11 @@
 struct load_vm {
 	uint64_t msgs;
 	uint64_t bytes;
-	uint64_t by_kind[LOAD_KINDS]; /* bytes, from LOAD_KIND_FIRST on */
+	uint64_t bytes_by_kind[LOAD_KINDS]; /* bytes, from LOAD_KIND_FIRST on */
 };
 
 /* What the endpoints of a pool hold, as they report it. */
-struct load_held {
+struct load_pool_usage {
 	uint64_t grants;
 	uint64_t tokens;
 };
@@ -56,12 +56,12 @@
 /* A request under way. */
 struct load_req {
 	struct load_req *next;
-	struct load_req *peer; /* of the same entry at the same pool */
+	struct load_req *next_renewal; /* of the same entry at the same pool */
 	uint32_t pool;
 	uint32_t entry;
 	uint64_t grant;
 	uint64_t tokens;
-	int64_t ends;
+	int64_t end;
 };
 
 struct load {
@@ -69,8 +69,8 @@
 	struct dl_pool **pools; /* domains * pools */
 	struct load_vm *vms;	/* domains * entries */
 	struct load_req **wheel;
-	struct load_req **asked; /* by request id, waiting for a grant */
-	uint32_t asked_cap;
+	struct load_req **pending; /* by request id, waiting for a grant */
+	uint32_t pending_cap;
 	uint64_t next_id;
 	uint64_t carry; /* thousandths of a request */
 	uint64_t rng;
@@ -80,8 +80,8 @@
 	uint64_t refused;
 	uint64_t renewals;
 	uint64_t in_flight;
-	struct load_held *held;	   /* by pool */
-	struct load_req **renewed; /* by pool and entry of its domain */
+	struct load_pool_usage *usage_by_pool; /* by pool */
+	struct load_req **renewal_lists; /* by pool and entry of its domain */
 };
 
 /* splitmix64 */
@@ -95,7 +95,8 @@
 }
 
 /* The bytes of a frame with its envelope, as src/transport/peers.c packs it. */
-static inline size_t load_frame(uint32_t kind, uint64_t request, size_t body)
+static inline size_t load_frame_bytes(uint32_t kind, uint64_t request,
+				      size_t body)
 {
 	msgpack_sbuffer out;
 	msgpack_packer pk;
@@ -130,7 +131,7 @@
 {
 	l->vms[vm].msgs++;
 	l->vms[vm].bytes += bytes;
-	l->vms[vm].by_kind[kind - LOAD_KIND_FIRST] += bytes;
+	l->vms[vm].bytes_by_kind[kind - LOAD_KIND_FIRST] += bytes;
 }
 
 /* The VM that leads a pool: one after the other in its domain. */
@@ -147,7 +148,7 @@
 static inline void load_send(struct load *l, uint32_t from, uint32_t to,
 			     uint32_t kind, uint64_t request, size_t body)
 {
-	size_t n = load_frame(kind, request, body);
+	size_t n = load_frame_bytes(kind, request, body);
 
 	if (from == to)
 		return;
@@ -160,16 +161,17 @@
 	struct dl_endpoint_report r = {
 		.incarnation = 1,
 		.memory_tokens = LOAD_KV_TOKENS,
-		.used_tokens = l->held[pool].tokens / l->conf.runners,
+		.used_tokens = l->usage_by_pool[pool].tokens / l->conf.runners,
 		.slots = LOAD_SLOTS,
-		.running = (uint32_t)(l->held[pool].grants / l->conf.runners),
+		.running = (uint32_t)(l->usage_by_pool[pool].grants /
+				      l->conf.runners),
 		.prefill_rate = LOAD_PREFILL_RATE,
 		.decode_rate = LOAD_DECODE_RATE,
 		.takes_groups = true
 	};
 	uint32_t entry = pool / l->conf.pools * l->conf.entries +
 			 (uint32_t)(load_random(l) % l->conf.entries);
-	struct dl_announcement said, read;
+	struct dl_announcement sent, read;
 	struct dl_packer pk;
 	char text[24];
 
@@ -178,12 +180,12 @@
 			   9000,
 		   text);
 	dl_name_set(&r.id, dl_str_of(text));
-	memset(&said, 0, sizeof(said));
-	said.report = r;
-	dl_name_set(&said.service, DL_STR("match-writer"));
-	said.models_count = 1;
-	dl_name_set(&said.models[0], DL_STR("match-7b"));
-	dl_report_pack(&pk, &said);
+	memset(&sent, 0, sizeof(sent));
+	sent.report = r;
+	dl_name_set(&sent.service, DL_STR("match-writer"));
+	sent.models_count = 1;
+	dl_name_set(&sent.models[0], DL_STR("match-7b"));
+	dl_report_pack(&pk, &sent);
 	load_send(l, entry, load_leader(l, pool), 25, 0,
 		  dl_packer_bytes(&pk).n);
 	dl_report_read(dl_packer_bytes(&pk), &read);
@@ -228,16 +230,16 @@
 	l->conf = *conf;
 	l->rng = 1;
 	l->now = 1000;
-	l->asked_cap = 1 << 20;
+	l->pending_cap = 1 << 20;
 	l->pools = calloc(pools, sizeof(struct dl_pool *));
 	l->vms = calloc((size_t)conf->domains * conf->entries, sizeof(*l->vms));
-	l->held = calloc(pools, sizeof(*l->held));
-	l->renewed = calloc((size_t)pools * conf->entries,
-			    sizeof(struct load_req *));
+	l->usage_by_pool = calloc(pools, sizeof(*l->usage_by_pool));
+	l->renewal_lists = calloc((size_t)pools * conf->entries,
+				  sizeof(struct load_req *));
 	l->wheel = calloc(LOAD_WHEEL, sizeof(struct load_req *));
-	l->asked = calloc(l->asked_cap, sizeof(struct load_req *));
-	if (!l->renewed || !l->held || !l->pools || !l->vms || !l->wheel ||
-	    !l->asked)
+	l->pending = calloc(l->pending_cap, sizeof(struct load_req *));
+	if (!l->renewal_lists || !l->usage_by_pool || !l->pools || !l->vms ||
+	    !l->wheel || !l->pending)
 		abort();
 	for (uint32_t p = 0; p < pools; p++) {
 		l->pools[p] = dl_pool_new(&pc, &dl_policy_late_binding, p + 1);
@@ -259,18 +261,18 @@
 			free(r);
 		}
 	}
-	for (uint32_t i = 0; i < l->asked_cap; i++)
-		free(l->asked[i]);
-	free(l->held);
-	free(l->renewed);
+	for (uint32_t i = 0; i < l->pending_cap; i++)
+		free(l->pending[i]);
+	free(l->usage_by_pool);
+	free(l->renewal_lists);
 	free(l->pools);
 	free(l->vms);
 	free(l->wheel);
-	free(l->asked);
+	free(l->pending);
 	free(l);
 }
 
-static inline void load_at(struct load *l, struct load_req *r, int64_t at)
+static inline void load_schedule(struct load *l, struct load_req *r, int64_t at)
 {
 	uint64_t slot = (uint64_t)(at / LOAD_TICK_MS) % LOAD_WHEEL;
 
@@ -279,33 +281,33 @@
 }
 
 /* The grants that an entry renews at a pool together. */
-static inline struct load_req **load_renewed(struct load *l, uint32_t pool,
-					     uint32_t entry)
+static inline struct load_req **load_renewal_list(struct load *l, uint32_t pool,
+						  uint32_t entry)
 {
-	return &l->renewed[(size_t)pool * l->conf.entries +
-			   entry % l->conf.entries];
+	return &l->renewal_lists[(size_t)pool * l->conf.entries +
+				 entry % l->conf.entries];
 }
 
 static inline void load_unlink(struct load *l, struct load_req *r)
 {
-	struct load_req **at = load_renewed(l, r->pool, r->entry);
+	struct load_req **at = load_renewal_list(l, r->pool, r->entry);
 
 	while (*at != r)
-		at = &(*at)->peer;
-	*at = r->peer;
+		at = &(*at)->next_renewal;
+	*at = r->next_renewal;
 }
 
 /* One frame for all grants of an entry at a pool, a third of a lease apart. */
 static inline void load_renew(struct load *l, uint32_t pool, uint32_t entry)
 {
 	uint64_t grants[DL_RENEWED_MAX];
-	struct load_req *r = *load_renewed(l, pool, entry);
+	struct load_req *r = *load_renewal_list(l, pool, entry);
 	struct dl_packer pk;
 	uint32_t n = 0;
 
 	if (!r)
 		return;
-	for (; r && n < DL_RENEWED_MAX; r = r->peer) {
+	for (; r && n < DL_RENEWED_MAX; r = r->next_renewal) {
 		grants[n++] = r->grant;
 		dl_pool_renew(l->pools[pool], r->grant, l->now);
 		l->renewals++;
@@ -337,7 +339,7 @@
 			       const struct dl_answer *a)
 {
 	struct dl_answer_frame f = { .answer = *a }, read;
-	struct load_req *r = l->asked[a->request % l->asked_cap];
+	struct load_req *r = l->pending[a->request % l->pending_cap];
 	struct dl_packer pk;
 
 	dl_name_set(&f.service, DL_STR("match-writer"));
@@ -348,7 +350,7 @@
 	dl_packer_close(&pk);
 	if (a->verdict == DL_QUEUED)
 		return;
-	l->asked[a->request % l->asked_cap] = NULL;
+	l->pending[a->request % l->pending_cap] = NULL;
 	if (a->verdict == DL_REFUSED) {
 		l->refused++;
 		free(r);
@@ -356,13 +358,13 @@
 	}
 	l->granted++;
 	l->in_flight++;
-	l->held[pool].grants++;
-	l->held[pool].tokens += r->tokens;
+	l->usage_by_pool[pool].grants++;
+	l->usage_by_pool[pool].tokens += r->tokens;
 	r->grant = a->grant;
-	r->ends = l->now + l->conf.request_ms;
-	r->peer = *load_renewed(l, r->pool, r->entry);
-	*load_renewed(l, r->pool, r->entry) = r;
-	load_at(l, r, r->ends);
+	r->end = l->now + l->conf.request_ms;
+	r->next_renewal = *load_renewal_list(l, r->pool, r->entry);
+	*load_renewal_list(l, r->pool, r->entry) = r;
+	load_schedule(l, r, r->end);
 }
 
 static inline void load_ask(struct load *l)
@@ -395,7 +397,7 @@
 	ask.prefix_tokens = 1000;
 	ask.deadline = l->now + LOAD_DEADLINE_MS;
 	r->tokens = ask.prompt_tokens + LOAD_OUTPUT_TOKENS;
-	l->asked[ask.request % l->asked_cap] = r;
+	l->pending[ask.request % l->pending_cap] = r;
 	l->requests++;
 	asked.ask = ask;
 	dl_name_set(&asked.service, DL_STR("match-writer"));
@@ -410,7 +412,7 @@
 }
 
 /* A grant's time has come: it is given back. */
-static inline void load_due(struct load *l, struct load_req *r)
+static inline void load_finish(struct load *l, struct load_req *r)
 {
 	uint32_t to = load_leader(l, r->pool);
 	struct dl_usage usage = {
@@ -429,8 +431,8 @@
 	dl_packer_close(&pk);
 	dl_pool_release(l->pools[r->pool], r->grant, &usage, l->now);
 	l->in_flight--;
-	l->held[r->pool].grants--;
-	l->held[r->pool].tokens -= r->tokens;
+	l->usage_by_pool[r->pool].grants--;
+	l->usage_by_pool[r->pool].tokens -= r->tokens;
 	free(r);
 }
 
@@ -447,7 +449,7 @@
 		l->wheel[slot] = NULL;
 		for (; r; r = next) {
 			next = r->next;
-			load_due(l, r);
+			load_finish(l, r);
 		}
 		load_renew_due(l);
 		l->carry += (uint64_t)l->conf.requests_per_s * LOAD_TICK_MS;
