--- a/bench/capacity.sh
+++ b/bench/capacity.sh
@@ -229,16 +229,16 @@
 	table_rows faults >build/page.faults
 	table_rows derived | cut -f1,4 >build/page.derived
 	derive <build/page.slopes >build/derived
-	values_in_text >build/page.said
+	values_in_text >build/page.text
 	slopes | cut -d' ' -f1,5 >build/targets
 	awk -F '\t' -v ok=1 '
-		function off(a, b) { d = a - b; if (d < 0) d = -d; return d }
-		function far(name, page, now, kind, m) {
+		function distance(a, b) { d = a - b; if (d < 0) d = -d; return d }
+		function check(name, page, now, kind, m) {
 			m = page < 0 ? -page : page
 			if (kind == "time")
 				bad = now > 3 * page || page > 3 * now
 			else
-				bad = off(page, now) > m * (kind == "count" || \
+				bad = distance(page, now) > m * (kind == "count" || \
 					kind == "fault" ? 0.01 : 0.1)
 			if (!bad) return
 			print "capacity: " name ": the page says " page \
@@ -250,24 +250,24 @@
 			pa[$1] = $5; pb[$1] = $6; kind[$1] = $2; next }
 		FILENAME == "build/page.faults" { pf[$1] = $2; next }
 		FILENAME == "build/page.derived" { pd[$1] = $2; next }
-		FILENAME == "build/page.said" {
-			far($1 " in the text", $2, pd[$1], "count")
+		FILENAME == "build/page.text" {
+			check($1 " in the text", $2, pd[$1], "count")
 			seen++; next }
 		FILENAME == "build/derived" {
-			far($1, pd[$1], $2, "count"); seen++; next }
+			check($1, pd[$1], $2, "count"); seen++; next }
 		FILENAME == "build/capacity.tsv" {
 			if (!($1 in kind)) { print "capacity: " $1 \
 				": not on the page"; ok = 0; next }
-			far($1 " at " t[$1], pa[$1] + pb[$1] * t[$1], \
+			check($1 " at " t[$1], pa[$1] + pb[$1] * t[$1], \
 				$5 + $6 * t[$1], $2); seen++; next }
 		FILENAME == "build/capacity.faults" {
-			far($1, pf[$1], $2, "fault"); seen++; next }
+			check($1, pf[$1], $2, "fault"); seen++; next }
 		END {
 			if (ok) print "capacity: the page follows: " seen \
 				" numbers"
 			exit !ok
 		}' build/targets build/page.slopes build/page.faults \
-		build/page.derived build/page.said build/derived "$table" "$faults"
+		build/page.derived build/page.text build/derived "$table" "$faults"
 }
 
 if [ "$mode" != page ]; then
--- a/test/demo.sh
+++ b/test/demo.sh
@@ -11,7 +11,7 @@
 SECONDS_OF_LOAD=${DL_DEMO_SECONDS:-20}
 kind=${1:-dala}
 work=$(mktemp -d "${TMPDIR:-/tmp}/daisyledge-demo.XXXXXX")
-broken=0
+failed=0
 
 demo_end() {
 	status=$?
@@ -28,7 +28,7 @@
 
 report_check() { # WORD TEXT
 	printf '%-9s %s\n' "$1" "$2"
-	[ "$1" = held ] || broken=1
+	[ "$1" = held ] || failed=1
 }
 
 # What happens while the load runs; each line says when it did.
@@ -97,8 +97,8 @@
 grep -v -E '^(held|broken|untested)' "$DIR/table"
 echo
 grep -E '^(held|broken|untested)' "$DIR/table"
-grep -q '^untested' "$DIR/table" && broken=1
-[ $load -eq 0 ] || broken=1
+grep -q '^untested' "$DIR/table" && failed=1
+[ $load -eq 0 ] || failed=1
 if check_planned_stop; then
 	report_check held "a planned stop cuts off no request in flight"
 else
@@ -110,4 +110,4 @@
 	report_check broken "an accepted configuration is in force everywhere and stays"
 fi
 head -20 "$DIR/faults"
-exit $broken
+exit $failed
--- a/test/test_system_listeners.sh
+++ b/test/test_system_listeners.sh
@@ -128,18 +128,18 @@
 # The doors of endpoints: a fake that announces to nobody lends its words.
 ENDPOINT_KEY=''
 start_runner 9 --entries ""
-stranger=$(endpoint_address 9)
-wait_for 5 "the stranger" $DL_HTTP "$stranger" /v1/load || exit 1
-$DL_HTTP "$stranger" /v1/load >"$DIR/words"
+unknown_endpoint=$(endpoint_address 9)
+wait_for 5 "the stranger" $DL_HTTP "$unknown_endpoint" /v1/load || exit 1
+$DL_HTTP "$unknown_endpoint" /v1/load >"$DIR/announcement"
 announce_unknown_endpoint() { # STATUS WHAT D OPTION...
 	status=$1 what=$2 d=$3
 	shift 3
-	expect_status "$status" "$what" -X POST -f "$DIR/words" "$@" \
+	expect_status "$status" "$what" -X POST -f "$DIR/announcement" "$@" \
 		"$(endpoint_listener "$d")" /v1/endpoints
 }
 endpoint_is_known() { # D
 	"$DL_BIN" status --json --entry "$(operator_address "$1")" |
-		grep -q "\"$stranger\""
+		grep -q "\"$unknown_endpoint\""
 }
 for d in 1 2 3; do
 	announce_unknown_endpoint 401 "an unsigned announcement" $d
@@ -151,15 +151,15 @@
 	announce_unknown_endpoint 401 "a replayed one" $d $(key_option endpoints-old) \
 		--signed-ago 130000
 done
-for door in "$(operator_address 1)" "$(vm_address 1 1):$HTTP_PORT"; do
+for listener in "$(operator_address 1)" "$(vm_address 1 1):$HTTP_PORT"; do
 	# shellcheck disable=SC2046
-	expect_status 404 "an announcement at $door" -X POST -f "$DIR/words" \
-		$(key_option endpoints-old) "$door" /v1/endpoints
+	expect_status 404 "an announcement at $listener" -X POST -f "$DIR/announcement" \
+		$(key_option endpoints-old) "$listener" /v1/endpoints
 done
 # One that goes on by itself, unsigned, is as unknown after its third round.
 start_runner 12
 sleep 2
-stranger=$(endpoint_address 12)
+unknown_endpoint=$(endpoint_address 12)
 for d in 1 2 3; do
 	endpoint_is_known $d && fail "VM $d knows an endpoint that signs nothing"
 done
@@ -170,7 +170,7 @@
 	endpoint_is_known 1 || endpoint_is_known 2 || endpoint_is_known 3
 }
 wait_for 5 "it, once it signs" known_at_any_vm || exit 1
-stranger=$(endpoint_address 9)
+unknown_endpoint=$(endpoint_address 9)
 for d in 1 2 3; do
 	endpoint_is_known $d && fail "VM $d knows an endpoint that signed nothing"
 done
@@ -179,11 +179,11 @@
 wait_for 5 "the endpoint that signed" endpoint_is_known 1 || exit 1
 
 # Callers need no key, and find nothing of theirs at the other doors.
-for door in "$(operator_address 1)" "$(endpoint_listener 1)"; do
-	expect_status 404 "a completion at $door" -X POST -d '{}' "$door" \
+for listener in "$(operator_address 1)" "$(endpoint_listener 1)"; do
+	expect_status 404 "a completion at $listener" -X POST -d '{}' "$listener" \
 		/v1/completions
-	expect_status 404 "a call at $door" "$door" "/s/$PLAIN_SERVICE/x"
-	expect_status 200 "health at $door" "$door" /healthz
+	expect_status 404 "a call at $listener" "$listener" "/s/$PLAIN_SERVICE/x"
+	expect_status 200 "health at $listener" "$listener" /healthz
 done
 for_each_vm entry_serves_plain || fail "callers are not served"
 
--- a/test/test_system_orders.sh
+++ b/test/test_system_orders.sh
@@ -42,15 +42,15 @@
 	fail "the runners are not as ordered"
 }
 
-was=$(leader)
-[ -n "$was" ] || fail "no replica leads"
+old_leader=$(leader)
+[ -n "$old_leader" ] || fail "no replica leads"
 for d in 1 2 3; do
-	if [ "$(vm_address $d 1)" = "$was" ]; then
+	if [ "$(vm_address $d 1)" = "$old_leader" ]; then
 		kill -KILL "$(pid_of replica_${d}_1)" "$(pid_of entry_${d}_1)"
-		lost=$d
+		lost_domain=$d
 	fi
 done
-ENTRY=$(vm_address $((lost % 3 + 1)) 1):$HTTP_PORT
+ENTRY=$(vm_address $((lost_domain % 3 + 1)) 1):$HTTP_PORT
 sed 's/"version": "1"/"version": "2"/' "$DIR/config.json" >"$DIR/config-2.json"
 wait_for 20 "the second version" "$DL_BIN" apply "$DIR/config-2.json" \
 	--change-id second --timeout 5 --entry "$ENTRY" ||
@@ -61,7 +61,7 @@
 	cat "$DIR/status" "$RECORD"
 	fail "the second leader gives no orders"
 }
-start_entry "$lost" 1
+start_entry "$lost_domain" 1
 wait_for 30 "the orders of the lost domain" orders_done 6 ||
 	fail "a domain that is back gets no orders"
 
