--- a/bench/bench_conf.c
+++ b/bench/bench_conf.c
@@ -1,7 +1,8 @@
 /*
- * What configuration and the replicated state machine cost: the parse of a
- * text by its workspaces, a command by what is kept already, the bytes kept
- * and written.  Lines "name<TAB>value<TAB>unit" only.
+ * Cost of the configuration and the replicated state machine: the time to parse
+ * a configuration by number of workspaces, the time of a command by number of
+ * stored entries, and the bytes in memory and in snapshots.  Prints lines
+ * "name<TAB>value<TAB>unit" only.
  */
 #include <glib.h>
 #include <inttypes.h>
@@ -27,7 +28,7 @@
 static struct dl_cstore_reply reply;
 static uint64_t index_now;
 
-/* A text of the size that is asked for. */
+/* A configuration text with this many workspaces. */
 static GString *make_text(uint32_t count, int number)
 {
 	GString *s = g_string_new("{\"format\": 1, \"services\": {"
@@ -50,7 +51,7 @@
 	return s;
 }
 
-/* The best of a few parses: others share the machine. */
+/* The best of several parses, since other processes share the machine. */
 static void bench_parse(uint32_t count)
 {
 	GString *text = make_text(count, 1);
@@ -112,7 +113,7 @@
 	run_command(store, &cmd);
 }
 
-/* Claims at a fill: the nanoseconds of one command, encoding included. */
+/* Time of a claim, encoding included, with this many claims stored. */
 static void bench_claims(struct dl_cstore *store, uint32_t fill, uint32_t *at)
 {
 	int64_t begin;
@@ -126,7 +127,10 @@
 	       (double)(g_get_monotonic_time() - begin) * NS_PER_US / BATCH);
 }
 
-/* Changes that lose, and so cost no parse, at a fill of ids. */
+/*
+ * Time of a change that conflicts, and so is not parsed, with this many change
+ * ids stored.
+ */
 static void bench_changes(struct dl_cstore *store, uint32_t fill, uint32_t *at,
 			  const GString *text)
 {
--- a/bench/bench_memb.c
+++ b/bench/bench_memb.c
@@ -1,6 +1,7 @@
 /*
- * Membership and the control traffic of the target size, counted: members
- * over the fake link, dispatchers through their real pools and codecs.
+ * Traffic and cost of membership at several sizes, and of all control traffic
+ * at the target size.  Members communicate over the emulated link; dispatchers
+ * run their real pools and codecs.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -25,7 +26,7 @@
 
 static const struct size sizes[] = { { 7, 3 }, { 50, 5 }, { 370, 5 } };
 
-/* What membership cost each VM at one size. */
+/* Cost of membership per VM at one size. */
 struct idle {
 	double bytes;
 	double bytes_max; /* of the busiest VM */
@@ -62,7 +63,7 @@
 	out->bytes_max /= MEASURE_MS / MS_PER_S;
 }
 
-/* The owner of a key, as each request in flight asks for it now and then. */
+/* Time to look up the owner of a key, as is done for requests in flight. */
 static double owner_ns(const struct memb_net *net)
 {
 	struct dl_name domain = memb_net_domain(0);
@@ -99,7 +100,7 @@
 	return out;
 }
 
-/* What the busiest VM's bytes are, by kind of frame. */
+/* Print the control traffic of a VM by kind of frame. */
 static void print_by_kind(const struct load_vm *vm)
 {
 	static const char *const names[LOAD_KINDS] = {
@@ -120,7 +121,7 @@
 	}
 }
 
-/* Dispatching at the target's size on top of membership at 370 VMs. */
+/* Dispatching at the target size, added to membership at 370 VMs. */
 static void bench_control(const struct idle *idle)
 {
 	struct load_conf conf = load_target();
--- a/bench/bench_pool.c
+++ b/bench/bench_pool.c
@@ -1,6 +1,7 @@
 /*
- * What the dispatcher does for callers, against the baselines behind the same
- * table, in simulated time; and what one decision costs, in real time.
+ * Latency and goodput of the dispatcher, compared with baseline policies behind
+ * the same interface, in simulated time; and the cost of one dispatch decision,
+ * in real time.
  */
 #include <linux/perf_event.h>
 #include <malloc.h>
@@ -25,7 +26,7 @@
 #define SEED	   29
 #define LONG_SHARE 850 /* permille */
 
-/* One variant of a comparison. */
+/* A dispatcher configuration to compare. */
 struct variant {
 	const char *name;
 	const struct dl_pool_policy *policy;
@@ -107,7 +108,7 @@
 	return (x > y) - (x < y);
 }
 
-/* The same part of what the requests of a kind need on idle engines. */
+/* The p95 time to first token of a kind of requests on idle engines. */
 static double idle_p95(uint32_t tag)
 {
 	double *list = calloc(load.requests + 1, sizeof(*list));
@@ -171,7 +172,7 @@
 	end_variant();
 }
 
-/* Answers in time of the short requests asked for in a minute. */
+/* The number of short requests of one minute that are answered in time. */
 static double goodput(double part, uint64_t *late)
 {
 	double good = 0;
@@ -186,7 +187,7 @@
 	return good;
 }
 
-/* The tokens of prompts of all lengths answered in time. */
+/* The prompt tokens answered in time, with requests of all lengths. */
 static double goodput_mix(double part, uint64_t *late)
 {
 	double good = 0;
@@ -234,7 +235,10 @@
 	return sum * sum / (9 * squares);
 }
 
-/* One workspace asks for five times the pool, fifty times its share. */
+/*
+ * One workspace demands five times the capacity of the pool, which is fifty
+ * times its share.
+ */
 static void bench_fairness(void)
 {
 	double without, with;
@@ -253,7 +257,7 @@
 	end_variant();
 }
 
-/* A counter of this thread's own instructions, -1 where there is none. */
+/* Open a counter of this thread's instructions; -1 where there is none. */
 static int counter_open(void)
 {
 	struct perf_event_attr attr = {
@@ -287,14 +291,14 @@
 #define DECISIONS 200000
 #define DECIDE_MS 2000
 
-/* A pool at a little more than its capacity, asked and released in turn. */
+/* A pool under slightly more load than its capacity, to time its decisions. */
 struct decide {
 	struct dl_pool *pool;
 	uint32_t workspaces;
 	uint32_t endpoints;
 	double now;
 	uint64_t asked;
-	uint64_t *granted; /* a ring of what runs */
+	uint64_t *granted; /* ring of the active grants */
 	uint32_t ring;
 	uint32_t first;
 	uint32_t n;
@@ -430,7 +434,7 @@
 	decide_end(&d);
 }
 
-/* Requests that wait behind one that takes the only engine. */
+/* Memory of requests that are queued for the only engine. */
 static void bench_queued_size(void)
 {
 	struct decide d;
@@ -457,8 +461,9 @@
 }
 
 /*
- * Two arguments, workspaces and endpoints: only decisions, for callgrind with
- * --toggle-collect=decide_one where the machine has no counter.
+ * With two arguments, workspaces and endpoints, run decisions only: for
+ * callgrind with --toggle-collect=decide_one, where the machine has no
+ * instruction counter.
  */
 int main(int argc, char **argv)
 {
--- a/bench/bench_rlog.c
+++ b/bench/bench_rlog.c
@@ -1,8 +1,8 @@
 /*
- * Figures of the replicated log: name, value and unit a line.  Times in ms are
- * those of the fake link (1 ms a way) and the fake disk (1 ms a sync), so they
- * are the same on every machine; restart and ns are real time.  Bytes and
- * messages are counted.
+ * Benchmark of the replicated log.  Prints lines "name<TAB>value<TAB>unit".
+ * Times in ms are simulated, with a link delay of 1 ms one way and a disk sync
+ * of 1 ms, so they are the same on every machine; the restart time and times in
+ * ns are real.  Bytes and messages are counted.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -36,7 +36,7 @@
 	return (uint64_t)ts.tv_sec * 1000000000u + (uint64_t)ts.tv_nsec;
 }
 
-/* A settled group; exits where it does not settle. */
+/* Start a group and wait for its leader; exits if none is elected. */
 static struct group *start(uint32_t seed, uint32_t replicas, uint32_t padding)
 {
 	struct group *g = group_new(&(struct group_conf){
@@ -101,7 +101,7 @@
 	return (int)(*(const int64_t *)a - *(const int64_t *)b);
 }
 
-/* From the loss of the leader until the next one can commit and be read. */
+/* Time from the loss of the leader until the next can commit and be read. */
 static void bench_failover(void)
 {
 	int64_t took[FAILOVERS], median;
@@ -182,7 +182,7 @@
 	stop(g);
 }
 
-/* What one change costs the leader, at several rates of changes. */
+/* Cost of a change at the leader, at several rates of changes. */
 static void bench_rates(void)
 {
 	static const uint32_t rates[] = { 1, 10, 100, 1000 };
@@ -219,7 +219,7 @@
 	*(int *)arg = code;
 }
 
-/* One APPLY of a whole text, as an entry sends it. */
+/* Encode an APPLY command with a whole configuration, as an entry sends it. */
 static char *encode_change(uint32_t i, const char *text, size_t text_n,
 			   size_t *n)
 {
@@ -236,7 +236,7 @@
 	return dl_cstore_encode(&cmd, &out, n) ? NULL : out;
 }
 
-/* Write a journal of a thousand changes, one a unit; returns its bytes. */
+/* Write a journal of 1000 changes, one per record; returns its bytes. */
 static uint64_t write_changes(struct dl_rlog_store *store,
 			      struct fake_disk *disk, const char *text,
 			      size_t text_n, uint64_t *payload)
@@ -265,7 +265,7 @@
 	return dl_rlog_store_bytes(store) - begin;
 }
 
-/* Read the journal back, and carry it out as a replica does. */
+/* Time to read the journal and execute it, as a restarting replica does. */
 static void bench_restart(void)
 {
 	struct fake_disk *fake = fake_disk_new(1);
--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -1,9 +1,11 @@
 /*
- * What the parts cost by size, for docs/CAPACITY.md.
+ * Measure the cost of the components as a function of size, for
+ * docs/CAPACITY.md.
  *
- *   capacity points      one line "slope<TAB>x<TAB>value" a measured point
- *   capacity faults      one line "name<TAB>value<TAB>unit" a fault at 370 VMs
- *   capacity instr N X   do operation N at size X, to be counted from outside
+ *   capacity points      print "slope<TAB>x<TAB>value" for each measured point
+ *   capacity faults      print "name<TAB>value<TAB>unit" for faults at 370 VMs
+ *   capacity instr N X   run operation N at size X, for an external
+ *                        instruction counter
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -24,10 +26,10 @@
 #define VMS		  370
 #define DOMAINS		  5
 #define TEXT_ROOM	  (4u << 20)
-#define LOG_STEPS	  600 /* of 100 ms */
+#define LOG_STEPS	  600 /* of 100 ms each */
 #define CHANGE_BYTES	  4096
 #define CHANGE_WORKSPACES 62	 /* about 4 KB of text */
-#define LEASE_LONG	  600000 /* no renewal falls in the measure */
+#define LEASE_LONG	  600000 /* no renewal during the measurement */
 #define STREAM_MS	  12900	 /* 308 tokens, 42 ms apart */
 #define LEASE_MS	  6000	 /* a renewal every two seconds */
 
@@ -51,7 +53,7 @@
 	exit(1);
 }
 
-/* Order for the median. */
+/* Ascending order, for qsort(). */
 static int compare_doubles(const void *a, const void *b)
 {
 	const double *x = a, *y = b;
@@ -59,7 +61,10 @@
 	return (*x > *y) - (*x < *y);
 }
 
-/* Membership by VMs: the median member, and the busiest, which digests. */
+/*
+ * Cost of membership by number of VMs: the median member, and the busiest one,
+ * which sends the digests.
+ */
 static void memb_points(uint32_t vms)
 {
 	double before = heap_bytes(), began, state, each[VMS] = { 0 };
@@ -96,7 +101,7 @@
 	memb_net_free(net);
 }
 
-/* Bytes a second at the one dispatcher of a small load. */
+/* Bytes per second at the dispatcher of the first pool. */
 static double dispatcher_bytes(const struct load_conf *conf, int64_t warm)
 {
 	struct load *l = load_new(conf);
@@ -129,7 +134,7 @@
 	return conf;
 }
 
-/* Renewals alone: the same load with a short lease and with a long one. */
+/* Bytes of renewals: the difference between a short lease and a long one. */
 static double renewal_bytes(uint32_t entries)
 {
 	struct load_conf conf = one_pool();
@@ -144,7 +149,7 @@
 	return with - dispatcher_bytes(&conf, 20000);
 }
 
-/* Dispatching by requests, open streams, endpoints and domains. */
+/* Traffic of dispatching by entries, requests, streams, endpoints, domains. */
 static void dispatch_points(void)
 {
 	static const uint32_t rates[] = { 50, 100, 200, 400 };
@@ -184,7 +189,7 @@
 	}
 }
 
-/* State of a pool by what it holds. */
+/* Memory of a pool by grants and by endpoints. */
 static void pool_points(void)
 {
 	static const uint32_t durations_ms[] = { 2500, 5000, 10000, 20000 };
@@ -222,7 +227,7 @@
 	}
 }
 
-/* The operators' text with so many workspaces. */
+/* A configuration text with this many workspaces. */
 static struct dl_str conf_text(uint32_t workspaces)
 {
 	size_t n = 0;
@@ -264,7 +269,7 @@
 	return conf;
 }
 
-/* Configuration by workspaces listed. */
+/* Cost of a configuration by number of workspaces. */
 static void conf_points(void)
 {
 	static const uint32_t sizes[] = { 1000, 4000, 16000, 32000 };
@@ -302,7 +307,7 @@
 	free(bytes);
 }
 
-/* A change of the configuration, or a claim and its outcome. */
+/* Apply a change of the configuration. */
 static void apply_change(struct dl_cstore *store, struct dl_str text,
 			 uint32_t i)
 {
@@ -318,6 +323,7 @@
 	run_command(store, &cmd);
 }
 
+/* Claim an idempotency key and store its outcome. */
 static void claim_key(struct dl_cstore *store, uint32_t i)
 {
 	char key[64];
@@ -337,7 +343,7 @@
 	run_command(store, &cmd);
 }
 
-/* The replicated state by changes and by claims. */
+/* Memory of the replicated state by changes and by claims. */
 static void cstore_points(void)
 {
 	static const uint32_t changes[] = { 40, 80, 120, 160 };
@@ -369,7 +375,7 @@
 	}
 }
 
-/* Five replicas for a minute; what the leader sends, in bytes a second. */
+/* Run five replicas for a minute; returns the leader's bytes per second. */
 static double run_log_minute(uint32_t changes, double *acked)
 {
 	struct group_conf conf = {
@@ -406,7 +412,7 @@
 	return out;
 }
 
-/* The log by changes a minute. */
+/* Traffic of the log by changes per minute. */
 static void rlog_points(void)
 {
 	static const uint32_t changes[] = { 0, 50, 100, 200, 400 };
@@ -433,7 +439,7 @@
 	dl_orders_update_endpoint(orders, &e, now);
 }
 
-/* The endpoint's number out of the address in an order. */
+/* The index of an order's endpoint, from its address. */
 static uint32_t order_endpoint(const struct dl_order *order)
 {
 	uint64_t vm = 0;
@@ -442,7 +448,7 @@
 	return (uint32_t)(vm >> 16) - 0x0a010000;
 }
 
-/* Bring so many endpoints to a new version; returns the planner's heap. */
+/* Bring this many endpoints to a new version; returns the planner's heap. */
 static double run_orders(uint32_t endpoints)
 {
 	struct dl_conf *conf = parse(conf_text(0));
@@ -477,7 +483,7 @@
 	return state;
 }
 
-/* The planner by endpoints, and workspaces in one pool. */
+/* Memory of the planner by endpoints, and of a pool by workspaces. */
 static void other_points(void)
 {
 	static const uint32_t endpoints[] = { 75, 150, 300, 600 };
@@ -505,7 +511,7 @@
 	}
 }
 
-/* One token of a stream as an entry reads it. */
+/* Parse a stream of this many tokens as an entry does. */
 static void parse_tokens(uint32_t count)
 {
 	struct dl_sse sse;
@@ -536,7 +542,7 @@
 	print_point("token_bytes", count, (double)bytes);
 }
 
-/* So many requests through one pool, its codecs and their renewals. */
+/* Run requests and their renewals through one pool and its codecs. */
 static void run_requests(uint32_t runners, uint32_t rate)
 {
 	struct load_conf conf = one_pool();
@@ -572,7 +578,7 @@
 	return 0;
 }
 
-/* Bytes sent and taken by all since the counts were cleared. */
+/* Mean bytes sent and received per VM since the counts were cleared. */
 static double mean_bytes(const struct memb_net *net)
 {
 	double sum = 0;
@@ -582,7 +588,7 @@
 	return sum / net->conf.vms;
 }
 
-/* Messages in and out, as mean_bytes(). */
+/* Mean messages sent and received per VM since the counts were cleared. */
 static double mean_msgs(const struct memb_net *net)
 {
 	double sum = 0;
@@ -605,7 +611,7 @@
 	return max;
 }
 
-/* Let all agree again, and say how long it took and what it cost. */
+/* Run until all members agree; print the time taken and the traffic. */
 static void print_convergence(struct memb_net *net, const char *name)
 {
 	int64_t began = net->now, took;
@@ -639,7 +645,7 @@
 		memb_net_start(net, (first + i * step) % VMS);
 }
 
-/* Put some VMs on the other side of a partition. */
+/* Put the VMs of the first domains on one side of a partition. */
 static void set_partition(struct memb_net *net, uint32_t domains, uint32_t side)
 {
 	for (uint32_t i = 0; i < VMS; i++) {
@@ -648,7 +654,7 @@
 	}
 }
 
-/* The day of faults at the target's size. */
+/* Print the convergence after each kind of fault, at the target size. */
 static void print_faults(void)
 {
 	struct memb_net_conf conf;
--- a/bench/capacity.gp
+++ b/bench/capacity.gp
@@ -1,5 +1,5 @@
-# One slope as a plot: points, fit, the target's size and, where there is one,
-# the limit.  Variables come from bench/capacity.sh.
+# Plot one slope: the measured points, the fit up to the target size and, if
+# given, the limit.  bench/capacity.sh sets the variables.
 set terminal svg size 460,300 font "sans,11" background "white"
 set output out
 set title name noenhanced
--- a/bench/control_load.h
+++ b/bench/control_load.h
@@ -1,7 +1,7 @@
 /*
- * The control traffic of dispatching at a given size, driven through the real
- * pools and codecs without sockets: asks, answers, renewals, releases,
- * endpoints' reports and pools' summaries, counted at each VM.
+ * Simulated control traffic of a deployment of a given size, driven through the
+ * real pools and codecs without sockets: asks, answers, renewals, releases,
+ * endpoint reports and pool summaries, counted for each VM.
  */
 #ifndef BENCH_CONTROL_LOAD_H
 #define BENCH_CONTROL_LOAD_H
@@ -12,9 +12,9 @@
 #include "protocol/pool_codec.h"
 
 #define LOAD_TICK_MS	  10
-#define LOAD_REPORT_MS	  1000 /* an endpoint announces itself so often */
-#define LOAD_SUMMARY_MS	  500  /* a pool tells other domains so often */
-#define LOAD_RENEWALS	  3    /* a lease */
+#define LOAD_REPORT_MS	  1000 /* interval of endpoint reports */
+#define LOAD_SUMMARY_MS	  500  /* interval of summaries to other domains */
+#define LOAD_RENEWALS	  3    /* per lease */
 #define LOAD_WHEEL	  4096 /* ticks; longer than any request */
 #define LOAD_FRAME_LENGTH 4
 #define LOAD_KIND_FIRST	  20 /* DL_FRAME_ASK */
@@ -22,7 +22,7 @@
 #define LOAD_SLOTS	  256
 #define LOAD_STEP_MS	  1
 #define LOAD_KV_TOKENS	  8000000 /* KV memory of a runner of 8 accelerators */
-/* Fast enough that nothing is refused: the load counts control, not engines. */
+/* High enough that no request is refused: only control traffic is measured. */
 #define LOAD_PREFILL_RATE  1000000
 #define LOAD_DECODE_RATE   24
 #define LOAD_OUTPUT_TOKENS 308 /* 1.2 million a second over 3,900 requests */
@@ -31,32 +31,32 @@
 struct load_conf {
 	uint32_t domains;
 	uint32_t entries;	 /* in each domain */
-	uint32_t pools;		 /* in each domain, each led by another VM */
+	uint32_t pools;		 /* in each domain, each with its own leader */
 	uint32_t runners;	 /* in each pool */
 	uint32_t requests_per_s; /* of all domains */
-	uint32_t request_ms;	 /* how long a stream lasts */
+	uint32_t request_ms;	 /* duration of a stream */
 	uint32_t lease_ms;
 	uint32_t workspaces;
-	uint32_t prompt_tokens; /* of each; 0: the mix of the target */
+	uint32_t prompt_tokens; /* per request; 0: random, load_prompt() */
 };
 
-/* What one VM sent and took, as an entry and as a dispatcher. */
+/* Traffic of one VM in both directions, as an entry and as a dispatcher. */
 struct load_vm {
 	uint64_t msgs;
 	uint64_t bytes;
 	uint64_t bytes_by_kind[LOAD_KINDS]; /* bytes, from LOAD_KIND_FIRST on */
 };
 
-/* What the endpoints of a pool hold, as they report it. */
+/* Grants and tokens held by the endpoints of a pool, as they report them. */
 struct load_pool_usage {
 	uint64_t grants;
 	uint64_t tokens;
 };
 
-/* A request under way. */
+/* A request in progress. */
 struct load_req {
 	struct load_req *next;
-	struct load_req *next_renewal; /* of the same entry at the same pool */
+	struct load_req *next_renewal; /* of the same entry and pool */
 	uint32_t pool;
 	uint32_t entry;
 	uint64_t grant;
@@ -69,10 +69,10 @@
 	struct dl_pool **pools; /* domains * pools */
 	struct load_vm *vms;	/* domains * entries */
 	struct load_req **wheel;
-	struct load_req **pending; /* by request id, waiting for a grant */
+	struct load_req **pending; /* by request id, without a grant yet */
 	uint32_t pending_cap;
 	uint64_t next_id;
-	uint64_t carry; /* thousandths of a request */
+	uint64_t carry; /* request fraction, in thousandths */
 	uint64_t rng;
 	int64_t now;
 	uint64_t requests;
@@ -94,7 +94,7 @@
 	return z ^ (z >> 31);
 }
 
-/* The bytes of a frame with its envelope, as src/transport/peers.c packs it. */
+/* The size of a frame with its envelope, as packed by src/transport/peers.c. */
 static inline size_t load_frame_bytes(uint32_t kind, uint64_t request,
 				      size_t body)
 {
@@ -114,7 +114,7 @@
 	return n;
 }
 
-/* Prompts from a thousand to a million tokens, one in fifty over 100,000. */
+/* Prompt lengths from 1000 to a million tokens, 2% of them over 100,000. */
 static inline uint64_t load_prompt(struct load *l)
 {
 	uint64_t r = load_random(l) % 1000;
@@ -134,7 +134,7 @@
 	l->vms[vm].bytes_by_kind[kind - LOAD_KIND_FIRST] += bytes;
 }
 
-/* The VM that leads a pool: one after the other in its domain. */
+/* The VM that leads a pool; leaders are spread evenly over the domain. */
 static inline uint32_t load_leader(const struct load *l, uint32_t pool)
 {
 	uint32_t domain = pool / l->conf.pools;
@@ -144,7 +144,7 @@
 	       shard * l->conf.entries / l->conf.pools;
 }
 
-/* Count a frame where it leaves and where it comes. */
+/* Count a frame at its sender and its receiver. */
 static inline void load_send(struct load *l, uint32_t from, uint32_t to,
 			     uint32_t kind, uint64_t request, size_t body)
 {
@@ -280,7 +280,7 @@
 	l->wheel[slot] = r;
 }
 
-/* The grants that an entry renews at a pool together. */
+/* The grants that an entry renews at a pool in one frame. */
 static inline struct load_req **load_renewal_list(struct load *l, uint32_t pool,
 						  uint32_t entry)
 {
@@ -297,7 +297,7 @@
 	*at = r->next_renewal;
 }
 
-/* One frame for all grants of an entry at a pool, a third of a lease apart. */
+/* Renew all grants of an entry at a pool in one frame. */
 static inline void load_renew(struct load *l, uint32_t pool, uint32_t entry)
 {
 	uint64_t grants[DL_RENEWED_MAX];
@@ -318,7 +318,7 @@
 	dl_packer_close(&pk);
 }
 
-/* Every entry's turn comes once in a third of a lease. */
+/* Renew for the entries that are due; each is once in a third of a lease. */
 static inline void load_renew_due(struct load *l)
 {
 	uint64_t turns =
@@ -334,7 +334,7 @@
 				load_renew(l, p, e);
 }
 
-/* An answer on its way to its entry. */
+/* Deliver an answer to its entry. */
 static inline void load_answer(struct load *l, uint32_t pool,
 			       const struct dl_answer *a)
 {
@@ -411,7 +411,7 @@
 	dl_packer_close(&pk);
 }
 
-/* A grant's time has come: it is given back. */
+/* Finish a request: its entry releases the grant. */
 static inline void load_finish(struct load *l, struct load_req *r)
 {
 	uint32_t to = load_leader(l, r->pool);
@@ -436,7 +436,7 @@
 	free(r);
 }
 
-/* Let time pass. */
+/* Advance the simulation by ms. */
 static inline void load_run(struct load *l, int64_t ms)
 {
 	uint32_t pools = l->conf.domains * l->conf.pools;
@@ -468,7 +468,7 @@
 	}
 }
 
-/* The target: 370 VMs, 75 dispatchers before 600 runners. */
+/* The target size: 370 VMs, 75 dispatchers for 600 runners. */
 static inline struct load_conf load_target(void)
 {
 	return (struct load_conf){ .domains = 5,
--- a/examples/embed_pool.c
+++ b/examples/embed_pool.c
@@ -1,7 +1,7 @@
 /*
- * The dispatcher of a pool inside another program: no sockets, no clock.
- * Two engines announce themselves, three requests ask, one waits in the queue
- * until another gives its grant back.
+ * Example: embed the dispatcher of a pool in another program, without sockets
+ * or a clock.  Two endpoints report themselves and three requests ask for a
+ * grant; the third is queued until the first releases its grant.
  */
 #include <inttypes.h>
 #include <stdio.h>
