--- a/bench/bench_entry.sh
+++ b/bench/bench_entry.sh
@@ -1,8 +1,7 @@
 #!/bin/sh
-# What one entry costs and how soon faults are found, over the real binary.
-# Prints lines of "name<TAB>value<TAB>unit"; runs of the fakes beside it are
-# on the same machine, so rates are given per second of the entry's own
-# processor time.
+# Cost of one entry, and the time until it detects faults, on the real binary.
+# Prints lines "name<TAB>value<TAB>unit".  The emulated endpoints run on the
+# same machine, so rates are per second of the entry's own processor time.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
@@ -22,7 +21,7 @@
 	awk '/^VmRSS/ { print $2 }' "/proc/$1/status"
 }
 
-# A class file of one class: one_class NAME KEY VALUE...
+# Write a class file of one class: one_class NAME MEMBERS
 one_class() {
 	printf '{"workspaces":["almaty-counter"],"classes":[{%s}]}\n' "$2" \
 		>"$DIR/class-$1.json"
@@ -61,7 +60,7 @@
 		'BEGIN { printf "%.2f", a / b }')" ratio
 }
 
-# Work done per second of the entry's processor time.
+# Work per second of the entry's processor time.
 per_cpu_second() { # WORK TICKS
 	awk -v w="$1" -v t="$2" -v hz="$(getconf CLK_TCK)" \
 		'BEGIN { printf "%.0f", t ? w * hz / t : 0 }'
@@ -107,7 +106,7 @@
 		'BEGIN { printf "%.1f", n ? d / n : 0 }')" KB
 }
 
-# A stream whose link goes silent midway, against one that does not.
+# Streams that stall midway, compared with undisturbed ones.
 bench_silence() {
 	c=$(one_class one '"name":"counter","class":"counter",
 		"tokens_min":100,"tokens_max":200,"max_tokens":40,"rate":4,
@@ -126,7 +125,7 @@
 	inject_fault 1 die-first 1
 	inject_fault 2 die-first 1
 	load_one "$DIR/failover" "$c" 2
-	not_running "$(pid_of endpoint_1)" || fail "the fault did not strike"
+	not_running "$(pid_of endpoint_1)" || fail "the fault was not triggered"
 	figure failover_ttft_ms "$(awk '$7 == "done" && $9 > max { max = $9 }
 		END { printf "%.0f", max }' "$DIR/failover")" ms
 	start_runner 1
@@ -135,7 +134,7 @@
 	sleep 1
 }
 
-# One runner leaves under load; then the entry stops with streams in flight.
+# A runner leaves under load; then the entry stops with streams in flight.
 bench_stops() {
 	c=$(one_class drain '"name":"counter","class":"counter",
 		"tokens_min":100,"tokens_max":500,"max_tokens":30,"rate":60,
@@ -144,7 +143,7 @@
 	record_pid stop_runner $!
 	test/tool_load --entries "$ENTRIES" --quiet --classes "$c" \
 		--seconds 4 --out "$DIR/drain" 2>>"$DIR/load.faults"
-	[ "$(grep -c '^L' "$RECORD")" -eq 1 ] || fail "nobody left"
+	[ "$(grep -c '^L' "$RECORD")" -eq 1 ] || fail "the runner did not announce that it is leaving"
 	figure drain_ms "$(awk '$1 ~ /[BX]/ && $8 > max { max = $8 }
 		END { printf "%d", max }' "$RECORD")" ms
 	c=$(one_class stop '"name":"counter","class":"counter",
--- a/bench/bench_mixed.sh
+++ b/bench/bench_mixed.sh
@@ -1,13 +1,13 @@
 #!/bin/sh
-# Urgent calls through VMs that also read prompts of a million tokens, against
-# the same VMs without them, in one run.
+# Latency of urgent calls through VMs that also parse prompts of a million
+# tokens, compared with the same VMs without such prompts, in one run.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
 test_begin dala >&2
 SECONDS_EACH=${DL_BENCH_SECONDS:-8}
 
-# The p50, p95 and p99 of the pings in a table: FILE COLUMN
+# A column of the ping row of a table: ping_column FILE COLUMN
 ping_column() {
 	awk -v c="$2" '$1 == "ping" { print $c }' "$1"
 }
--- a/bench/capacity.sh
+++ b/bench/capacity.sh
@@ -1,18 +1,19 @@
 #!/bin/sh
-# The slopes behind docs/CAPACITY.md.
+# Measure the slopes (cost per unit of size) in docs/CAPACITY.md.
 #
-#   capacity.sh          measure, fit, plot, and compare the page with it;
-#                        fails where the page does not follow
+#   capacity.sh          measure, fit, plot, and compare the page with the
+#                        result; fails where the page differs
 #   capacity.sh write    measure, fit, plot, and write the page's tables
-#   capacity.sh page     compare the page with the last measure
+#   capacity.sh page     compare the page with the last measurement
 #
-# DL_CAPACITY_PATH=no leaves out the part over real processes, and says so.
+# DL_CAPACITY_PATH=no skips the measurement with real processes and reports it.
 #
-# The page holds three marked tables.  Slopes: a least-squares fit for each,
-# with the largest residual as a share of the largest value.  Faults: counts
-# at 370 VMs.  Derived: awk expressions over the slopes, where NAME(x) is the
-# fit at x and NAME_per its slope.  Tolerances by kind: count 1%, state and
-# instr 10%, time a factor of 3, both ways.
+# The page has three tables, delimited by HTML comments.  slopes: a
+# least-squares fit for each slope, with the largest residual as a fraction of
+# the largest value.  faults: counts at 370 VMs.  derived: awk expressions over
+# the slopes, where NAME(x) is the fit at x and NAME_per its slope.  Tolerances
+# by kind: count 1%, state and instr 10%, time a factor of 3 in either
+# direction.
 set -eu
 cd "$(dirname "$0")/.."
 page=docs/CAPACITY.md
@@ -62,7 +63,7 @@
 END
 }
 
-# Instructions of an operation at a size.
+# Count the instructions of an operation: instructions SLOPE X
 instructions() {
 	valgrind --tool=cachegrind --cache-sim=no \
 		--cachegrind-out-file=/dev/null "$bin" instr "$1" "$2" 2>&1 |
@@ -94,12 +95,13 @@
 	if [ "${DL_CAPACITY_PATH:-yes}" = yes ]; then
 		sh bench/capacity_path.sh >>"$points"
 	else
-		echo "capacity: not run: bench/capacity_path.sh" >&2
+		echo "capacity: skipped bench/capacity_path.sh" >&2
 	fi
 	"$bin" faults >"$faults"
 }
 
-# name kind x-unit unit intercept slope residual, tab separated
+# Write one row per slope, tab separated: name kind x-unit unit intercept slope
+# residual
 fit() {
 	slopes | awk -v OFS='\t' '
 		NR == FNR { n[$1]++; x[$1, n[$1]] = $2; y[$1, n[$1]] = $3; next }
@@ -135,7 +137,7 @@
 			$3 > m { m = $3 }
 			END { y = a + b * t; print (y > m ? y : m) }' \
 			build/plot.points)
-		# A limit far above all that is measured would flatten the plot.
+		# A limit far above all measured values would flatten the plot.
 		limit=$(awk -v l="$limit" -v t="$top" \
 			'BEGIN { print (l < 4 * t ? l : 0) }')
 		xmax=$(awk -v t="$target" '$2 > t { t = $2 }
@@ -144,7 +146,7 @@
 			-e "points='build/plot.points'; xlabel='$xunit'" \
 			-e "ylabel='$unit'; a=$a; b=$b; limit=$limit" \
 			-e "xmax=$xmax" bench/capacity.gp
-		# Groups without content are half of the file.
+		# Remove empty groups, which are half of the file.
 		awk 'prev ~ /^<g / && $0 == "</g>" { prev = ""; next }
 			prev != "" { print prev }
 			{ prev = $0 }
@@ -153,7 +155,7 @@
 	done
 }
 
-# The rows of a marked table of the page, cells tab separated.
+# The rows of a table of the page, cells tab separated.
 table_rows() {
 	awk -v m="$1" '
 		index($0, "<!-- /" m " -->") { on = 0 }
@@ -163,7 +165,8 @@
 		grep -v '^---'
 }
 
-# An awk program with a function and a slope for each row of slopes on stdin.
+# Print awk code that defines NAME(x) and NAME_per for each row of slopes on
+# stdin.
 functions() {
 	awk -F '\t' '{
 		printf "function %s(x) { return %s + %s * x }\n", $1, $5, $6
@@ -171,7 +174,7 @@
 	} END { print "BEGIN {" init "}" }'
 }
 
-# "name value" of each derived row, computed from the slopes on stdin.
+# Print "name value" for each derived row, computed from the slopes on stdin.
 derive() {
 	functions >build/derive.awk
 	table_rows derived | awk -F '\t' '{
@@ -183,7 +186,7 @@
 		{ print $1, $2 }'
 }
 
-# Put new rows, from a file, into a marked table.
+# Replace the rows of a table of the page: replace_table NAME FILE
 replace_table() {
 	awk -v m="$1" -v f="$2" '
 		index($0, "<!-- /" m " -->") { on = 0 }
@@ -210,20 +213,20 @@
 		{ printf "| %s | %s | %s | %s | %s |\n", $1, $2, $3, v[$1], $5 }
 		' build/derived - >build/rows
 	replace_table derived build/rows
-	# Where a row is named in the text with its value, the value follows.
+	# Update the values that the text gives in the form `name` = value.
 	awk 'NR == FNR { v[$1] = $2; next }
 		{ for (k in v) gsub("`" k "` = [0-9.e+-]*[0-9]", \
 			"`" k "` = " v[k]); print }' \
 		build/derived "$page" >build/page && cp build/page "$page"
 }
 
-# "name value" wherever the text names a row with its value.
+# Print "name value" for each `name` = value in the text.
 values_in_text() {
 	grep -o '`[a-z_0-9]*` = [0-9.e+-]*[0-9]' "$page" |
 		sed 's/`//g; s/ = /	/'
 }
 
-# Whether the page follows from what was measured.
+# Check the page against the measurement.
 check_page() {
 	table_rows slopes >build/page.slopes
 	table_rows faults >build/page.faults
@@ -263,7 +266,7 @@
 		FILENAME == "build/capacity.faults" {
 			check($1, pf[$1], $2, "fault"); seen++; next }
 		END {
-			if (ok) print "capacity: the page follows: " seen \
+			if (ok) print "capacity: the page matches: " seen \
 				" numbers"
 			exit !ok
 		}' build/targets build/page.slopes build/page.faults \
--- a/bench/capacity_path.sh
+++ b/bench/capacity_path.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# What a token and a request cost an entry, over real processes on this
-# machine: one line "slope<TAB>x<TAB>value" a point, as build/capacity points.
-# x is a second's worth over three entries; the value is their processor time.
+# Measure the processor time that a token and a request cost the entries, with
+# real processes on this machine.  Prints lines "slope<TAB>x<TAB>value" like
+# build/capacity points: x is the rate per second over three entries, the value
+# their processor time.
 set -eu
 cd "$(dirname "$0")/.."
 . test/deploy.sh
@@ -12,7 +13,7 @@
 DL_RUNNER_OPTIONS="--decode-rate 60 --slots 1000 --memory 64000000"
 DL_RUNNER_OPTIONS="$DL_RUNNER_OPTIONS --prefill-rate 10000000"
 
-# The processor time of the three entries, in ticks.
+# The total processor time of the three entries, in ticks.
 entry_ticks() {
 	sum=0
 	for d in 1 2 3; do
@@ -23,21 +24,21 @@
 	echo $sum
 }
 
-# The most memory that the three entries have had, in kB.
+# The sum of the peak resident memory of the three entries, in kB.
 entry_peak_kb() {
 	for d in 1 2 3; do
 		awk '/^VmHWM/ { print $2 }' "/proc/$(pid_of entry_${d}_1)/status"
 	done | awk '{ s += $1 } END { print s }'
 }
 
-# One class of load: RATE MAX_TOKENS
+# A class file of one class: classes RATE MAX_TOKENS
 classes() {
 	printf '{"workspaces":["almaty-counter"],"classes":[{"name":"counter",'
 	printf '"tokens_min":1000,"tokens_max":1000,"max_tokens":%s,' "$2"
 	printf '"rate":%s,"deadline_ms":30000}]}\n' "$1"
 }
 
-# Offer a load and print the processor time it cost: SLOPE X RATE MAX_TOKENS
+# Run a load and print its processor time: measure SLOPE X RATE MAX_TOKENS
 measure() {
 	classes "$3" "$4" >"$DIR/classes.json"
 	before=$(entry_ticks)
--- a/bench/run.sh
+++ b/bench/run.sh
@@ -1,7 +1,6 @@
 #!/bin/sh
 # Run each benchmark program and then each benchmark script.  Standard output
-# has "name<TAB>value<TAB>unit" lines only; whatever else they say is passed on
-# to standard error.
+# gets only their "name<TAB>value<TAB>unit" lines, standard error the rest.
 set -eu
 cd "$(dirname "$0")/.."
 
