--- a/test/fake/verdict.c
+++ b/test/fake/verdict.c
@@ -10,10 +10,9 @@
 #define LEAVING_MAX_MS 2000
 /* The test script logs the time just before or after the kill itself. */
 #define OUTAGE_SLACK_MS 50
-#define VIOLATIONS_MAX                                                         \
-	20 /* printed per guarantee; the rest is only counted                  \
-	    */
-#define RECORD_FIELDS 9
+/* Violations printed per guarantee; the rest is only counted. */
+#define VIOLATIONS_MAX 20
+#define RECORD_FIELDS  9
 
 enum record_field {
 	FIELD_KIND,
