--- a/Makefile
+++ b/Makefile
@@ -1,17 +1,16 @@
-# daisyledge: one plain makefile, for GNU make and for BSD make.
+# daisyledge: for GNU make and BSD make.
 #
 #   make            the binary and the library
-#   make deps       install what Debian has of the libraries used; nothing
-#                   happens where all are there
-#   make check      every test program; verdict by exit status
-#   make demo       a whole deployment of fakes on this machine
-#   make fuzz       damaged input, long
-#   make soak       randomised runs, thousands of seeds
-#   make bench      one line "name<TAB>value<TAB>unit" a figure
-#   make capacity   the slopes behind docs/CAPACITY.md; fails where the page
-#                   does not follow from them; CAPACITY=write writes it
-#   make lint       clang-tidy and cppcheck
-#   make format     rewrite the sources in the house format
+#   make deps       install the missing Debian packages of libraries and tools
+#   make check      run all tests
+#   make demo       run a deployment of emulated endpoints on this machine
+#   make fuzz       run the parsers and codecs on many malformed inputs
+#   make soak       run the randomised tests with thousands of seeds
+#   make bench      run the benchmarks; prints "name<TAB>value<TAB>unit" lines
+#   make capacity   measure the slopes in docs/CAPACITY.md; fails if the page
+#                   differs from the result; CAPACITY=write updates the page
+#   make lint       check the format, run clang-tidy and cppcheck
+#   make format     reformat the sources with clang-format
 
 CC = cc
 OPT = -O2 -g
@@ -25,7 +24,7 @@
 ALLF = -std=gnu11 $(OPT) $(WARN) $(CPPF) $(PKGF) $(CFLAGS) -MMD
 LIBS = -lh2o -lhttp_parser -lssl -llog4c $(PKGL) -lm $(LDFLAGS)
 
-# The embeddable library holds what does no input or output.
+# The embeddable library contains the code that does no input or output.
 LIBSRC != ls src/base/*.c src/coordination/*.c src/state/*.c 2>/dev/null || true
 IOSRC != ls src/transport/*.c src/protocol/*.c platform/*.c 2>/dev/null || true
 MAINSRC != ls src/main/*.c 2>/dev/null || true
@@ -80,19 +79,19 @@
 bench: programs
 	@sh bench/run.sh $(BENCHES)
 
-# The slopes behind docs/CAPACITY.md, and whether the page follows from them.
+# Measure the slopes in docs/CAPACITY.md and check the page against them.
 capacity: programs
 	@mkdir -p build
 	$(CC) $(ALLF) -Itest -o build/capacity bench/capacity.c $(ARCHIVES) \
 		$(CHECKL) $(LIBS)
 	@sh bench/capacity.sh $(CAPACITY)
 
-# The parsers and codecs under many more damaged inputs than check has time for.
+# Run the parsers and codecs on many more malformed inputs than make check does.
 fuzz: programs
 	DL_FUZZ=$${DL_FUZZ:-1000000} ./test/test_codec
 	DL_FUZZ=$${DL_FUZZ:-100000} ./test/test_conf
 
-# The randomised runs over thousands of seeds.
+# Run the randomised tests with thousands of seeds.
 soak: programs
 	DL_SEEDS=$${DL_SEEDS:-5000} ./test/test_rlog_random
 	DL_SEEDS=$${DL_SEEDS:-5000} ./test/test_memb_random
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Build the one binary into target/, for a deployment's machines.
+# Build the daisyledge binary in target/, for the machines of a deployment.
 set -eu
 cd "$(dirname "$0")/.."
 pkgs="libuv msgpack jansson glib-2.0 libxxhash libcrypto zlib"
