--- a/test/asan.sh
+++ b/test/asan.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Build a copy of the tree with AddressSanitizer and UBSan and run every test
-# program in it.
+# Build a copy of the tree with AddressSanitizer and UBSan and run all tests in
+# it.
 set -eu
 cd "$(dirname "$0")/.."
 mkdir -p build/asan
--- a/test/demo.sh
+++ b/test/demo.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# A whole deployment of fakes on this machine: start it, drive it, take a VM
-# and a runner away, drain another of each, change the configuration, and
-# tell which promises held.  Exit status 0 only if all did.
+# Demo: a deployment of emulated endpoints on this machine.  Runs a load, kills
+# a VM and a runner, stops another of each, changes the configuration, and
+# prints which guarantees held.  Exits 0 only if all did.
 #
 #   sh test/demo.sh [dala|zveza]
 set -u
@@ -26,12 +26,12 @@
 	exit $status
 }
 
-report_check() { # WORD TEXT
+report_check() { # RESULT TEXT
 	printf '%-9s %s\n' "$1" "$2"
 	[ "$1" = held ] || failed=1
 }
 
-# What happens while the load runs; each line says when it did.
+# The faults and planned changes during the load, announced as they happen.
 inject_faults() {
 	sleep $((SECONDS_OF_LOAD / 5))
 	echo "killing VM $(domain_name 2)-1 with its replica"
@@ -41,7 +41,7 @@
 	echo "killing runner $(endpoint_address 1)"
 	kill -KILL "$(pid_of endpoint_1)"
 	sleep $((SECONDS_OF_LOAD / 10))
-	echo "stopping runner $(endpoint_address 2): it says that it leaves"
+	echo "stopping runner $(endpoint_address 2): it announces that it is leaving"
 	kill -TERM "$(pid_of endpoint_2)"
 	sleep $((SECONDS_OF_LOAD / 10))
 	echo "stopping VM $(domain_name 3)-2: a planned stop under load"
@@ -55,7 +55,7 @@
 	echo $? >"$DIR/apply-2.status"
 }
 
-# A VM says that the second text is in force.
+# Whether a VM has put the second configuration in force.
 has_second_config() { # ADDRESS
 	"$DL_BIN" get --timeout 10 --entry "$1:$HTTP_PORT" 2>/dev/null |
 		grep -q '"log_level": *"warn"'
@@ -65,12 +65,12 @@
 	[ "$(cat "$DIR/apply-2.status" 2>/dev/null)" = 0 ] || return 1
 	for vm in "1 1" "1 2" "2 2" "3 1"; do
 		# shellcheck disable=SC2086
-		wait_for 5 "the text at VM $vm" \
+		wait_for 5 "the configuration at VM $vm" \
 			has_second_config "$(vm_address $vm)" || return 1
 	done
 }
 
-# The VM that was stopped ended with 0, and no caller of it was cut off.
+# The stopped VM exited with status 0 and dropped none of its requests.
 check_planned_stop() {
 	wait "$(pid_of entry_3_2)"
 	[ $? -eq 0 ] || return 1
@@ -86,7 +86,7 @@
 echo "starting $kind: 6 VMs, 3 replicas, $RUNNERS runners of" \
 	"$MODEL_SERVICE, $PLAINS endpoints of $PLAIN_SERVICE"
 deploy_start || exit 1
-echo "driving it for $SECONDS_OF_LOAD s"
+echo "running the load for $SECONDS_OF_LOAD s"
 inject_faults &
 injector=$!
 record_pid inject_faults $injector
@@ -100,14 +100,14 @@
 grep -q '^untested' "$DIR/table" && failed=1
 [ $load -eq 0 ] || failed=1
 if check_planned_stop; then
-	report_check held "a planned stop cuts off no request in flight"
+	report_check held "a planned stop drops no request in flight"
 else
-	report_check broken "a planned stop cuts off no request in flight"
+	report_check broken "a planned stop drops no request in flight"
 fi
 if check_configuration; then
-	report_check held "an accepted configuration is in force everywhere and stays"
+	report_check held "an accepted configuration takes effect on every VM and stays in force"
 else
-	report_check broken "an accepted configuration is in force everywhere and stays"
+	report_check broken "an accepted configuration takes effect on every VM and stays in force"
 fi
 head -20 "$DIR/faults"
 exit $failed
--- a/test/deploy.sh
+++ b/test/deploy.sh
@@ -1,11 +1,13 @@
-# A deployment of plain processes on loopback addresses, for the demo, the
-# system tests and the benchmarks.  Source it; every process is started and
-# ended here by its process id, and nothing else is.
+# Shell functions that run a deployment as processes on loopback addresses, for
+# the demo, the system tests and the benchmarks.  To be sourced.  Processes are
+# stopped by process id, and only those that were started here.
 #
-#   deploy_init KIND NET DIR   KIND: dala or zveza; NET: second octet, so that
-#                              deployments do not meet; DIR: for all files
-#   deploy_start               VMs, replicas and endpoints, then apply
-#   deploy_stop                end all that was started
+#   deploy_init KIND NET DIR   KIND: dala or zveza; NET: second octet of all
+#                              addresses, different for concurrent deployments;
+#                              DIR: directory of all files
+#   deploy_start               start VMs, replicas and endpoints, then apply
+#                              the configuration
+#   deploy_stop                stop all processes that were started
 #
 # Addresses: VM v of failure domain d is 127.NET.d.v; endpoint i is
 # 127.NET.1dd.i with dd its failure domain.
@@ -17,8 +19,9 @@
 DL_LOG_LEVEL=${DL_LOG_LEVEL:-info}
 HTTP_PORT=8080
 OPERATOR_PORT=$HTTP_PORT
-# A script with doors of their own sets the port, where endpoints announce
-# themselves if not at ENTRIES, their key, and the settings of each entry.
+# A script that gives operators and endpoints separate listeners sets
+# OPERATOR_PORT, ANNOUNCE_TO (where endpoints announce themselves; default
+# ENTRIES), ENDPOINT_KEY, and redefines entry_settings.
 ANNOUNCE_TO=
 ENDPOINT_KEY=
 entry_settings() { # D V
@@ -28,7 +31,7 @@
 REPLICA_PORT=7200
 ENDPOINT_PORT=9000
 
-# Set what differs between deployments.
+# Set the variables of a deployment and write its configuration.
 deploy_init() {
 	KIND=$1
 	NET=$2
@@ -54,7 +57,7 @@
 		CLASSES=test/data/load-zveza.json
 		;;
 	*)
-		echo "deploy: no deployment is named $KIND" >&2
+		echo "deploy: unknown deployment: $KIND" >&2
 		return 2
 		;;
 	esac
@@ -76,7 +79,7 @@
 		i=$((i + 1))
 	done
 	ENDPOINTS=${ENDPOINTS#,}
-	# The configuration names the replicas by address.
+	# The configuration lists the replicas by address.
 	sed "s/127\.0\./127.$NET./g" "$CONFIG" >"$DIR/config.json"
 }
 
@@ -84,7 +87,7 @@
 	echo "127.$NET.$1.$2"
 }
 
-# Endpoints take turns over the failure domains.
+# Endpoints are assigned to the failure domains in turn.
 endpoint_domain() {
 	echo $((($1 - 1) % 3 + 1))
 }
@@ -97,7 +100,7 @@
 	echo "$DOMAINS" | cut -d' ' -f"$1"
 }
 
-# Note a process that was started, under a name.
+# Record the process id of a started process under a name.
 record_pid() {
 	echo "$1 $2" >>"$DIR/pids"
 	eval "PID_$1=$2"
@@ -215,7 +218,7 @@
 		[ "$(date +%s)" -le $wait_until ] || break
 		sleep 0.1
 	done
-	echo "deploy: waited in vain for $what" >&2
+	echo "deploy: timed out waiting for $what" >&2
 	return 1
 }
 
@@ -223,7 +226,7 @@
 	$DL_HTTP -t 1000 "$(vm_address "$1" "$2"):$HTTP_PORT" /readyz
 }
 
-# A completion through an entry gives its answer.
+# Whether an entry serves a completion.
 entry_serves_model() { # D V
 	$DL_HTTP -t 5000 -X POST -H 'Daisyledge-Deadline-Ms: 4000' \
 		-d "{\"model\":\"$MODEL\",\"prompt\":\"ready\",\"max_tokens\":1}" \
@@ -265,7 +268,7 @@
 		wait_for 15 "services at all entries" for_each_vm entry_serves_plain
 }
 
-# End all that was started, by id, and wait for it.
+# Kill all processes that were started, by process id, and wait for them.
 deploy_stop() {
 	[ -f "$DIR/pids" ] || return 0
 	while read -r _ pid; do
@@ -276,7 +279,7 @@
 	: >"$DIR/pids"
 }
 
-# Claim a second octet that no other deployment of this machine uses.
+# Reserve a second octet that no other deployment on this machine uses.
 claim_subnet() {
 	n=$((10 + $$ % 240))
 	tries=240
@@ -295,7 +298,7 @@
 		n=$((10 + (n - 9) % 240))
 		tries=$((tries - 1))
 	done
-	echo "deploy: no free addresses" >&2
+	echo "deploy: no free loopback subnet" >&2
 	return 1
 }
 
@@ -303,8 +306,8 @@
 	[ -z "${CLAIMED_SUBNET:-}" ] || rm -rf "$SUBNET_LOCK"
 }
 
-# Begin a test script: its own folder, its own addresses, and an end that
-# stops everything and keeps the folder only where the test failed.
+# Begin a test script: give it its own directory and addresses, and an exit
+# handler that stops all processes and keeps the directory only on failure.
 test_begin() { # KIND
 	TEST_NAME=$(basename "$0" .sh)
 	WORK=$(mktemp -d "${TMPDIR:-/tmp}/$TEST_NAME.XXXXXX")
@@ -333,15 +336,16 @@
 	exit 1
 }
 
-# Find silence at endpoints sooner than the shipped configuration does, so
-# that a test need not wait for it.
+# Shorten the gap timeout of the configuration, so that tests detect silent
+# endpoints sooner.
 set_gap_timeout() { # MS
 	sed "s/\"gap_timeout_ms\": *[0-9]*/\"gap_timeout_ms\": $1/g" \
 		"$DIR/config.json" >"$DIR/config.new" &&
 		mv "$DIR/config.new" "$DIR/config.json"
 }
 
-# Run the load tool against all entries and judge it: run_load OPTION...
+# Run the load tool against all entries and check its results:
+# run_load OPTION...
 run_load() {
 	test/tool_load --entries "$ENTRIES" --classes "$CLASSES" \
 		--endpoints "$ENDPOINTS" --check "$RECORD" --away "$DIR/away" \
@@ -352,8 +356,8 @@
 	date +%s%3N
 }
 
-# A VM was killed or frozen now, or is back: what its callers see meanwhile is
-# its absence.  The load tool excuses just that.
+# Record that a VM has just been killed or suspended, or is back.  The load tool
+# excuses failures of that VM's own callers in between, and nothing else.
 record_vm_down() { # D V
 	echo "$(vm_address "$1" "$2"):$HTTP_PORT away $(wall_ms)" >>"$DIR/away"
 }
@@ -362,26 +366,27 @@
 	echo "$(vm_address "$1" "$2"):$HTTP_PORT back $(wall_ms)" >>"$DIR/away"
 }
 
-# Order a fault of an endpoint: fault I NAME TIMES
+# Inject a fault at an endpoint: inject_fault I NAME TIMES
 inject_fault() {
 	$DL_HTTP -X POST -d "{\"fault\":\"$2\",\"times\":$3}" \
 		"$(endpoint_address "$1")" /fake/fault >/dev/null ||
-		fail "endpoint $1 takes no fault"
+		fail "endpoint $1 rejected fault $2"
 }
 
-# Wait for a process to end by itself and expect its status: SECONDS NAME N
+# Wait for a process to exit and check its status:
+# expect_exit SECONDS NAME STATUS
 expect_exit() {
 	pid=$(pid_of "$2")
-	wait_for "$1" "the end of $2" not_running "$pid" || return 1
+	wait_for "$1" "the exit of $2" not_running "$pid" || return 1
 	wait "$pid"
 	got=$?
 	[ $got -eq "$3" ] || {
-		echo "$2 ended with $got, not $3" >&2
+		echo "$2 exited with status $got, expected $3" >&2
 		return 1
 	}
 }
 
-# An ended child that nobody has waited for is a zombie.
+# A child that has exited but has not been waited for is a zombie.
 not_running() {
 	state=$(sed 's/.*) //; s/ .*//' "/proc/$1/stat" 2>/dev/null)
 	[ -z "$state" ] || [ "$state" = Z ]
--- a/test/platform_deploy.sh
+++ b/test/platform_deploy.sh
@@ -1,6 +1,6 @@
-# A deployment in the platform's protocol, for the system tests: settings of its
-# processes, emulated endpoints, calls of operators and callers.  Sourced after
-# test/deploy.sh and test_begin.
+# Shell functions that run a deployment in the platform's protocol, for the
+# system tests: the settings of its processes, emulated endpoints, and requests
+# of operators and callers.  To be sourced after test/deploy.sh and test_begin.
 CONTROL_PORT=7300
 READY_PORT=7400
 KEY='X-Api-Key: key-one'
@@ -16,8 +16,8 @@
 
 SEEDS="\"$(control_address 1)\",\"$(control_address 2)\",\"$(control_address 3)\""
 
-# Where a process stands: all in one failure domain, or, with SEPARATE_DOMAINS set, each in
-# one of its own, in one region.
+# The failure domain of a process: the same for all, or, with SEPARATE_DOMAINS
+# set, one for each VM, in one region.
 domain_settings() { # D
 	if [ -n "${SEPARATE_DOMAINS:-}" ]; then
 		printf '"failure_domain":"place-%s","region":"r"' "$1"
@@ -26,12 +26,14 @@
 	fi
 }
 
-# With ALLOW_CUT set, the addresses in a file of the place are cut off.
+# With ALLOW_CUT set, a process drops traffic to and from the addresses in the
+# cut file of its VM.
 cut_file_setting() { # D
 	[ -z "${ALLOW_CUT:-}" ] || printf '"cut_file":"%s",' "$DIR/cut-$1"
 }
 
-# Cut VM 3 off from the two others, silently; callers and endpoints reach it.
+# Partition VM 3 from the two others by dropping packets; callers and endpoints
+# still reach it.
 isolate_vm_3() {
 	for d in 1 2; do
 		printf '127.%s.3.1:%s\n127.%s.3.2:%s\n' \
@@ -60,7 +62,8 @@
 	fi >"$DIR/$1-$2.json"
 }
 
-# A replica's peers are its seeds' hosts, on the port of its own peer address.
+# The control addresses of the replicas.  A replica connects to its peers on the
+# hosts of its seeds and the port of its own peer address.
 replica_seeds() {
 	for r in 1 2 3; do
 		printf '"127.%s.%s.2:%s"' "$NET" $r $CONTROL_PORT
@@ -76,7 +79,8 @@
 	record_pid "$1_$2" $!
 }
 
-# Three VMs, each with an entry and a replica, of a group that founds itself.
+# Start three VMs, each with an entry and a replica; the replicas form a new
+# group.
 start_all() {
 	for d in 1 2 3; do
 		start_process replica $d true
@@ -84,10 +88,10 @@
 	done
 }
 
-# The first change is taken, and all entries are ready.
+# Submit the first configuration and wait until all entries are ready.
 configure_all() { # KEYS
-	wait_for 10 "the first change" put_config "$(config 5 5000 "$1")" ||
-		fail "the first change is not taken"
+	wait_for 10 "the first configuration" put_config "$(config 5 5000 "$1")" ||
+		fail "the first configuration is not accepted"
 	for d in 1 2 3; do
 		wait_for 10 "entry $d" entry_is_ready $d || fail "entry $d is not ready"
 	done
@@ -108,7 +112,8 @@
 		"$1" "$2" "$3"
 }
 
-# Send a change to any replica; a redirection is followed by asking the others.
+# Submit a configuration.  Tries the replicas in turn until one accepts it,
+# since those that do not lead only redirect.
 put_config() { # CONFIG
 	for d in 1 2 3; do
 		$DL_HTTP -t 3000 -X POST -d "$1" "$(control_address $d)" /-/Config.Put \
@@ -160,15 +165,16 @@
 	$DL_HTTP -t 1000 "127.$NET.$1.1:$READY_PORT" /-/ready
 }
 
-# An endpoint leaves in order, and ends.
+# Have an endpoint announce that it is leaving, then stop it.
 retire() { # NAME
 	kill -USR1 "$(pid_of "$1")"
 	sleep 0.5
 	kill -TERM "$(pid_of "$1")"
 }
 
-# Streams and calls through a VM, on and on, each attempt with the VM's number as
-# its second letter; those that are not served are named in a file.
+# Send streams and calls through a VM until killed.  The second character of an
+# attempt id is the VM's number.  Attempts that fail are listed in
+# $DIR/unserved.
 generate_load() { # D TAG
 	n=0
 	while :; do
@@ -185,7 +191,7 @@
 	done >>"$DIR/unserved"
 }
 
-# So many of them through each VM, once it serves.
+# Run this many load generators through each VM, once it serves requests.
 load_all() { # LOADS
 	for d in 1 2 3; do
 		wait_for 5 "a stream at $d" chat $d "first$d" ||
@@ -203,16 +209,16 @@
 
 check_all_served() { # WHEN
 	[ ! -s "$DIR/unserved" ] ||
-		fail "$1: unserved: $(head -5 "$DIR/unserved" | tr '\n' ' ')"
+		fail "$1: requests failed: $(head -5 "$DIR/unserved" | tr '\n' ' ')"
 }
 
-# The VM that dispatched first for a service.
+# The VM that was the first dispatcher of a service.
 dispatcher_of() { # SERVICE
 	grep -l "Dispatching begins here. service=$1" "$DIR"/entry-?.log |
 		head -1 | sed 's/.*entry-\(.\).log/\1/'
 }
 
-# Have endpoints turn everything away, naming a time in seconds.
+# Have endpoints reject all requests with a Retry-After, in seconds.
 shed() { # RETRY_AFTER NAME...
 	after=$1
 	shift
@@ -222,8 +228,8 @@
 	done
 }
 
-# Four endpoints of each service, in the three places, that note what arrives and
-# shed while they are told to.
+# Start four endpoints of each service, spread over the three failure domains,
+# that log arrivals and reject requests while their shed file exists.
 start_shedding_runners() { # [OPTION...]
 	for i in 1 2 3 4; do
 		at="--zone place-$((i % 3 + 1)) --arrivals $DIR/arrivals"
--- a/test/run.sh
+++ b/test/run.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
 # Run each test program, and each test script, a few at a time; the last line
-# is "N passed, N failed".  A test listed in KNOWN-RED.txt (first word of a
-# line) is run, printed and passed over in the verdict.
+# is "N passed, N failed".  A failure of a test listed in KNOWN-RED.txt (first
+# word of a line) is printed but does not fail the run.
 set -u
 cd "$(dirname "$0")/.."
 out=build/check
@@ -12,7 +12,7 @@
 done >"$out/list"
 export CK_VERBOSITY=normal OUT="$out"
 
-# One test: its output and its status go to files of its own.
+# Run one test; its output and exit status are written to separate files.
 # shellcheck disable=SC2016
 xargs -P "${TEST_JOBS:-4}" -n 1 sh -c '
 	name=$(basename "$1")
