--- a/test/test_cli.sh
+++ b/test/test_cli.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The operators' command line without any VM: what check says of each pair of
-# input and output in test/data/conf, and the exit statuses.
+# The command line without a running VM: the output of check for each file in
+# test/data/conf, the output of explain, and exit statuses.
 set -u
 cd "$(dirname "$0")/.."
 failed=0
@@ -11,7 +11,7 @@
 	"$@" >/dev/null 2>&1
 	got=$?
 	[ "$got" -eq "$want" ] && return
-	echo "exit status $got, not $want: $*"
+	echo "exit status $got, expected $want: $*"
 	failed=1
 }
 
@@ -19,9 +19,9 @@
 	out=${in%.json}.out
 	got=$(./daisyledge check "$in" 2>&1)
 	if [ "$got" != "$(cat "$out")" ]; then
-		echo "$in: check says:"
+		echo "$in: check printed:"
 		echo "$got"
-		echo "but $out says otherwise"
+		echo "which differs from $out"
 		failed=1
 	fi
 done
@@ -51,12 +51,12 @@
 expect 4 env DAISYLEDGE_ENTRY=127.0.0.1:1,127.0.0.1:2 ./daisyledge history \
 	--timeout 1
 
-# Logs and what is said of them.
+# The output of explain for test/data/explain.log.
 explains() { # OUTPUT [OPTION...]
 	want=test/data/$1
 	shift
 	./daisyledge explain "$@" test/data/explain.log | cmp -s - "$want" || {
-		echo "explain $*: not as in $want" >&2
+		echo "explain $*: output differs from $want" >&2
 		failed=1
 	}
 }
@@ -66,5 +66,5 @@
 explains explain-sum.out --summary
 explains explain-sum.json --summary --json --step 1
 
-[ "$failed" -eq 0 ] && echo "command line: all as expected"
+[ "$failed" -eq 0 ] && echo "command line: all checks passed"
 exit "$failed"
