--- a/test/test_system_backoff_random.sh
+++ b/test/test_system_backoff_random.sh
@@ -1,8 +1,9 @@
 #!/bin/sh
-# A seeded run of endpoints that turn requests away or say in answers that they
-# leave, while VMs are killed, stopped, frozen and cut off, alone and together.
+# Seeded random run: endpoints reject requests with Retry-After or announce in
+# responses that they are leaving, while VMs are killed, stopped, suspended and
+# partitioned, singly and at once.
 #
-#   DL_RANDOM_SEED, DL_RANDOM_SECONDS   for long runs by hand
+#   DL_RANDOM_SEED, DL_RANDOM_SECONDS   for long manual runs
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 SEED=${DL_RANDOM_SEED:-1}
@@ -16,7 +17,7 @@
 ALLOWED=2
 DRAIN_MS=2000
 
-# One line a step: after so many seconds, what, and whom.
+# Print the steps, one per line: delay in seconds, action, target.
 print_plan() {
 	awk -v seed="$SEED" -v left="$DURATION" 'BEGIN {
 		srand(seed)
@@ -34,7 +35,8 @@
 	}'
 }
 
-# A VM that starts anew, or stood still, knows or could do nothing else.
+# Exempt a VM from the check up to now: it has lost its state in a restart, or
+# could not act while it was suspended.
 exempt_vm() { # VM
 	echo "$(wall_ms) excused x$1x" >>"$DIR/arrivals"
 }
@@ -71,8 +73,9 @@
 	esac
 }
 
-# What came although its VM had been asked to wait, and what came later than
-# DRAIN_MS after its VM had been told that the endpoint leaves; at most.
+# Print three counts: the most requests of one VM that reached an endpoint
+# during one Retry-After; the requests that reached an endpoint later than
+# DRAIN_MS after it told their VM that it is leaving; the rejected requests.
 count_violations() {
 	sort -n "$DIR/arrivals" | awk -v grace=$GRACE_MS -v drain=$DRAIN_MS '
 		{
@@ -122,8 +125,8 @@
 read -r most leaving asked <<JUDGED
 $(count_violations)
 JUDGED
-echo "seed $SEED: $(wc -l <"$DIR/plan") steps, $asked turned away," \
-	"$most in a time to wait, $leaving at one that leaves"
-[ "$asked" -gt 0 ] || fail "nothing was turned away"
-[ "$most" -le $ALLOWED ] || fail "$most came in a time to wait"
-[ "$leaving" -eq 0 ] || fail "$leaving came to an endpoint that leaves"
+echo "seed $SEED: $(wc -l <"$DIR/plan") steps, $asked rejected," \
+	"at most $most during one Retry-After, $leaving at a leaving endpoint"
+[ "$asked" -gt 0 ] || fail "no request was rejected"
+[ "$most" -le $ALLOWED ] || fail "$most requests during one Retry-After"
+[ "$leaving" -eq 0 ] || fail "$leaving requests at a leaving endpoint"
--- a/test/test_system_badinput.sh
+++ b/test/test_system_badinput.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Bad input at every door of one entry, which must answer, live and stay small.
+# Malformed input at every listener of one entry: it must respond, survive and
+# keep its memory bounded.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
@@ -11,8 +12,8 @@
 [ -z "${DL_SANITIZED:-}" ] || RSS_MAX_KB=2000000
 test/tool_badinput "$(vm_address 1 1):$HTTP_PORT" \
 	"$(vm_address 1 1):$PEER_PORT" $MODEL $PLAIN_SERVICE ||
-	fail "a case is wrong"
-entry_serves_model 1 1 >/dev/null || fail "no service afterwards"
+	fail "a malformed input was handled wrongly"
+entry_serves_model 1 1 >/dev/null || fail "the entry does not serve afterwards"
 rss=$(awk '/^VmRSS/ { print $2 }' "/proc/$(pid_of entry_1_1)/status")
 [ "$rss" -lt $RSS_MAX_KB ] || fail "resident memory is $rss KB"
 kill -TERM "$(pid_of entry_1_1)"
--- a/test/test_system_completion_backoff.sh
+++ b/test/test_system_completion_backoff.sh
@@ -1,18 +1,19 @@
 #!/bin/sh
-# An engine and a plain service that ask the VM to wait whose completion or call
-# they turn away, in the product's own API.
+# An engine and a plain service that reject requests with Retry-After, in the
+# native API: the VM whose request was rejected must back off.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
 DL_RUNNERS=6
-WAIT_MS=2000 # as the emulated endpoints name it
+WAIT_MS=2000 # the Retry-After of the emulated endpoints
 GRACE_MS=500
 ALLOWED=2
 test_begin dala
 deploy_start || fail "the deployment does not start"
 
-# The most that came to an endpoint of one VM in a time in which it had asked
-# that VM to wait.  The id of a request begins with the VM that it came to.
+# The most requests of one VM that reached an endpoint during one Retry-After
+# that the endpoint had sent to that VM.  A request id begins with the VM that
+# received the request.
 max_requests_during_backoff() {
 	awk -v wait=$WAIT_MS -v grace=$GRACE_MS '
 		$1 != "B" && $1 != "X" { next }
@@ -54,14 +55,15 @@
 done
 sleep 1
 : >"$DIR/unserved"
-# One engine of each of two failure domains, and the plain service of another.
+# One engine in each of two failure domains, and one plain endpoint in the
+# third.
 inject_fault 1 busy -1
 inject_fault 5 busy -1
 inject_fault 9 busy -1
 sleep 8
 got=$(max_requests_during_backoff)
 asked=$(grep -c 'busy$' "$RECORD")
-echo "$asked turned away, $got requests of a VM in a time to wait"
-[ "$asked" -gt 0 ] || fail "nothing was turned away"
-[ "$got" -le $ALLOWED ] || fail "$got came, $ALLOWED are allowed"
-[ ! -s "$DIR/unserved" ] || fail "unserved: $(sort "$DIR/unserved" | uniq -c | tr '\n' ' ')"
+echo "$asked rejected, at most $got requests of a VM during one Retry-After"
+[ "$asked" -gt 0 ] || fail "no request was rejected"
+[ "$got" -le $ALLOWED ] || fail "$got requests during one Retry-After, $ALLOWED allowed"
+[ ! -s "$DIR/unserved" ] || fail "requests failed: $(sort "$DIR/unserved" | uniq -c | tr '\n' ' ')"
--- a/test/test_system_config.sh
+++ b/test/test_system_config.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# Configuration over the real binary: operators race under equal numbers, send
-# again after answers are lost, change hundreds of times while a replica is
-# away, and lose VMs; no accepted version reverts.
+# Configuration changes on the real binary: concurrent changes that expect the
+# same version, resends after lost responses, 150 changes while a replica is
+# down, a suspended VM, lost VMs and a lost majority.  No accepted version may
+# revert.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
@@ -13,7 +14,7 @@
 	echo "--entry $(vm_address "$1" 1):$HTTP_PORT"
 }
 
-# A text that differs from any other: edition N FILE
+# Write a configuration that is unique to N: config_variant N FILE
 config_variant() {
 	sed "s/\"weight_store_mb_per_s\": [0-9]*/\"weight_store_mb_per_s\": $1/" \
 		"$DIR/config.json" >"$2"
@@ -29,11 +30,11 @@
 	[ "$(version "$1")" = "$2" ]
 }
 
-# The deployment may have needed more than one try for its first version.
+# The deployment may have needed several attempts for its first version.
 base=$(($(version 1) - 1))
 [ "$base" -ge 0 ] || fail "no version at VM 1"
 
-# Three operators at three entries, each from the same version: one wins.
+# Three operators at three entries change the same version: one succeeds.
 for round in 1 2 3 4 5 6 7 8; do
 	for d in 1 2 3; do
 		wait_for 5 "version $((base + round)) at VM $d" \
@@ -59,10 +60,11 @@
 	done
 	[ "$won $lost" = "1 2" ] || fail "round $round: $won won, $lost lost"
 	grep -q "by operator-.* is in force" "$DIR"/race.*.out ||
-		fail "the losers are not told who won"
+		fail "the conflict does not name the accepted change"
 done
 
-# The client dies with the answer; the same id again, elsewhere, counts once.
+# The client is killed before its response; resending the change id through
+# other entries makes only one version.
 for n in 1 2 3 4 5; do
 	config_variant "2$n" "$DIR/again"
 	# shellcheck disable=SC2046
@@ -85,11 +87,11 @@
 	# shellcheck disable=SC2046
 	"$DL_BIN" apply $(entry 3) --change-id "again-$n" "$DIR/other" \
 		>/dev/null 2>&1
-	[ $? -eq 3 ] || fail "another text was taken under again-$n"
+	[ $? -eq 3 ] || fail "another configuration was accepted under change id again-$n"
 done
 
-# Operators who leave before their answer, which waits for a paused VM, do no
-# harm to the entry that they asked.
+# Operators that disconnect before the response, which waits for a suspended VM,
+# must not crash the entry.
 kill -STOP "$(pid_of entry_3_1)"
 n=0
 while [ $n -lt 5 ]; do
@@ -97,14 +99,14 @@
 	$DL_HTTP -t 200 "$(vm_address 1 1):$HTTP_PORT" /v1/status >/dev/null 2>&1
 	sleep 0.6
 	$DL_HTTP -t 1000 "$(vm_address 1 1):$HTTP_PORT" /healthz >/dev/null ||
-		fail "the entry is gone after $n operators left early"
+		fail "the entry does not respond after $n early disconnects"
 done
 kill -CONT "$(pid_of entry_3_1)"
 for d in 1 2 3; do
 	wait_for 10 "status at VM $d" entry_ready $d 1 || exit 1
 done
 
-# A VM that is paused is named by --wait, and has the version once it is back.
+# --wait names a suspended VM, which gets the version once it resumes.
 before=$(version 1)
 kill -STOP "$(pid_of entry_3_1)"
 config_variant 399 "$DIR/paused"
@@ -119,7 +121,7 @@
 wait_for 5 "the version at the VM that was paused" \
 	at_version 3 $((before + 1)) || exit 1
 
-# A replica is away for 150 changes and catches up.
+# A replica is down for 150 changes and catches up.
 kill -KILL "$(pid_of replica_3_1)"
 n=0
 while [ $n -lt 150 ]; do
@@ -138,7 +140,7 @@
 }
 wait_for 15 "the replica to catch up" replica_caught_up || exit 1
 
-# The leader's VM is lost with its entry: the next entry is asked.
+# The leader's VM is lost with its entry: the client tries the next entry.
 kill -KILL "$(pid_of replica_1_1)" "$(pid_of entry_1_1)"
 config_variant 500 "$DIR/after"
 # shellcheck disable=SC2046
@@ -147,7 +149,7 @@
 	fail "after the leader's VM was lost: $(cat "$DIR/after.out")"
 wait_for 5 "the new version at VM 3" at_version 3 $((before + 1)) || exit 1
 
-# All restart at once: the version stays.
+# All processes restart at once: the version is kept.
 for p in replica_2_1 replica_3_1 entry_2_1 entry_3_1; do
 	kill -KILL "$(pid_of $p)"
 done
@@ -160,7 +162,7 @@
 		at_version $d $((before + 1)) || exit 1
 done
 
-# Without a majority nothing is accepted, and what is in force stays.
+# Without a majority no change is accepted and the version in force stays.
 kill -KILL "$(pid_of replica_2_1)" "$(pid_of replica_3_1)"
 config_variant 600 "$DIR/none"
 # shellcheck disable=SC2046
@@ -169,4 +171,4 @@
 [ $got -eq 4 ] || fail "without a majority: $got, $(cat "$DIR/none.out")"
 # shellcheck disable=SC2046
 "$DL_BIN" get $(entry 3) | cmp -s - "$DIR/after" ||
-	fail "what was in force is not there"
+	fail "the configuration in force was lost"
--- a/test/test_system_config_burst.sh
+++ b/test/test_system_config_burst.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Changes of a large configuration in quick succession: the last one is in force
-# everywhere within two seconds, and VMs need not read each of those before it.
+# Changes of a large configuration in quick succession: the last one takes
+# effect on all VMs within two seconds, and VMs need not parse each earlier one.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 test_begin dala
@@ -9,7 +9,7 @@
 start_all
 configure_all '"key-one"'
 
-# Five hundred more routes, each for a host of its own.
+# 500 more routes, each for a different host.
 routes=$(seq 1 500 | while read -r i; do
 	printf '{"name":"r%s","host":"%s.example","path_prefix":"/%s/","kind":"idempotent","timeout_ms":2000,"target_latency_ms":100,"priority":1,"service":"desk","attempts":2,"public":true},' \
 		"$i" "$(printf %s "$i" | md5sum | cut -c1-12)" "$i"
@@ -29,19 +29,20 @@
 		$DL_HTTP -t 3000 -X POST -d "$(cat "$DIR/large.$n")" \
 			"$(control_address 1)" /-/Config.Put >/dev/null 2>&1 ||
 			put_config "$(cat "$DIR/large.$n")" ||
-			fail "change $n is not taken"
+			fail "change $n is not accepted"
 		n=$((n + 1))
 	done
 }
-count_versions_in_force() { # how many versions entry $1 has put in force
+count_versions_in_force() { # D
 	grep -c 'Configuration in force' "$DIR/entry-$1.log"
 }
 latest_version_is() { # D VERSION
 	grep 'Configuration in force' "$DIR/entry-$1.log" | tail -1 |
 		grep -q "version=$2 "
 }
-# Whether a VM read only after a rest of three times as long as it had read the
-# one before, or once a version had waited 300 ms; 2 ms for rounding.
+# Whether a VM parsed each version only after a pause of three times the parse
+# time of the one before, or once the version had waited 300 ms; 2 ms allow for
+# rounding.
 check_read_intervals() { # D
 	grep 'Configuration in force' "$DIR/entry-$1.log" |
 		sed 's/.*waited_ms=\([0-9]*\) rested_ms=\([-0-9]*\) read_ms=\([0-9]*\).*/\1 \2 \3/' |
@@ -53,24 +54,24 @@
 took=$(($(wall_ms) - begun))
 for d in 1 2 3; do
 	wait_for 2 "the last change" $DL_HTTP -t 1000 -H 'Host: x.example' \
-		-e 404 "$(entry_address $d)" /x/ >/dev/null || fail "entry $d is gone"
+		-e 404 "$(entry_address $d)" /x/ >/dev/null || fail "entry $d does not respond"
 	wait_for 2 "version 11 in force" latest_version_is $d 11 ||
 		fail "the last change is not in force at entry $d"
-	check_read_intervals $d || fail "entry $d reads without a rest"
-	# Changes that come more slowly may each be read after a rest.
+	check_read_intervals $d || fail "entry $d parses without a pause"
+	# Slower changes may each be parsed after a pause.
 	[ $took -ge 1000 ] || [ "$(count_versions_in_force $d)" -le 8 ] ||
-		fail "entry $d read each of the changes"
+		fail "entry $d parsed each of the changes"
 done
-echo "versions read: $(count_versions_in_force 1) $(count_versions_in_force 2) $(count_versions_in_force 3), in $took ms"
+echo "versions parsed: $(count_versions_in_force 1) $(count_versions_in_force 2) $(count_versions_in_force 3), in $took ms"
 
-# Of ten that came while a VM stood still the first and the last are read, and
-# one that came between them.
+# Of ten changes made while a VM is suspended, it may parse the first, the last
+# and one in between.
 before=$(count_versions_in_force 3)
 kill -STOP "$(pid_of entry_3)"
 apply_changes 16 25
 kill -CONT "$(pid_of entry_3)"
 wait_for 4 "version 21 in force" latest_version_is 3 21 ||
-	fail "the last change is not in force where a VM stood still"
+	fail "the last change is not in force at the VM that was suspended"
 read_since=$(($(count_versions_in_force 3) - before))
-echo "versions read after standing still: $read_since"
-[ $read_since -le 3 ] || fail "entry 3 read $read_since of ten that it missed"
+echo "versions parsed after the suspension: $read_since"
+[ $read_since -le 3 ] || fail "entry 3 parsed $read_since of the ten changes that it missed"
--- a/test/test_system_crashing_completion.sh
+++ b/test/test_system_crashing_completion.sh
@@ -1,11 +1,11 @@
 #!/bin/sh
-# A completion under which each engine crashes, repeated at every VM, in the
-# product's own API.
+# A completion that crashes every engine that runs it, resent through every VM,
+# in the native API.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
 DL_RUNNERS=9
-STABLE_S=3 # by when each VM knows
+STABLE_S=3 # until every VM has learned of the crashes
 test_begin dala
 deploy_start || fail "the deployment does not start"
 
@@ -35,11 +35,11 @@
 	sleep 0.3
 done
 before=$(count_ended)
-[ "$before" -ge 3 ] || fail "$before engines ended, the request did not run"
-[ "$before" -le 4 ] || fail "$before engines ended at one VM"
+[ "$before" -ge 3 ] || fail "$before engines crashed, expected at least 3"
+[ "$before" -le 4 ] || fail "$before engines crashed, expected at most 4"
 sleep $STABLE_S
 for d in 1 2 3 1 2 3; do
 	complete $d crash -e 503 | grep -q '"quarantined"' ||
-		fail "VM $d does not say that it holds the request back"
+		fail "VM $d does not refuse the request as quarantined"
 done
-[ "$(count_ended)" -eq "$before" ] || fail "$(count_ended) engines ended, not $before"
+[ "$(count_ended)" -eq "$before" ] || fail "$(count_ended) engines crashed, expected $before"
--- a/test/test_system_crashing_request.sh
+++ b/test/test_system_crashing_request.sh
@@ -1,21 +1,21 @@
 #!/bin/sh
-# A request that crashes each endpoint that runs it, repeated at every VM.
+# A request that crashes every endpoint that runs it, resent through every VM.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 ALLOW_CUT=1
 test_begin dala
 . test/platform_deploy.sh
 
-CRASHES=3      # endpoints that may end before it is known
-RUNS_ALLOWED_AFTER=3   # runs after that which the rule allows
-STABLE_S=3     # by when each VM knows
-REACHABLE_VMS=3      # VMs that callers reach
+CRASHES=3             # crashes until the request is quarantined
+RUNS_ALLOWED_AFTER=3  # later executions that are allowed
+STABLE_S=3            # until every VM has learned of the crashes
+REACHABLE_VMS=3       # VMs that get requests
 
 count_runs() { # PATH
 	grep -c " $1 " "$RECORD"
 }
 
-# Send one request at each VM in turn.
+# Send a request repeatedly, through the VMs in turn.
 send_to_vms_in_turn() { # TIMES PATH [OPTION...]
 	times=$1 path=$2
 	shift 2
@@ -30,7 +30,7 @@
 	done
 }
 
-# A kind of request, through its first ends and after them.
+# Check one kind of request up to its quarantine and after it.
 check_crashing_request() { # PATH [OPTION...]
 	path=$1
 	send_to_vms_in_turn 6 "$@"
@@ -41,7 +41,7 @@
 	send_to_vms_in_turn 12 "$@"
 	after=$(($(count_runs "$path") - before))
 	[ $after -le $RUNS_ALLOWED_AFTER ] ||
-		fail "$path ran $after times more after it was known"
+		fail "$path ran $after more times after its quarantine"
 }
 
 start_all
@@ -60,7 +60,8 @@
 check_crashing_request /book/crash -H "$KEY"
 check_crashing_request /look/crash
 
-# A VM refuses what it has not seen itself: D PATH
+# A VM refuses a request whose crashes it has not seen itself:
+# check_refused D PATH
 check_refused() {
 	d=$1 path=$2
 	sleep $STABLE_S
@@ -72,10 +73,10 @@
 			-e 503 "$(entry_address "$d")" "$path" >/dev/null ||
 			fail "VM $d does not refuse $path"
 	done
-	[ "$(count_runs "$path")" -eq "$before" ] || fail "VM $d sent $path on"
+	[ "$(count_runs "$path")" -eq "$before" ] || fail "VM $d forwarded $path"
 }
 
-# A VM that has just started, and one whose replicas all have.
+# A VM that has just restarted, and one that has restarted with all replicas.
 kill -KILL "$(pid_of entry_3)"
 sleep 0.5
 start_process entry 3
@@ -93,7 +94,8 @@
 wait_for 10 "entry 1" entry_is_ready 1 || fail "entry 1 is not ready"
 check_refused 1 /chat/crash
 
-# A VM that was cut off while it crashed endpoints of the others.
+# A VM that was partitioned while the request crashed endpoints through the
+# others.
 isolate_vm_3
 sleep 3
 REACHABLE_VMS=2
@@ -103,7 +105,7 @@
 wait_for 10 "entry 3" entry_is_ready 3 || fail "entry 3 is not ready after the cut"
 check_refused 3 /look/crash/cut
 
-# All processes at once.
+# All processes restart at once.
 for d in 1 2 3; do
 	kill -KILL "$(pid_of entry_$d)" "$(pid_of replica_$d)"
 done
@@ -117,7 +119,7 @@
 done
 check_refused 2 /chat/crash
 
-# All others are served as before.
+# Other requests are served as before.
 for d in 1 2 3; do
 	chat $d "last$d" >"$DIR/last" && stream_is_complete "$DIR/last" ||
 		fail "another stream is not served"
--- a/test/test_system_drain_queue.sh
+++ b/test/test_system_drain_queue.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Operators' drain of a VM that dispatches, with more streams through it than
-# the runners of its failure domain take at once: those that wait there end
-# whole too, since runners are free long before their deadline.
+# Drain of a VM that dispatches, with more streams through it than the runners
+# of its failure domain execute concurrently.  The queued streams must complete
+# too, since runners become free long before their deadline.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=2
@@ -23,9 +23,9 @@
 	"$DIR/config.json" >"$DIR/drain.json"
 "$DL_BIN" apply "$DIR/drain.json" --wait --timeout 10 --entry "$ASK" \
 	>"$DIR/drain.log" 2>&1 || fail "drain: $(cat "$DIR/drain.log")"
-$DL_HTTP -e 503 "$VM" /readyz >/dev/null || fail "the VM says it is ready"
+$DL_HTTP -e 503 "$VM" /readyz >/dev/null || fail "the VM reports ready"
 kill -0 "$(pid_of streams)" || fail "no stream was in flight at the drain"
 wait "$(pid_of streams)" || {
 	awk '{ print $6, $7, $11 }' "$DIR/streams" | sort | uniq -c >&2
-	fail "not every stream was done: $(tail -1 "$DIR/streams.faults")"
+	fail "a stream did not complete: $(tail -1 "$DIR/streams.faults")"
 }
--- a/test/test_system_end_to_end.sh
+++ b/test/test_system_end_to_end.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The whole path over the real binary: three VMs, three replicas, endpoints,
-# load of every class; then all processes stop by SIGTERM with status 0.
+# End-to-end run of the real binary: three VMs, three replicas, endpoints, and a
+# load of every class; then all processes exit with status 0 on SIGTERM.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
@@ -8,7 +8,7 @@
 test_begin dala
 deploy_start || fail "the deployment does not start"
 
-run_load --seconds 4 --done-min 800 || fail "a check of the load is broken"
+run_load --seconds 4 --done-min 800 || fail "a check of the load failed"
 
 for d in 1 2 3; do
 	kill -TERM "$(pid_of entry_${d}_1)"
--- a/test/test_system_endpoint_limit.sh
+++ b/test/test_system_endpoint_limit.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Endpoints that name a limit on the requests from all VMs together, while the
-# VM that dispatches is killed and comes back, and while a VM is cut off.
+# Endpoints that announce a limit on their total request rate, over all VMs,
+# while the dispatcher is killed and restarted, and while a VM is partitioned.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 ALLOW_CUT=1
@@ -8,11 +8,12 @@
 test_begin dala
 . test/platform_deploy.sh
 
-STABLE_MS=3000 # by when each VM knows of a limit
-WINDOW_MS=4000 # in which requests are counted
+STABLE_MS=3000 # until every VM has learned of a limit
+WINDOW_MS=4000 # window over which requests are counted
 
-# The most requests of a start from some VMs in any window, from STABLE_MS after
-# its first.  Attempts are named by the VM that they were sent to.
+# The most requests of an instance from the given VMs in any window that begins
+# at least STABLE_MS after its first request.  An attempt id contains the number
+# of the VM that received the request.
 max_in_window() { # INSTANCE VMS
 	grep " $1 [cbel][$2]x" "$DIR/arrivals" | sort -n | awk -v w=$WINDOW_MS \
 		-v stable=$STABLE_MS '
@@ -31,14 +32,14 @@
 		}'
 }
 
-# Half as much again as the limit allows, and five.
+# Allows 1.5 times the limit, plus five requests.
 check_limit() { # INSTANCE LIMIT VMS
 	allowed=$((3 * $2 * WINDOW_MS / 2000 + 5))
 	got=$(max_in_window "$1" "$3")
-	echo "$1: $got requests of VMs $3 in $WINDOW_MS ms, $allowed are allowed"
-	[ "$got" -le $allowed ] || fail "$1 got $got, allowed $allowed"
+	echo "$1: $got requests of VMs $3 in $WINDOW_MS ms, $allowed allowed"
+	[ "$got" -le $allowed ] || fail "$1 got $got requests, $allowed allowed"
 	[ "$(grep -c " $1 " "$DIR/arrivals")" -ge 5 ] ||
-		fail "$1 got next to nothing"
+		fail "$1 got fewer than 5 requests"
 }
 
 start_all
@@ -63,8 +64,7 @@
 	check_limit $i 2 123
 done
 
-# A VM that is cut off has a dispatcher of its own; the others keep the limit,
-# and so does it.
+# A partitioned VM has its own dispatcher; each side must keep the limit.
 : >"$DIR/arrivals"
 isolate_vm_3
 sleep 9
--- a/test/test_system_failure_domains.sh
+++ b/test/test_system_failure_domains.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Three failure domains of one region, over the real binary: a request stays in
-# the failure domain of its VM, and is served by the others where that has no
+# Three failure domains in one region, on the real binary: a request is served
+# in the failure domain of its VM, and by the others only if that domain has no
 # endpoint.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
@@ -10,7 +10,7 @@
 
 start_all
 configure_all '"key-one"'
-# After the change: a dispatcher has no pool for an endpoint's words before.
+# After the configuration: before it, dispatchers have no pool for an endpoint.
 for d in 1 2 3; do
 	start_platform_endpoint "w$d" $d --zone "place-$d" --service writer
 	start_platform_endpoint "d$d" $((d + 3)) --zone "place-$d" --service desk --plain
@@ -22,7 +22,7 @@
 	done
 done
 
-# Streams and plain calls stay at home.
+# Streams and plain calls stay in their failure domain.
 for n in 1 2 3 4 5 6; do
 	for d in 1 2 3; do
 		chat $d "stream-$d-$n" >"$DIR/stream" && stream_is_complete "$DIR/stream" ||
@@ -38,24 +38,24 @@
 		fail "a call left the failure domain of its VM"
 done
 grep 'A request ended' "$DIR"/entry-?.log | grep -q 'away=[1-9]' &&
-	fail "the line of a request says that it left its failure domain"
+	fail "a request is logged as served outside its failure domain"
 
 # A failure domain without endpoints is served by the others.
 retire runner_w3
 retire runner_d3
 for d in 1 2 3; do
 	for name in w3 d3; do
-		wait_for 3 "its leaving" grep -q "leaves.*instance=$name " \
-			"$DIR/entry-$d.log" || fail "a leaving is not known"
+		wait_for 3 "the leaving of $name" grep -q "leaves.*instance=$name " \
+			"$DIR/entry-$d.log" || fail "VM $d does not know that $name is leaving"
 	done
 done
 for n in 1 2 3; do
 	chat 3 "away-$n" >"$DIR/stream" && stream_is_complete "$DIR/stream" ||
-		fail "a stream without an endpoint at home is not served"
+		fail "a stream without an endpoint in its failure domain is not served"
 	book 3 "away-call-$n" 200 -H "$KEY" >/dev/null ||
-		fail "a call without an endpoint at home is not served"
+		fail "a call without an endpoint in its failure domain is not served"
 done
 [ "$(grep -c '^w[12] away-' "$RECORD")" = 3 ] ||
-	fail "a stream ran somewhere else"
+	fail "a stream did not run in another failure domain"
 grep 'attempt=away-1 ' "$DIR/entry-3.log" | grep -q 'away=1' ||
-	fail "the line of a request does not say that it left"
+	fail "a request is not logged as served outside its failure domain"
--- a/test/test_system_keys.sh
+++ b/test/test_system_keys.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Idempotency keys: resends through other VMs, one after the other, at once,
-# and after a VM is lost, run a confirmation at most once and get its answer.
+# Idempotency keys: resends through other VMs, sequential, concurrent and after
+# the loss of a VM, run a confirmation at most once and return its response.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
@@ -41,7 +41,7 @@
 		fail "key-b$n began $(count_executions key-b$n) times"
 done
 
-other=$(confirm 2 key-a "seat 5") && fail "another body got an answer: $other"
+other=$(confirm 2 key-a "seat 5") && fail "another body under key-a got a response: $other"
 [ "$(count_executions key-a)" -eq 1 ] || fail "another body ran under key-a"
 
 first=$(confirm 1 key-c "seat 9") || fail "key-c: $first"
@@ -49,11 +49,11 @@
 again_c() {
 	[ "$(confirm 2 key-c "seat 9")" = "$first" ]
 }
-wait_for 10 "the first answer after a failover" again_c ||
+wait_for 10 "the first response after a failover" again_c ||
 	fail "after a VM was lost: $(confirm 2 key-c "seat 9")"
 [ "$(count_executions key-c)" -eq 1 ] || fail "key-c began $(count_executions key-c) times"
 
-# Without a majority of replicas nothing is claimed, so nothing may run.
+# Without a majority of replicas no key can be claimed, so no request may run.
 kill -KILL "$(pid_of replica_2_1)"
-refused=$(confirm 3 key-d "seat 7") && fail "ran without a quorum: $refused"
+refused=$(confirm 3 key-d "seat 7") && fail "key-d got a response without a quorum: $refused"
 [ "$(count_executions key-d)" -eq 0 ] || fail "key-d ran without a quorum"
--- a/test/test_system_leaving_answers.sh
+++ b/test/test_system_leaving_answers.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Endpoints that say in their answers alone that they leave: their announcements
-# go on as if they stayed.
+# Endpoints that announce only in their responses that they are leaving, while
+# their heartbeats do not say so.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 ALLOW_CUT=1
@@ -10,8 +10,8 @@
 
 DRAIN_MS=2000
 
-# The most requests of one VM that came to one endpoint later than DRAIN_MS after
-# it had told that VM that it leaves.
+# The most requests of one VM that reached an endpoint later than DRAIN_MS after
+# it had told that VM that it is leaving.
 max_requests_after_leaving() {
 	sort -n "$DIR/arrivals" | awk -v drain=$DRAIN_MS '
 		{ who = $2 " " substr($3, 2, 1) }
@@ -25,9 +25,9 @@
 check_leaving() { # WHEN
 	got=$(max_requests_after_leaving)
 	told=$(grep -c ' leaving$' "$DIR/arrivals")
-	echo "$1: $told told, $got requests of a VM after $DRAIN_MS ms"
-	[ "$told" -gt 0 ] || fail "$1: nobody was told"
-	[ "$got" -eq 0 ] || fail "$1: $got requests came to one that leaves"
+	echo "$1: $told leaving responses, at most $got requests of a VM after $DRAIN_MS ms"
+	[ "$told" -gt 0 ] || fail "$1: no response said that its endpoint is leaving"
+	[ "$got" -eq 0 ] || fail "$1: $got requests reached a leaving endpoint"
 }
 
 signal_leaving() { # NAME...
@@ -44,13 +44,13 @@
 : >"$DIR/unserved"
 signal_leaving w1 d1
 sleep 5
-check_leaving "in touch"
-check_all_served "in touch"
+check_leaving "all VMs connected"
+check_all_served "all VMs connected"
 
-# A VM that is cut off learns it from the answers that it gets itself.
+# A partitioned VM learns it from the responses that it receives itself.
 isolate_vm_3
 sleep 2
 signal_leaving w2 d2
 sleep 6
 reconnect_vm_3
-check_leaving "a VM is cut off"
+check_leaving "a VM is partitioned"
--- a/test/test_system_no_quorum.sh
+++ b/test/test_system_no_quorum.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Operators whose changes find no quorum, and who leave before the answer: the
-# entry outlives them, and what it answers later is nobody else's.
+# Operators whose changes find no quorum and who disconnect before the response:
+# the entry must not crash, and a late response must not reach another caller.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
@@ -9,9 +9,11 @@
 deploy_start || fail "the deployment does not start"
 kill -KILL "$(pid_of replica_1_1)" "$(pid_of replica_2_1)"
 
-# Changes whose operators leave; the entry gives each up some seconds later.
+# Changes whose operators disconnect; the entry abandons each some seconds
+# later.
 ENTRY=$(vm_address 1 1):$HTTP_PORT
-# Written once: one that is written again while a change reads it is empty.
+# Written only once: a change that reads the file while it is rewritten finds it
+# empty.
 sed "s/\"log_level\": \"info\"/\"log_level\": \"warn\"/" \
 	"$DIR/config.json" >"$DIR/config-2.json"
 n=0
@@ -25,22 +27,22 @@
 	n=$((n + 1))
 done
 
-# Calls of others go on meanwhile, each with its own answer.
-run_load --seconds 10 --done-min 500 || fail "a check of the load is broken"
+# Other callers are served meanwhile, each with its own response.
+run_load --seconds 10 --done-min 500 || fail "a check of the load failed"
 for n in 0 5 11; do
 	wait "$(pid_of apply_$n)"
-	[ $? -eq 4 ] || fail "apply without a quorum did not end with 4"
+	[ $? -eq 4 ] || fail "apply without a quorum did not exit with status 4"
 done
 for d in 1 2 3; do
 	kill -0 "$(pid_of entry_${d}_1)" || fail "an entry has died"
 done
 
-# The log comes back: nothing that was given up took a version by itself
-# twice, and a change goes through.
+# The quorum returns: no abandoned change made a version twice, and a new change
+# is accepted.
 start_replica 1
 start_replica 2
 wait_for 20 "the quorum" "$DL_BIN" apply "$DIR/config.json" --change-id last \
-	--timeout 5 --entry "$ENTRY" || fail "no change goes through any more"
+	--timeout 5 --entry "$ENTRY" || fail "no change is accepted with the quorum back"
 for d in 1 2 3; do
 	kill -TERM "$(pid_of entry_${d}_1)"
 	expect_exit 10 entry_${d}_1 0 || fail "an entry does not stop"
--- a/test/test_system_random.sh
+++ b/test/test_system_random.sh
@@ -1,9 +1,10 @@
 #!/bin/sh
-# A seeded run of faults over the real binary: runners and VMs killed, frozen,
-# drained and struck by faults, alone and together, under load of all classes.
+# Seeded random faults on the real binary: runners and VMs are killed, suspended
+# and drained, and runners get injected faults, singly and at once, under a load
+# of all classes.
 #
-#   DL_RANDOM_SEED, DL_RANDOM_SECONDS   for long runs by hand
-#   DL_RANDOM_RATE                      times the rates of the classes
+#   DL_RANDOM_SEED, DL_RANDOM_SECONDS   for long manual runs
+#   DL_RANDOM_RATE                      multiplies the rates of the classes
 #   DL_FIGURES=1                        print figures for the benchmark
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
@@ -15,10 +16,11 @@
 set_gap_timeout 800
 deploy_start || fail "the deployment does not start"
 
-# The VMs that may be taken away; callers of the others must notice nothing.
+# The VMs that may be killed or suspended; callers of other VMs must see no
+# failure.
 FAULTY_VMS="2_1 1_2 3_2"
 
-# One line a fault: after so many seconds, what, and whom.
+# Print the faults, one per line: delay in seconds, fault, target.
 print_plan() {
 	awk -v seed="$SEED" -v total="$DURATION" -v runners="$RUNNERS" \
 		-v faulty_vms="$FAULTY_VMS" 'BEGIN {
@@ -107,5 +109,5 @@
 echo "seed $SEED: $injected faults, $violations violations"
 [ $status -eq 0 ] || {
 	cat "$DIR/injected_faults" "$DIR/faults" >&2
-	fail "seed $SEED breaks a promise"
+	fail "seed $SEED violates a guarantee"
 }
--- a/test/test_system_ready_answer.sh
+++ b/test/test_system_ready_answer.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# An answer that is there when a VM goes on after standing still past the
-# deadline is given to its caller, not replaced by an error.
+# A VM is suspended past a request's deadline.  A response that is ready when it
+# resumes must be delivered to the caller, not replaced by an error.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
@@ -8,7 +8,7 @@
 test_begin dala
 deploy_start || fail "the deployment does not start"
 
-# A plain call takes 300 ms there.
+# Plain endpoints that take 300 ms for a call.
 for i in 4 5 6; do
 	kill -KILL "$(pid_of endpoint_$i)"
 	start_plain $i --service-ms 300
--- a/test/test_system_relay.sh
+++ b/test/test_system_relay.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The link to one runner goes silent for the connections that are open, then
-# for all, then is cut and slow, under load.
+# The link to one runner stalls, first for the open connections and then for
+# all, is then reset, and is then slow, under load.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
@@ -12,7 +12,7 @@
 
 relay() { # COMMAND
 	$DL_HTTP -X POST -d "$1" $RELAY:9001 /relay >/dev/null ||
-		fail "the relay takes no command"
+		fail "the relay rejected a command"
 }
 
 test/tool_relay --listen $RELAY:9000 --control $RELAY:9001 \
@@ -37,4 +37,4 @@
 	relay '{"delay_ms":0,"cut":true}'
 ) &
 record_pid inject_faults $!
-run_load --seconds 6 --done-min 700 || fail "a check of the load is broken"
+run_load --seconds 6 --done-min 700 || fail "a check of the load failed"
--- a/test/test_system_replace.sh
+++ b/test/test_system_replace.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Half of a pool of ten engines is replaced, one after the other, by engines that
-# leave without announcing it before and serve on.  No stream is refused, none
-# reaches one that left, and no engine that left is granted 0.2 s after a VM of
-# the domain has heard of it.
+# Half of a pool of ten engines is replaced, one at a time.  The replaced
+# engines leave without advance notice and keep serving.  No stream may be
+# refused or reach an engine that left, and no such engine may be granted 0.2 s
+# after the VMs have learned that it is leaving.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 test_begin dala
@@ -12,8 +12,8 @@
 for n in 0 1 2 3 4 5 6 7 8 9; do
 	start_platform_endpoint "old-$n" 1$n --service writer --abrupt
 done
-wait_for 10 "the first change" put_config "$(config 5 5000 '"key-one"')" ||
-	fail "the first change is not taken"
+wait_for 10 "the first configuration" put_config "$(config 5 5000 '"key-one"')" ||
+	fail "the first configuration is not accepted"
 for d in 1 2 3; do
 	for n in 0 1 2 3 4 5 6 7 8 9; do
 		wait_for 10 "engine $n" grep -q "instance=old-$n" \
@@ -24,8 +24,8 @@
 wait_for 5 "a first stream" chat 1 first >/dev/null ||
 	fail "no stream is served"
 
-# Streams at all three entries: that the dispatcher is another VM than the
-# entry is then true of two of them at least.
+# Streams through all three entries, so that for at least two of them the
+# dispatcher is another VM.
 run_streams() { # NAME N
 	for k in 1 2 3 4 5 6; do
 		chat $((k % 3 + 1)) "$1-$k" >"$DIR/stream.$1-$k" &
@@ -33,7 +33,7 @@
 	done
 	for k in 1 2 3 4 5 6; do
 		wait "$(pid_of "chat_$2_$k")" || fail "stream $1-$k is refused"
-		stream_is_complete "$DIR/stream.$1-$k" || fail "stream $1-$k is not whole"
+		stream_is_complete "$DIR/stream.$1-$k" || fail "stream $1-$k is not complete"
 	done
 }
 
@@ -41,9 +41,9 @@
 	start_platform_endpoint "new-$n" 2$n --service writer --abrupt
 	kill -USR1 "$(pid_of "runner_old_$n")"
 	for d in 1 2 3; do
-		wait_for 3 "its leaving" grep -q "leaves.*instance=old-$n" \
+		wait_for 3 "the leaving of engine $n" grep -q "leaves.*instance=old-$n" \
 			"$DIR/entry-$d.log" ||
-			fail "that engine $n leaves is not known"
+			fail "VM $d does not know that engine $n is leaving"
 	done
 	sleep 0.2
 	run_streams "after-$n" "$n"
@@ -53,7 +53,7 @@
 			fail "an engine that left got a stream"
 	done
 done
-wait_for 3 "every stream's line" sh -c \
+wait_for 3 "the log line of every stream" sh -c \
 	"[ \$(cat '$DIR'/entry-*.log | grep -c attempt=after-) = 30 ]" ||
 	fail "not every stream was logged"
 grep -h "attempt=after-" "$DIR"/entry-*.log |
--- a/test/test_system_runner_faults.sh
+++ b/test/test_system_runner_faults.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Runners that die before the first token and midstream, go silent, answer
-# not-run, garble, fail, and freeze, under load.
+# Runners that crash before the first token and midstream, stall, respond with
+# not-run, send malformed streams, return errors, report a false load, and are
+# suspended, under load.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
@@ -34,4 +35,4 @@
 ) &
 record_pid pause_runner $!
 run_load --seed 3 --seconds 2.5 --done-min 700 ||
-	fail "round 3: error, false load, a frozen runner"
+	fail "round 3: error, false load, a suspended runner"
--- a/test/test_system_stop_again.sh
+++ b/test/test_system_stop_again.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# A VM that is told to stop again and again cuts none of its streams.
+# A VM that gets SIGTERM repeatedly drops none of its streams.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
@@ -7,7 +7,7 @@
 test_begin dala
 deploy_start || fail "the deployment does not start"
 
-# 220 streams of 2.5 s each begin within a second; some wait for the others.
+# 220 streams of 2.5 s each begin within a second; some of them are queued.
 test/tool_load --entries "$(vm_address 1 1):$HTTP_PORT" \
 	--classes test/data/load-streams.json --seconds 1 --seed 7 \
 	--out "$DIR/streams" --quiet --done-min 1000 2>"$DIR/streams.faults" &
@@ -21,6 +21,6 @@
 status=$?
 awk '{ n[$6 " " $7 " " $8]++ } END { for (k in n) print n[k], k }' \
 	"$DIR/streams" | sort -rn | head -3
-[ $status -eq 0 ] || fail "not every stream was done"
+[ $status -eq 0 ] || fail "a stream did not complete"
 expect_exit 20 entry_1_1 0 || fail "the VM does not stop"
 expect_exit 5 replica_1_1 0 || fail "the replica does not stop"
--- a/test/test_system_stop_alone.sh
+++ b/test/test_system_stop_alone.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# The only VM of its failure domain stops, while the endpoints there announce
-# themselves to VMs of other domains: what waits at it is served all the same.
+# The only VM of a failure domain stops, while the endpoints of that domain
+# announce themselves to VMs of other domains: requests queued at it must still
+# be served.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=1
@@ -19,5 +20,5 @@
 status=$?
 awk '{ n[$6 " " $7 " " $8]++ } END { for (k in n) print n[k], k }' \
 	"$DIR/streams" | sort -rn | head -3
-[ $status -eq 0 ] || fail "not every stream was done"
+[ $status -eq 0 ] || fail "a stream did not complete"
 expect_exit 20 entry_1_1 0 || fail "the VM does not stop"
--- a/test/test_system_vm_faults.sh
+++ b/test/test_system_vm_faults.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# VMs under load: one is killed with its replica, another is frozen for some
-# seconds.  Their own callers are cut; nobody else may notice.
+# VM faults under load: one VM is killed with its replica, another is suspended
+# for 3 s.  Their own callers are disconnected; no other caller may see a
+# failure.
 cd "$(dirname "$0")/.." || exit 2
 . test/deploy.sh
 VMS_EACH=2
@@ -21,10 +22,10 @@
 ) &
 record_pid inject_faults $!
 run_load --seconds 6 --done-min 700 ||
-	fail "a check of the load is broken"
+	fail "a check of the load failed"
 
 start_replica 2
 start_entry 2 1
-wait_for 10 "all VMs" for_each_vm entry_ready || fail "a VM stays away"
+wait_for 10 "all VMs" for_each_vm entry_ready || fail "a VM does not become ready after the faults"
 wait_for 10 "service at all VMs" for_each_vm entry_serves_model ||
 	fail "a VM does not serve after its restart"
