--- a/src/main/replica_orders.c
+++ b/src/main/replica_orders.c
@@ -124,7 +124,7 @@
 		 order->fence, order->model.s, order->version.s, order->role.s);
 	req.body = dl_str_of(c->body);
 	req.connect_ms = CONNECT_MS;
-	/* The time address connect counts towards the order's deadline. */
+	/* The time to connect counts towards the order's deadline. */
 	req.idle_ms = (uint32_t)MAX(left - CONNECT_MS, 1);
 	if (!dl_vm_parse(dl_name_str(&order->endpoint), &req.address) ||
 	    !dl_httpc_start(r->orders->httpc, &req, &call_ops, c)) {
