--- a/include/daisyledge/call.h
+++ b/include/daisyledge/call.h
@@ -127,7 +127,7 @@
 	uint32_t requests; /* requests sent so far */
 };
 
-bool dl_conn_usable(const struct dl_conn_limits *bounds,
+bool dl_conn_usable(const struct dl_conn_limits *limits,
 		    const struct dl_conn_usage *conn, bool idempotent,
 		    int64_t now);
 
@@ -141,11 +141,11 @@
 	bool pause_excused; /* such a pause was excused since the last byte */
 };
 
-void dl_idle_timer_start(struct dl_idle_timer *silence, uint32_t first_ms,
+void dl_idle_timer_start(struct dl_idle_timer *timer, uint32_t first_ms,
 			 uint32_t gap_ms, int64_t now);
-void dl_idle_timer_data_received(struct dl_idle_timer *silence, int64_t now);
-bool dl_idle_timer_expired(struct dl_idle_timer *silence, int64_t now);
-int64_t dl_idle_timer_expiry(const struct dl_idle_timer *silence);
+void dl_idle_timer_data_received(struct dl_idle_timer *timer, int64_t now);
+bool dl_idle_timer_expired(struct dl_idle_timer *timer, int64_t now);
+int64_t dl_idle_timer_expiry(const struct dl_idle_timer *timer);
 
 /* Maximum length of a caller's idempotency key, and of the joined claim key. */
 #define DL_CLAIM_NAME_MAX 255
--- a/include/daisyledge/orders.h
+++ b/include/daisyledge/orders.h
@@ -6,8 +6,8 @@
  * results.
  *
  * Only the leader of the replicated log may send orders, while its lease lasts,
- * with its term as the fencing token.  Endpoints that check the token refuse an
- * earlier leader by themselves.  For those that ignore it a new leader waits
+ * with its term as the fencing number.  Endpoints that check the number refuse
+ * an earlier leader by themselves.  For those that ignore it a new leader waits
  * until every earlier lease has ended and every earlier order has arrived or
  * been given up.
  */
--- a/src/coordination/call.c
+++ b/src/coordination/call.c
@@ -282,46 +282,45 @@
  * connection that has carried none, because a stale connection would make its
  * outcome unknown without need.
  */
-bool dl_conn_usable(const struct dl_conn_limits *bounds,
+bool dl_conn_usable(const struct dl_conn_limits *limits,
 		    const struct dl_conn_usage *conn, bool idempotent,
 		    int64_t now)
 {
 	if (!idempotent && conn->requests)
 		return false;
-	return conn->requests < bounds->requests &&
-	       now - conn->opened < (int64_t)bounds->age_ms &&
-	       now - conn->last_read < (int64_t)bounds->idle_ms;
+	return conn->requests < limits->requests &&
+	       now - conn->opened < (int64_t)limits->age_ms &&
+	       now - conn->last_read < (int64_t)limits->idle_ms;
 }
 
 /*
  * Starts the timer: first_ms until the first byte, gap_ms between later ones.
  */
-void dl_idle_timer_start(struct dl_idle_timer *silence, uint32_t first_ms,
+void dl_idle_timer_start(struct dl_idle_timer *timer, uint32_t first_ms,
 			 uint32_t gap_ms, int64_t now)
 {
-	silence->first_ms = first_ms;
-	silence->gap_ms = gap_ms;
-	silence->started = false;
-	silence->pause_excused = false;
-	silence->last_data = now;
-	silence->last_check = now;
+	timer->first_ms = first_ms;
+	timer->gap_ms = gap_ms;
+	timer->started = false;
+	timer->pause_excused = false;
+	timer->last_data = now;
+	timer->last_check = now;
 }
 
 /* Records that data was received. */
-void dl_idle_timer_data_received(struct dl_idle_timer *silence, int64_t now)
+void dl_idle_timer_data_received(struct dl_idle_timer *timer, int64_t now)
 {
-	silence->started = true;
-	silence->pause_excused = false;
-	silence->last_data = now;
-	silence->last_check = now;
+	timer->started = true;
+	timer->pause_excused = false;
+	timer->last_data = now;
+	timer->last_check = now;
 }
 
 /* Returns when dl_idle_timer_expired() would return true. */
-int64_t dl_idle_timer_expiry(const struct dl_idle_timer *silence)
+int64_t dl_idle_timer_expiry(const struct dl_idle_timer *timer)
 {
-	return silence->last_data + (int64_t)(silence->started ?
-						      silence->gap_ms :
-						      silence->first_ms);
+	return timer->last_data +
+	       (int64_t)(timer->started ? timer->gap_ms : timer->first_ms);
 }
 
 /*
@@ -330,18 +329,18 @@
  * waiting unread, so the timer starts over. This is done once until the next
  * byte, or a caller that always checks late would never see a timeout.
  */
-bool dl_idle_timer_expired(struct dl_idle_timer *silence, int64_t now)
+bool dl_idle_timer_expired(struct dl_idle_timer *timer, int64_t now)
 {
-	int64_t bound = dl_idle_timer_expiry(silence) - silence->last_data;
-	int64_t gap = now - silence->last_check;
+	int64_t bound = dl_idle_timer_expiry(timer) - timer->last_data;
+	int64_t gap = now - timer->last_check;
 
-	silence->last_check = now;
-	if (gap > bound * PAUSE_FACTOR && !silence->pause_excused) {
-		silence->pause_excused = true;
-		silence->last_data = now;
+	timer->last_check = now;
+	if (gap > bound * PAUSE_FACTOR && !timer->pause_excused) {
+		timer->pause_excused = true;
+		timer->last_data = now;
 		return false;
 	}
-	return now >= dl_idle_timer_expiry(silence);
+	return now >= dl_idle_timer_expiry(timer);
 }
 
 /*
--- a/src/coordination/pool_int.h
+++ b/src/coordination/pool_int.h
@@ -544,7 +544,7 @@
 			 uint64_t tokens, uint64_t freed);
 struct pool_request *pool_queue_victim(struct dl_pool *pool,
 				       const struct pool_want *want,
-				       double strain, int64_t now);
+				       double deadline_ratio, int64_t now);
 struct pool_flow *pool_flow_find(const struct pool_workspace *ws, uint8_t lane);
 struct pool_request *pool_queue_head(const struct dl_pool *pool, uint8_t lane,
 				     uint32_t nth);
--- a/src/coordination/pool_queue.c
+++ b/src/coordination/pool_queue.c
@@ -371,11 +371,11 @@
  */
 struct pool_request *pool_queue_victim(struct dl_pool *pool,
 				       const struct pool_want *want,
-				       double strain, int64_t now)
+				       double deadline_ratio, int64_t now)
 {
 	for (int c = DL_CLASS_COUNT - 1; c >= want->class; c--) {
 		struct pool_request *worst = NULL;
-		double most = c == want->class ? strain : 0;
+		double most = c == want->class ? deadline_ratio : 0;
 
 		for (int band = 0; band < POOL_BANDS; band++) {
 			struct pool_lane *lane =
--- a/src/main/node.h
+++ b/src/main/node.h
@@ -17,7 +17,7 @@
 struct dl_node;
 
 struct dl_node_ops {
-	/* A frame of any kind other than DL_FRAME_MEMB. */
+	/* A frame of any kind other than DL_FRAME_MEMBERSHIP. */
 	void (*frame)(void *arg, uint64_t from, const struct dl_frame *frame);
 	void (*up)(void *arg, uint64_t vm);
 	void (*down)(void *arg, uint64_t vm);
--- a/src/state/orders.c
+++ b/src/state/orders.c
@@ -380,7 +380,7 @@
 /*
  * Returns the next order to send.  An endpoint gets the next order only when
  * the last was answered or can no longer arrive, since two orders of one leader
- * carry the same fencing token and could overtake each other.  Loads wait for
+ * carry the same fencing number and could overtake each other.  Loads wait for
  * the token bucket of the weight store; other orders do not.
  */
 bool dl_orders_next(struct dl_orders *orders, int64_t now, struct dl_order *out)
